--- a/src/decisions/candidates.rs
+++ b/src/decisions/candidates.rs
@@ -1,30 +1,33 @@
-//! How the replicas of a shard stand for the attempts of this round.
+//! Load and health of the replicas, as seen by the attempts of one round.
 
 use std::ops::Index;
 
 use super::Aggregator;
 use crate::interface::{Nanos, ReplicaIndex, ShardRequestIndex};
 
-/// How a replica stands for the attempts of this round.
+/// A snapshot of one replica, used to place the attempts of a round.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Candidate {
-    pub sound: bool,
-    /// False for a warming server whose quota is used up.
+    pub healthy: bool,
+    /// Whether the replica may get another attempt under slow start. False for a warming server whose quota is used
+    /// up.
     pub has_quota: bool,
+    /// Estimated time until the replica has finished what this front node sent it.
     pub backlog: Nanos,
-    /// Whether a shard request sent now would travel in a call already being written.
+    /// Whether a shard request sent now would join a call that is already being written.
     pub joins_call: bool,
-    /// Our calls in flight on it,
+    /// Calls of this front node in flight at the replica.
     pub calls: usize,
-    /// and with one shard request more.
+    /// Calls in flight if one more shard request is sent.
     pub calls_with_one_more: usize,
 }
 
-/// Candidates by the slots of their replicas.
+/// Candidates by replica slot.
 pub(super) struct Candidates(Vec<Option<Candidate>>);
 
 impl Candidates {
-    /// Whether it has fewest calls in flight, counting the shard request to be sent, among those with quota.
+    /// Whether the replica has quota and no rival with quota has fewer calls in flight, each counted with one more
+    /// shard request.
     pub fn has_fewest_calls(&self, ix: ReplicaIndex, rivals: &[ReplicaIndex]) -> bool {
         let rivals = rivals.iter().copied().filter(|&rival| self[rival].has_quota);
         self[ix].has_quota
@@ -33,7 +36,7 @@
                 .all(|calls| self[ix].calls_with_one_more <= calls)
     }
 
-    /// What changed with an attempt that was started there.
+    /// Replaces the snapshot of a replica after an attempt was started at it.
     pub fn update(&mut self, ix: ReplicaIndex, candidate: Candidate) {
         self.0[ix.0] = Some(candidate);
     }
@@ -51,7 +54,7 @@
     pub(super) fn candidate(&self, ix: ReplicaIndex) -> Candidate {
         let (joins_call, calls) = (self.joins_call(ix), self.calls_in_flight(ix));
         Candidate {
-            sound: self.is_sound(ix),
+            healthy: self.is_healthy(ix),
             has_quota: self.has_quota(ix),
             backlog: self.backlog(ix),
             joins_call,
@@ -60,7 +63,8 @@
         }
     }
 
-    /// The replicas of the shards of these requests; the rest of a large fleet is left out.
+    /// Returns snapshots of the replicas that hold the shards of these requests. Other replicas of a large fleet are
+    /// skipped.
     pub(super) fn candidates(&self, requests: impl Iterator<Item = ShardRequestIndex>) -> Candidates {
         let mut shards: Vec<usize> = requests.map(|ix| self.state.request(ix).shard).collect();
         shards.sort_unstable();
--- a/src/decisions/completion.rs
+++ b/src/decisions/completion.rs
@@ -1,11 +1,11 @@
-//! Completion: when a query gets its final answer, complete or not, is rejected, or expires.
+//! Completion: when a query gets its final response (complete or partial), is rejected, or expires.
 
 use super::Aggregator;
 use crate::interface::{ActionSink, Idempotence, QueryIndex};
 use crate::state::{AttemptOutcome, Query};
 use crate::trace::{QueryEndReason, TraceEvent};
 
-/// Weights of a step sum to 1 but for this.
+/// Tolerance for rounding: the weights of a step sum to 1 within this.
 pub(super) const ROUNDING: f64 = 1e-6;
 
 /// How a query ends in this round.
@@ -14,16 +14,16 @@
     Unanswered(QueryEndReason),
 }
 
-/// How complete the step of a query is, as shares of its weight.
+/// Completeness of a query's current step, as fractions of its weight.
 struct Completeness {
-    /// What has come.
+    /// Fraction that is answered.
     in_hand: f64,
-    /// What may still come to be there.
+    /// Fraction that is answered or may still be.
     within_reach: f64,
 }
 
 impl Aggregator {
-    /// Ends the queries whose time has come.
+    /// Ends the queries that are complete, lost, or out of time.
     pub(super) fn finish_queries(&mut self, sink: &mut dyn ActionSink) {
         let open: Vec<QueryIndex> = self.state.open_queries().map(|(ix, _)| ix).collect();
         for ix in open {
@@ -37,7 +37,7 @@
 
     fn ending(&self, query: &Query) -> Option<Ending> {
         let class = &self.settings.classes[query.class];
-        // A client that wants all of it or nothing has a completeness of its own, which never lowers its class's.
+        // A client may require a higher completeness than its service class. It never lowers that of the class.
         let least = class.min_completeness.max(query.min_completeness);
         let enough = class.full_completeness.max(query.min_completeness);
         let enough = if query.step > 0 { 1.0 } else { enough };
@@ -45,18 +45,20 @@
         let may_be_partial = least < class.full_completeness && in_hand >= least;
         let partial_value = class.partial_value * in_hand / class.full_completeness;
         let target_is_over = self.now() >= self.latency_target_end(query) - self.margin();
-        let use_is_over = self.now() >= self.end_of_use(query);
+        let usefulness_is_over = self.now() >= self.useful_until(query);
         if in_hand >= enough {
             Some(Ending::Answered { complete: true })
         } else if may_be_partial
-            && (use_is_over || target_is_over && partial_value > class.late_value || within_reach < enough)
+            && (usefulness_is_over
+                || target_is_over && partial_value > class.late_value
+                || within_reach < enough)
         {
             Some(Ending::Answered { complete: false })
-        } else if use_is_over {
+        } else if usefulness_is_over {
             Some(Ending::Unanswered(QueryEndReason::DeadlinePassed))
         } else if within_reach < least.min(enough) {
             Some(Ending::Unanswered(QueryEndReason::ShardsLost))
-        } else if self.is_crowded_out(query) {
+        } else if self.is_too_late_to_admit(query) {
             Some(Ending::Unanswered(QueryEndReason::NeverAdmitted))
         } else if self.breaks_replicas(query) {
             Some(Ending::Unanswered(QueryEndReason::BreaksReplicas))
@@ -65,13 +67,13 @@
         }
     }
 
-    /// How complete the step of a query is.
+    /// Returns the completeness of the query's current step.
     fn completeness(&self, query: &Query) -> Completeness {
         let (mut in_hand, mut lost) = (0.0, 0.0);
         for (_, request) in self.state.requests_of(query).filter(|(_, r)| r.step == query.step) {
             if request.answered {
                 in_hand += request.weight;
-            } else if self.is_hopeless(request) {
+            } else if self.is_lost(request) {
                 lost += request.weight;
             }
         }
@@ -89,8 +91,8 @@
         sink.answer(ix, complete);
     }
 
-    /// A rejection promises that trying again is harmless; where a shard request that is not idempotent may have run,
-    /// the query expires instead.
+    /// Ends the query without a response. A rejection promises that a retry is harmless; if a shard request that is not
+    /// idempotent may have been executed, the query expires instead.
     fn end(&mut self, ix: QueryIndex, reason: QueryEndReason, sink: &mut dyn ActionSink) {
         let rejected = self.may_run_again(self.state.query(ix));
         self.state.record(|| TraceEvent::QueryEnded { query: ix, reason, rejected });
--- a/src/decisions/ejection.rs
+++ b/src/decisions/ejection.rs
@@ -1,28 +1,29 @@
-//! Outlier ejection: a replica that is unresponsive, fails or is far slower than the others is left out, is asked for
-//! its health, and comes back by degrees.
+//! Outlier ejection: a replica that is unresponsive, fails, or is far slower than the others gets no attempts. Health
+//! checks decide when it is readmitted, at first with one shard request at a time.
 
 use super::Aggregator;
 use super::latency::{percentile, scaled};
-use super::load::{FULL_AFTER, PACE_SPAN};
+use super::load::{FULL_BACKLOG, RATE_WINDOW};
 use crate::interface::{ActionSink, Nanos, ReplicaIndex};
 use crate::state::{AttemptOutcome, Replica, Sample, VerificationChange};
 use crate::trace::{EjectionReason, TraceEvent};
 
-/// Failures in a row that eject a replica.
-const FAILURES: usize = 2;
-/// Unanswered attempts among the last few that eject it.
+/// Consecutive failures that eject a replica.
+const CONSECUTIVE_FAILURES: usize = 2;
+/// A replica is ejected if this many of its last [`UNANSWERED_AMONG`] attempts got no response.
 const UNANSWERED: usize = 3;
-const UNANSWERED_OF: usize = 6;
-/// Slowness against the median of all replicas, over so many samples, that ejects it.
-const SLOWNESS: f64 = 3.0;
-const SLOWNESS_SAMPLES: usize = 5;
-/// Health checks that an ejected replica must answer, doubled with each relapse up to a limit.
+const UNANSWERED_AMONG: usize = 6;
+/// A replica is ejected if the median latency of its last [`SLOW_SAMPLES`] responses exceeds this multiple of the
+/// median over all replicas.
+const SLOW_MULTIPLE: f64 = 3.0;
+const SLOW_SAMPLES: usize = 5;
+/// Health checks that an ejected replica must answer. Doubles with each relapse, up to [`MAX_CHECKS_TO_READMIT`].
 const CHECKS_TO_READMIT: usize = 1;
-const CHECKS_TO_READMIT_MOST: usize = 8;
-/// Shard requests that a replica must answer one at a time before it counts as sound again.
+const MAX_CHECKS_TO_READMIT: usize = 8;
+/// Shard requests that a readmitted replica must answer, one at a time, before it counts as healthy again.
 pub(super) const TRIAL_REQUESTS: usize = 2;
 
-/// What is thought of a replica.
+/// Ejection state of a replica.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ReplicaHealth {
     ejected_at: Option<Nanos>,
@@ -31,12 +32,12 @@
     pub next_check_at: Nanos,
 }
 
-/// What is thought of a replica, for hosts that remember it over a restart.
+/// Ejection state of a replica, for hosts that keep it over a restart.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EjectionRecord {
-    /// Since when it is ejected.
+    /// When the replica was ejected; `None` if it is in use.
     pub ejected_at: Option<Nanos>,
-    /// Ejections since it was last sound for a while.
+    /// Ejections since the replica last answered enough shard requests to count as recovered.
     pub relapses: u32,
 }
 
@@ -44,7 +45,7 @@
     pub const NEW: ReplicaHealth =
         ReplicaHealth { ejected_at: None, readmitted_at: Nanos::MIN, relapses: 0, next_check_at: 0 };
 
-    /// One that only an old list names starts ejected.
+    /// State after a change of verification: a replica that is named only by an outdated list starts ejected.
     pub fn of_verification(change: &VerificationChange, now: Nanos) -> ReplicaHealth {
         ReplicaHealth {
             ejected_at: (change.steps > 0).then_some(now),
@@ -62,18 +63,18 @@
         EjectionRecord { ejected_at: self.ejected_at, relapses: self.relapses }
     }
 
-    /// Health checks that it must answer to come back.
+    /// The number of health checks that the replica must answer to be readmitted.
     fn checks_needed(&self) -> usize {
-        (CHECKS_TO_READMIT << (self.relapses - 1).min(8)).min(CHECKS_TO_READMIT_MOST)
+        (CHECKS_TO_READMIT << (self.relapses - 1).min(8)).min(MAX_CHECKS_TO_READMIT)
     }
 }
 
 impl Aggregator {
-    /// Ejects a replica that is unresponsive, fails or is slow, whatever the cause, asks it for its health, and
-    /// readmits it by degrees: a health check may prove no more than that a process runs, so the first shard requests
-    /// come one at a time.
-    pub(super) fn judge_replicas(&mut self, sink: &mut dyn ActionSink) {
-        // Only those that are ejected, or held something of ours since the last round, can have changed.
+    /// Ejects a replica that is unresponsive, fails or is slow, whatever the cause; checks the health of ejected
+    /// replicas; and readmits them by degrees. A passed health check may prove only that a process runs, so the first
+    /// shard requests are sent one at a time.
+    pub(super) fn update_ejections(&mut self, sink: &mut dyn ActionSink) {
+        // Only replicas that are ejected, or held an attempt of ours since the last round, can have changed.
         let is_ejected = |ix: &usize| self.health[*ix].is_ejected();
         let mut watched: Vec<usize> = (0..self.health.len()).filter(is_ejected).collect();
         watched.extend(self.state.busy.iter().map(|ix| ix.0).filter(|ix| !is_ejected(ix)));
@@ -82,47 +83,47 @@
                 continue;
             }
             match self.health[ix].ejected_at {
-                Some(since) => self.judge_ejected(ReplicaIndex(ix), since, sink),
-                None => self.judge_in_use(ReplicaIndex(ix), sink),
+                Some(since) => self.check_readmission(ReplicaIndex(ix), since, sink),
+                None => self.check_ejection(ReplicaIndex(ix), sink),
             }
         }
     }
 
-    fn judge_ejected(&mut self, ix: ReplicaIndex, since: Nanos, sink: &mut dyn ActionSink) {
+    fn check_readmission(&mut self, ix: ReplicaIndex, since: Nanos, sink: &mut dyn ActionSink) {
         let (now, health, replica) = (self.now(), self.health[ix.0], &self.state.replicas[ix.0]);
-        let (pace, wait) = (self.health_check_pace(), self.reported_wait(replica));
+        let (interval, wait) = (self.health_check_interval(), self.reported_wait(replica));
         let needed = health.checks_needed();
         let answered = replica.answered_health_checks.iter().filter(|&sent_at| sent_at >= since).count();
-        if answered >= needed && wait <= scaled(self.shortest_latency_target(), FULL_AFTER)
-            || !self.settings.may_check_health && now > since + pace * needed as Nanos
+        if answered >= needed && wait <= scaled(self.shortest_latency_target(), FULL_BACKLOG)
+            || !self.settings.may_check_health && now > since + interval * needed as Nanos
         {
             self.state.record(|| TraceEvent::ReplicaReadmitted { replica: ix });
             self.health[ix.0].ejected_at = None;
             self.health[ix.0].readmitted_at = now;
             self.state.replicas[ix.0].unverified = false;
         } else if now >= health.next_check_at {
-            self.check_health(ix, pace.max(wait / 2), sink);
+            self.check_health(ix, interval.max(wait / 2), sink);
         }
     }
 
-    fn judge_in_use(&mut self, ix: ReplicaIndex, sink: &mut dyn ActionSink) {
+    fn check_ejection(&mut self, ix: ReplicaIndex, sink: &mut dyn ActionSink) {
         let (now, health, replica) = (self.now(), self.health[ix.0], &self.state.replicas[ix.0]);
         if let Some(reason) = self.reason_to_eject(ix) {
             self.state.record(|| TraceEvent::ReplicaEjected { replica: ix, reason });
             self.health[ix.0].ejected_at = Some(now);
             self.health[ix.0].relapses = health.relapses + 1;
-        } else if health.relapses > 0 && replica.answered_since(health.readmitted_at) >= SLOWNESS_SAMPLES {
+        } else if health.relapses > 0 && replica.answered_since(health.readmitted_at) >= SLOW_SAMPLES {
             self.health[ix.0].relapses = 0;
         } else if self.settings.queues_reported && now >= health.next_check_at {
-            // A late answer or a rejection may be chance, or a queue that the replica can tell of.
+            // A late response or a rejection may be chance, or be due to a queue that a health check reports.
             let last = replica.samples.iter().last().filter(|sample| sample.at == now);
-            let may_be_queueing = |sample: Sample| {
+            let may_indicate_queue = |sample: Sample| {
                 sample.outcome == AttemptOutcome::Rejected || sample.took >= self.latency.response_timeout
             };
-            let (pace, wait) = (self.health_check_pace(), self.reported_wait(replica));
-            let full = wait > scaled(self.shortest_latency_target(), FULL_AFTER);
-            if full || last.is_some_and(may_be_queueing) {
-                self.check_health(ix, pace.max(wait / 2), sink);
+            let (interval, wait) = (self.health_check_interval(), self.reported_wait(replica));
+            let full = wait > scaled(self.shortest_latency_target(), FULL_BACKLOG);
+            if full || last.is_some_and(may_indicate_queue) {
+                self.check_health(ix, interval.max(wait / 2), sink);
             }
         }
     }
@@ -142,43 +143,45 @@
 
     fn is_unresponsive(&self, replica: &Replica, readmitted_at: Nanos, response_timeout: Nanos) -> bool {
         let since = self.now() - response_timeout;
-        let waits_long = |sent_at: Nanos| sent_at >= readmitted_at && sent_at < since;
+        let is_overdue = |sent_at: Nanos| sent_at >= readmitted_at && sent_at < since;
         replica.last_answer_at < since
-            && replica.counted.iter().any(|c| c.ended.is_none() && waits_long(c.sent_at))
+            && replica.counted.iter().any(|c| c.ended.is_none() && is_overdue(c.sent_at))
     }
 
-    /// Against replicas that answer one service class with errors, fast, and serve the others: the last word on that
-    /// class is believed for a while, and only those shard requests go elsewhere.
+    /// Whether the replica recently failed shard requests of this service class. Some replicas fail one class with fast
+    /// errors and serve the others: the last outcome for the class holds for a while, and only shard requests of this
+    /// class go elsewhere.
     pub(super) fn fails_class(&self, ix: ReplicaIndex, class: usize) -> bool {
-        let since = self.now() - scaled(self.shortest_latency_target(), PACE_SPAN);
+        let since = self.now() - scaled(self.shortest_latency_target(), RATE_WINDOW);
         let answered_or_failed = |sample: &Sample| {
             sample.class == class
                 && matches!(sample.outcome, AttemptOutcome::Answered | AttemptOutcome::Failed)
         };
         let replica = &self.state.replicas[ix.0];
         let last = replica.samples.iter().rev().find(answered_or_failed);
-        // What other front nodes found counts where this one has no word of its own lately.
-        let others_say =
+        // Reports of other front nodes count if this one has no recent outcome of its own.
+        let reported_by_peers =
             replica.failing_classes >> class.min(63) & 1 == 1 && last.is_none_or(|s| s.at <= since);
-        last.is_some_and(|s| s.outcome == AttemptOutcome::Failed && s.at > since) || others_say
+        last.is_some_and(|s| s.outcome == AttemptOutcome::Failed && s.at > since) || reported_by_peers
     }
 
-    /// One that is back but has not answered enough shard requests yet.
+    /// Whether the replica was readmitted and has not answered [`TRIAL_REQUESTS`] shard requests since.
     pub(super) fn is_on_trial(&self, ix: ReplicaIndex) -> bool {
         let readmitted_at = self.health[ix.0].readmitted_at;
         readmitted_at > Nanos::MIN && self.state.replicas[ix.0].answered_since(readmitted_at) < TRIAL_REQUESTS
     }
 
-    /// Neither ejected, nor on trial with its one shard request.
-    pub(super) fn is_sound(&self, ix: ReplicaIndex) -> bool {
+    /// Whether the replica may get an attempt: it is not ejected, and not on trial with its one shard request in flight.
+    pub(super) fn is_healthy(&self, ix: ReplicaIndex) -> bool {
         let health = &self.health[ix.0];
         let has_one = || self.state.replicas[ix.0].counted.iter().any(|c| c.sent_at >= health.readmitted_at);
         !(health.is_ejected() || self.is_on_trial(ix) && has_one())
     }
 }
 
-/// A rejection for want of capacity tells of a queue, not a fault; an error beside answers tells of a service class.
-/// One cancelled after the response time-out counts, against replicas that answer some shard requests and lose others.
+/// Whether the last attempts failed. A rejection for lack of capacity indicates a queue, not a fault; an error between
+/// responses indicates a fault of one service class. An attempt that was cancelled after the response time-out counts as
+/// unanswered, to detect replicas that answer some shard requests and lose others.
 fn is_failing(replica: &Replica, readmitted_at: Nanos, on_trial: bool, response_timeout: Nanos) -> bool {
     let counts = |sample: &Sample| {
         (sample.outcome != AttemptOutcome::Cancelled || sample.took >= response_timeout)
@@ -189,25 +192,26 @@
     let last: Vec<AttemptOutcome> = since_readmission
         .filter(|sample| sample.at - sample.took >= readmitted_at && counts(sample))
         .filter(|sample| sample.outcome != AttemptOutcome::Rejected)
-        .take(UNANSWERED_OF)
+        .take(UNANSWERED_AMONG)
         .map(|sample| sample.outcome)
         .collect();
     let failed =
         |outcome: AttemptOutcome| outcome != AttemptOutcome::Answered && outcome != AttemptOutcome::Cancelled;
     let in_a_row = last.iter().take_while(|&&outcome| failed(outcome)).count();
     let unanswered = last.iter().filter(|&&outcome| outcome != AttemptOutcome::Answered).count();
-    let enough = if on_trial { 1 } else { FAILURES };
+    let enough = if on_trial { 1 } else { CONSECUTIVE_FAILURES };
     in_a_row >= enough
         || unanswered >= UNANSWERED
         || on_trial && unanswered > 0
         || last.first() == Some(&AttemptOutcome::ConnectFailed)
 }
 
+/// Whether the replica is far slower than the median over all replicas.
 fn is_slow(replica: &Replica, readmitted_at: Nanos, median: Option<Nanos>) -> bool {
     let is_answer =
         |sample: &Sample| sample.outcome == AttemptOutcome::Answered && sample.at >= readmitted_at;
-    let answers = replica.samples.iter().rev().filter(is_answer).take(SLOWNESS_SAMPLES);
+    let answers = replica.samples.iter().rev().filter(is_answer).take(SLOW_SAMPLES);
     let took: Vec<Nanos> = answers.map(|sample| sample.took).collect();
-    took.len() == SLOWNESS_SAMPLES
-        && median.is_some_and(|median| percentile(took, 0.5) > scaled(median, SLOWNESS))
+    took.len() == SLOW_SAMPLES
+        && median.is_some_and(|median| percentile(took, 0.5) > scaled(median, SLOW_MULTIPLE))
 }
--- a/src/decisions/latency.rs
+++ b/src/decisions/latency.rs
@@ -1,44 +1,45 @@
-//! Estimates of how long shard requests take, worked out once a round.
+//! Estimates of shard request latencies, computed once per round.
 
 use super::Aggregator;
 use crate::interface::Nanos;
 use crate::trace::TraceEvent;
 
-/// Shard requests that must have been timed before percentiles say something.
-const LEAST_SAMPLES: usize = 20;
-/// A hedge waits for this percentile of the last latencies.
+/// The number of latency samples below which no percentile is computed.
+const MIN_SAMPLES: usize = 20;
+/// The percentile of recent latencies after which a request may be hedged.
 const HEDGE_PERCENTILE: f64 = 0.95;
-/// The usual longest time of a shard request: what expiry and a second attempt go by.
-const USUAL_LONGEST: f64 = 0.9;
-/// Before percentiles say something, a shard request is taken to last this share of the latency target.
-pub(super) const FIRST_DELAY: f64 = 0.25;
-/// A replica is unresponsive after this many times the median, from this share of a latency target to all of it.
-/// The median, as a part of the fleet that goes slow moves the upper percentiles at once.
+/// The percentile that counts as the usual longest latency. Admission and further attempts at ejected replicas use it.
+const LONG_LATENCY_PERCENTILE: f64 = 0.9;
+/// Before percentiles are available, the latency of a shard request is assumed to be this fraction of the latency
+/// target.
+pub(super) const ASSUMED_LATENCY: f64 = 0.25;
+/// The response time-out is this multiple of the median latency, but at least [`MIN_TIMEOUT`] of a latency target and
+/// at most a whole one. The median is used because upper percentiles move at once when part of the fleet gets slow.
 const TIMEOUT_MULTIPLE: f64 = 4.0;
-const LEAST_TIMEOUT: f64 = 0.25;
-/// Recent is what lies within this many of the longest deadlines.
-const RECENT_DEADLINES: f64 = 2.0;
-/// Shard requests of ours to one replica, on average, that its last news are remembered for.
-const MEMORY: Nanos = 2;
+const MIN_TIMEOUT: f64 = 0.25;
+/// Length of the recent window, in multiples of the longest deadline.
+const RECENT_WINDOW: f64 = 2.0;
+/// The last outcome at a replica is remembered for this many intervals between shard requests to the same replica, on
+/// average.
+const REMEMBERED_REVISITS: Nanos = 2;
 
-/// What every decision of a round goes by: percentiles of the last latencies (none before there are enough of them),
-/// the time-out of responses, and how often a replica is sent something.
+/// Latency estimates for one round. The percentiles are `None` until enough shard requests were timed.
 #[derive(Clone, Copy, Debug, Default)]
 pub(super) struct LatencyEstimates {
     pub median: Option<Nanos>,
     pub longest: Option<Nanos>,
     pub hedge_delay: Option<Nanos>,
-    /// How long a replica may answer nothing.
+    /// A replica that answers nothing for this long is unresponsive.
     pub response_timeout: Nanos,
-    /// How long it is until a replica's next shard request from us.
+    /// How long outcomes at a replica are remembered, based on the mean time between two shard requests to it.
     pub revisit_interval: Nanos,
 }
 
 impl Aggregator {
     pub(super) fn estimate_latencies(&mut self) {
         let took: Vec<Nanos> = self.state.latencies.iter().collect();
-        let usual = |share| (took.len() >= LEAST_SAMPLES).then(|| percentile(took.clone(), share));
-        let (median, longest) = (usual(0.5), usual(USUAL_LONGEST));
+        let usual = |fraction| (took.len() >= MIN_SAMPLES).then(|| percentile(took.clone(), fraction));
+        let (median, longest) = (usual(0.5), usual(LONG_LATENCY_PERCENTILE));
         let hedge_delay = usual(HEDGE_PERCENTILE);
         let response_timeout = self.response_timeout(median);
         self.latency = LatencyEstimates {
@@ -59,28 +60,30 @@
         self.settings.classes.iter().map(|class| class.latency_target).min().unwrap_or(0)
     }
 
-    /// How far back what happened still matters.
+    /// Returns the length of the window whose events count as recent.
     pub(super) fn recent_window(&self) -> Nanos {
         let deadline = self.settings.classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-        scaled(deadline, RECENT_DEADLINES)
+        scaled(deadline, RECENT_WINDOW)
     }
 
     fn response_timeout(&self, median: Option<Nanos>) -> Nanos {
         let target = self.shortest_latency_target();
         let usual = median.map_or(0, |median| scaled(median, TIMEOUT_MULTIPLE));
-        usual.clamp(scaled(target, LEAST_TIMEOUT), target)
+        usual.clamp(scaled(target, MIN_TIMEOUT), target)
     }
 
-    /// How long it is until a replica's next shard request from us, on average over the fleet.
+    /// Returns [`REMEMBERED_REVISITS`] times the average time between two shard requests to the same replica, at most that many recent
+    /// windows.
     fn mean_revisit_interval(&self) -> Nanos {
         let window = self.recent_window();
         let requests = self.state.recent.shard_requests.count_after(self.now() - window);
-        MEMORY * window.min(window / requests.max(1) as Nanos * self.state.serving_replicas() as Nanos)
+        REMEMBERED_REVISITS
+            * window.min(window / requests.max(1) as Nanos * self.state.serving_replicas() as Nanos)
     }
 
-    /// How long a shard request alone takes at the usual pace, at most.
-    pub(super) fn usual_time_alone(&self) -> Nanos {
-        self.latency.median.unwrap_or(scaled(self.shortest_latency_target(), FIRST_DELAY)).max(1)
+    /// Returns the median latency of a shard request, or an assumption before it is known. At least 1 ns.
+    pub(super) fn usual_latency(&self) -> Nanos {
+        self.latency.median.unwrap_or(scaled(self.shortest_latency_target(), ASSUMED_LATENCY)).max(1)
     }
 }
 
@@ -88,8 +91,8 @@
     (time as f64 * by) as Nanos
 }
 
-/// The sample below which that share of them lies.
-pub(super) fn percentile(mut samples: Vec<Nanos>, share: f64) -> Nanos {
-    let position = ((samples.len() as f64 * share) as usize).min(samples.len() - 1);
+/// Returns the sample at the given quantile (0 to 1). `samples` must not be empty.
+pub(super) fn percentile(mut samples: Vec<Nanos>, fraction: f64) -> Nanos {
+    let position = ((samples.len() as f64 * fraction) as usize).min(samples.len() - 1);
     *samples.select_nth_unstable(position).1
 }
--- a/src/decisions/membership.rs
+++ b/src/decisions/membership.rs
@@ -1,4 +1,4 @@
-//! When the changes of the membership are asked for, and what becomes of replicas that it names anew.
+//! When membership changes are requested, and how they reset the health of replicas.
 
 use rand::Rng;
 use rand_pcg::Pcg64;
@@ -9,17 +9,17 @@
 use crate::interface::{ActionSink, AggregatorSettings, Nanos};
 use crate::state::AggregatorState;
 
-/// Share of the request interval that the first pause after a miss is drawn from.
-const FIRST_PAUSE: f64 = 0.05;
-/// The pauses double this often at most.
-const MOST_DOUBLINGS: u32 = 4;
+/// The first pause after a miss is drawn from up to twice this fraction of the request interval.
+const INITIAL_PAUSE: f64 = 0.05;
+/// The longest pause doubles at most this many times.
+const MAX_DOUBLINGS: u32 = 4;
 
-/// Requests for the changes of the membership, where those come only on request.
+/// Requests for membership changes, where these are sent only on request.
 pub(super) struct MembershipRequests {
-    /// When the next request is due.
+    /// When the next request is due; `None` while one is pending.
     due: Option<Nanos>,
     requested_at: Nanos,
-    /// Requests in a row that brought nothing.
+    /// The number of consecutive requests without a result.
     misses: u32,
 }
 
@@ -33,8 +33,8 @@
         self.due.is_some()
     }
 
-    /// Asks for the changes where they come only on request; after a miss the pauses grow and are spread at random,
-    /// lest all aggregators ask a service that just came back at once.
+    /// Requests the membership changes if that is due. After a miss the pauses grow and are randomized, so that the
+    /// aggregators do not all query a restarted service at once.
     pub fn request_changes(
         &mut self,
         state: &mut AggregatorState,
@@ -48,14 +48,14 @@
         let now = state.now();
         if state.membership_lost {
             state.membership_lost = false;
-            // A watch that fell silent after it had lasted is no miss after a miss: what it held back soon
-            // counts as told, so the pauses begin anew.
+            // If the watch had lasted for longer than the request interval before it failed, this is no repeated miss: the
+            // pauses start again from the shortest.
             let last = self.requested_at.max(state.membership_received_at.unwrap_or(self.requested_at));
             if now - last > settings.membership_request_interval {
                 self.misses = 0;
             }
-            self.misses = (self.misses + 1).min(MOST_DOUBLINGS);
-            let longest = scaled(settings.membership_request_interval, FIRST_PAUSE) << self.misses;
+            self.misses = (self.misses + 1).min(MAX_DOUBLINGS);
+            let longest = scaled(settings.membership_request_interval, INITIAL_PAUSE) << self.misses;
             self.due = Some(now + rng.random_range(longest / 4..=longest));
         } else if state.membership_received_at == Some(now) && self.due.is_none() {
             self.misses = 0;
@@ -68,8 +68,8 @@
 }
 
 impl Aggregator {
-    /// Replicas that are new, that were replaced in their slot, or whose verification changed are judged anew.
-    pub(super) fn follow_membership(&mut self) {
+    /// Resets the ejection state of replicas that are new, were replaced in their slot, or whose verification changed.
+    pub(super) fn apply_membership_changes(&mut self) {
         let now = self.now();
         self.health.resize(self.state.replicas.len(), ReplicaHealth::NEW);
         self.state.removed_replicas.drain(..).for_each(|ix| self.health[ix.0] = ReplicaHealth::NEW);
--- a/src/decisions/mod.rs
+++ b/src/decisions/mod.rs
@@ -1,8 +1,10 @@
-//! Every decision of an aggregator, every threshold and tuned value, by concern. The facts they rest on are in
-//! [`crate::state`]; what a host hands over at the start, and the sink of the decisions, are in [`crate::interface`].
+//! The decisions of an aggregator, with their thresholds and tuned values, one concern per module. The facts that they
+//! are based on are in [`crate::state`]; the settings that the host passes in, and the sink that receives the decisions,
+//! are in [`crate::interface`].
 //!
-//! Call [`Aggregator::round`] once a round: `receive` records all that happened since the last one, and when it
-//! returns, the decisions go to the sink. The source of the design is cited in `docs/design.md`.
+//! The host calls [`Aggregator::round`] once per round. Its `receive` callback records everything that happened since the
+//! previous round; when it returns, the aggregator decides and calls the sink. `docs/design.md` cites the sources of the
+//! design.
 
 mod admission;
 mod candidates;
@@ -30,7 +32,7 @@
 use latency::LatencyEstimates;
 use membership::MembershipRequests;
 
-/// Enough shard requests for a steady percentile, few enough to follow a change within seconds.
+/// Enough latencies for a stable percentile, and few enough to follow a change within seconds.
 const SAMPLE_LIMITS: SampleLimits = SampleLimits {
     latencies: 200,
     per_replica: 48,
@@ -38,26 +40,27 @@
     health_checks: 8,
     lost_connections: 16,
 };
-/// Ticks after which a round is asked for while something is open.
+/// Ticks until the next round that the aggregator requests while a query is open.
 const WAKE_TICKS: Nanos = 2;
 
-/// Spreads the shard requests of queries over replicated shards: one front node's decisions.
+/// Distributes the shard requests of queries over the replicas of the shards, for one front node.
 pub struct Aggregator {
     settings: AggregatorSettings,
     state: AggregatorState,
     rng: Pcg64,
-    /// What is thought of each replica, by slot.
+    /// Ejection state of each replica, by slot.
     health: Vec<ReplicaHealth>,
     membership: MembershipRequests,
     latency: LatencyEstimates,
-    /// Drawn once, from 0 to 1: when this front node's turns come where each front node of many has few.
+    /// Random number from 0 to 1, drawn once. Spreads the attempts of many front nodes over time where each of them may
+    /// send a warming server only a few.
     phase: f64,
-    /// When a round was last asked for.
+    /// Time of the round that was last requested.
     wake_at: Nanos,
 }
 
 impl Aggregator {
-    /// An aggregator that knows of no replica yet. The same seed and the same inputs give the same decisions.
+    /// Returns an aggregator without replicas. The same seed and the same inputs give the same decisions.
     pub fn new(settings: AggregatorSettings, seed: u64) -> Self {
         let rng = Pcg64::seed_from_u64(seed);
         Aggregator {
@@ -72,27 +75,29 @@
         }
     }
 
-    /// What it knows.
+    /// Returns the facts that the decisions are based on.
     pub fn state(&self) -> &AggregatorState {
         &self.state
     }
 
-    /// Whether each decision's reason is kept from now on, until it is taken.
+    /// Turns the trace on or off. While it is on, the reason of each decision is recorded.
     pub fn set_tracing(&mut self, on: bool) {
         self.state.set_tracing(on);
     }
 
-    /// The reasons kept since they were last taken.
+    /// Returns and removes the trace records made since the last call.
     pub fn take_trace(&mut self) -> Vec<TraceRecord> {
         self.state.take_trace()
     }
 
-    /// What is thought of a replica, for hosts that remember it over a restart. None for a slot that no round has seen.
+    /// Returns the ejection state of a replica, for hosts that keep it over a restart, or `None` if no round has run
+    /// since the slot was created.
     pub fn ejection_record(&self, replica: ReplicaIndex) -> Option<EjectionRecord> {
         self.health.get(replica.0).map(ReplicaHealth::record)
     }
 
-    /// Decides once: `receive` records what happened since the last round, and the decisions go to the sink.
+    /// Runs one round: `receive` records what happened since the previous round, then the decisions are sent to the
+    /// sink.
     pub fn round(
         &mut self,
         now: Nanos,
@@ -101,15 +106,15 @@
     ) {
         self.state.begin_round(now);
         receive(&mut self.state);
-        self.follow_membership();
+        self.apply_membership_changes();
         self.estimate_latencies();
         self.membership.request_changes(&mut self.state, &self.settings, &mut self.rng, sink);
         self.release_counts();
-        self.judge_replicas(sink);
+        self.update_ejections(sink);
         self.finish_queries(sink);
         self.place_requests(sink);
         self.start_hedges(sink);
-        self.cancel_losers(sink);
+        self.cancel_superfluous(sink);
         let budget_window = self.settings.retry_budget.map_or(0, |budget| budget.window);
         self.state.prune(now - self.recent_window().max(budget_window));
         self.request_round(sink);
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,122 +1,122 @@
-//! What a host hands over at the start, the indices it speaks in, and the sink that takes the decisions.
+//! The types that a host exchanges with the aggregator: settings, indices, and the sink that receives the decisions.
 
-/// A moment or a length of time, in whole nanoseconds.
+/// A point in time or a duration, in whole nanoseconds.
 pub type Nanos = i64;
 
-/// Number of a query, counted from the start of the aggregator.
+/// Number of a query, counted from 0 since the aggregator was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct QueryIndex(pub usize);
 
-/// Number of a shard request, counted from the start of the aggregator over all queries.
+/// Number of a shard request, counted from 0 over all queries since the aggregator was created.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ShardRequestIndex(pub usize);
 
-/// Slot of a replica; a slot may be given to another replica once nothing refers to the earlier one.
+/// Slot of a replica. A slot is reused for another replica once nothing refers to the earlier one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReplicaIndex(pub usize);
 
-/// What a second run of a shard request would do.
+/// What happens if a shard request is executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotence {
-    /// It may run any number of times (RFC 9110, section 9.2.2).
+    /// It may be executed any number of times (RFC 9110, section 9.2.2).
     Idempotent,
-    /// Repeats are dropped for this long after the first attempt that may have run.
+    /// Repeats are dropped for this long after the first attempt that may have been executed.
     Deduplicated(Nanos),
-    /// It has an effect each time it runs.
+    /// It has an effect each time it is executed.
     NotIdempotent,
 }
 
-/// One service class, as its clients were promised it.
+/// Service level of one service class.
 #[derive(Clone, Debug)]
 pub struct ServiceClass {
-    /// Time within which an answer earns its full value.
+    /// Time within which a response earns its full value.
     pub latency_target: Nanos,
-    /// The latency target grows by this multiple of the query's own work.
+    /// The latency target grows by this multiple of the query's expected work.
     pub latency_target_stretch: f64,
-    /// Time after which an answer is worth nothing.
+    /// Time after which a response is worth nothing.
     pub deadline: Nanos,
-    /// Share of its value that an answer after the latency target earns.
+    /// Fraction of its value that a response after the latency target earns.
     pub late_value: f64,
-    /// Whether a shard request may run again.
+    /// Whether a shard request may be executed more than once.
     pub idempotence: Idempotence,
-    /// Least share of the shard requests' weight that may be answered from.
+    /// The smallest fraction of the shard requests' weight that a response may be based on.
     pub min_completeness: f64,
-    /// Share of the first step's weight that makes a complete answer.
+    /// Fraction of the first step's weight that makes a complete response.
     pub full_completeness: f64,
-    /// Share of its value that an incomplete answer earns, for all of the completeness that is needed.
+    /// Fraction of its value that a partial response earns, scaled by its completeness relative to the full one.
     pub partial_value: f64,
-    /// Shard requests of the second step; 0 where there is one step only.
+    /// The number of shard requests in the second step; 0 if the class has one step only.
     pub second_step_requests: usize,
 }
 
-/// Limit of the attempts beyond each shard request's first.
+/// Limit of further attempts (attempts beyond the first of each shard request).
 #[derive(Clone, Copy, Debug)]
 pub struct RetryBudget {
-    /// Attempts that are always allowed in a window.
+    /// Further attempts that are always allowed in a window.
     pub reserve: f64,
-    /// Further attempts allowed for each query and shard request received in a window.
+    /// Additional further attempts allowed for each query and shard request received in a window.
     pub ratio: f64,
     /// Length of the sliding window.
     pub window: Nanos,
 }
 
-/// How a server warms up after its start, and what overloads it meanwhile.
+/// How a server warms up after its start, and which load overloads it meanwhile.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStart {
-    /// Share of its capacity right after the start.
+    /// Fraction of its capacity that a server has right after its start.
     pub initial_share: f64,
-    /// Time from the start until it has all of its capacity.
+    /// Time from the start until the server has its full capacity.
     pub duration: Nanos,
-    /// A warming server falls over from more than this multiple of its capacity,
+    /// A warming server is overloaded by more than this multiple of its capacity within the overload window.
     pub overload_multiple: f64,
-    /// sent to it within this time.
+    /// Length of the overload window.
     pub overload_window: Nanos,
 }
 
-/// Everything an aggregator is told before its first query.
+/// The settings of an aggregator, fixed before its first query.
 #[derive(Clone, Debug)]
 pub struct AggregatorSettings {
     /// The service classes; a query names its class by its position here.
     pub classes: Vec<ServiceClass>,
-    /// Queries a second within each tenant's quota, over all front nodes; empty where there are no tenants.
+    /// Quota of each tenant over all front nodes, in queries per second; empty if there are no tenants.
     pub tenant_rates: Vec<f64>,
-    /// Front nodes that share the servers, this one among them; 1 where nothing is said.
+    /// The number of front nodes that share the servers, including this one; 1 if not configured.
     pub front_nodes: usize,
-    /// Cells of the ring; as many shards as cells.
+    /// The number of cells of the ring, which is also the number of shards.
     pub cells: usize,
-    /// Cells in a row that hold a shard, beginning with the shard's own.
+    /// The number of consecutive cells that hold a shard, starting with the shard's own.
     pub cells_per_shard: usize,
-    /// Shard requests that may share a call.
+    /// The number of shard requests that may share a call.
     pub requests_per_call: usize,
-    /// Most attempts of a shard request.
+    /// The largest number of attempts of a shard request.
     pub max_attempts: usize,
     /// Whether attempts may be cancelled.
     pub may_cancel: bool,
     /// Whether a second attempt may start while the first is in flight.
     pub may_hedge: bool,
-    /// Whether replicas may be asked for their health.
+    /// Whether health checks may be sent to replicas.
     pub may_check_health: bool,
-    /// Whether health checks bring how many shard requests wait and how many are done a second.
+    /// Whether health checks report the number of waiting shard requests and the rate of completed ones.
     pub queues_reported: bool,
-    /// Longest `Retry-After` that clients heed; 0 where they are never told.
+    /// The longest `Retry-After` that clients respect; 0 if rejections carry none.
     pub max_retry_after: Nanos,
-    /// Whether news of the membership comes only to those who ask.
+    /// Whether membership changes are sent only on request.
     pub membership_on_request: bool,
-    /// How long news of the membership may be late before they are asked for again.
+    /// Time without membership changes after which they are requested again.
     pub membership_request_interval: Nanos,
-    /// Limit of further attempts; none where they are unlimited.
+    /// Limit of further attempts; `None` if they are unlimited.
     pub retry_budget: Option<RetryBudget>,
-    /// What servers that just started can do.
+    /// Warm-up of recently started servers.
     pub slow_start: SlowStart,
-    /// Least time between two rounds.
+    /// The shortest time between two rounds.
     pub tick: Nanos,
 }
 
-/// Takes the decisions of a round, in order.
+/// Receives the decisions of a round, in order.
 pub trait ActionSink {
-    /// Sends the shard request to a replica; attempts of a shard request are numbered from 0. `limit` is how long it
-    /// may take. A host where attempts wait to be sent sends neither this one nor an earlier one of the shard request
-    /// once `send_within` is over.
+    /// Sends the shard request to a replica. Attempts of a shard request are numbered from 0. The attempt may take
+    /// `limit`. If attempts can wait in the host before they are sent, the host must not send this one, or an earlier one
+    /// of the same shard request, after `send_within`.
     fn start_attempt(
         &mut self,
         request: ShardRequestIndex,
@@ -126,16 +126,16 @@
     );
     /// Cancels an attempt that is in flight.
     fn cancel_attempt(&mut self, request: ShardRequestIndex, attempt: usize);
-    /// Answers the query from what has come, marked complete or not.
+    /// Sends the response of the query, from the shard requests answered so far, marked as complete or partial.
     fn answer(&mut self, query: QueryIndex, complete: bool);
-    /// Refuses the query; trying again is harmless, after `retry_after` where that is not 0.
+    /// Rejects the query. A retry is harmless; it should wait for `retry_after` unless that is 0.
     fn reject(&mut self, query: QueryIndex, retry_after: Nanos);
-    /// Ends the query without an answer; it may have run.
+    /// Ends the query without a response. It may have been executed.
     fn expire(&mut self, query: QueryIndex);
-    /// Asks a replica for its health.
+    /// Sends a health check to a replica.
     fn check_health(&mut self, replica: ReplicaIndex);
-    /// Asks to be called again at that time.
+    /// Requests a round at the given time.
     fn wake_at(&mut self, at: Nanos);
-    /// Asks for the changes of the membership.
+    /// Requests the membership changes.
     fn request_membership(&mut self);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
 //! Decisions of an aggregator that spreads the shard requests of queries over replicated shards.
 //!
-//! [`decisions`] holds every decision, [`state`] the facts they rest on, [`interface`] what a host gives and gets,
-//! [`trace`] why each decision fell.
+//! [`decisions`] holds the decisions, [`state`] the facts that they are based on, [`interface`] the types that a host
+//! exchanges with the aggregator, and [`trace`] the reasons of the decisions.
 //!
 //! ```
 //! use orchidvalve::Aggregator;
@@ -51,7 +51,7 @@
 //!     state.shard_request_received(query, 1, 0.5);
 //! };
 //! aggregator.round(0, receive, &mut sent);
-//! // Both replicas hold both shards; the second shard request goes to the one that has none.
+//! // Both replicas hold both shards. The second shard request goes to the replica without one.
 //! assert_eq!(sent.0.len(), 2);
 //! assert_ne!(sent.0[0].1, sent.0[1].1);
 //! ```
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,5 @@
-//! The facts of one aggregator: what came in, what was attempted, what came of it, what discovery and the fleet say.
-//! Nothing here decides anything; how many samples are kept is said by the caller.
+//! The facts that an aggregator bases its decisions on: what was received, what was attempted, how that ended, and what
+//! discovery and the fleet report. Nothing here makes decisions; the caller sets how many samples are kept.
 
 mod membership;
 mod queries;
@@ -22,7 +22,7 @@
 use replicas::EndingAttempt;
 use window::NumberedWindow;
 
-/// Everything that one aggregator knows.
+/// Queries, shard requests, replicas and recent traffic of one aggregator.
 #[derive(Clone, Debug)]
 pub struct AggregatorState {
     now: Nanos,
@@ -30,39 +30,39 @@
     limits: SampleLimits,
     queries: NumberedWindow<Query>,
     requests: NumberedWindow<ShardRequest>,
-    /// Replicas by their slots.
+    /// Replicas by slot.
     pub replicas: Vec<Replica>,
-    /// Those removed since the last round.
+    /// Replicas removed since the last round.
     pub(crate) removed_replicas: Vec<ReplicaIndex>,
-    /// News of their verification since the last round.
+    /// Changes of verification since the last round.
     pub(crate) verification_changes: Vec<VerificationChange>,
-    /// Replicas that held something of ours at any moment of this round.
+    /// Replicas with an attempt that counted as in flight at any time in this round.
     pub(crate) busy: BTreeSet<ReplicaIndex>,
-    /// Replicas that serve, by cell.
+    /// Serving replicas by cell.
     cells: Vec<Vec<ReplicaIndex>>,
     update_is_complete: bool,
-    /// Whether the membership's teller answers no more.
+    /// Whether the source of membership changes no longer responds.
     pub membership_lost: bool,
-    /// When the membership was last told.
+    /// When the last membership update was received.
     pub membership_received_at: Option<Nanos>,
-    /// Times taken by the last shard requests that were answered.
+    /// Latencies of the last shard requests that were answered.
     pub(crate) latencies: SampleRing<Nanos>,
     /// When connections were lost with an attempt in flight, and to which replica.
     pub(crate) lost_connections: SampleRing<(Nanos, ReplicaIndex)>,
-    /// What came in and went out lately.
+    /// Times of recently received and sent requests.
     pub recent: RecentTraffic,
-    /// Queries a second of each tenant that the fleet leaves this front node, where front nodes share the tenants'
-    /// quotas; empty where this one stands alone.
+    /// Quota of each tenant, in queries per second, that the fleet assigns to this front node; empty if front nodes do
+    /// not share the tenants' quotas.
     pub fleet_tenant_rates: Vec<f64>,
-    /// Attempts beyond the shard requests' first that the fleet leaves this front node now, where front nodes share
-    /// those.
+    /// The number of further attempts that the fleet currently leaves to this front node; `None` if front nodes do not
+    /// share a retry budget.
     pub fleet_attempts_left: Option<usize>,
-    /// Why decisions fell, where the host wants to know.
+    /// Reasons of the decisions, recorded if the host turned the trace on.
     trace: RefCell<Trace>,
 }
 
 impl AggregatorState {
-    /// The state before anything came in.
+    /// Returns the state before anything was received.
     pub fn new(limits: SampleLimits) -> Self {
         AggregatorState {
             now: 0,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A round begins.
+    /// Begins a round at the given time.
     pub fn begin_round(&mut self, now: Nanos) {
         self.now = now;
         self.round += 1;
@@ -95,25 +95,25 @@
 
     // ---- the trace ----
 
-    /// Whether events are recorded from now on.
+    /// Turns the recording of events on or off.
     pub fn set_tracing(&mut self, on: bool) {
         self.trace.get_mut().switch(on);
     }
 
-    /// Records an event, which is made only while the trace is on.
+    /// Records an event. `event` is called only while the trace is on.
     pub fn record(&self, event: impl FnOnce() -> TraceEvent) {
         self.trace.borrow_mut().record(self.now, event);
     }
 
-    /// What was recorded since it was last taken.
+    /// Returns and removes the events recorded since the last call.
     pub fn take_trace(&mut self) -> Vec<TraceRecord> {
         let (query, request) = (self.first_query(), self.first_shard_request());
         self.trace.get_mut().take(query, request)
     }
 
-    // ---- what comes in ----
+    // ---- input ----
 
-    /// A client asks. `expected_work`: of all its shard requests, 0 where nothing was said.
+    /// A query was received. `expected_work` is the expected work of all its shard requests, or 0 if unknown.
     pub fn query_received(
         &mut self,
         class: usize,
@@ -140,14 +140,14 @@
         query
     }
 
-    /// The client asks for a least completeness of its own.
+    /// The client requires a completeness of at least `min_completeness`.
     pub fn require_completeness(&mut self, query: QueryIndex, min_completeness: f64) {
         if let Some(query) = self.queries.get_mut(query.0) {
             query.min_completeness = min_completeness;
         }
     }
 
-    /// A query has a shard request, of that share of its step's weight.
+    /// A shard request of a query was received. `weight` is its fraction of the weight of its step.
     pub fn shard_request_received(
         &mut self,
         query: QueryIndex,
@@ -169,7 +169,7 @@
         request
     }
 
-    /// An attempt ended. `request_over`: the host says that nothing more can come of its shard request.
+    /// An attempt ended. If `request_over`, the host will report no other result of its shard request.
     pub fn attempt_ended(
         &mut self,
         request_index: ShardRequestIndex,
@@ -197,20 +197,21 @@
         self.replicas[replica.0].attempt_ended(ending, sample);
     }
 
-    /// What the fleet of front nodes allows and knows of a replica: attempts in a window while it warms up, and the
-    /// service classes, a bit each, that others found it failing.
+    /// The fleet reports its limits for a replica: the number of attempts per window while the replica warms up, and a bit
+    /// set of the service classes that other front nodes found it failing.
     pub fn fleet_limits_received(&mut self, replica: ReplicaIndex, warm_up_quota: f64, failing_classes: u64) {
         let replica = &mut self.replicas[replica.0];
         replica.warm_up_quota = Some(warm_up_quota.max(0.0));
         replica.failing_classes = failing_classes;
     }
 
-    /// The client has gone, or its time is up.
+    /// The client disconnected, or its deadline passed.
     pub fn client_left(&mut self, query: QueryIndex) {
         self.close_query(query);
     }
 
-    /// A health check ended. `report`: shard requests waiting and done in a second, where it brought both.
+    /// A health check ended. `report` holds the number of waiting shard requests and the number completed per second, if
+    /// the response has both.
     pub fn health_check_ended(&mut self, replica: ReplicaIndex, answered: bool, report: Option<(f64, f64)>) {
         let at = self.now;
         let replica = &mut self.replicas[replica.0];
@@ -221,7 +222,7 @@
         replica.load_report = report.or(replica.load_report);
     }
 
-    // ---- what was decided ----
+    // ---- decisions ----
 
     /// An attempt starts now.
     pub fn attempt_started(&mut self, request: ShardRequestIndex, replica: ReplicaIndex, is_hedge: bool) {
@@ -242,7 +243,7 @@
         replica.counted.push(CountedAttempt { request, attempt, sent_at: now, round, ended: None });
     }
 
-    /// An attempt was told to be cancelled.
+    /// The cancellation of an attempt was requested.
     pub fn attempt_cancelled(&mut self, request: ShardRequestIndex, attempt: usize) {
         self.requests[request.0].attempts[attempt].cancelled = true;
     }
@@ -252,14 +253,14 @@
         self.replicas[replica.0].health_check_sent_at = Some(self.now);
     }
 
-    /// The first step of a query was answered.
+    /// The first step of the query was answered.
     pub fn advance_step(&mut self, query: QueryIndex) {
         if let Some(query) = self.queries.get_mut(query.0) {
             query.step += 1;
         }
     }
 
-    /// A query has its final answer: none of its shard requests is wanted any more.
+    /// The query has its final response; its shard requests are no longer needed.
     pub fn close_query(&mut self, query: QueryIndex) {
         let Some(query) = self.queries.get_mut(query.0) else { return };
         query.closed = true;
@@ -268,7 +269,7 @@
         }
     }
 
-    /// Drops what no answer can refer to any more, and times from before the given moment.
+    /// Drops queries and shard requests that no outcome can refer to any more, and recent times before the given one.
     pub fn prune(&mut self, before: Nanos) {
         while self.queries.front().is_some_and(|query| {
             query.closed && query.requests.iter().all(|request| !self.requests[request.0].is_in_flight())
@@ -282,41 +283,42 @@
         self.recent.forget_before(before);
     }
 
-    // ---- looking up ----
+    // ---- queries ----
 
-    /// When the round in hand began.
+    /// Returns when the current round began.
     pub fn now(&self) -> Nanos {
         self.now
     }
 
-    /// Number of the round in hand.
+    /// Returns the number of the current round.
     pub fn round(&self) -> u64 {
         self.round
     }
 
-    /// The first query that is remembered.
+    /// Returns the first query that is kept.
     pub fn first_query(&self) -> QueryIndex {
         QueryIndex(self.queries.first())
     }
 
-    /// The first shard request that is remembered.
+    /// Returns the first shard request that is kept.
     pub fn first_shard_request(&self) -> ShardRequestIndex {
         ShardRequestIndex(self.requests.first())
     }
 
-    /// Queries without a final answer, oldest first.
+    /// Returns the queries without a final response, oldest first.
     pub fn open_queries(&self) -> impl Iterator<Item = (QueryIndex, &Query)> {
         let numbered = self.queries.iter().filter(|(_, query)| !query.closed);
         numbered.map(|(number, query)| (QueryIndex(number), query))
     }
 
-    /// Shard requests whose value is still awaited, oldest first.
+    /// Returns the shard requests that still need a result, oldest first.
     pub fn pending_requests(&self) -> impl Iterator<Item = (ShardRequestIndex, &ShardRequest)> {
         let numbered = self.requests.iter().filter(|(_, request)| request.is_pending());
         numbered.map(|(number, request)| (ShardRequestIndex(number), request))
     }
 
-    /// Attempts in flight of shard requests that need them no more, not told to be cancelled yet.
+    /// Returns the attempts in flight whose shard requests no longer need them and whose cancellation was not requested
+    /// yet.
     pub fn superfluous_attempts(&self) -> impl Iterator<Item = (ShardRequestIndex, usize)> {
         let over = self.requests.iter().filter(|(_, request)| !request.is_pending());
         over.flat_map(|(number, request)| {
@@ -325,12 +327,12 @@
         })
     }
 
-    /// A query that is remembered.
+    /// Returns a query that is kept. Panics if it was dropped.
     pub fn query(&self, ix: QueryIndex) -> &Query {
         &self.queries[ix.0]
     }
 
-    /// The shard requests of a query, with their numbers.
+    /// Returns the shard requests of a query with their numbers.
     pub fn requests_of<'a>(
         &'a self,
         query: &'a Query,
@@ -338,7 +340,7 @@
         query.requests.iter().map(|&ix| (ix, self.request(ix)))
     }
 
-    /// A shard request that is remembered.
+    /// Returns a shard request that is kept. Panics if it was dropped.
     pub fn request(&self, ix: ShardRequestIndex) -> &ShardRequest {
         &self.requests[ix.0]
     }
--- a/src/state/queries.rs
+++ b/src/state/queries.rs
@@ -1,72 +1,72 @@
-//! Queries, their shard requests, and the attempts of those.
+//! Queries, their shard requests, and the attempts of the shard requests.
 
 use crate::interface::{Nanos, QueryIndex, ReplicaIndex, ShardRequestIndex};
 
-/// How an attempt ended, as far as the aggregator can know.
+/// How an attempt ended, as far as the aggregator can tell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptOutcome {
-    /// Its value came.
+    /// The result was received.
     Answered,
-    /// Rejected unread, for want of capacity.
+    /// The replica rejected it unread, for lack of capacity.
     Rejected,
-    /// No connection in time.
+    /// No connection was established in time.
     ConnectFailed,
-    /// Answered with an error: it may have run, and its replica lives.
+    /// The replica responded with an error: the attempt may have been executed, and the replica is alive.
     Failed,
-    /// Its connection broke: it may have run, and may have taken its replica down.
+    /// The connection was lost: the attempt may have been executed, and may have crashed the replica.
     ConnectionLost,
-    /// Its connection brought what cannot be used, or stayed silent while another one of its replica did not:
-    /// it may have run, and its replica talks.
+    /// The connection carried an invalid response, or was silent while another connection to the replica was not: the
+    /// attempt may have been executed, and the replica responds.
     ProtocolError,
-    /// No answer within its limit: it may have run, or run still.
+    /// No response was received within the limit: the attempt may have been executed, or still be running.
     TimedOut,
-    /// Cancelled here: it may have run, or run still.
+    /// It was cancelled by this front node: the attempt may have been executed, or still be running.
     Cancelled,
-    /// It never left this machine.
+    /// It was never sent.
     NotSent,
 }
 
 impl AttemptOutcome {
-    /// Whether it is certain that the replica did nothing for it.
+    /// Whether it is certain that the replica executed nothing.
     pub fn never_ran(self) -> bool {
         matches!(self, AttemptOutcome::Rejected | AttemptOutcome::ConnectFailed | AttemptOutcome::NotSent)
     }
 }
 
-/// One sending of a shard request to one replica.
+/// One sending of a shard request to a replica.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// Where it went.
+    /// The replica that it was sent to.
     pub replica: ReplicaIndex,
     /// When it started.
     pub sent_at: Nanos,
-    /// How it ended; none while it is in flight.
+    /// How it ended; `None` while it is in flight.
     pub outcome: Option<AttemptOutcome>,
-    /// Whether it was told to be cancelled.
+    /// Whether its cancellation was requested.
     pub cancelled: bool,
 }
 
-/// The part of a query for one shard.
+/// The request of a query to one shard.
 #[derive(Clone, Debug)]
 pub struct ShardRequest {
     /// The query that it belongs to.
     pub query: QueryIndex,
-    /// The shard that it asks.
+    /// The shard that it is for.
     pub shard: usize,
-    /// Its share of its step's completeness.
+    /// Its fraction of the weight of its step.
     pub weight: f64,
     /// The step of its query, from 0.
     pub step: usize,
     /// Its attempts, by number.
     pub attempts: Vec<Attempt>,
-    /// Whether its value has come.
+    /// Whether its result was received in time.
     pub answered: bool,
-    /// Its query has its final answer, or the host said that nothing more can come of it.
+    /// Whether its query has its final response, or the host said that it will have no result.
     pub closed: bool,
 }
 
 impl ShardRequest {
-    /// Attempts that have not ended, with their numbers.
+    /// Returns the attempts that have not ended, with their numbers.
     pub fn in_flight(&self) -> impl Iterator<Item = (usize, &Attempt)> {
         self.attempts.iter().enumerate().filter(|(_, attempt)| attempt.outcome.is_none())
     }
@@ -76,38 +76,38 @@
         self.in_flight().next().is_some()
     }
 
-    /// Whether an attempt went to the replica.
+    /// Whether an attempt was sent to the replica.
     pub fn has_tried(&self, replica: ReplicaIndex) -> bool {
         self.attempts.iter().any(|attempt| attempt.replica == replica)
     }
 
-    /// Whether its value is still awaited.
+    /// Whether it still needs a result.
     pub fn is_pending(&self) -> bool {
         !self.answered && !self.closed
     }
 }
 
-/// What a client asks for at once.
+/// A client request that is split into shard requests.
 #[derive(Clone, Debug)]
 pub struct Query {
-    /// Its service class.
+    /// Its service class, as a position in the settings.
     pub class: usize,
-    /// Its tenant; 0 where there are none.
+    /// Its tenant, as a position in the settings; 0 if there are no tenants.
     pub tenant: usize,
-    /// When it came in.
+    /// When it was received.
     pub received_at: Nanos,
     /// When its client stops waiting.
     pub client_deadline: Nanos,
-    /// Expected work of all its shard requests; 0 where nothing was said.
+    /// Expected work of all its shard requests; 0 if unknown.
     pub expected_work: Nanos,
-    /// Whether the client said that it asks again.
+    /// Whether the client marked it as a retry.
     pub is_retry: bool,
-    /// Least share of the weight that it may be answered from, where it is more than its class's.
+    /// The smallest completeness that its client accepts, where that is more than its class's.
     pub min_completeness: f64,
-    /// Its shard requests, of all steps.
+    /// Its shard requests of all steps.
     pub requests: Vec<ShardRequestIndex>,
-    /// 0 until its first step was answered.
+    /// Its current step: 0 until the first step is answered, then 1.
     pub step: usize,
-    /// Whether it has its final answer.
+    /// Whether it has its final response.
     pub closed: bool,
 }
--- a/src/state/recent.rs
+++ b/src/state/recent.rs
@@ -1,10 +1,10 @@
-//! When things came in and went out lately: what rates and budgets are reckoned from.
+//! Times of recently received and sent requests, for rates and budgets.
 
 use std::collections::VecDeque;
 
 use crate::interface::Nanos;
 
-/// Times of the recent past, oldest first.
+/// Recent points in time, oldest first.
 #[derive(Clone, Debug, Default)]
 pub struct RecentTimes(VecDeque<Nanos>);
 
@@ -13,7 +13,7 @@
         self.0.push_back(at);
     }
 
-    /// How many are later than `since`.
+    /// Returns the number of times after `since`.
     pub fn count_after(&self, since: Nanos) -> usize {
         self.0.iter().rev().take_while(|&&at| at > since).count()
     }
@@ -25,18 +25,18 @@
     }
 }
 
-/// What came in and went out lately.
+/// Times of recently received and sent requests.
 #[derive(Clone, Debug, Default)]
 pub struct RecentTraffic {
-    /// Queries and shard requests that came in.
+    /// When queries and shard requests were received.
     pub received: RecentTimes,
-    /// Shard requests alone.
+    /// When shard requests were received.
     pub shard_requests: RecentTimes,
-    /// Attempts beyond their shard request's first.
+    /// When further attempts (beyond the first of a shard request) started.
     pub further_attempts: RecentTimes,
-    /// Hedges alone.
+    /// When hedges started.
     pub hedges: RecentTimes,
-    /// When queries came in, and of which tenant.
+    /// When queries were received, and from which tenant.
     queries_by_tenant: VecDeque<(Nanos, usize)>,
 }
 
@@ -51,7 +51,7 @@
         self.shard_requests.push(now);
     }
 
-    /// Queries of a tenant that came in later than `since`.
+    /// Returns the number of queries of a tenant that were received after `since`.
     pub fn queries_of(&self, tenant: usize, since: Nanos) -> usize {
         self.queries_by_tenant.iter().filter(|&&(at, of)| of == tenant && at > since).count()
     }
--- a/src/state/replicas.rs
+++ b/src/state/replicas.rs
@@ -1,21 +1,22 @@
-//! Replicas: what discovery and the fleet say of them, and what came of the attempts there.
+//! Replicas: what discovery and the fleet report about them, and the outcomes of attempts there.
 
 use super::AttemptOutcome;
 use super::samples::{Sample, SampleLimits, SampleRing};
 use crate::interface::{Nanos, ShardRequestIndex};
 
-/// An attempt that is on its replica, or may be: it stays after an outcome that is no answer.
+/// An attempt that counts as in flight at its replica. After an outcome other than a response it may still be running
+/// there, so it is kept for a while.
 #[derive(Clone, Copy, Debug)]
 pub struct CountedAttempt {
-    /// Its shard request.
+    /// The shard request of the attempt.
     pub request: ShardRequestIndex,
-    /// Its number among the shard request's attempts.
+    /// Number of the attempt within its shard request.
     pub attempt: usize,
     /// When it started.
     pub sent_at: Nanos,
-    /// The round in which it started: attempts of one round share calls.
+    /// The round in which it started. Attempts of one round may share calls.
     pub round: u64,
-    /// How and when it ended.
+    /// How and when it ended; `None` while it is in flight.
     pub ended: Option<AttemptEnd>,
 }
 
@@ -24,36 +25,36 @@
 pub struct AttemptEnd {
     /// Its outcome.
     pub outcome: AttemptOutcome,
-    /// When that was known.
+    /// When the outcome became known.
     pub at: Nanos,
 }
 
-/// An attempt that ends.
+/// Identifies an attempt that ended.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct EndingAttempt {
     pub request: ShardRequestIndex,
-    /// Its number among the shard request's attempts.
+    /// Number of the attempt within its shard request.
     pub attempt: usize,
     pub sent_at: Nanos,
 }
 
-/// A connection that could not be made.
+/// A connection that could not be established.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectFailure {
-    /// When that was known.
+    /// When the failure became known.
     pub at: Nanos,
-    /// Time from the attempt's start until then.
+    /// Time from the start of the attempt to the failure.
     pub took: Nanos,
 }
 
-/// What a health check told of a replica's queue.
+/// Queue length and rate of a replica, as reported in a health check.
 #[derive(Clone, Copy, Debug)]
 pub struct LoadReport {
-    /// When it came.
+    /// When the report was received.
     pub at: Nanos,
-    /// Shard requests that wait there.
+    /// The number of shard requests that wait at the replica.
     pub waiting: f64,
-    /// Shard requests done there in a second.
+    /// The number of shard requests that the replica completes per second.
     pub rate: f64,
 }
 
@@ -62,39 +63,38 @@
 pub struct Replica {
     /// Its cell of the ring.
     pub cell: usize,
-    /// Whether discovery says that it serves.
+    /// Whether it serves, according to discovery.
     pub serving: bool,
-    /// When its process started, where discovery says so.
+    /// When its process started, if discovery reports that.
     pub started_at: Option<Nanos>,
-    /// Whether the membership update in hand lists it.
+    /// Whether the current membership update lists it.
     pub(super) listed: bool,
-    /// Removed for good, as far as discovery tells: its slot is free once nothing refers to it.
+    /// Whether discovery removed it. Its slot is free once nothing refers to it.
     pub(super) removed: bool,
-    /// Named by a list too old to go by, and not heard of otherwise: it gets no attempt before it answered health
-    /// checks.
+    /// Whether only an outdated list names it. It gets no attempt before it has answered health checks.
     pub unverified: bool,
-    /// Attempts in flight there, or counted as such, in the order of their start.
+    /// Attempts that count as in flight there, in the order of their start.
     pub counted: Vec<CountedAttempt>,
-    /// Ended attempts, those cancelled here too.
+    /// Ended attempts, including those cancelled by this front node.
     pub samples: SampleRing<Sample>,
-    /// When the latest-sent attempt that was answered had been sent.
+    /// Of the attempts that were answered, when the one sent last was sent.
     pub last_answered_sent_at: Nanos,
-    /// When the last answer came.
+    /// When the last response was received.
     pub last_answer_at: Nanos,
-    /// When its last attempts started.
+    /// When the last attempts started.
     pub attempt_times: SampleRing<Nanos>,
     /// The last attempt that got no connection there.
     pub connect_failure: Option<ConnectFailure>,
-    /// When the health check in flight was sent.
+    /// When the health check in flight was sent; `None` if there is none.
     pub health_check_sent_at: Option<Nanos>,
-    /// When the answered health checks had been sent.
+    /// When the answered health checks were sent.
     pub answered_health_checks: SampleRing<Nanos>,
-    /// Its last report.
+    /// The last load report from a health check.
     pub load_report: Option<LoadReport>,
-    /// Attempts in a window that it may get from here while it warms up, whatever others have done for us, where the
-    /// fleet's budget says.
+    /// The number of attempts per window that this front node may send while the replica warms up, as the fleet's shared
+    /// budget allows; `None` if front nodes do not share one.
     pub warm_up_quota: Option<f64>,
-    /// Service classes, a bit each, that other front nodes found it failing lately.
+    /// Bit set of the service classes that other front nodes recently found it failing.
     pub failing_classes: u64,
 }
 
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Attempts answered at that moment or since.
+    /// Returns the number of attempts answered at or after `since`.
     pub fn answered_since(&self, since: Nanos) -> usize {
         let ended = self.samples.iter().rev().take_while(|sample| sample.at >= since);
         ended.filter(|sample| sample.outcome == AttemptOutcome::Answered).count()
     }
 
-    /// Attempts started at that moment or since, as far as they are remembered.
+    /// Returns the number of attempts started at or after `since`, as far as they are kept.
     pub fn attempts_since(&self, since: Nanos) -> usize {
         self.attempt_times.iter().rev().take_while(|&at| at >= since).count()
     }
@@ -146,7 +146,7 @@
         if outcome == AttemptOutcome::ConnectFailed {
             self.connect_failure = Some(ConnectFailure { at: now, took });
         }
-        // What was in flight on one connection with a protocol error is one piece of news: the others were sound.
+        // A protocol error ends all attempts in flight on a connection. It counts as one failure: the others were not at fault.
         let is_same_failure = |last: Sample| {
             outcome == AttemptOutcome::ProtocolError && (last.outcome, last.at) == (outcome, now)
         };
--- a/src/state/samples.rs
+++ b/src/state/samples.rs
@@ -1,11 +1,11 @@
-//! The last few samples of something.
+//! A ring of the most recent samples.
 
 use std::collections::VecDeque;
 
 use super::AttemptOutcome;
 use crate::interface::Nanos;
 
-/// The last few samples, oldest first.
+/// The most recent samples, oldest first.
 #[derive(Clone, Debug)]
 pub struct SampleRing<T> {
     limit: usize,
@@ -13,12 +13,12 @@
 }
 
 impl<T: Copy> SampleRing<T> {
-    /// An empty ring that keeps `limit` samples.
+    /// Returns an empty ring with room for `limit` samples.
     pub fn new(limit: usize) -> Self {
         SampleRing { limit, samples: VecDeque::with_capacity(limit) }
     }
 
-    /// Adds a sample, in place of the oldest one where the ring is full.
+    /// Adds a sample. If the ring is full, the oldest one is dropped.
     pub fn push(&mut self, sample: T) {
         if self.samples.len() == self.limit {
             self.samples.pop_front();
@@ -26,23 +26,23 @@
         self.samples.push_back(sample);
     }
 
-    /// The samples, oldest first.
+    /// Returns the samples, oldest first.
     pub fn iter(&self) -> impl DoubleEndedIterator<Item = T> + ExactSizeIterator + '_ {
         self.samples.iter().copied()
     }
 
-    /// Forgets all samples.
+    /// Removes all samples.
     pub fn clear(&mut self) {
         self.samples.clear();
     }
 }
 
-/// One ended attempt.
+/// An ended attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct Sample {
     /// When it ended.
     pub at: Nanos,
-    /// Time from its start to its end.
+    /// Time from the start of the attempt to its end.
     pub took: Nanos,
     /// How it ended.
     pub outcome: AttemptOutcome,
@@ -50,7 +50,7 @@
     pub class: usize,
 }
 
-/// How many samples of each kind are kept.
+/// The number of samples kept of each kind.
 #[derive(Clone, Copy, Debug)]
 pub struct SampleLimits {
     /// Latencies of shard requests, over all replicas.
--- a/src/state/window.rs
+++ b/src/state/window.rs
@@ -1,8 +1,8 @@
-//! Items numbered from the start, of which only the latest are kept.
+//! A window of numbered items, of which only the latest are kept.
 
 use std::collections::VecDeque;
 
-/// Items with consecutive numbers; the oldest are dropped.
+/// Items with consecutive numbers from 0. The oldest are dropped.
 #[derive(Clone, Debug)]
 pub struct NumberedWindow<T> {
     first: usize,
@@ -14,12 +14,12 @@
         NumberedWindow { first: 0, items: VecDeque::new() }
     }
 
-    /// Number of the first item that is kept, or of the next one where none is.
+    /// Returns the number of the first item that is kept, or of the next one if there is none.
     pub fn first(&self) -> usize {
         self.first
     }
 
-    /// Number of the item that is pushed next.
+    /// Returns the number of the item that is pushed next.
     pub fn next(&self) -> usize {
         self.first + self.items.len()
     }
@@ -37,12 +37,12 @@
         self.first += 1;
     }
 
-    /// None for an item that was dropped.
+    /// Returns `None` if the item was dropped.
     pub fn get_mut(&mut self, number: usize) -> Option<&mut T> {
         number.checked_sub(self.first).and_then(|position| self.items.get_mut(position))
     }
 
-    /// Items with their numbers, oldest first.
+    /// Returns the items with their numbers, oldest first.
     pub fn iter(&self) -> impl Iterator<Item = (usize, &T)> {
         self.items.iter().enumerate().map(|(position, item)| (self.first + position, item))
     }
--- a/src/trace/mod.rs
+++ b/src/trace/mod.rs
@@ -1,8 +1,9 @@
-//! Why each decision fell: records made where it falls, so that the trace cannot differ from it. Off, nothing is kept.
+//! The trace: the reasons of the decisions, recorded where each decision is made, so that trace and decision cannot
+//! differ. While the trace is off, nothing is kept.
 //!
-//! A record is a line of words, `AT KIND ...`, which [`TraceRecord::line`] writes and [`TraceRecord::read`] reads back;
-//! the host says where the lines go. Records that only repeat what was last said of the same thing are left out, as a
-//! query that waits waits for the same reason in every round.
+//! A record is a line of words, `AT KIND ...`, written by [`TraceRecord::line`] and parsed by [`TraceRecord::read`]. The
+//! host decides where the lines go. A record that only repeats the last one about the same subject is left out, as a
+//! waiting query waits for the same reason in every round.
 
 mod reasons;
 mod record;
@@ -16,7 +17,7 @@
 
 use crate::interface::{Nanos, QueryIndex, ReplicaIndex, ShardRequestIndex};
 
-/// What a record that may be repeated in the next round is about.
+/// The subject of a record that may repeat in the next round.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Subject {
     Admission(QueryIndex),
@@ -39,22 +40,22 @@
     }
 }
 
-/// Keeps records while it is on.
+/// Collects records while it is on.
 #[derive(Clone, Debug, Default)]
 pub struct Trace {
     on: bool,
     records: Vec<TraceRecord>,
-    /// What was last said of a subject.
+    /// The last event recorded for each subject.
     last: BTreeMap<Subject, TraceEvent>,
 }
 
 impl Trace {
-    /// Begins anew, keeping records or not.
+    /// Drops all records and turns the trace on or off.
     pub fn switch(&mut self, on: bool) {
         *self = Trace { on, ..Trace::default() };
     }
 
-    /// Records an event, which is only made where it is wanted.
+    /// Records an event. `event` is called only while the trace is on.
     pub fn record(&mut self, at: Nanos, event: impl FnOnce() -> TraceEvent) {
         if !self.on {
             return;
@@ -69,7 +70,7 @@
         self.records.push(TraceRecord { at, event });
     }
 
-    /// Takes out what was recorded; what is over is not remembered.
+    /// Returns and removes the records. Subjects before the first query and shard request that are kept are dropped.
     pub fn take(&mut self, first_query: QueryIndex, first_request: ShardRequestIndex) -> Vec<TraceRecord> {
         self.last.retain(|subject, _| match *subject {
             Subject::Admission(query) => query >= first_query,
@@ -80,10 +81,10 @@
     }
 }
 
-/// Whether the later event says nothing new of their subject.
+/// Whether the event repeats the previous one about the same subject.
 fn repeats(before: &TraceEvent, event: &TraceEvent) -> bool {
     match (*before, *event) {
-        // How long it would take changes every round; what matters is how many find capacity.
+        // The backlog changes in every round. What matters is how many shard requests find capacity.
         (
             TraceEvent::NotAdmitted { with_capacity: before, .. },
             TraceEvent::NotAdmitted { with_capacity, .. },
@@ -91,11 +92,12 @@
         (
             TraceEvent::LatenciesEstimated { median: a, longest: b, response_timeout: c },
             TraceEvent::LatenciesEstimated { median, longest, response_timeout },
-        ) => is_near(a, median) && is_near(b, longest) && is_near(c, response_timeout),
+        ) => is_similar(a, median) && is_similar(b, longest) && is_similar(c, response_timeout),
         (before, event) => before == event,
     }
 }
 
-fn is_near(before: Nanos, now: Nanos) -> bool {
+/// Whether the two differ by at most a quarter of the larger one.
+fn is_similar(before: Nanos, now: Nanos) -> bool {
     (before - now).abs() * 4 <= before.max(now)
 }
--- a/src/trace/reasons.rs
+++ b/src/trace/reasons.rs
@@ -1,5 +1,5 @@
-//! Reasons of decisions. The words are published in `docs/trace.md` and read by `orchidvalve why`; the help texts are
-//! what it prints.
+//! Reasons of decisions. `docs/trace.md` documents the words, and `orchidvalve why` parses them and prints their help
+//! texts.
 
 macro_rules! reasons {
     ($(#[$about:meta])* $name:ident { $($(#[$doc:meta])* $reason:ident = $word:literal: $help:literal,)* }) => {
@@ -10,17 +10,17 @@
         }
 
         impl $name {
-            /// The word of a trace line.
+            /// Returns the word in trace lines.
             pub fn word(self) -> &'static str {
                 match self { $($name::$reason => $word,)* }
             }
 
-            /// What the word means, for people.
+            /// Returns the explanation that `orchidvalve why` prints.
             pub fn help(self) -> &'static str {
                 match self { $($name::$reason => $help,)* }
             }
 
-            /// None for a word that is no reason of this kind.
+            /// Parses a word of a trace line. Returns `None` if it is no reason of this kind.
             pub fn read(word: &str) -> Option<$name> {
                 match word { $($word => Some($name::$reason),)* _ => None }
             }
@@ -31,13 +31,13 @@
 reasons! {
     /// Why a query ended without an answer.
     QueryEndReason {
-        /// Its deadline passed, or the end of what an answer may earn.
+        /// Its deadline passed, or a response would no longer earn anything.
         DeadlinePassed = "time-up": "its time was up",
-        /// Shard requests that may not be attempted again leave less than its least completeness.
+        /// Too many of its shard requests can no longer be answered to reach its smallest completeness.
         ShardsLost = "lost": "parts that may not be launched again leave less than its floor",
-        /// It was never admitted, and an ordinary answer would now come too late.
+        /// It was never admitted, and a response of usual latency would now be too late.
         NeverAdmitted = "crowded-out": "it was never let in, and an ordinary answer would now come too late",
-        /// Connections broke at several replicas that it was sent to.
+        /// Connections were lost at several replicas that it was sent to.
         BreaksReplicas = "kills": "its launches broke off at several replicas",
     }
 }
@@ -45,37 +45,37 @@
 reasons! {
     /// Why an attempt started.
     AttemptReason {
-        /// It is the first one of its shard request.
+        /// It is the first attempt of its shard request.
         First = "first": "its first",
-        /// The attempts before it have ended without a value.
+        /// The attempts before it have ended without a result.
         Retry = "again": "the launches before it have ended without a value",
         /// The replica of the attempt in flight was ejected.
         ReplicaEjected = "stranded": "the replica that has it was set aside",
-        /// It is a hedge near its query's end.
+        /// It is a hedge near the end of its query.
         Hedge = "copy": "a copy near its retrieval's end",
     }
 }
 
 reasons! {
-    /// Why a replica that holds a shard was not considered for a shard request, or did not get it.
+    /// Why a replica that holds a shard got no attempt of a shard request.
     ExclusionReason {
-        /// It is ejected.
+        /// The replica is ejected.
         Ejected = "aside": "set aside",
-        /// Only an old list names it, and it has not answered its health checks yet.
+        /// Only an outdated list names the replica, and it has not answered its health checks yet.
         Unverified = "doubted": "named by an old list only, and has not answered its probes yet",
-        /// It is on trial after an ejection, and has its one shard request.
+        /// The replica is on trial after an ejection, with its one shard request in flight.
         OnTrial = "trial": "on trial, and has its one part",
-        /// It answered that service class with an error lately.
+        /// The replica recently answered this service class with an error.
         ClassFails = "errs": "answered that grade with an error lately",
-        /// It reported a long queue.
+        /// The replica reported a long queue.
         LongQueue = "queue": "told of a long queue",
-        /// It was tried before, and another one was not.
+        /// The replica was tried before, and another one was not.
         AlreadyTried = "tried": "tried before, and another was not",
-        /// An earlier attempt of the shard request there still counts as in flight.
+        /// An earlier attempt of the shard request at the replica still counts as in flight.
         AttemptCounts = "counts": "an earlier launch of the part there still counts",
-        /// It is warming up, and its quota is used up.
+        /// The replica is warming up, and its quota is used up.
         WarmingUp = "cold": "cold, and its share is spent",
-        /// What it holds of ours would take too long.
+        /// The replica's backlog of this front node's requests is too large.
         Backlog = "backlog": "what it holds of ours would take too long",
     }
 }
@@ -83,37 +83,37 @@
 reasons! {
     /// Why a replica was ejected.
     EjectionReason {
-        /// It answers nothing.
+        /// The replica answers nothing.
         Unresponsive = "silent": "it answers nothing",
         /// Its last attempts failed.
         Failing = "failing": "its last launches failed",
-        /// It is far slower than the others.
+        /// The replica is far slower than the others.
         Slow = "lagging": "it is far slower than the others",
     }
 }
 
 reasons! {
-    /// Where a list of replicas comes from that the front node goes by.
+    /// The source of the list of replicas that a front node uses.
     MembershipSource {
         /// The front node's configuration.
         Configuration = "known": "the list of its configuration",
-        /// The list that it remembered on disk.
+        /// The list that the front node saved on disk.
         Disk = "disk": "the list it remembered on disk",
         /// Another front node.
         Peer = "peer": "a list that another front told",
         /// Discovery itself.
         Discovery = "discovery": "discovery's own list",
-        /// Nothing answered: it serves from what it has.
+        /// No source responded: the front node serves with the list that it has.
         Nowhere = "nothing": "nothing answered: it serves from what it has",
     }
 }
 
 reasons! {
-    /// Why a shard request that wants an attempt got none.
+    /// Why a shard request that needs an attempt got none.
     WithholdReason {
         /// The retry budget is used up.
         RetryBudgetSpent = "ration": "the ration of further launches is spent",
-        /// No replica is left that could take it.
+        /// There is no replica that could get it.
         NoReplica = "no-holder": "no holder is left to take it",
     }
 }
--- a/src/trace/record.rs
+++ b/src/trace/record.rs
@@ -1,25 +1,25 @@
-//! What a trace records, and its lines.
+//! Trace records and their text form.
 
 use super::reasons::{
     AttemptReason, EjectionReason, ExclusionReason, MembershipSource, QueryEndReason, WithholdReason,
 };
 use crate::interface::{Nanos, QueryIndex, ReplicaIndex, ShardRequestIndex};
 
-/// Something that was decided, or that decisions rest on.
+/// A decision, or a fact that decisions are based on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TraceEvent {
-    /// A query came in.
+    /// A query was received.
     QueryReceived {
-        /// Its number.
+        /// Number of the query.
         query: QueryIndex,
-        /// Its service class.
+        /// Service class of the query.
         class: usize,
-        /// Whether its client said that it asks again.
+        /// Whether its client marked it as a retry.
         is_retry: bool,
     },
-    /// A shard request of a query came in.
+    /// A shard request of a query was received.
     ShardRequestReceived {
-        /// Its number.
+        /// Number of the shard request.
         request: ShardRequestIndex,
         /// The query that it belongs to.
         query: QueryIndex,
@@ -30,41 +30,41 @@
     NotAdmitted {
         /// The query.
         query: QueryIndex,
-        /// How many of its shard requests find capacity.
+        /// The number of its shard requests that find capacity.
         with_capacity: usize,
-        /// The least time that a replica for one that finds none would take for what it holds.
+        /// The smallest backlog among the replicas for its other shard requests.
         least_backlog: Nanos,
     },
     /// An attempt started.
     AttemptStarted {
-        /// What was sent,
+        /// The shard request.
         request: ShardRequestIndex,
-        /// where to,
+        /// The replica that it was sent to.
         replica: ReplicaIndex,
-        /// and why.
+        /// Why it started.
         reason: AttemptReason,
     },
-    /// A replica was passed over for a shard request.
+    /// A replica got no attempt of a shard request.
     ReplicaExcluded {
         /// The shard request.
         request: ShardRequestIndex,
         /// The replica.
         replica: ReplicaIndex,
-        /// What speaks against it.
+        /// Why it was excluded.
         reason: ExclusionReason,
     },
-    /// A shard request that wants an attempt got none.
+    /// A shard request that needs an attempt got none.
     AttemptWithheld {
         /// The shard request.
         request: ShardRequestIndex,
-        /// Why.
+        /// Why it got none.
         reason: WithholdReason,
     },
     /// A replica was ejected.
     ReplicaEjected {
         /// The replica.
         replica: ReplicaIndex,
-        /// Why.
+        /// Why it was ejected.
         reason: EjectionReason,
     },
     /// An ejected replica is in use again.
@@ -72,55 +72,55 @@
         /// The replica.
         replica: ReplicaIndex,
     },
-    /// A query was answered.
+    /// A query got its final response, or the response of its first step.
     QueryAnswered {
         /// The query.
         query: QueryIndex,
-        /// Whether the answer is marked complete.
+        /// Whether the response is marked complete.
         complete: bool,
     },
-    /// A query ended without an answer.
+    /// A query ended without a response.
     QueryEnded {
         /// The query.
         query: QueryIndex,
-        /// Why.
+        /// Why it ended.
         reason: QueryEndReason,
-        /// Whether it was rejected, as trying again is harmless.
+        /// Whether it was rejected, which tells the client that a retry is harmless.
         rejected: bool,
     },
-    /// A list of replicas that the front node goes by from now on.
+    /// A list of replicas is used from now on.
     MembershipListUsed {
-        /// Where it comes from.
+        /// Where the list comes from.
         source: MembershipSource,
-        /// How old it is.
+        /// Age of the list.
         age: Nanos,
-        /// How many replicas it names.
+        /// The number of replicas in the list.
         replicas: usize,
-        /// By how many steps they are unverified.
+        /// Degree of distrust of its replicas; 0 if they are verified.
         unverified_steps: u32,
     },
-    /// What the round went by, where it changed much.
+    /// The latency estimates of the round. Recorded only if they changed considerably.
     LatenciesEstimated {
-        /// Median time of a shard request.
+        /// Median latency of a shard request.
         median: Nanos,
-        /// The usual longest time.
+        /// The latency that counts as the usual longest one.
         longest: Nanos,
-        /// How long a replica may stay silent.
+        /// Time after which a replica that answers nothing is unresponsive.
         response_timeout: Nanos,
     },
 }
 
-/// An event and its time.
+/// An event with its time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TraceRecord {
-    /// When the round took place.
+    /// When the round began.
     pub at: Nanos,
-    /// What it was.
+    /// The event.
     pub event: TraceEvent,
 }
 
 impl TraceRecord {
-    /// The record as a line without its end.
+    /// Returns the record as a line, without a line break.
     pub fn line(&self) -> String {
         let at = self.at;
         match self.event {
@@ -161,7 +161,7 @@
         }
     }
 
-    /// None for a line that is no record.
+    /// Parses a line. Returns `None` if it is no valid record.
     pub fn read(line: &str) -> Option<TraceRecord> {
         let words: Vec<&str> = line.split_ascii_whitespace().collect();
         let (at, kind, rest) = (words.first()?.parse().ok()?, *words.get(1)?, &words[2..]);
@@ -169,7 +169,7 @@
     }
 }
 
-/// The words of a line after its time and kind.
+/// The words of a line after the time and the kind.
 struct Operands<'a>(&'a [&'a str]);
 
 impl Operands<'_> {
