--- a/tests/decisions/completion.rs
+++ b/tests/decisions/completion.rs
@@ -1,12 +1,12 @@
-//! Final answers.
+//! Final responses of queries.
 
 use crate::host::*;
 use orchidvalve::interface::*;
 use orchidvalve::state::AttemptOutcome;
 
 #[test]
-fn a_query_that_fails_for_good_ends_in_the_round_that_learns_it() {
-    // Held back to its client's end it would keep that client from asking again, and from help elsewhere.
+fn a_query_that_cannot_be_answered_ends_in_the_same_round() {
+    // If the host held the result until the client's deadline, the client could not retry elsewhere.
     let last = [
         (
             Idempotence::NotIdempotent,
@@ -22,24 +22,27 @@
         let mut settings = settings(2);
         (settings.classes[0].idempotence, settings.max_attempts) = (idempotence, 1);
         let mut host = Host::new(settings);
-        let (ix, mut actions) = host.ask(0, &[0]);
+        let (ix, mut actions) = host.query(0, &[0]);
         while host.aggregator.state().open_queries().next().is_some() {
-            assert!(!actions.contains(&ends(ix)), "{idempotence:?} {outcome:?}: told, and still open");
+            assert!(!actions.contains(&ends(ix)), "{idempotence:?} {outcome:?}: ended, and still open");
             host.now += 5 * MS;
             actions =
                 if host.in_flight.is_empty() { host.wait(0) } else { host.end_attempts(|_| Some(outcome)) };
         }
         assert!(actions.contains(&ends(ix)), "{idempotence:?} {outcome:?}: {actions:?}");
-        assert!(host.now < 1_000_000 * MS + 1_000 * MS, "{idempotence:?} {outcome:?}: held to its end");
+        assert!(
+            host.now < 1_000_000 * MS + 1_000 * MS,
+            "{idempotence:?} {outcome:?}: held until the deadline"
+        );
     }
 }
 
 #[test]
-fn a_partial_answer_is_given_at_the_latency_target_where_it_earns_more_than_waiting() {
+fn a_partial_response_is_sent_at_the_latency_target_if_it_earns_more_than_waiting() {
     let mut settings = settings(5);
     settings.classes[0].min_completeness = 0.5;
     let mut host = Host::new(settings);
-    let (ix, actions) = host.ask(0, &[0, 2]);
+    let (ix, actions) = host.query(0, &[0, 2]);
     let slow = attempts(&actions)[0].1;
     host.now += 50 * MS;
     assert!(
@@ -53,11 +56,11 @@
 }
 
 #[test]
-fn a_second_step_is_awaited_before_the_final_answer() {
+fn the_final_response_waits_for_the_second_step() {
     let mut settings = settings(3);
     settings.classes[0].second_step_requests = 1;
     let mut host = Host::new(settings);
-    let (ix, _) = host.ask(0, &[0]);
+    let (ix, _) = host.query(0, &[0]);
     assert!(host.end_attempts(|_| Some(AttemptOutcome::Answered)).contains(&Action::Answer(ix, true)));
     let actions = host.round(|state| _ = state.shard_request_received(ix, 0, 1.0));
     assert!(attempts(&actions).len() == 1 && !actions.contains(&Action::Answer(ix, true)));
@@ -65,24 +68,24 @@
 }
 
 #[test]
-fn every_query_gets_its_final_answer_before_the_client_deadline() {
+fn every_query_gets_one_final_response_before_the_client_deadline() {
     let mut host = Host::new(settings(2));
-    let (ix, _) = host.ask(0, &[0, 1]);
+    let (ix, _) = host.query(0, &[0, 1]);
     let until = host.now + 3_000 * MS;
     let mut last = 0;
     while host.now < until + 100 * MS {
         let actions = host.wait(5 * MS);
         if actions.iter().any(|t| [Action::Reject(ix), Action::Expire(ix)].contains(t)) {
-            assert_eq!(last, 0, "one final answer");
+            assert_eq!(last, 0, "one final response");
             last = host.now;
         }
-        assert!(last == 0 || attempts(&actions).is_empty(), "nothing is sent after the final answer");
+        assert!(last == 0 || attempts(&actions).is_empty(), "no attempt starts after the final response");
     }
     assert!(last > 0 && last <= until);
 }
 
 #[test]
-fn a_query_that_wants_all_or_nothing_gets_no_partial_answer_and_no_wish_lowers_its_class() {
+fn a_client_may_raise_but_not_lower_the_required_completeness() {
     for (least, answered) in [(0.0, true), (0.2, true), (1.0, false)] {
         let mut settings = settings(2);
         (settings.classes[0].min_completeness, settings.classes[0].full_completeness) = (0.4, 0.9);
@@ -97,7 +100,7 @@
             ix = Some(query);
         });
         let ix = ix.unwrap();
-        // The heavier request is answered, the lighter one never.
+        // The heavier request is answered, the lighter one never is.
         let light = host.in_flight.iter().map(|attempt| attempt.request).min().unwrap();
         let in_flight = std::mem::take(&mut host.in_flight);
         let mut actions = host.round(|state| {
--- a/tests/decisions/host.rs
+++ b/tests/decisions/host.rs
@@ -1,4 +1,4 @@
-//! A tiny fake host: a clock, a ring of replicas, and a sink that remembers the actions it was given.
+//! A minimal host: a clock, a ring of replicas, and a sink that records the actions.
 
 use orchidvalve::Aggregator;
 use orchidvalve::interface::*;
@@ -24,7 +24,7 @@
 #[derive(Default)]
 pub struct ActionLog {
     pub actions: Vec<Action>,
-    /// How long the last attempt may wait to be sent.
+    /// How long the last attempt may wait before it is sent.
     pub send_within: Nanos,
 }
 
@@ -42,8 +42,8 @@
     fn cancel_attempt(&mut self, request: ShardRequestIndex, attempt: usize) {
         self.actions.push(Action::CancelAttempt(request, attempt));
     }
-    fn answer(&mut self, query: QueryIndex, whole: bool) {
-        self.actions.push(Action::Answer(query, whole));
+    fn answer(&mut self, query: QueryIndex, complete: bool) {
+        self.actions.push(Action::Answer(query, complete));
     }
     fn reject(&mut self, query: QueryIndex, _: Nanos) {
         self.actions.push(Action::Reject(query));
@@ -73,11 +73,12 @@
     pub now: Nanos,
     /// Attempts that have not ended.
     pub in_flight: Vec<InFlight>,
-    /// How long the last attempt may wait to be sent.
+    /// How long the last attempt may wait before it is sent.
     pub send_within: Nanos,
 }
 
-/// Two replicas hold each shard, one shard request travels in a call, and an idempotent class wants its answer within a second.
+/// Settings with two replicas per shard, one shard request per call, and one idempotent class with a latency target of
+/// one second.
 pub fn settings(cells: usize) -> AggregatorSettings {
     let class = ServiceClass {
         latency_target: 1_000 * MS,
@@ -117,7 +118,7 @@
 }
 
 impl Host {
-    /// One replica in each cell, all long warm.
+    /// Returns a host with one fully warm replica per cell.
     pub fn new(settings: AggregatorSettings) -> Host {
         Host::seeded(settings, 7)
     }
@@ -154,7 +155,7 @@
         log.actions
     }
 
-    pub fn ask(&mut self, class: usize, shards: &[usize]) -> (QueryIndex, Vec<Action>) {
+    pub fn query(&mut self, class: usize, shards: &[usize]) -> (QueryIndex, Vec<Action>) {
         let (mut ix, until) = (None, self.now + 3_000 * MS);
         let actions = self.round(|state| {
             let query = state.query_received(class, 0, until, 0, false);
@@ -166,7 +167,7 @@
         (ix.unwrap(), actions)
     }
 
-    /// Ends every attempt in flight at a replica for which `how` names an outcome.
+    /// Ends every attempt in flight at a replica for which `how` returns an outcome.
     pub fn end_attempts(&mut self, how: impl Fn(ReplicaIndex) -> Option<AttemptOutcome>) -> Vec<Action> {
         let (ended, in_flight): (Vec<_>, Vec<_>) =
             self.in_flight.drain(..).partition(|attempt| how(attempt.replica).is_some());
@@ -184,20 +185,23 @@
         self.round(|_| {})
     }
 
-    /// A run of ordinary traffic over the shards: each shard request answered after 50 ms by every replica but those named.
-    pub fn traffic(&mut self, queries: usize, silent: &[ReplicaIndex]) -> Vec<Action> {
+    /// Runs ordinary traffic over the shards: every replica except the unresponsive ones answers each shard request after
+    /// 50 ms.
+    pub fn traffic(&mut self, queries: usize, unresponsive: &[ReplicaIndex]) -> Vec<Action> {
         let cells = self.aggregator.state().replicas.len();
         let mut actions = Vec::new();
         for n in 0..queries {
-            actions.extend(self.ask(0, &[n % cells]).1);
+            actions.extend(self.query(0, &[n % cells]).1);
             self.now += 50 * MS;
-            actions.extend(self.end_attempts(|r| (!silent.contains(&r)).then_some(AttemptOutcome::Answered)));
+            actions.extend(
+                self.end_attempts(|r| (!unresponsive.contains(&r)).then_some(AttemptOutcome::Answered)),
+            );
         }
         actions
     }
 }
 
-/// The attempts that were started, with where they went.
+/// Returns the attempts that were started, with their replicas.
 pub fn attempts(actions: &[Action]) -> Vec<(ShardRequestIndex, ReplicaIndex)> {
     let started = |action: &Action| match *action {
         Action::StartAttempt(request, replica) => Some((request, replica)),
--- a/tests/decisions/main.rs
+++ b/tests/decisions/main.rs
@@ -1,4 +1,4 @@
-//! One partial story for each failure met or foreseen, by concern.
+//! Scenarios for each known failure of the decisions, one concern per module.
 
 mod admission;
 mod completion;
--- a/tests/decisions/membership.rs
+++ b/tests/decisions/membership.rs
@@ -1,11 +1,11 @@
-//! Replicas that come and go, and requests for the membership.
+//! Replicas that join and leave, and requests for membership changes.
 
 use crate::host::*;
 use orchidvalve::interface::*;
 use orchidvalve::state::{AggregatorState, AttemptOutcome};
 
 #[test]
-fn a_drained_or_unlisted_replica_gets_nothing_new() {
+fn a_draining_or_unlisted_replica_gets_no_new_attempt() {
     let mut host = Host::new(settings(2));
     host.round(|state| {
         state.membership_update_begins(true);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn watches_that_are_lost_one_after_another_are_each_requested_anew_within_a_second() {
+fn every_lost_watch_is_requested_again_within_a_second() {
     let mut settings = settings(2);
     settings.membership_on_request = true;
     let mut host = Host::new(settings);
@@ -44,16 +44,16 @@
         host.wait(20_800 * MS);
         host.round(AggregatorState::membership_lost);
         let asked = (0..=100).any(|_| host.wait(10 * MS).contains(&Action::RequestMembership));
-        assert!(asked, "what a silent watch held back counts as told 2 s after its wait");
+        assert!(asked, "the membership is requested within a second of each loss");
     }
 }
 
 #[test]
-fn replicas_that_are_replaced_all_day_take_no_more_slots_than_those_that_stay() {
+fn slots_of_replaced_replicas_are_reused() {
     let mut host = Host::new(settings(2));
     host.traffic(30, &[]);
-    // A answers nothing, is ejected, and is removed with an attempt of ours still on it.
-    while host.ask(0, &[0]).1.iter().all(|t| !matches!(t, Action::StartAttempt(_, r) if *r == A)) {
+    // A answers nothing, is ejected, and is removed with an attempt still in flight there.
+    while host.query(0, &[0]).1.iter().all(|t| !matches!(t, Action::StartAttempt(_, r) if *r == A)) {
         host.end_attempts(|_| Some(AttemptOutcome::Answered));
     }
     host.end_attempts(|r| (r == B).then_some(AttemptOutcome::Answered));
@@ -74,7 +74,7 @@
         discovered.unwrap()
     };
     let second = replace(&mut host, A);
-    assert_eq!(second, ReplicaIndex(2), "what is in flight at A may still be answered");
+    assert_eq!(second, ReplicaIndex(2), "the attempt in flight at A may still be answered");
     host.end_attempts(|_| Some(AttemptOutcome::Answered));
     let mut last = second;
     for _ in 0..20 {
@@ -84,20 +84,20 @@
         last = replace(&mut host, last);
         assert!(last.0 < 3, "{last:?}");
     }
-    // Whoever has the slot now is not thought ill of for what A did.
+    // The new replica in the slot does not inherit the ejection state of A.
     assert!(host.traffic(20, &[]).iter().all(|t| !matches!(t, Action::CheckHealth(_))));
     assert!(host.aggregator.state().replicas[last.0].samples.iter().len() > 0);
 }
 
 #[test]
-fn what_only_an_old_list_names_gets_no_attempt_before_it_answered_its_health_checks() {
+fn an_unverified_replica_gets_no_attempt_before_it_answered_its_health_checks() {
     let mut host = Host::new(settings(1));
     let from = host.now + 300 * MS;
     host.round(|state| state.replica_unverified(ReplicaIndex(0), 2, from));
     let (mut checks, mut started) = (0, Vec::new());
     while checks < 2 {
-        // Its one replica is unverified: hundreds of front nodes may share that list, and each waits for its moment.
-        assert!(attempts(&host.ask(0, &[0]).1).is_empty());
+        // The only replica is unverified. Hundreds of front nodes may have the same list, so each waits for its own time.
+        assert!(attempts(&host.query(0, &[0]).1).is_empty());
         host.now += 5 * MS;
         if host.round(|_| {}).contains(&Action::CheckHealth(ReplicaIndex(0))) {
             assert!(host.now >= from);
@@ -106,15 +106,15 @@
         }
         assert!(host.now < from + 2_000 * MS, "{checks} health checks");
     }
-    assert!(!started.is_empty(), "two steps are two health checks, and then it serves");
+    assert!(!started.is_empty(), "two steps require two health checks, then the replica serves");
 }
 
 #[test]
-fn a_replica_that_discovery_verifies_is_unverified_no_more() {
+fn a_replica_that_discovery_names_is_no_longer_unverified() {
     let mut host = Host::new(settings(1));
     let until = host.now + 60_000 * MS;
     host.round(|state| state.replica_unverified(ReplicaIndex(0), 4, until));
-    assert!(attempts(&host.ask(0, &[0]).1).is_empty());
+    assert!(attempts(&host.query(0, &[0]).1).is_empty());
     host.now += 5 * MS;
     let actions = host.round(|state| state.replica_verified(ReplicaIndex(0)));
     assert_eq!(attempts(&actions).len(), 1, "{actions:?}");
--- a/tests/decisions/slow_start.rs
+++ b/tests/decisions/slow_start.rs
@@ -1,11 +1,11 @@
-//! What servers that just came up get.
+//! Attempts at recently started servers.
 
 use crate::host::*;
 use orchidvalve::interface::*;
 use orchidvalve::state::AttemptOutcome;
 
 #[test]
-fn a_server_that_warms_up_gets_no_burst() {
+fn a_warming_server_gets_no_burst() {
     let mut host = Host::new(settings(2));
     host.traffic(100, &[]);
     let now = host.now;
@@ -17,17 +17,18 @@
     let mut to_warming = 0;
     for _ in 0..5 {
         for _ in 0..12 {
-            to_warming += attempts(&host.ask(0, &[0]).1).iter().filter(|attempt| attempt.1 == A).count();
+            to_warming += attempts(&host.query(0, &[0]).1).iter().filter(|attempt| attempt.1 == A).count();
         }
         host.now += 40 * MS;
         host.end_attempts(|_| Some(AttemptOutcome::Answered));
     }
-    // A quarter warm, with the rule's multiple of four: what a warm one did in a second, and caution on top.
+    // The server has a quarter of its capacity, times the overload multiple of 4: what a warm one completed in a
+    // second, less the safety factor.
     assert!((1..=14).contains(&to_warming), "{to_warming} shard requests within 200 ms on a warming server");
 }
 
 #[test]
-fn a_fleet_restarted_at_once_is_warmed_up_again() {
+fn a_fleet_that_restarted_at_once_warms_up() {
     let mut host = Host::new(settings(2));
     let now = host.now;
     host.round(|state| {
@@ -43,8 +44,9 @@
 }
 
 #[test]
-fn a_front_node_whose_fleet_leaves_it_no_quota_sends_servers_that_warm_up_nothing() {
-    // Hundreds of front nodes with one attempt a window each would overload a warming server; the fleet's budget left this one none.
+fn a_front_node_without_warm_up_quota_sends_nothing_to_warming_servers() {
+    // One attempt per window from each of hundreds of front nodes would overload a warming server. The fleet's budget
+    // leaves this front node none.
     let mut host = Host::new(settings(2));
     let now = host.now;
     host.round(|state| {
@@ -61,14 +63,15 @@
     let sent = attempts(&actions);
     assert!(
         !sent.is_empty() && sent.iter().all(|attempt| attempt.1 == A),
-        "a quota of one attempt a window: {sent:?}"
+        "a quota of one attempt per window: {sent:?}"
     );
 }
 
-/// Two hundred front nodes, each with little traffic, find a warming server beside a warm one. That can do 80 shard
-/// requests a second when warm, a fifth of it now, and twice this for a second; chance is allowed for as the operators' page does.
+/// Two hundred front nodes with little traffic each find a warming server next to a warm one. Warm, it completes 80
+/// shard requests per second; now it has a fifth of that, and withstands twice this for a second. Allows for chance as
+/// the operators' guide does.
 #[test]
-fn hundreds_of_front_nodes_do_not_overload_a_server_that_warms_up_and_that_each_sends_little() {
+fn hundreds_of_front_nodes_with_little_traffic_do_not_overload_a_warming_server() {
     let mut settings = settings(2);
     settings.slow_start = SlowStart {
         initial_share: 0.2,
@@ -81,7 +84,7 @@
     for front in 0..200 {
         let mut host = Host::seeded(settings.clone(), front);
         for _ in 0..8 {
-            host.ask(0, &[0]);
+            host.query(0, &[0]);
             host.now += 50 * MS;
             host.end_attempts(|_| Some(AttemptOutcome::Answered));
             host.now += 950 * MS;
@@ -92,14 +95,17 @@
             state.member_listed(A, 0, true, Some(now));
             state.membership_update_ends();
         });
-        // Seven in ten of them have a request for it in its first second: 140 shard requests for two servers.
+        // Seven in ten front nodes have a request for it in its first second: 140 shard requests for two servers.
         if front % 10 < 7 {
             host.now += front as Nanos * 5 * MS;
-            sent += attempts(&host.ask(0, &[0]).1).iter().filter(|attempt| attempt.1 == A).count();
+            sent += attempts(&host.query(0, &[0]).1).iter().filter(|attempt| attempt.1 == A).count();
         }
     }
-    let borne: f64 = 2.0 * 0.2 * 80.0;
-    assert!((sent as f64) <= borne + 3.0 * borne.sqrt() + 3.0, "{sent} shard requests for {borne}");
+    let expected: f64 = 2.0 * 0.2 * 80.0;
+    assert!(
+        (sent as f64) <= expected + 3.0 * expected.sqrt() + 3.0,
+        "{sent} shard requests, limit about {expected}"
+    );
 }
 
 #[test]
@@ -115,9 +121,9 @@
     let mut sent = 0;
     for front in 0..200 {
         let mut host = Host::seeded(settings.clone(), front);
-        // A is gone, and no list tells of it, nor that it is back a moment later, and warming.
+        // A crashes, and restarts cold a moment later. No endpoint list reports either.
         for shard in [1, 1, 1, 1, 1, 1, 1, 0] {
-            host.ask(0, &[shard]);
+            host.query(0, &[shard]);
             host.now += 50 * MS;
             host.end_attempts(|r| {
                 Some(if r == A { AttemptOutcome::ConnectFailed } else { AttemptOutcome::Answered })
@@ -130,10 +136,13 @@
         }
         host.in_flight.clear();
         if front % 10 < 7 {
-            sent += attempts(&host.ask(0, &[0]).1).iter().filter(|attempt| attempt.1 == A).count();
+            sent += attempts(&host.query(0, &[0]).1).iter().filter(|attempt| attempt.1 == A).count();
         }
     }
-    let borne: f64 = 2.0 * 0.2 * 80.0;
-    assert!((sent as f64) <= borne + 3.0 * borne.sqrt() + 3.0, "{sent} shard requests for {borne}");
-    assert!(sent > 0, "it is tried");
+    let expected: f64 = 2.0 * 0.2 * 80.0;
+    assert!(
+        (sent as f64) <= expected + 3.0 * expected.sqrt() + 3.0,
+        "{sent} shard requests, limit about {expected}"
+    );
+    assert!(sent > 0, "the restarted server gets some attempts");
 }
--- a/tests/decisions/trace.rs
+++ b/tests/decisions/trace.rs
@@ -1,20 +1,20 @@
-//! The trace against what was decided.
+//! The trace compared with the decisions.
 
 use crate::host::*;
 use orchidvalve::state::AttemptOutcome;
 use orchidvalve::trace::TraceEvent;
 
-/// The trace is taken where decisions fall: it has each of them, in order, and a reason for each.
+/// The trace records decisions where they are made: it has each of them, in order, with a reason.
 #[test]
-fn every_decision_has_its_reason_in_the_trace_and_a_trace_that_is_off_keeps_nothing() {
+fn the_trace_has_a_reason_for_each_decision_and_is_empty_while_off() {
     for on in [true, false] {
         let mut host = Host::new(settings(2));
         host.aggregator.set_tracing(on);
         let (mut actions, mut records) = (host.traffic(40, &[]), Vec::new());
         for n in 0..120 {
-            // One replica answers nothing, the other is overloaded now and then.
+            // One replica answers nothing, and the other is overloaded from time to time.
             for _ in 0..if n % 10 == 0 { 12 } else { 1 } {
-                actions.extend(host.ask(0, &[n % 2]).1);
+                actions.extend(host.query(0, &[n % 2]).1);
             }
             actions.extend(host.wait(40 * MS));
             actions.extend(host.end_attempts(|r| {
--- a/tests/golden_decisions.rs
+++ b/tests/golden_decisions.rs
@@ -1,5 +1,5 @@
-//! Runs of one aggregator among simulated servers, compared with what the decisions were when they were recorded: each call
-//! of the writer as numbers, what is thought of each replica after each round, and the notes of the trace as read by machines.
+//! Runs of one aggregator among simulated servers, compared with recorded decisions: the calls of the action sink as
+//! numbers, the ejection state of each replica after each round, and the lines of the trace.
 
 mod simulation;
 
@@ -12,7 +12,7 @@
 
 const SEEDS: u64 = 8;
 
-/// Every reason that a note of the aggregator can name, and every kind of note.
+/// Every word for a kind of trace record or a reason that the aggregator can record.
 const WORDS: [&str; 32] = [
     "taken",
     "part",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn the_decisions_of_every_family_of_runs_are_those_recorded() {
+fn decisions_of_every_family_match_the_recorded_ones() {
     let all: Vec<(String, Outcome)> = std::thread::scope(|scope| {
         let families: Vec<_> = FAMILIES.iter().map(|family| scope.spawn(|| runs(family))).collect();
         families.into_iter().flat_map(|family| family.join().expect("the runs of a family end")).collect()
@@ -62,18 +62,20 @@
     let words: BTreeSet<&str> =
         all.iter().flat_map(|(_, run)| run.words.iter().map(String::as_str)).collect();
     let missing: Vec<&&str> = WORDS.iter().filter(|word| !words.contains(**word)).collect();
-    assert!(missing.is_empty(), "reasons that no run came across: {missing:?}");
+    assert!(missing.is_empty(), "words that no run recorded: {missing:?}");
     let kinds: BTreeSet<u64> = all.iter().flat_map(|(_, run)| run.kinds.iter().copied()).collect();
-    assert_eq!(kinds, (1..=8).collect(), "every call of the writer was made in some run");
+    assert_eq!(kinds, (1..=8).collect(), "every call of the action sink was made in some run");
     let hashes: Vec<(String, u64)> = all
         .iter()
-        .flat_map(|(name, run)| [(format!("{name}-calls"), run.calls), (format!("{name}-notes"), run.notes)])
+        .flat_map(|(name, run)| {
+            [(format!("{name}-calls"), run.calls), (format!("{name}-notes"), run.records)]
+        })
         .collect();
     check_hashes(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/decisions.txt"), &hashes);
 }
 
 #[test]
-fn keeping_the_trace_changes_no_decision() {
+fn tracing_does_not_change_decisions() {
     for family in FAMILIES {
         let calls = |trace| run(cases::of(family, 3), 3, trace).calls;
         assert_eq!(calls(true), calls(false), "{family}");
--- a/tests/simulation/cases.rs
+++ b/tests/simulation/cases.rs
@@ -1,45 +1,45 @@
-//! Settings and surroundings of each family of runs.
+//! Settings and environment of each family of runs.
 
 use orchidvalve::interface::*;
 
 use super::{Condition, MS, Numbers};
 
-/// What goes wrong now and then.
+/// What goes wrong from time to time.
 #[derive(Clone, Copy, Debug)]
 pub enum Incident {
     Fault(Condition),
     ProtocolError,
-    Drains,
+    Draining,
     Replaced,
-    MembersLost,
-    MembersTold,
+    MembershipLost,
+    MembershipUpdate,
 }
 
 #[derive(Clone)]
 pub struct Case {
     pub settings: AggregatorSettings,
-    pub lasts: Nanos,
+    pub duration: Nanos,
     pub per_cell: usize,
-    pub ask_every: Nanos,
-    /// Share of the moments of asking at which many ask.
-    pub bursts: f64,
-    /// Most shard requests of a query.
+    pub query_interval: Nanos,
+    /// Fraction of query arrivals that are bursts.
+    pub burst_probability: f64,
+    /// The largest number of shard requests of a query.
     pub requests: usize,
-    pub hot_shard: f64,
+    pub hot_shard_probability: f64,
     pub work: Nanos,
     pub queue: Nanos,
-    pub asked_again: f64,
-    pub own_floor: f64,
-    pub leaves: f64,
-    pub killers: f64,
-    pub unsent: f64,
-    pub requests_over: f64,
-    pub warming_at_first: f64,
-    pub restarts_untold: f64,
-    pub unverified: f64,
+    pub retry_probability: f64,
+    pub own_completeness_probability: f64,
+    pub disconnect_probability: f64,
+    pub crashing_queries: f64,
+    pub not_sent_probability: f64,
+    pub request_over_probability: f64,
+    pub initially_warming_probability: f64,
+    pub unreported_restart_probability: f64,
+    pub unverified_probability: f64,
     pub fleet: bool,
-    pub incident_every: Nanos,
-    pub incident_most: Nanos,
+    pub incident_interval: Nanos,
+    pub max_incident_duration: Nanos,
     pub incidents: Vec<Incident>,
 }
 
@@ -99,26 +99,26 @@
     };
     Case {
         settings,
-        lasts: 2_000 * MS,
+        duration: 2_000 * MS,
         per_cell: 1,
-        ask_every: 15 * MS,
-        bursts: 0.0,
+        query_interval: 15 * MS,
+        burst_probability: 0.0,
         requests: 3,
-        hot_shard: 0.0,
+        hot_shard_probability: 0.0,
         work: 10 * MS,
         queue: 30,
-        asked_again: 0.0,
-        own_floor: 0.0,
-        leaves: 0.02,
-        killers: 0.0,
-        unsent: 0.0,
-        requests_over: 0.0,
-        warming_at_first: 0.0,
-        restarts_untold: 0.0,
-        unverified: 0.0,
+        retry_probability: 0.0,
+        own_completeness_probability: 0.0,
+        disconnect_probability: 0.02,
+        crashing_queries: 0.0,
+        not_sent_probability: 0.0,
+        request_over_probability: 0.0,
+        initially_warming_probability: 0.0,
+        unreported_restart_probability: 0.0,
+        unverified_probability: 0.0,
         fleet: false,
-        incident_every: 700 * MS,
-        incident_most: 300 * MS,
+        incident_interval: 700 * MS,
+        max_incident_duration: 300 * MS,
         incidents: vec![Incident::Fault(Condition::Slow(60 * MS))],
     }
 }
@@ -130,7 +130,7 @@
         class(Idempotence::NotIdempotent),
         class(Idempotence::Idempotent),
     ];
-    (classes[0].min_completeness, classes[0].partial_value) = (0.3 + 0.4 * numbers.share(), 0.8);
+    (classes[0].min_completeness, classes[0].partial_value) = (0.3 + 0.4 * numbers.fraction(), 0.8);
     (classes[1].late_value, classes[1].latency_target_stretch) = (0.0, 0.5);
     (
         classes[3].min_completeness,
@@ -141,7 +141,7 @@
     classes
 }
 
-/// The case of a family for a seed, which also varies what the family leaves open.
+/// Returns the case of a family for a seed. The seed also varies what the family does not fix.
 pub fn of(family: &str, seed: u64) -> Case {
     let mut numbers = Numbers(seed.wrapping_mul(31) ^ 0xca5e);
     let mut case = ordinary();
@@ -151,87 +151,99 @@
         "ordinary" => c.per_cell = 1 + numbers.below(2),
         "classes" => {
             c.settings.classes = many_classes(&mut numbers);
-            (c.own_floor, c.unsent, c.requests_over, c.requests) = (0.2, 0.02, 0.05, 4);
+            (
+                c.own_completeness_probability,
+                c.not_sent_probability,
+                c.request_over_probability,
+                c.requests,
+            ) = (0.2, 0.02, 0.05, 4);
             c.incidents = vec![
-                Incident::Fault(Errs(numbers.below(4))),
-                Incident::Fault(Breaks),
-                Incident::Fault(Mute),
-                Incident::Fault(Refuses),
+                Incident::Fault(FailsClass(numbers.below(4))),
+                Incident::Fault(BreaksConnections),
+                Incident::Fault(Unresponsive),
+                Incident::Fault(Rejects),
             ];
-            c.incident_every = 150 * MS;
+            c.incident_interval = 150 * MS;
         }
         "two-steps" => {
             c.settings.classes = vec![class(Idempotence::Idempotent), class(Idempotence::Idempotent)];
             (c.settings.classes[0].second_step_requests, c.settings.classes[0].min_completeness) = (2, 0.5);
             (c.settings.classes[0].full_completeness, c.settings.classes[0].partial_value) = (0.8, 0.6);
-            c.incidents = vec![Incident::Fault(Mute), Incident::Fault(Slow(150 * MS))];
-            c.incident_every = 200 * MS;
+            c.incidents = vec![Incident::Fault(Unresponsive), Incident::Fault(Slow(150 * MS))];
+            c.incident_interval = 200 * MS;
         }
         "crowded" => {
             c.settings.classes = many_classes(&mut numbers);
             c.settings.tenant_rates = vec![10.0, 30.0, f64::INFINITY];
-            (c.settings.max_retry_after, c.hot_shard, c.asked_again) = (500 * MS, 0.3, 0.3);
-            (c.ask_every, c.bursts, c.work, c.fleet) = (12 * MS, 0.15, 12 * MS, numbers.happens(0.5));
-            c.lasts = 1_500 * MS;
+            (c.settings.max_retry_after, c.hot_shard_probability, c.retry_probability) = (500 * MS, 0.3, 0.3);
+            (c.query_interval, c.burst_probability, c.work, c.fleet) =
+                (12 * MS, 0.15, 12 * MS, numbers.happens(0.5));
+            c.duration = 1_500 * MS;
         }
         "budget" => {
             c.settings.retry_budget = Some(RetryBudget { reserve: 3.0, ratio: 0.1, window: 400 * MS });
             (c.settings.may_hedge, c.settings.may_check_health) =
                 (numbers.happens(0.7), numbers.happens(0.5));
             (c.settings.may_cancel, c.settings.max_attempts) = (numbers.happens(0.5), 2 + numbers.below(3));
-            c.incidents = vec![Incident::Fault(Mute), Incident::Fault(Breaks), Incident::Fault(Lossy)];
-            (c.incident_every, c.fleet) = (120 * MS, numbers.happens(0.5));
+            c.incidents = vec![
+                Incident::Fault(Unresponsive),
+                Incident::Fault(BreaksConnections),
+                Incident::Fault(Lossy),
+            ];
+            (c.incident_interval, c.fleet) = (120 * MS, numbers.happens(0.5));
         }
         "cold" => {
-            (c.warming_at_first, c.restarts_untold, c.per_cell) = (0.5, 0.4, 1 + numbers.below(2));
+            (c.initially_warming_probability, c.unreported_restart_probability, c.per_cell) =
+                (0.5, 0.4, 1 + numbers.below(2));
             c.settings.front_nodes = [1, 4, 40, 300][numbers.below(4)];
-            (c.fleet, c.hot_shard) = (numbers.happens(0.4), 0.2);
+            (c.fleet, c.hot_shard_probability) = (numbers.happens(0.4), 0.2);
             c.incidents = vec![Incident::Fault(Down), Incident::Fault(Down), Incident::Fault(Slow(40 * MS))];
-            c.incident_every = 180 * MS;
+            c.incident_interval = 180 * MS;
         }
         "members" => {
             (c.settings.membership_on_request, c.settings.membership_request_interval) = (true, 1_000 * MS);
-            (c.unverified, c.warming_at_first, c.per_cell) = (0.2, 0.3, 2);
+            (c.unverified_probability, c.initially_warming_probability, c.per_cell) = (0.2, 0.3, 2);
             c.incidents = vec![
-                Incident::MembersLost,
+                Incident::MembershipLost,
                 Incident::Replaced,
-                Incident::Drains,
-                Incident::MembersTold,
-                Incident::Fault(Mute),
+                Incident::Draining,
+                Incident::MembershipUpdate,
+                Incident::Fault(Unresponsive),
             ];
-            c.incident_every = 100 * MS;
+            c.incident_interval = 100 * MS;
         }
         "calls" => {
             (c.settings.requests_per_call, c.settings.cells, c.settings.cells_per_shard) = (4, 6, 3);
             (c.requests, c.work, c.per_cell) = (10, 5 * MS, 1 + numbers.below(2));
             c.incidents =
-                vec![Incident::Fault(Slow(80 * MS)), Incident::Fault(Mute), Incident::ProtocolError];
-            c.incident_every = 250 * MS;
+                vec![Incident::Fault(Slow(80 * MS)), Incident::Fault(Unresponsive), Incident::ProtocolError];
+            c.incident_interval = 250 * MS;
         }
         "queues" => {
             (c.settings.queues_reported, c.queue, c.work) = (true, 8, 12 * MS);
-            (c.bursts, c.hot_shard, c.ask_every) = (0.1, 0.4, 14 * MS);
+            (c.burst_probability, c.hot_shard_probability, c.query_interval) = (0.1, 0.4, 14 * MS);
             c.incidents =
-                vec![Incident::Fault(Slow(100 * MS)), Incident::Fault(Refuses), Incident::Fault(Stuck)];
-            c.incident_every = 200 * MS;
+                vec![Incident::Fault(Slow(100 * MS)), Incident::Fault(Rejects), Incident::Fault(Stuck)];
+            c.incident_interval = 200 * MS;
         }
         "failing" => {
-            (c.settings.cells, c.settings.cells_per_shard, c.incident_most) =
+            (c.settings.cells, c.settings.cells_per_shard, c.max_incident_duration) =
                 (5, 2 + numbers.below(2), 900 * MS);
             c.incidents = vec![
-                Incident::Fault(Mute),
+                Incident::Fault(Unresponsive),
                 Incident::Fault(Stuck),
                 Incident::Fault(Lossy),
                 Incident::Fault(Slow(120 * MS)),
-                Incident::Fault(Errs(0)),
+                Incident::Fault(FailsClass(0)),
                 Incident::ProtocolError,
             ];
-            c.incident_every = 120 * MS;
+            c.incident_interval = 120 * MS;
         }
         "killers" => {
-            (c.killers, c.settings.cells, c.settings.cells_per_shard, c.requests) = (0.03, 8, 3, 5);
-            c.incidents = vec![Incident::Fault(Breaks), Incident::Fault(Down), Incident::ProtocolError];
-            c.incident_every = 300 * MS;
+            (c.crashing_queries, c.settings.cells, c.settings.cells_per_shard, c.requests) = (0.03, 8, 3, 5);
+            c.incidents =
+                vec![Incident::Fault(BreaksConnections), Incident::Fault(Down), Incident::ProtocolError];
+            c.incident_interval = 300 * MS;
         }
         "mixed" => mixed(c, &mut numbers),
         other => panic!("no such family: {other}"),
@@ -258,23 +270,28 @@
         numbers.happens(0.5).then_some(RetryBudget { reserve: 4.0, ratio: 0.2, window: 300 * MS });
     (c.per_cell, c.requests, c.work) =
         (1 + numbers.below(3), 1 + numbers.below(8), numbers.between(2 * MS, 15 * MS));
-    (c.queue, c.asked_again, c.own_floor) = (numbers.between(5, 40), 0.1, 0.05);
-    (c.bursts, c.hot_shard, c.killers) = (0.05, 0.1, 0.002);
-    (c.unsent, c.requests_over, c.warming_at_first, c.restarts_untold) = (0.005, 0.01, 0.2, 0.3);
-    (c.unverified, c.fleet, c.incident_every) = (0.03, numbers.happens(0.5), 90 * MS);
+    (c.queue, c.retry_probability, c.own_completeness_probability) = (numbers.between(5, 40), 0.1, 0.05);
+    (c.burst_probability, c.hot_shard_probability, c.crashing_queries) = (0.05, 0.1, 0.002);
+    (
+        c.not_sent_probability,
+        c.request_over_probability,
+        c.initially_warming_probability,
+        c.unreported_restart_probability,
+    ) = (0.005, 0.01, 0.2, 0.3);
+    (c.unverified_probability, c.fleet, c.incident_interval) = (0.03, numbers.happens(0.5), 90 * MS);
     c.incidents = vec![
-        Incident::Fault(Mute),
+        Incident::Fault(Unresponsive),
         Incident::Fault(Stuck),
         Incident::Fault(Lossy),
         Incident::Fault(Slow(90 * MS)),
-        Incident::Fault(Errs(1)),
-        Incident::Fault(Refuses),
-        Incident::Fault(Breaks),
+        Incident::Fault(FailsClass(1)),
+        Incident::Fault(Rejects),
+        Incident::Fault(BreaksConnections),
         Incident::Fault(Down),
         Incident::ProtocolError,
-        Incident::Drains,
+        Incident::Draining,
         Incident::Replaced,
-        Incident::MembersLost,
-        Incident::MembersTold,
+        Incident::MembershipLost,
+        Incident::MembershipUpdate,
     ];
 }
--- a/tests/simulation/mod.rs
+++ b/tests/simulation/mod.rs
@@ -1,5 +1,5 @@
-//! A deterministic world for one aggregator: clients, servers with queues and faults, and membership news, all in virtual
-//! time. Every call of the writer is hashed as numbers, and the trace notes as their machine-read lines.
+//! A deterministic environment for one aggregator: clients, servers with queues and faults, and membership changes, all
+//! in virtual time. The calls of the action sink are hashed as numbers, and the trace records as lines.
 
 pub mod cases;
 mod clients;
@@ -17,22 +17,22 @@
 
 use cases::Case;
 pub use numbers::Numbers;
-use recorder::{Call, Recorder};
+use recorder::{Action, Recorder};
 pub use servers::Condition;
 use servers::Server;
 
 pub const MS: Nanos = 1_000_000;
 
 enum Event {
-    Ask,
+    QueryArrives,
     Ended(ShardRequestIndex, usize, AttemptOutcome, bool),
-    /// An answer that says nothing new: what is out at that server ends with it.
+    /// An invalid response: all attempts in flight at that server end with it.
     ProtocolError(ReplicaIndex),
     HealthChecked(ReplicaIndex, bool, Option<(f64, f64)>),
     SecondStep(QueryIndex, usize),
     ClientLeft(QueryIndex),
-    Members(bool),
-    MembersLost,
+    MembershipUpdate(bool),
+    MembershipLost,
     Restart(ReplicaIndex),
     Replace(ReplicaIndex),
     Incident,
@@ -42,8 +42,8 @@
 /// Hashes of one run.
 pub struct Outcome {
     pub calls: u64,
-    pub notes: u64,
-    /// The words of the notes, for coverage.
+    pub records: u64,
+    /// The words of the trace lines, to check that all of them occur.
     pub words: BTreeSet<String>,
     pub kinds: BTreeSet<u64>,
 }
@@ -53,42 +53,42 @@
     numbers: Numbers,
     aggregator: Aggregator,
     now: Nanos,
-    begins: Nanos,
+    started_at: Nanos,
     events: BTreeMap<(Nanos, u64), Event>,
     count: u64,
     wake: Option<Nanos>,
     servers: BTreeMap<ReplicaIndex, Server>,
-    /// Launches that have not ended: where, and since when.
-    out: BTreeMap<(ShardRequestIndex, usize), (ReplicaIndex, Nanos)>,
+    /// Attempts in flight, by request and attempt number: their replica and start.
+    in_flight: BTreeMap<(ShardRequestIndex, usize), (ReplicaIndex, Nanos)>,
     attempts: BTreeMap<ShardRequestIndex, usize>,
     requests_by_index: BTreeMap<ShardRequestIndex, (QueryIndex, usize)>,
-    /// Queries that take down every server they reach.
-    killers: BTreeSet<QueryIndex>,
+    /// Queries that crash every server that executes them.
+    crashing_queries: BTreeSet<QueryIndex>,
     second_steps: BTreeMap<QueryIndex, usize>,
 }
 
-/// One run of a case: `trace` whether its reasons are kept.
+/// Runs a case. `trace` turns the trace on.
 pub fn run(case: Case, seed: u64, trace: bool) -> Outcome {
-    World::new(case, seed).play(trace)
+    World::new(case, seed).run_to_end(trace)
 }
 
 impl World {
     fn new(case: Case, seed: u64) -> World {
-        let begins = 1_000_000 * MS + (seed as Nanos) * 977;
+        let started_at = 1_000_000 * MS + (seed as Nanos) * 977;
         World {
             aggregator: Aggregator::new(case.settings.clone(), seed),
             numbers: Numbers(seed ^ 0x5eed),
             case,
-            now: begins,
-            begins,
+            now: started_at,
+            started_at,
             events: BTreeMap::new(),
             count: 0,
             wake: None,
             servers: BTreeMap::new(),
-            out: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             attempts: BTreeMap::new(),
             requests_by_index: BTreeMap::new(),
-            killers: BTreeSet::new(),
+            crashing_queries: BTreeSet::new(),
             second_steps: BTreeMap::new(),
         }
     }
@@ -98,17 +98,17 @@
         self.events.insert((self.now + delay.max(1), self.count), event);
     }
 
-    fn play(mut self, trace: bool) -> Outcome {
+    fn run_to_end(mut self, trace: bool) -> Outcome {
         self.aggregator.set_tracing(trace);
-        let (mut calls, mut notes) = (Trace::new(), Trace::new());
+        let (mut calls, mut records) = (Trace::new(), Trace::new());
         let (mut words, mut kinds) = (BTreeSet::new(), BTreeSet::new());
-        self.at(1, Event::Members(true));
-        self.at(2 * MS, Event::Ask);
-        self.at(self.case.incident_every, Event::Incident);
+        self.at(1, Event::MembershipUpdate(true));
+        self.at(2 * MS, Event::QueryArrives);
+        self.at(self.case.incident_interval, Event::Incident);
         if self.case.fleet {
             self.at(3 * MS, Event::FleetLimits);
         }
-        let end = self.begins + self.case.lasts;
+        let end = self.started_at + self.case.duration;
         let tick = self.case.settings.tick;
         while self.now < end {
             let next = self.events.keys().next().map_or(end, |(at, _)| *at);
@@ -121,24 +121,24 @@
             while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= next) {
                 due.push(entry.remove());
             }
-            calls.add_number((self.now - self.begins) as u64);
-            let made = self.round(due, &mut calls, &mut kinds);
+            calls.add_number((self.now - self.started_at) as u64);
+            let new_actions = self.round(due, &mut calls, &mut kinds);
             for ix in 0..self.aggregator.state().replicas.len() {
                 let record =
                     self.aggregator.ejection_record(ReplicaIndex(ix)).expect("the round has seen it");
-                calls.add_number(record.ejected_at.map_or(0, |at| (at - self.begins) as u64 + 1));
+                calls.add_number(record.ejected_at.map_or(0, |at| (at - self.started_at) as u64 + 1));
                 calls.add_number(u64::from(record.relapses));
             }
-            for note in self.aggregator.take_trace() {
-                let line = note.line();
-                notes.add(line.as_bytes());
+            for record in self.aggregator.take_trace() {
+                let line = record.line();
+                records.add(line.as_bytes());
                 words.extend(
                     line.split(' ')
                         .filter(|w| !w.starts_with(|c: char| c.is_ascii_digit()))
                         .map(str::to_owned),
                 );
             }
-            made.into_iter().for_each(|call| self.carry_out(call));
+            new_actions.into_iter().for_each(|call| self.execute(call));
         }
         let state = self.aggregator.state();
         for number in [
@@ -149,15 +149,15 @@
         ] {
             calls.add_number(number as u64);
         }
-        Outcome { calls: calls.finish(), notes: notes.finish(), words, kinds }
+        Outcome { calls: calls.finish(), records: records.finish(), words, kinds }
     }
 
-    fn round(&mut self, due: Vec<Event>, trace: &mut Trace, kinds: &mut BTreeSet<u64>) -> Vec<Call> {
+    fn round(&mut self, due: Vec<Event>, trace: &mut Trace, kinds: &mut BTreeSet<u64>) -> Vec<Action> {
         let mut recorder = Recorder { trace, kinds, calls: Vec::new() };
         let now = self.now;
-        // The aggregator is lent out of the world while the world records what came in.
-        let spare = Aggregator::new(self.case.settings.clone(), 0);
-        let mut aggregator = std::mem::replace(&mut self.aggregator, spare);
+        // The aggregator is moved out while the world records the events of the round.
+        let placeholder = Aggregator::new(self.case.settings.clone(), 0);
+        let mut aggregator = std::mem::replace(&mut self.aggregator, placeholder);
         aggregator.round(
             now,
             |state| due.into_iter().for_each(|event| self.record(event, state)),
@@ -169,21 +169,21 @@
 
     fn record(&mut self, event: Event, state: &mut AggregatorState) {
         match event {
-            Event::Ask => self.ask(state),
+            Event::QueryArrives => self.receive_query(state),
             Event::Ended(request, attempt, ending, over) => {
-                if let Some((_, sent)) = self.out.remove(&(request, attempt)) {
+                if let Some((_, sent)) = self.in_flight.remove(&(request, attempt)) {
                     state.attempt_ended(request, attempt, ending, self.now - sent, over);
                 }
             }
             Event::ProtocolError(replica) => {
-                let there: Vec<(ShardRequestIndex, usize)> = self
-                    .out
+                let affected: Vec<(ShardRequestIndex, usize)> = self
+                    .in_flight
                     .iter()
                     .filter(|(_, (at, _))| *at == replica)
                     .map(|(attempt, _)| *attempt)
                     .collect();
-                for (request, attempt) in there {
-                    let (_, sent) = self.out.remove(&(request, attempt)).expect("it was found there");
+                for (request, attempt) in affected {
+                    let (_, sent) = self.in_flight.remove(&(request, attempt)).expect("it was found there");
                     state.attempt_ended(
                         request,
                         attempt,
@@ -202,14 +202,14 @@
                 }
             }
             Event::ClientLeft(query) => state.client_left(query),
-            Event::Members(complete) => self.members(state, complete),
-            Event::MembersLost => state.membership_lost(),
+            Event::MembershipUpdate(complete) => self.update_membership(state, complete),
+            Event::MembershipLost => state.membership_lost(),
             Event::Restart(replica) => {
-                let told = !self.numbers.happens(self.case.restarts_untold);
+                let reported = !self.numbers.happens(self.case.unreported_restart_probability);
                 let now = self.now;
                 if let Some(server) = self.servers.get_mut(&replica) {
-                    (server.condition, server.until, server.free_at) = (Condition::Sound, now, now);
-                    if told {
+                    (server.condition, server.until, server.free_at) = (Condition::Healthy, now, now);
+                    if reported {
                         server.started = Some(now);
                         state.membership_update_begins(false);
                         state.member_listed(replica, server.cell, server.serving, server.started);
@@ -223,25 +223,25 @@
         }
     }
 
-    fn carry_out(&mut self, call: Call) {
+    fn execute(&mut self, call: Action) {
         match call {
-            Call::StartAttempt(request, replica, limit, send_within) => {
+            Action::StartAttempt(request, replica, limit, send_within) => {
                 self.start_attempt(request, replica, limit, send_within);
             }
-            Call::CancelAttempt(request, attempt) => {
+            Action::CancelAttempt(request, attempt) => {
                 let delay = self.numbers.between(MS / 10, 2 * MS);
                 self.at(delay, Event::Ended(request, attempt, AttemptOutcome::Cancelled, false));
             }
-            Call::Answer(query) => {
+            Action::Answer(query) => {
                 if let Some(requests) = self.second_steps.remove(&query) {
                     self.at(MS, Event::SecondStep(query, requests));
                 }
             }
-            Call::CheckHealth(replica) => self.probe(replica),
-            Call::WakeAt(at) => self.wake = Some(at),
-            Call::RequestMembership => {
-                let (delay, heard) = (self.numbers.between(MS, 300 * MS), !self.numbers.happens(0.5));
-                self.at(delay, if heard { Event::Members(true) } else { Event::MembersLost });
+            Action::CheckHealth(replica) => self.check_health(replica),
+            Action::WakeAt(at) => self.wake = Some(at),
+            Action::RequestMembership => {
+                let (delay, answered) = (self.numbers.between(MS, 300 * MS), !self.numbers.happens(0.5));
+                self.at(delay, if answered { Event::MembershipUpdate(true) } else { Event::MembershipLost });
             }
         }
     }
--- a/tests/simulation/numbers.rs
+++ b/tests/simulation/numbers.rs
@@ -2,7 +2,7 @@
 
 use orchidvalve::interface::Nanos;
 
-/// Random numbers by SplitMix64 (Steele, Lea and Flood 2014), so that no other package decides what is drawn.
+/// SplitMix64 (Steele, Lea and Flood 2014), so that the numbers do not depend on any other package.
 #[derive(Clone)]
 pub struct Numbers(pub u64);
 
@@ -18,15 +18,15 @@
         (self.draw() % end.max(1) as u64) as usize
     }
 
-    pub fn between(&mut self, least: Nanos, most: Nanos) -> Nanos {
-        least + (self.draw() % (most - least + 1) as u64) as Nanos
+    pub fn between(&mut self, min: Nanos, max: Nanos) -> Nanos {
+        min + (self.draw() % (max - min + 1) as u64) as Nanos
     }
 
-    pub fn share(&mut self) -> f64 {
+    pub fn fraction(&mut self) -> f64 {
         (self.draw() >> 11) as f64 / (1u64 << 53) as f64
     }
 
     pub fn happens(&mut self, probability: f64) -> bool {
-        self.share() < probability
+        self.fraction() < probability
     }
 }
--- a/tests/simulation/recorder.rs
+++ b/tests/simulation/recorder.rs
@@ -1,4 +1,4 @@
-//! Records the calls of the writer: hashed as numbers, and kept to be carried out after the round.
+//! Records the calls of the action sink: hashed as numbers, and kept to be executed after the round.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 pub struct Recorder<'a> {
     pub trace: &'a mut Trace,
     pub kinds: &'a mut BTreeSet<u64>,
-    pub calls: Vec<Call>,
+    pub calls: Vec<Action>,
 }
 
-pub enum Call {
+pub enum Action {
     StartAttempt(ShardRequestIndex, ReplicaIndex, Nanos, Nanos),
     CancelAttempt(ShardRequestIndex, usize),
     Answer(QueryIndex),
@@ -37,17 +37,17 @@
         send_within: Nanos,
     ) {
         self.record(1, &[request.0 as u64, replica.0 as u64, limit as u64, send_within as u64]);
-        self.calls.push(Call::StartAttempt(request, replica, limit, send_within));
+        self.calls.push(Action::StartAttempt(request, replica, limit, send_within));
     }
 
     fn cancel_attempt(&mut self, request: ShardRequestIndex, attempt: usize) {
         self.record(2, &[request.0 as u64, attempt as u64]);
-        self.calls.push(Call::CancelAttempt(request, attempt));
+        self.calls.push(Action::CancelAttempt(request, attempt));
     }
 
     fn answer(&mut self, query: QueryIndex, whole: bool) {
         self.record(3, &[query.0 as u64, u64::from(whole)]);
-        self.calls.push(Call::Answer(query));
+        self.calls.push(Action::Answer(query));
     }
 
     fn reject(&mut self, query: QueryIndex, max_retry_after: Nanos) {
@@ -60,16 +60,16 @@
 
     fn check_health(&mut self, replica: ReplicaIndex) {
         self.record(6, &[replica.0 as u64]);
-        self.calls.push(Call::CheckHealth(replica));
+        self.calls.push(Action::CheckHealth(replica));
     }
 
     fn wake_at(&mut self, at: Nanos) {
         self.record(7, &[at as u64]);
-        self.calls.push(Call::WakeAt(at));
+        self.calls.push(Action::WakeAt(at));
     }
 
     fn request_membership(&mut self) {
         self.record(8, &[]);
-        self.calls.push(Call::RequestMembership);
+        self.calls.push(Action::RequestMembership);
     }
 }
--- a/tests/trace_records.rs
+++ b/tests/trace_records.rs
@@ -1,10 +1,10 @@
-//! Lines of the trace, and what is left out of it.
+//! The text form of trace records, and which records are left out.
 
 use orchidvalve::interface::*;
 use orchidvalve::trace::*;
 
 #[test]
-fn every_record_is_read_back_as_it_was() {
+fn every_record_parses_back() {
     let (query, request, replica) = (QueryIndex(7), ShardRequestIndex(9), ReplicaIndex(3));
     for event in [
         TraceEvent::QueryReceived { query, class: 2, is_retry: true },
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn what_only_repeats_is_left_out_and_nothing_is_kept_while_off() {
+fn repeated_records_are_left_out_and_nothing_is_kept_while_off() {
     let mut trace = Trace::default();
     let waits = |with_capacity| {
         move || TraceEvent::NotAdmitted { query: QueryIndex(1), with_capacity, least_backlog: 10 }
@@ -48,8 +48,8 @@
     let at: Vec<Nanos> = trace.take(QueryIndex(0), ShardRequestIndex(0)).iter().map(|r| r.at).collect();
     assert_eq!(at, [1, 3, 5]);
     trace.record(6, waits(0));
-    assert!(trace.take(QueryIndex(0), ShardRequestIndex(0)).is_empty(), "it was said before");
-    // Its number is behind the first one open: it is over, and forgotten.
+    assert!(trace.take(QueryIndex(0), ShardRequestIndex(0)).is_empty(), "the same record was made before");
+    // The query is before the first open one, so its last record is forgotten.
     trace.take(QueryIndex(2), ShardRequestIndex(0));
     trace.record(7, waits(0));
     assert_eq!(trace.take(QueryIndex(0), ShardRequestIndex(0)).len(), 1);
