--- a/crates/scheduler/src/group.rs
+++ b/crates/scheduler/src/group.rs
@@ -1,61 +1,61 @@
-//! Groups of generations and what is in flight for each of them.
+//! Groups of generations, and the attempts in flight for each generation.
 
 use crate::load_index::ServerKey;
 
-/// Names a group among the open ones of a scheduler.
+/// Identifies a group among the open ones of a scheduler.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GroupKey(pub u32);
 
-/// Names a set of servers among which a group's servers are chosen, usually those of one service.
+/// Identifies a set of servers, usually those of one service, from which the servers of a group are chosen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct PoolKey(pub u32);
 
-/// Names a route; latencies are kept for each.
+/// Identifies a route. Latencies are recorded per route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouteKey(pub u32);
 
-/// Order in which groups are served: the earliest due first, then by their place in the batch job. The derived order
-/// goes by the fields in this order.
+/// Order in which groups are served: the earliest due first, then by position in the batch job. The derived order compares
+/// the fields in their order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Priority {
     /// When the results of the group are due, in milliseconds.
     pub due_at: u64,
-    /// The group's place in its batch job, from 0.
+    /// Position of the group in its batch job, from 0.
     pub group_index: u64,
 }
 
-/// One generation: a group, and a place in it.
+/// Identifies a generation by its group and its position in the group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct GenerationId {
     /// The group.
     pub group: GroupKey,
-    /// The place in the group, from 0.
+    /// Position in the group, from 0.
     pub index: u32,
 }
 
-/// A group to be worked on.
+/// Description of a group to be opened.
 #[derive(Clone, Debug)]
 pub struct GroupSpec {
     /// The group's key, unique among the open groups of a scheduler.
     pub key: GroupKey,
-    /// Lower ones are served first.
+    /// Groups with a lower priority value are served first.
     pub priority: Priority,
-    /// Where its servers are found.
+    /// The pool from which its servers are chosen.
     pub pool: PoolKey,
-    /// Whose latencies set the delay of hedges.
+    /// The route whose latencies determine the hedge delay.
     pub route: RouteKey,
-    /// The route's time within which all results are due, in milliseconds.
+    /// Time within which the route's results are due, in milliseconds.
     pub target_run_ms: u64,
     /// The number of generations.
     pub generations: u32,
 }
 
-/// A generation of an open group: its attempts, a first one and at most one hedge.
+/// State of a generation of an open group. It has at most two attempts in flight: a first one and a hedge.
 #[derive(Debug)]
 pub(crate) struct GenerationState<S> {
     pub first_attempt_at: Option<u64>,
     attempts: [Option<S>; 2],
-    /// It has its result or was given up: nothing more is attempted.
+    /// Whether it has its result or expired; no further attempt starts.
     settled: bool,
 }
 
@@ -64,7 +64,7 @@
         Self { first_attempt_at: None, attempts: [None, None], settled: false }
     }
 
-    /// The servers at which attempts are in flight.
+    /// Returns the servers at which attempts are in flight.
     pub fn servers(&self) -> impl Iterator<Item = S> {
         self.attempts.into_iter().flatten()
     }
@@ -78,14 +78,14 @@
         self.attempts.iter().any(Option::is_some)
     }
 
-    /// Adds an attempt at the server; a third one isn't kept.
+    /// Adds an attempt at the server. A third one is ignored.
     pub fn add_attempt(&mut self, server: S) {
         if let Some(free) = self.attempts.iter_mut().find(|attempt| attempt.is_none()) {
             *free = Some(server);
         }
     }
 
-    /// Removes the attempt at the server; whether there was one.
+    /// Removes the attempt at the server. Returns whether there was one.
     pub fn remove_attempt(&mut self, server: S) -> bool {
         let attempt = self.attempts.iter_mut().find(|attempt| **attempt == Some(server));
         attempt.and_then(Option::take).is_some()
@@ -113,12 +113,12 @@
         }
     }
 
-    /// The number of generations.
+    /// Returns the number of generations.
     pub fn size(&self) -> u32 {
         self.generations.len() as u32
     }
 
-    /// The number of generations without a result.
+    /// Returns the number of generations without a result.
     pub fn unsettled(&self) -> usize {
         self.unsettled
     }
@@ -131,7 +131,7 @@
         self.generations.get_mut(index as usize)
     }
 
-    /// Settles a generation; the servers at which attempts of it were in flight, or None if it was settled before.
+    /// Settles a generation. Returns the servers at which its attempts were in flight, or `None` if it was settled before.
     pub fn settle(&mut self, index: u32) -> Option<impl Iterator<Item = S> + use<S>> {
         let generation = self.generations.get_mut(index as usize).filter(|generation| !generation.settled)?;
         generation.settled = true;
--- a/crates/scheduler/src/hedge_budget.rs
+++ b/crates/scheduler/src/hedge_budget.rs
@@ -1,14 +1,14 @@
-//! How many hedged attempts a node may afford: a share of its recent first attempts.
+//! A budget of hedged attempts: a fraction of a node's recent first attempts.
 
-/// The span over which first attempts and hedges are counted, in milliseconds.
+/// Length of the window in which first attempts and hedges are counted, in milliseconds.
 pub const BUDGET_WINDOW_MS: u64 = 30_000;
-/// Hedges stay under one in this many first attempts.
-pub const HEDGE_SHARE: u64 = 10;
+/// The number of hedges stays below the number of first attempts divided by this.
+pub const FIRST_ATTEMPTS_PER_HEDGE: u64 = 10;
 
 const BUCKET_MS: u64 = 1_000;
 const BUCKETS: usize = (BUDGET_WINDOW_MS / BUCKET_MS) as usize;
 
-/// Attempts counted over some time.
+/// The number of first attempts and hedges in some period.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counts {
     first_attempts: u64,
@@ -21,31 +21,31 @@
     counts: Counts,
 }
 
-/// Counts first attempts and hedges of the last [`BUDGET_WINDOW_MS`] in buckets of a second.
+/// Counts the first attempts and hedges of the last [`BUDGET_WINDOW_MS`], in buckets of one second.
 #[derive(Debug, Default)]
 pub struct HedgeBudget {
     buckets: [Bucket; BUCKETS],
 }
 
 impl HedgeBudget {
-    /// A generation or a request is attempted for the first time.
+    /// Records the first attempt of a generation or request.
     pub fn record_first_attempt(&mut self, now: u64) {
         self.bucket(now).counts.first_attempts += 1;
     }
 
-    /// A hedged attempt begins.
+    /// Records the start of a hedged attempt.
     pub fn record_hedge(&mut self, now: u64) {
         self.bucket(now).counts.hedges += 1;
     }
 
-    /// Whether one more hedge still leaves hedges under their share.
+    /// Whether one more hedge is within the budget.
     pub fn allows_hedge(&self, now: u64) -> bool {
         let recent = self.recent(now);
-        (recent.hedges + 1) * HEDGE_SHARE < recent.first_attempts
+        (recent.hedges + 1) * FIRST_ATTEMPTS_PER_HEDGE < recent.first_attempts
     }
 
-    /// Whether one more hedge makes no more than `reserve` of them, however few first attempts there are: a share of
-    /// few is none.
+    /// Whether one more hedge makes at most `reserve` hedges in the window. This permits some hedges where there are too few
+    /// first attempts for [`allows_hedge`](Self::allows_hedge).
     pub fn allows_reserved_hedge(&self, now: u64, reserve: u64) -> bool {
         self.recent(now).hedges < reserve
     }
--- a/crates/scheduler/src/latency_window.rs
+++ b/crates/scheduler/src/latency_window.rs
@@ -1,18 +1,18 @@
-//! Recent latencies of a route and the delay before a hedged attempt that follows from them.
+//! Recent latencies of a route, and the hedge delay derived from them.
 
-/// From this many latencies on, the hedge delay follows them and no longer the route's target.
+/// The number of latencies from which on the hedge delay is based on them instead of the route's target.
 pub const MIN_SAMPLES: usize = 20;
 
-/// Latencies that are kept.
+/// The number of latencies that are kept.
 const CAPACITY: usize = 128;
-/// The part of the route's target after which a hedge is due as long as there are too few latencies.
+/// Until there are enough latencies, the hedge delay is the route's target divided by this.
 const TARGET_DIVISOR: u64 = 4;
 
 /// The most recent latencies of one route, in milliseconds.
 #[derive(Debug)]
 pub struct LatencyWindow {
     target_run_ms: u64,
-    /// Percentile of the latencies that the delay follows.
+    /// The percentile of the latencies that is used as the hedge delay.
     percent: usize,
     ring: Vec<u64>,
     next: usize,
@@ -20,8 +20,8 @@
 }
 
 impl LatencyWindow {
-    /// Starts empty; `target_run_ms` is the route's time within which a batch job is due, and `percent` the percentile
-    /// of latencies that the delay follows, from 1 to 100.
+    /// Returns an empty window. `target_run_ms` is the time within which results of the route are due, and `percent` the
+    /// percentile of the latencies that is used as the hedge delay, from 1 to 100.
     pub fn new(target_run_ms: u64, percent: usize) -> Self {
         Self { target_run_ms, percent, ring: Vec::new(), next: 0, percentile_ms: 0 }
     }
@@ -31,7 +31,7 @@
         self.target_run_ms = target_run_ms;
     }
 
-    /// Takes in the latency of a completed generation or request.
+    /// Records the latency of a completed generation or request.
     pub fn record(&mut self, latency_ms: u64) {
         if self.ring.len() < CAPACITY {
             self.ring.push(latency_ms);
@@ -46,7 +46,7 @@
         self.percentile_ms = *sorted.select_nth_unstable(rank).1;
     }
 
-    /// The age from which an attempt may be hedged, in milliseconds.
+    /// Returns the age from which an attempt may be hedged, in milliseconds.
     pub fn hedge_delay_ms(&self) -> u64 {
         if self.ring.len() < MIN_SAMPLES { self.target_run_ms / TARGET_DIVISOR } else { self.percentile_ms }
     }
--- a/crates/scheduler/src/load_index.rs
+++ b/crates/scheduler/src/load_index.rs
@@ -1,11 +1,11 @@
-//! Servers in the order of what this node has in flight at each: least loaded first.
+//! Servers ordered by the number of attempts that this node has in flight there, least loaded first.
 
 use std::collections::{BTreeSet, HashMap};
 use std::hash::Hash;
 
 use rand::RngCore;
 
-/// What identifies a server: small and cheap to copy.
+/// Identifies a server; small and cheap to copy.
 pub trait ServerKey: Copy + Ord + Hash {}
 impl<T: Copy + Ord + Hash> ServerKey for T {}
 
@@ -15,7 +15,7 @@
     limit: u32,
     same_zone: bool,
     tie_breaker: u32,
-    /// Whether it may be picked; what is in flight at a server that was taken out is still counted.
+    /// Whether the server may be picked. A removed server stays until its attempts have ended.
     listed: bool,
 }
 
@@ -30,8 +30,8 @@
     }
 }
 
-/// Order of the servers with capacity: fewest in flight first; of equals, the same zone first; the rest in random
-/// order. The derived order goes by the fields in this order.
+/// Sort key of the servers with capacity: fewest in flight first, then the same zone first, the rest in random order. The
+/// derived order compares the fields in their order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Position<S> {
     in_flight: u32,
@@ -40,7 +40,7 @@
     server: S,
 }
 
-/// Servers of one service ordered by what this node has in flight at each, up to a limit per server.
+/// Servers of one service, ordered by the number of attempts in flight from this node, with a limit per server.
 #[derive(Debug)]
 pub struct LoadIndex<S> {
     entries: HashMap<S, Entry>,
@@ -55,9 +55,9 @@
 }
 
 impl<S: ServerKey> LoadIndex<S> {
-    /// Adds a server or changes what is known of it. `limit` is the most this node may have in flight there
-    /// (0: none, it isn't counted among the servers able to serve); `same_zone` marks a server that is preferred
-    /// to others with as many in flight.
+    /// Adds or updates a server. `limit` is the largest number of attempts that this node may have in flight there; with
+    /// 0 the server gets none and does not count as able to serve. A server with `same_zone` is preferred to others with
+    /// the same number in flight.
     pub fn set(&mut self, server: S, limit: u32, same_zone: bool, random: &mut impl RngCore) {
         self.unindex(server);
         let entry = self.entries.entry(server).or_insert(Entry {
@@ -71,7 +71,7 @@
         self.index(server);
     }
 
-    /// Takes a server out; what is still in flight there goes on being counted until it ends.
+    /// Removes a server. Its attempts in flight are still counted until they end.
     pub fn remove(&mut self, server: S) {
         self.unindex(server);
         if let Some(entry) = self.entries.get_mut(&server) {
@@ -82,12 +82,12 @@
         }
     }
 
-    /// One more is in flight at `server`.
+    /// Records the start of an attempt at `server`.
     pub fn begin(&mut self, server: S, random: &mut impl RngCore) {
         self.change_in_flight(server, random, |count| count + 1);
     }
 
-    /// One in flight at `server` has ended.
+    /// Records the end of an attempt at `server`.
     pub fn end(&mut self, server: S, random: &mut impl RngCore) {
         self.change_in_flight(server, random, |count| count.saturating_sub(1));
         if self.entries.get(&server).is_some_and(|entry| !entry.listed && entry.in_flight == 0) {
@@ -95,17 +95,18 @@
         }
     }
 
-    /// The number in flight at `server`.
+    /// Returns the number of attempts in flight at `server`.
     pub fn in_flight(&self, server: S) -> u32 {
         self.entries.get(&server).map_or(0, |entry| entry.in_flight)
     }
 
-    /// The eligible server with capacity and the fewest in flight: of equals one in the same zone, then any.
+    /// Returns the eligible server with capacity and the fewest attempts in flight. Ties go to the same zone, then to a
+    /// random server.
     pub fn pick(&self, mut eligible: impl FnMut(S) -> bool) -> Option<S> {
         self.with_capacity.iter().map(|position| position.server).find(|server| eligible(*server))
     }
 
-    /// An eligible server with capacity at which this node has nothing in flight.
+    /// Returns an eligible server with capacity at which this node has nothing in flight.
     pub fn pick_idle(&self, mut eligible: impl FnMut(S) -> bool) -> Option<S> {
         let idle = self.with_capacity.iter().take_while(|position| position.in_flight == 0);
         idle.map(|position| position.server).find(|server| eligible(*server))
@@ -116,12 +117,12 @@
         self.with_capacity.first().is_some_and(|position| position.in_flight == 0)
     }
 
-    /// Whether some server has capacity.
+    /// Whether any server has capacity.
     pub fn has_capacity(&self) -> bool {
         !self.with_capacity.is_empty()
     }
 
-    /// Whether more than `count` servers, with capacity or at their limit, are eligible.
+    /// Whether more than `count` servers are eligible, with capacity or at their limit.
     pub fn more_eligible_than(&self, count: usize, mut eligible: impl FnMut(S) -> bool) -> bool {
         let with_capacity = self.with_capacity.iter().map(|position| position.server);
         let all = with_capacity.chain(self.at_limit.iter().copied());
--- a/crates/scheduler/src/scheduler.rs
+++ b/crates/scheduler/src/scheduler.rs
@@ -1,4 +1,4 @@
-//! The open groups of a node: what happens to their generations, and what the scheduler asks for.
+//! The open groups of a node: state changes of their generations, and the decisions for the host.
 
 mod dispatch;
 
@@ -11,62 +11,62 @@
 use crate::latency_window::LatencyWindow;
 use crate::load_index::{LoadIndex, ServerKey};
 
-/// Percentile of a route's latencies after which a generation may be hedged. Most of those that take long are long
-/// texts, which a hedge doesn't shorten.
+/// The percentile of a route's latencies after which a generation may be hedged. Most generations with a long latency
+/// produce long texts, which a hedge does not shorten.
 const HEDGE_PERCENTILE: usize = 99;
 
-/// What the scheduler asks for.
+/// An action for the host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Decision<S> {
-    /// Attempt the generation at the server.
+    /// Send the generation to the server.
     Start {
-        /// What to send.
+        /// The generation to send.
         generation: GenerationId,
-        /// Where to.
+        /// The server to send it to.
         server: S,
     },
-    /// Attempt the generation at this server too.
+    /// Send the generation, which is in flight elsewhere, to this server too.
     Hedge {
-        /// What to send.
+        /// The generation to send.
         generation: GenerationId,
-        /// Where to.
+        /// The server to send it to.
         server: S,
     },
-    /// Drop the attempt of the generation at the server.
+    /// Cancel the attempt of the generation at the server.
     Cancel {
-        /// What to drop.
+        /// The generation whose attempt is cancelled.
         generation: GenerationId,
-        /// Where it runs.
+        /// The server of the attempt.
         server: S,
     },
 }
 
-/// What the host knows of servers and generations.
+/// The host's knowledge of servers and generations.
 pub trait Eligibility<S> {
-    /// Whether the server may run the generation now (model, version, not draining, not ejected). The
-    /// scheduler itself sees to capacity and to servers that already run it.
+    /// Whether the server may run the generation now (model, version, not draining, not ejected). The scheduler itself
+    /// checks the capacity, and whether the server already runs the generation.
     fn eligible(&self, generation: GenerationId, server: S) -> bool;
 
-    /// Generations with the same class have the same eligible servers; after one of them found no server, the
-    /// rest aren't tried in that step.
+    /// Returns a class of generations that have the same eligible servers, or `None` if unknown. When one of them finds
+    /// no server, the others of its class are skipped until the next dispatch.
     fn eligibility_class(&self, _generation: GenerationId) -> Option<u64> {
         None
     }
 
-    /// Whether the generation may run more than once, and so be hedged.
+    /// Whether the generation may run more than once, so that it can be hedged.
     fn is_idempotent(&self, _generation: GenerationId) -> bool {
         true
     }
 }
 
-/// A generation without an attempt in flight, in the order in which they are served.
+/// A generation without an attempt in flight. Sorts in the order of service.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Pending {
     priority: Priority,
     generation: GenerationId,
 }
 
-/// A generation with exactly one attempt in flight, oldest first.
+/// A generation with exactly one attempt in flight. Sorts oldest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Unhedged {
     first_attempt_at: u64,
@@ -92,7 +92,7 @@
     unhedged: BTreeSet<Unhedged>,
 }
 
-/// Decides for all open groups of a node.
+/// Schedules the open groups of a node.
 #[derive(Debug)]
 pub struct Scheduler<S> {
     random: Pcg64Mcg,
@@ -104,7 +104,7 @@
 }
 
 impl<S: ServerKey> Scheduler<S> {
-    /// Starts without servers and groups; `random` breaks ties.
+    /// Returns a scheduler without servers and groups. `random` breaks ties.
     pub fn new(random: Pcg64Mcg) -> Self {
         Self {
             random,
@@ -116,8 +116,8 @@
         }
     }
 
-    /// Adds a server to a pool, or changes its limit: the most generations this node may have in flight there.
-    /// A server with limit 0 gets nothing and isn't counted among the eligible ones.
+    /// Adds a server to a pool, or changes its limit: the largest number of generations that this node may have in flight
+    /// there. A server with limit 0 gets none and does not count as eligible.
     pub fn set_server(&mut self, server: S, pool: PoolKey, limit: u32) {
         if self.pool_of.get(&server).is_some_and(|known| *known != pool) {
             self.remove_server(server);
@@ -126,7 +126,7 @@
         self.pools.entry(pool).or_default().servers.set(server, limit, false, &mut self.random);
     }
 
-    /// Takes a server out. The host reports the attempts that are in flight there as finished or failed.
+    /// Removes a server. The host must still report its attempts in flight as finished or failed.
     pub fn remove_server(&mut self, server: S) {
         if let Some(pool) = self.pool_of.get(&server).and_then(|pool| self.pools.get_mut(pool)) {
             pool.servers.remove(server);
@@ -134,7 +134,7 @@
         self.pool_of.remove(&server);
     }
 
-    /// Opens a group; its generations are pending until [`Scheduler::dispatch`].
+    /// Opens a group. Its generations are pending until [`Scheduler::dispatch`] assigns them.
     pub fn add_group(&mut self, spec: &GroupSpec) {
         let pool = self.pools.entry(spec.pool).or_default();
         pool.pending.extend((0..spec.generations).map(|index| Pending {
@@ -150,7 +150,7 @@
         self.groups.insert(spec.key, Group::new(spec));
     }
 
-    /// Closes a group; all its attempts are cancelled.
+    /// Closes a group and cancels its attempts.
     pub fn remove_group(&mut self, key: GroupKey, out: &mut Vec<Decision<S>>) {
         let count = self.groups.get(&key).map_or(0, Group::size);
         for index in 0..count {
@@ -159,7 +159,7 @@
         self.groups.remove(&key);
     }
 
-    /// The generation's attempt at `server` is complete: the other one is cancelled, and the latency is recorded.
+    /// The generation's attempt at `server` is complete: its latency is recorded, and the other attempt is cancelled.
     pub fn finished(&mut self, now: u64, generation: GenerationId, server: S, out: &mut Vec<Decision<S>>) {
         let state = self.generation(generation);
         let Some(first_attempt_at) = state.and_then(|state| state.first_attempt_at) else { return };
@@ -173,17 +173,17 @@
         self.settle(generation, out);
     }
 
-    /// The generation's attempt at `server` ended without a complete text. Unless another attempt is in flight, the
-    /// generation is pending again.
+    /// The generation's attempt at `server` ended without a complete text. The generation becomes pending again unless
+    /// another attempt is in flight.
     pub fn failed(&mut self, generation: GenerationId, server: S) {
         if self.end_attempt(generation, server) {
-            self.enlist(generation);
+            self.add_to_queue(generation);
         }
     }
 
-    /// The generation needs no server any more (it has expired, or its text is known): its attempts are cancelled.
+    /// The generation no longer needs a server (it has expired, or its text is known): its attempts are cancelled.
     pub fn settle(&mut self, generation: GenerationId, out: &mut Vec<Decision<S>>) {
-        self.delist(generation);
+        self.remove_from_queue(generation);
         let group = self.groups.get_mut(&generation.group);
         let Some(servers) = group.and_then(|group| group.settle(generation.index)) else { return };
         for server in servers {
@@ -192,42 +192,42 @@
         }
     }
 
-    /// The servers at which the generation is in flight.
+    /// Returns the servers at which the generation is in flight.
     pub fn servers(&self, generation: GenerationId) -> impl Iterator<Item = S> + '_ {
         self.generation(generation).into_iter().flat_map(GenerationState::servers)
     }
 
-    /// The number of generations of this node in flight at the server.
+    /// Returns the number of generations of this node in flight at the server.
     pub fn in_flight(&self, server: S) -> u32 {
         let pool = self.pool_of.get(&server).and_then(|pool| self.pools.get(pool));
         pool.map_or(0, |pool| pool.servers.in_flight(server))
     }
 
-    /// The number of generations that wait for a server of a pool.
+    /// Returns the number of pending generations of a pool.
     pub fn pending(&self, pool: PoolKey) -> usize {
         self.pools.get(&pool).map_or(0, |pool| pool.pending.len())
     }
 
-    /// Whether a generation waits for a server.
+    /// Whether any generation is pending.
     pub fn has_pending(&self) -> bool {
         self.pools.values().any(|pool| !pool.pending.is_empty())
     }
 
-    /// The age from which a generation of the route may be hedged, in milliseconds.
+    /// Returns the age from which a generation of the route may be hedged, in milliseconds, or `None` for an unknown route.
     pub fn hedge_delay_ms(&self, route: RouteKey) -> Option<u64> {
         self.routes.get(&route).map(|route| route.latencies.hedge_delay_ms())
     }
 
-    /// An attempt at the server has ended; whether there was one.
+    /// Ends an attempt at the server. Returns whether there was one.
     fn end_attempt(&mut self, generation: GenerationId, server: S) -> bool {
-        self.delist(generation);
+        self.remove_from_queue(generation);
         let group = self.groups.get_mut(&generation.group);
         let state = group.and_then(|group| group.generation_mut(generation.index));
         let was_in_flight = state.is_some_and(|state| state.remove_attempt(server));
         if was_in_flight {
             self.decrement_in_flight(generation.group, server);
         } else {
-            self.enlist(generation);
+            self.add_to_queue(generation);
         }
         was_in_flight
     }
@@ -242,8 +242,8 @@
         self.groups.get(&generation.group)?.generation(generation.index)
     }
 
-    /// Lists the generation where its attempts say: among the pending or the unhedged ones.
-    fn enlist(&mut self, generation: GenerationId) {
+    /// Adds the generation to the pending or the unhedged ones, as its attempts require.
+    fn add_to_queue(&mut self, generation: GenerationId) {
         let Some(state) = self.generation(generation).filter(|state| !state.is_settled()) else { return };
         let (attempts, first_attempt_at) = (state.servers().count(), state.first_attempt_at);
         let group = &self.groups[&generation.group];
@@ -258,8 +258,8 @@
         }
     }
 
-    /// Takes the generation off the lists of pending and unhedged ones.
-    fn delist(&mut self, generation: GenerationId) {
+    /// Removes the generation from the pending and the unhedged ones.
+    fn remove_from_queue(&mut self, generation: GenerationId) {
         let Some(first_attempt_at) = self.generation(generation).map(|state| state.first_attempt_at) else {
             return;
         };
--- a/crates/scheduler/src/scheduler/dispatch.rs
+++ b/crates/scheduler/src/scheduler/dispatch.rs
@@ -1,4 +1,4 @@
-//! When generations are attempted and where: first attempts by priority, then hedges, oldest first.
+//! Assignment of generations to servers: first attempts by priority, then hedges, oldest first.
 
 use std::ops::Bound::{Excluded, Unbounded};
 
@@ -7,7 +7,7 @@
 use crate::load_index::ServerKey;
 
 impl<S: ServerKey> Scheduler<S> {
-    /// Attempts what can be attempted: first the pending generations by priority, then hedges, oldest first.
+    /// Starts the attempts that are possible: first those of pending generations by priority, then hedges, oldest first.
     pub fn dispatch(&mut self, now: u64, host: &impl Eligibility<S>, out: &mut Vec<Decision<S>>) {
         let pools: Vec<PoolKey> = self.pools.keys().copied().collect();
         for pool in pools {
@@ -16,7 +16,7 @@
         }
     }
 
-    /// When the next generation reaches the age of a hedge; `None` if none will without another event.
+    /// Returns when the next generation reaches the hedge delay, or `None` if none will without another event.
     pub fn next_wakeup(&self, now: u64) -> Option<u64> {
         let due = |route: &Route| {
             let delay = route.latencies.hedge_delay_ms();
@@ -60,7 +60,7 @@
             }
             match pool.servers.pick(|server| host.eligible(generation, server)) {
                 Some(server) => {
-                    self.begin_attempt(now, generation, server);
+                    self.start_attempt(now, generation, server);
                     out.push(Decision::Start { generation, server });
                 }
                 None => blocked.extend(class),
@@ -84,13 +84,13 @@
                 return;
             }
             if let Some(server) = self.hedge_target(key, generation, host) {
-                self.begin_attempt(now, generation, server);
+                self.start_attempt(now, generation, server);
                 out.push(Decision::Hedge { generation, server });
             }
         }
     }
 
-    /// Unhedged generations of a pool whose age has reached the delay, oldest first.
+    /// Returns the unhedged generations of a pool that have reached the hedge delay, oldest first.
     fn hedge_candidates(&self, now: u64, key: PoolKey) -> Vec<GenerationId> {
         let mut candidates = Vec::new();
         for route in self.routes.values().filter(|route| route.pool == key) {
@@ -102,8 +102,8 @@
         candidates.into_iter().map(|entry| entry.generation).collect()
     }
 
-    /// An idle server for a hedge of the generation, if its group is in the endgame: fewer generations of it are
-    /// without a result than there are eligible servers.
+    /// Returns an idle server for a hedge of the generation if its group is in the endgame, that is, if it has fewer
+    /// generations without a result than eligible servers.
     fn hedge_target(&self, key: PoolKey, generation: GenerationId, host: &impl Eligibility<S>) -> Option<S> {
         if !host.is_idempotent(generation) {
             return None;
@@ -111,12 +111,12 @@
         let servers = &self.pools[&key].servers;
         let unsettled = self.groups.get(&generation.group)?.unsettled();
         let endgame = servers.more_eligible_than(unsettled, |server| host.eligible(generation, server));
-        // A server that already runs the generation isn't idle.
+        // A server that already runs the generation is not idle.
         if endgame { servers.pick_idle(|server| host.eligible(generation, server)) } else { None }
     }
 
-    fn begin_attempt(&mut self, now: u64, generation: GenerationId, server: S) {
-        self.delist(generation);
+    fn start_attempt(&mut self, now: u64, generation: GenerationId, server: S) {
+        self.remove_from_queue(generation);
         let Some(group) = self.groups.get_mut(&generation.group) else { return };
         let pool = group.pool;
         let Some(state) = group.generation_mut(generation.index) else { return };
@@ -131,6 +131,6 @@
         if let Some(pool) = self.pools.get_mut(&pool) {
             pool.servers.begin(server, &mut self.random);
         }
-        self.enlist(generation);
+        self.add_to_queue(generation);
     }
 }
--- a/crates/scheduler/tests/golden_scheduler.rs
+++ b/crates/scheduler/tests/golden_scheduler.rs
@@ -1,4 +1,4 @@
-//! Decisions of the scheduler over random scenarios, held by their hashes.
+//! Decisions of the scheduler in random scenarios, compared by their hashes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::path::Path;
@@ -21,7 +21,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Ejected servers, and generations that may run on some of the servers only or only once.
+/// Ejected servers, and generations that may run only on some of the servers or only once.
 #[derive(Default)]
 struct Host {
     ejected: BTreeSet<u32>,
@@ -94,11 +94,11 @@
         if self.in_flight.is_empty() {
             return None;
         }
-        let place = self.random.random_range(0..self.in_flight.len());
-        self.in_flight.iter().nth(place).copied()
+        let position = self.random.random_range(0..self.in_flight.len());
+        self.in_flight.iter().nth(position).copied()
     }
 
-    fn take(&mut self, decisions: Vec<Decision<u32>>) {
+    fn apply(&mut self, decisions: Vec<Decision<u32>>) {
         for decision in decisions {
             let (kind, generation, server) = match decision {
                 Decision::Start { generation, server } => (1, generation, server),
@@ -160,14 +160,14 @@
             }
             _ => self.now += self.random.random_range(0..400),
         }
-        self.take(std::mem::take(&mut out));
+        self.apply(std::mem::take(&mut out));
         self.scheduler.dispatch(self.now, &self.host, &mut out);
-        self.take(out);
-        self.look();
+        self.apply(out);
+        self.record_state();
     }
 
-    /// What the scheduler tells of itself.
-    fn look(&mut self) {
+    /// Adds the observable state of the scheduler to the trace.
+    fn record_state(&mut self) {
         self.trace.add_number(self.scheduler.next_wakeup(self.now).unwrap_or(u64::MAX));
         self.trace.add_number(self.scheduler.has_pending().into());
         for route in 0..ROUTES {
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn the_scheduler_decides_as_recorded() {
+fn decisions_match_the_recorded_ones() {
     let mut hashes = Vec::new();
     let mut kinds = [0; 3];
     for seed in 0..SCENARIOS {
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn servers_are_picked_as_recorded() {
+fn picked_servers_match_the_recorded_ones() {
     let mut hashes = Vec::new();
     for seed in 0..6_u64 {
         let mut random = Pcg64Mcg::new(u128::from(seed) << 64 | 7);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn budgets_and_delays_are_as_recorded() {
+fn budgets_and_delays_match_the_recorded_ones() {
     let mut hashes = Vec::new();
     for seed in 0..4_u64 {
         let mut random = Pcg64Mcg::new(u128::from(seed) << 64 | 11);
--- a/crates/scheduler/tests/load_index.rs
+++ b/crates/scheduler/tests/load_index.rs
@@ -1,4 +1,4 @@
-//! Order of servers by what is in flight: fewest first, those in the same zone first among equals, ties at random.
+//! Order of servers: fewest attempts in flight first, then those in the same zone, then random.
 
 use std::collections::BTreeSet;
 
@@ -23,7 +23,7 @@
 
 #[rstest]
 #[case::fewest_in_flight(&[(1, 9, false, 2), (2, 9, false, 1), (3, 9, false, 3)], &[], Some(2))]
-#[case::ineligible_is_passed_over(&[(1, 9, false, 2), (2, 9, false, 1)], &[2], Some(1))]
+#[case::ineligible_is_skipped(&[(1, 9, false, 2), (2, 9, false, 1)], &[2], Some(1))]
 #[case::no_capacity(&[(1, 2, false, 2), (2, 9, false, 5)], &[], Some(2))]
 #[case::limit_zero(&[(1, 0, false, 0), (2, 9, false, 5)], &[], Some(2))]
 #[case::same_zone_among_equals(&[(1, 9, false, 1), (2, 9, true, 1), (3, 9, false, 1)], &[], Some(2))]
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn ties_fall_at_random() {
+fn ties_are_broken_at_random() {
     let rows: Vec<Row> = (0..4).map(|server| (server, 9, false, 0)).collect();
     let picked: BTreeSet<_> =
         (0..100).filter_map(|seed| index(&rows, &mut Pcg64Mcg::seed_from_u64(seed)).pick(|_| true)).collect();
--- a/crates/scheduler/tests/scheduler.rs
+++ b/crates/scheduler/tests/scheduler.rs
@@ -1,4 +1,4 @@
-//! Each rule of first attempts, hedges and cancellations.
+//! The rules of first attempts, hedges and cancellations.
 
 use std::collections::BTreeSet;
 
@@ -11,7 +11,7 @@
 
 const TARGET_MS: u64 = 8_000;
 const QUARTER_MS: u64 = TARGET_MS / 4;
-/// A group large enough that its generations pay for hedges.
+/// The size of a group that is large enough to give a hedge budget.
 const LARGE: u32 = 40;
 
 #[derive(Default)]
@@ -74,7 +74,7 @@
     out
 }
 
-/// One large group whose generations all ran and finished, except the first `left`.
+/// A large group of which all generations have finished except the first `left`.
 fn endgame(servers: u32, left: u32, took_ms: u64) -> Scheduler<u32> {
     let mut scheduler = scheduler(servers, LARGE);
     scheduler.add_group(&spec(1, LARGE));
@@ -83,7 +83,7 @@
     scheduler
 }
 
-/// Like [`endgame`], with too few latencies seen for them to count.
+/// Like [`endgame`], but with too few latencies for the hedge delay to use them.
 fn early_endgame(servers: u32, left: u32) -> Scheduler<u32> {
     let mut scheduler = scheduler(servers, LARGE);
     scheduler.add_group(&spec(1, LARGE));
@@ -104,7 +104,7 @@
 #[rstest]
 #[case::capacity_bounds(3, 2, &[], 20, 6)]
 #[case::ineligible_servers_get_nothing(3, 2, &[0], 20, 4)]
-#[case::nobody(3, 2, &[0, 1, 2], 20, 0)]
+#[case::no_eligible_servers(3, 2, &[0, 1, 2], 20, 0)]
 #[case::no_servers(0, 2, &[], 20, 0)]
 #[case::few_generations(3, 2, &[], 4, 4)]
 fn starts_are_bounded(
@@ -166,7 +166,7 @@
     scheduler.add_group(&spec(1, LARGE));
     let host = Host { ineligible: ineligible.iter().copied().collect(), ..Host::default() };
     dispatch(&mut scheduler, 0, &host);
-    // The last server becomes idle; of the generations of the others some stay.
+    // The last server becomes idle. Of the generations at the other servers, `unsettled` stay in flight.
     let idle = servers - 1;
     let (on_idle, mut rest): (Vec<_>, Vec<_>) = (0..LARGE)
         .map(|index| generation(1, index))
@@ -201,18 +201,14 @@
     if let [Decision::Hedge { generation: which, server }] = out[..] {
         assert_eq!(which, generation(1, 0));
         assert_ne!(server, running);
-        assert!(dispatch(&mut scheduler, now + TARGET_MS, &host).is_empty(), "at most two servers at once");
+        assert!(dispatch(&mut scheduler, now + TARGET_MS, &host).is_empty(), "at most two attempts at once");
     }
 }
 
 #[rstest]
 #[case::first_latencies_count(10, 300, 300)]
 #[case::too_few_latencies(25, 300, QUARTER_MS)]
-fn the_delay_follows_latencies_once_enough_were_seen(
-    #[case] left: u32,
-    #[case] took: u64,
-    #[case] delay: u64,
-) {
+fn the_delay_uses_latencies_once_there_are_enough(#[case] left: u32, #[case] took: u64, #[case] delay: u64) {
     let scheduler = endgame(LARGE, left, took);
     assert_eq!(scheduler.hedge_delay_ms(ROUTE), Some(delay));
     assert_eq!(scheduler.next_wakeup(took.min(delay) - 1), Some(delay));
@@ -235,13 +231,13 @@
 #[case(21, 2)]
 #[case(40, 3)]
 fn hedges_stay_under_a_tenth(#[case] generations: u32, #[case] hedges: usize) {
-    // One generation for each server, and as many idle servers again.
+    // One generation per server, and as many idle servers.
     let mut scheduler = scheduler(generations * 2, 1);
     scheduler.add_group(&spec(1, generations));
     dispatch(&mut scheduler, 0, &Host::default());
     let out = dispatch(&mut scheduler, QUARTER_MS, &Host::default());
     assert_eq!(out.len(), hedges);
-    // Oldest first; of equals the lowest index.
+    // Oldest first; among equals, the lowest index.
     for (index, decision) in out.iter().enumerate() {
         assert!(matches!(decision, Decision::Hedge { generation, .. } if generation.index == index as u32));
     }
@@ -250,7 +246,7 @@
 #[rstest]
 #[case::of_one_route(1)]
 #[case::of_several_routes(2)]
-fn the_oldest_generation_is_copied_first(#[case] route: u32) {
+fn the_oldest_generation_is_hedged_first(#[case] route: u32) {
     let mut scheduler = scheduler(40, 1);
     scheduler.add_group(&GroupSpec { priority: priority(9, 9), route: RouteKey(route), ..spec(1, 1) });
     dispatch(&mut scheduler, 0, &Host::default());
