--- a/crates/http/src/body.rs
+++ b/crates/http/src/body.rs
@@ -1,25 +1,29 @@
-//! Bodies: how one is delimited, and its reading as it arrives (RFC 9112, sections 6 and 7).
+//! Message bodies: how a body is delimited, and incremental decoding as its bytes arrive (RFC 9112, sections 6 and 7).
 
 use super::error::HttpError;
 use super::headers::Headers;
 
-/// Longest line of a chunk's size or of a trailer, in bytes.
+/// The longest chunk-size or trailer line, in bytes.
 const MAX_LINE_BYTES: usize = 4096;
-/// Bytes of the line end CRLF.
+/// The length of the line terminator CRLF, in bytes.
 const LINE_END_BYTES: usize = 2;
 
 /// How a body is delimited.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Framing {
-    /// By its length in bytes.
+    /// By `Content-Length`: the number of bytes.
     Length(u64),
     /// By the chunked transfer coding.
     Chunked,
-    /// By the end of the connection.
+    /// By the end of the connection: everything up to it belongs to the body.
     UntilClose,
 }
 
-/// The one length or coding that the headers state; None where there is neither.
+/// Returns the framing that the headers state, or `None` if they state neither a length nor a transfer coding.
+///
+/// # Errors
+///
+/// Returns an error if a length or coding is malformed, repeated or unknown, or if both are present.
 pub(super) fn framing(headers: &Headers) -> Result<Option<Framing>, HttpError> {
     let mut lengths = headers.all("content-length");
     let length = match lengths.next() {
@@ -41,48 +45,48 @@
     }
 }
 
-/// What a reading of a body brought.
+/// The result of one call to [`BodyReader::read`].
 #[derive(Clone, Copy, Debug)]
 pub(super) struct BodyProgress {
-    /// Bytes to be consumed.
+    /// The number of input bytes that the caller must discard.
     pub(super) consumed: usize,
-    /// The body is whole.
+    /// Whether the end of the body was reached.
     pub(super) complete: bool,
 }
 
-/// Reads a body as it arrives.
+/// Decodes a body incrementally.
 #[derive(Debug)]
 pub(super) struct BodyReader {
     state: BodyState,
     announced: u64,
 }
 
-/// What is read next.
+/// What the reader expects next.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum BodyState {
-    /// The rest of a body of known length.
+    /// The remaining bytes of a body of known length.
     Length { left: u64 },
-    /// The line that states the size of a chunk.
+    /// The line that states the size of the next chunk.
     ChunkSize,
-    /// The rest of a chunk.
+    /// The remaining bytes of a chunk.
     Chunk { left: u64 },
-    /// The line end behind a chunk.
+    /// The line terminator after a chunk.
     ChunkEnd,
-    /// The lines behind the last chunk, up to an empty one.
+    /// Trailer lines after the last chunk, up to an empty line.
     Trailer,
-    /// Whatever comes until the connection ends.
+    /// Any bytes until the connection ends.
     UntilClose,
-    /// Nothing: the body is whole.
+    /// Nothing: the body is complete.
     Done,
 }
 
-/// What one step of reading came to.
+/// The result of one decoding step.
 enum Step {
-    /// So many bytes were taken, and the next step may follow.
-    Taken(usize),
-    /// So many bytes were taken; the next step needs more of them.
+    /// This many bytes were consumed, and another step may follow.
+    Consumed(usize),
+    /// This many bytes were consumed; the next step needs further input.
     NeedsMore(usize),
-    /// The body is whole.
+    /// The body is complete.
     Complete,
 }
 
@@ -97,19 +101,19 @@
         BodyReader { state, announced }
     }
 
-    /// Bytes of the body that its length or its chunks have announced so far.
+    /// The length of the body in bytes as announced so far by its `Content-Length` or its chunk sizes.
     pub(super) fn announced(&self) -> u64 {
         self.announced
     }
 
-    /// Appends the body bytes that are there to `out`.
+    /// Decodes `bytes` and appends the body bytes among them to `out`.
     pub(super) fn read(&mut self, bytes: &[u8], out: &mut Vec<u8>) -> Result<BodyProgress, HttpError> {
         let mut consumed = 0;
         loop {
             match self.step(&bytes[consumed..], out)? {
-                Step::Taken(taken) => consumed += taken,
-                Step::NeedsMore(taken) => {
-                    return Ok(BodyProgress { consumed: consumed + taken, complete: false });
+                Step::Consumed(length) => consumed += length,
+                Step::NeedsMore(length) => {
+                    return Ok(BodyProgress { consumed: consumed + length, complete: false });
                 }
                 Step::Complete => return Ok(BodyProgress { consumed, complete: true }),
             }
@@ -124,19 +128,19 @@
                 Ok(Step::NeedsMore(bytes.len()))
             }
             BodyState::Length { left } => {
-                let (taken, left) = copy_part(bytes, left, out);
+                let (copied, left) = copy_up_to(bytes, left, out);
                 self.state = if left == 0 { BodyState::Done } else { BodyState::Length { left } };
-                Ok(if left == 0 { Step::Taken(taken) } else { Step::NeedsMore(taken) })
+                Ok(if left == 0 { Step::Consumed(copied) } else { Step::NeedsMore(copied) })
             }
             BodyState::Chunk { left } => {
-                let (taken, left) = copy_part(bytes, left, out);
+                let (copied, left) = copy_up_to(bytes, left, out);
                 self.state = if left == 0 { BodyState::ChunkEnd } else { BodyState::Chunk { left } };
-                Ok(if left == 0 { Step::Taken(taken) } else { Step::NeedsMore(taken) })
+                Ok(if left == 0 { Step::Consumed(copied) } else { Step::NeedsMore(copied) })
             }
             BodyState::ChunkEnd => match bytes {
                 [b'\r', b'\n', ..] => {
                     self.state = BodyState::ChunkSize;
-                    Ok(Step::Taken(LINE_END_BYTES))
+                    Ok(Step::Consumed(LINE_END_BYTES))
                 }
                 [] | [b'\r'] => Ok(Step::NeedsMore(0)),
                 _ => Err(HttpError::Malformed),
@@ -150,7 +154,7 @@
         let Some(line) = chunk_size_line(bytes)? else { return Ok(Step::NeedsMore(0)) };
         self.announced = self.announced.saturating_add(line.size);
         self.state = if line.size == 0 { BodyState::Trailer } else { BodyState::Chunk { left: line.size } };
-        Ok(Step::Taken(line.length))
+        Ok(Step::Consumed(line.length))
     }
 
     fn read_trailer_line(&mut self, bytes: &[u8]) -> Result<Step, HttpError> {
@@ -158,23 +162,24 @@
         if length == 0 {
             self.state = BodyState::Done;
         }
-        Ok(Step::Taken(length + LINE_END_BYTES))
+        Ok(Step::Consumed(length + LINE_END_BYTES))
     }
 
-    /// Whether the body ends with the connection.
+    /// Whether the body is delimited by the end of the connection.
     pub(super) fn ends_with_connection(&self) -> bool {
         self.state == BodyState::UntilClose
     }
 }
 
-/// Appends at most `left` bytes to `out`: how many there were, and how many are left after them.
-fn copy_part(bytes: &[u8], left: u64, out: &mut Vec<u8>) -> (usize, u64) {
+/// Appends at most `left` of `bytes` to `out`. Returns the number of bytes copied and the number still missing after
+/// them.
+fn copy_up_to(bytes: &[u8], left: u64, out: &mut Vec<u8>) -> (usize, u64) {
     let length = bytes.len().min(usize::try_from(left).unwrap_or(usize::MAX));
     out.extend_from_slice(&bytes[..length]);
     (length, left - length as u64)
 }
 
-/// Length of the line without its end, once it is whole.
+/// Returns the length of the first line without its terminator, or `None` if the line is still incomplete.
 fn line_length(bytes: &[u8]) -> Result<Option<usize>, HttpError> {
     match bytes.iter().position(|b| *b == b'\n') {
         Some(at) if at > 0 && bytes[at - 1] == b'\r' => Ok(Some(at - 1)),
@@ -184,15 +189,15 @@
     }
 }
 
-/// The line before a chunk.
+/// A decoded chunk-size line.
 struct ChunkSizeLine {
-    /// Bytes of the line with its end.
+    /// The length of the line with its terminator, in bytes.
     length: usize,
-    /// Bytes of the chunk; 0 behind the last one.
+    /// The size of the chunk in bytes; 0 marks the last chunk.
     size: u64,
 }
 
-/// The line before a chunk, once it is whole. Extensions of the chunk are skipped.
+/// Parses a chunk-size line, or returns `None` if it is still incomplete. Chunk extensions are ignored.
 fn chunk_size_line(bytes: &[u8]) -> Result<Option<ChunkSizeLine>, HttpError> {
     const MAX_DIGITS: usize = 15;
     let Some(length) = line_length(bytes)? else { return Ok(None) };
--- a/crates/http/src/event_stream.rs
+++ b/crates/http/src/event_stream.rs
@@ -1,27 +1,27 @@
-//! Events of a `text/event-stream` (WHATWG HTML, server-sent events), read as they arrive.
+//! Incremental parsing of `text/event-stream` bodies (WHATWG HTML, server-sent events).
 
 /// An event of a `text/event-stream`.
 #[derive(Clone, PartialEq, Eq, Default, Debug)]
 pub struct StreamEvent {
-    /// Its id, where it has one that is a number.
+    /// The event's id, if it has one that is a decimal number.
     pub id: Option<u64>,
-    /// Version of the weights from this event on, where the event says so.
+    /// The version of the weights that applies from this event on, if the event states one.
     pub weight_version: Option<u64>,
-    /// Its data lines, joined by line feeds.
+    /// The event's data lines, joined by line feeds.
     pub data: Vec<u8>,
-    /// It has a data line, if only an empty one.
+    /// Whether the event has a data line, possibly an empty one.
     pub has_data: bool,
 }
 
-/// Reads events out of the bytes of a body.
+/// Parses events out of the bytes of a body.
 #[derive(Default, Debug)]
 pub struct EventStreamReader {
-    /// Bytes of an event that isn't whole.
+    /// The bytes of an event that is still incomplete.
     partial: Vec<u8>,
 }
 
 impl EventStreamReader {
-    /// Takes the next bytes of the body and calls `on_event` with every event that is whole and its raw bytes.
+    /// Parses the next bytes of the body and calls `on_event` with each event that is now complete and its raw bytes.
     pub fn read(&mut self, bytes: &[u8], mut on_event: impl FnMut(StreamEvent, &[u8])) {
         self.partial.extend_from_slice(bytes);
         let mut start = 0;
@@ -36,23 +36,23 @@
         self.partial.drain(..start);
     }
 
-    /// Whether part of an event is left.
+    /// Whether the bytes read so far end within an event.
     pub fn has_partial_event(&self) -> bool {
         !self.partial.iter().all(|b| matches!(b, b'\r' | b'\n'))
     }
 }
 
-/// Follows a `text/event-stream` that is passed on as it comes, and knows whether it stands between two events.
+/// Tracks event boundaries in a `text/event-stream` that is forwarded without being parsed.
 #[derive(Default, Debug)]
 pub struct EventStreamBoundary {
-    /// The line that is being read has bytes other than those that end it.
+    /// Whether the current line has any byte other than its terminator.
     in_line: bool,
-    /// An event has begun that no empty line has ended.
+    /// Whether an event has started and no empty line has ended it yet.
     in_event: bool,
 }
 
 impl EventStreamBoundary {
-    /// Takes in the next bytes of the body.
+    /// Scans the next bytes of the body.
     pub fn read(&mut self, bytes: &[u8]) {
         for byte in bytes {
             match byte {
@@ -66,13 +66,13 @@
         }
     }
 
-    /// Whether part of an event has come.
+    /// Whether the bytes read so far end within an event.
     pub fn is_inside_event(&self) -> bool {
         self.in_event
     }
 }
 
-/// Bytes up to and including the empty line that ends an event.
+/// Returns the length of the first event including the empty line that ends it, or `None` if it is incomplete.
 fn event_length(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     while let Some(offset) = bytes[line_start..].iter().position(|b| *b == b'\n') {
@@ -93,8 +93,8 @@
         let value = &line[colon + 1..];
         let value = value.strip_prefix(b" ").unwrap_or(value);
         match &line[..colon] {
-            b"id" => event.id = number(value),
-            b"weight-versions" => event.weight_version = number(value),
+            b"id" => event.id = parse_number(value),
+            b"weight-versions" => event.weight_version = parse_number(value),
             b"data" => {
                 if event.has_data {
                     event.data.push(b'\n');
@@ -108,6 +108,6 @@
     event
 }
 
-fn number(bytes: &[u8]) -> Option<u64> {
+fn parse_number(bytes: &[u8]) -> Option<u64> {
     std::str::from_utf8(bytes).ok()?.trim().parse().ok()
 }
--- a/crates/http/src/headers.rs
+++ b/crates/http/src/headers.rs
@@ -5,23 +5,23 @@
 
 use super::error::HttpError;
 
-/// Most header lines of a message.
+/// The largest number of header lines in a message.
 pub(super) const MAX_HEADERS: usize = 96;
-/// What may stand around a header's value (OWS of RFC 9110, section 5.6.3); other spaces of Unicode belong to the
-/// value.
+/// The characters that are trimmed from both ends of a header value (OWS of RFC 9110, section 5.6.3). Other Unicode
+/// spaces are part of the value.
 const OPTIONAL_WHITESPACE: [char; 2] = [' ', '\t'];
 
-/// Headers whose values are secrets, which `Debug` leaves out.
+/// Headers with secret values, which the `Debug` output omits.
 const SECRET_HEADERS: [&str; 2] = ["authorization", "proxy-authorization"];
 
-/// Header lines of a message, owned.
+/// The header lines of a message, stored in one string.
 #[derive(Clone, PartialEq, Eq, Default)]
 pub struct Headers {
     text: String,
     lines: Vec<HeaderLine>,
 }
 
-/// Where name and value of a line are in the text.
+/// The positions of a header line's name and value within [`Headers::text`].
 #[derive(Clone, PartialEq, Eq, Debug)]
 struct HeaderLine {
     name: Range<u32>,
@@ -31,15 +31,15 @@
 impl Headers {
     /// Copies the header lines of a parsed head.
     pub(super) fn read(headers: &[httparse::Header]) -> Result<Headers, HttpError> {
-        let mut read = Headers::default();
+        let mut copied = Headers::default();
         for header in headers {
             let value = std::str::from_utf8(header.value).map_err(|_| HttpError::Malformed)?;
-            read.push(header.name, value.trim_matches(OPTIONAL_WHITESPACE));
+            copied.push(header.name, value.trim_matches(OPTIONAL_WHITESPACE));
         }
-        Ok(read)
+        Ok(copied)
     }
 
-    /// Appends a line as it is.
+    /// Appends a header line without checking or trimming it.
     pub fn push(&mut self, name: &str, value: &str) {
         let start = self.text.len() as u32;
         self.text.push_str(name);
@@ -48,43 +48,45 @@
         self.lines.push(HeaderLine { name: start..middle, value: middle..self.text.len() as u32 });
     }
 
-    /// Name and value of each line.
+    /// Iterates over the name and value of each header line.
     pub fn iter(&self) -> impl Iterator<Item = (&str, &str)> {
-        self.lines.iter().map(|line| (self.part(&line.name), self.part(&line.value)))
+        self.lines.iter().map(|line| (self.slice(&line.name), self.slice(&line.value)))
     }
 
-    fn part(&self, range: &Range<u32>) -> &str {
+    fn slice(&self, range: &Range<u32>) -> &str {
         &self.text[range.start as usize..range.end as usize]
     }
 
-    /// Value of the first line called `name`; case doesn't matter.
+    /// Returns the value of the first header line with this name, compared case-insensitively.
     pub fn get(&self, name: &str) -> Option<&str> {
         self.iter().find(|(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// Values of all lines called `name`; case doesn't matter.
+    /// Returns the values of all header lines with this name, compared case-insensitively.
     pub(super) fn all<'a>(&'a self, name: &'a str) -> impl Iterator<Item = &'a str> + 'a {
         self.iter().filter(move |(n, _)| n.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// Whether a line `name` holds `token` in a list separated by commas; case doesn't matter.
+    /// Whether a header line with this name contains `token` in its comma-separated list; both are compared
+    /// case-insensitively.
     pub fn has_token(&self, name: &str, token: &str) -> bool {
         self.all(name).any(|value| {
             value.split(',').any(|t| t.trim_matches(OPTIONAL_WHITESPACE).eq_ignore_ascii_case(token))
         })
     }
 
-    /// Value of the first line called `name` as a whole number; None where it is none.
+    /// Returns the value of the first header line with this name as an unsigned integer, or `None` if the line is absent
+    /// or not a number.
     pub fn number(&self, name: &str) -> Option<u64> {
         self.get(name)?.parse().ok()
     }
 }
 
-/// Length of a head of which `seen` bytes have arrived, once it is whole.
+/// Returns the length of a message head, or `None` if the `seen` bytes received so far are only a part of it.
 ///
 /// # Errors
 ///
-/// It is no head, or is longer than `limit`.
+/// Returns an error if the head is malformed or exceeds `limit` bytes.
 pub(super) fn head_length(
     parsed: httparse::Result<usize>,
     seen: usize,
--- a/crates/http/src/lib.rs
+++ b/crates/http/src/lib.rs
@@ -1,8 +1,8 @@
-//! HTTP/1.1 messages over byte buffers, free of I/O.
+//! HTTP/1.1 message parsing and serialization over byte buffers, without I/O.
 //!
-//! Readers look at the bytes that have arrived and say how many of them a message takes (RFC 9112). Whatever could be
-//! understood in two ways (two lengths, a length beside chunks, folded lines) is refused, so that no request can
-//! hide inside another.
+//! Readers parse the bytes received so far and return how many of them the caller must discard (RFC 9112). Ambiguous
+//! messages (two lengths, a length together with chunked coding, folded header lines) are rejected, which prevents
+//! request smuggling.
 
 mod body;
 mod error;
--- a/crates/http/src/request.rs
+++ b/crates/http/src/request.rs
@@ -1,50 +1,50 @@
-//! Requests: their reading from the bytes of a connection, within bounds.
+//! Parsing of requests from the bytes of a connection, within size limits.
 
 use super::body::{BodyReader, Framing, framing};
 use super::error::HttpError;
 use super::headers::{Headers, MAX_HEADERS, head_length};
 
-/// Bounds of a message, in bytes.
+/// Size limits of a message, in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct MessageLimits {
-    /// Longest head: the first line and all header lines.
+    /// The longest head: the request line and all header lines.
     pub header_bytes: usize,
-    /// Longest body.
+    /// The longest body.
     pub body_bytes: usize,
 }
 
-/// A whole request.
+/// A completely received request.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Request {
-    /// Method as it came, such as `GET`.
+    /// The method as received, such as `GET`.
     pub method: String,
-    /// Target as it came: a path with its query, mostly.
+    /// The request target as received, usually a path with an optional query.
     pub target: String,
     /// All header lines.
     pub headers: Headers,
-    /// The whole body, out of its chunks.
+    /// The complete body, without chunk framing.
     pub body: Vec<u8>,
-    /// The client keeps the connection for further requests.
+    /// Whether the client keeps the connection open for further requests.
     pub keep_alive: bool,
 }
 
 impl Request {
-    /// The target up to its query.
+    /// The request target without its query.
     pub fn path(&self) -> &str {
         self.target.split_once('?').map_or(self.target.as_str(), |(path, _)| path)
     }
 
-    /// Value of the first parameter `name` in the query of the target, as it came.
+    /// Returns the value of the first query parameter called `name`, without percent-decoding.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.target.split_once('?')?;
         query.split('&').filter_map(|pair| pair.split_once('=')).find(|(n, _)| *n == name).map(|(_, v)| v)
     }
 }
 
-/// Reads requests from a connection, one after the other.
+/// Reads the consecutive requests of a connection.
 #[derive(Default, Debug)]
 pub struct RequestReader {
-    /// The request whose head is read and whose body isn't whole.
+    /// The request whose head was read and whose body is still incomplete.
     pending: Option<PendingRequest>,
 }
 
@@ -55,26 +55,26 @@
     body: BodyReader,
 }
 
-/// What a reader made of the bytes that are there.
+/// The result of one call to [`RequestReader::read`].
 #[derive(PartialEq, Debug)]
 pub struct RequestProgress {
-    /// Bytes to be consumed.
+    /// The number of input bytes that the caller must discard.
     pub consumed: usize,
-    /// The request, once it is whole.
+    /// The request, once it is complete.
     pub request: Option<Request>,
 }
 
 impl RequestReader {
-    /// Whether the head of a request was read and its body isn't whole.
+    /// Whether the head of a request was read and its body is still incomplete.
     pub fn is_mid_request(&self) -> bool {
         self.pending.is_some()
     }
 
-    /// Takes what it can from `bytes`.
+    /// Reads as much of the next request from `bytes` as is available.
     ///
     /// # Errors
     ///
-    /// The bytes are no request; the connection has to be closed after the response.
+    /// Returns an error if the bytes are not an acceptable request; the connection has to be closed after the response.
     pub fn read(&mut self, bytes: &[u8], limits: &MessageLimits) -> Result<RequestProgress, HttpError> {
         let mut consumed = 0;
         if self.pending.is_none() {
@@ -98,13 +98,13 @@
     }
 }
 
-/// The head of a request, as it was read.
+/// A parsed request head.
 struct RequestHead {
-    /// The request without its body.
+    /// The request, with an empty body.
     request: Request,
-    /// How its body is delimited; None where there is none.
+    /// How the body is delimited; `None` if the request has no body.
     framing: Option<Framing>,
-    /// Bytes of the head.
+    /// The length of the head in bytes.
     length: usize,
 }
 
--- a/crates/http/src/response.rs
+++ b/crates/http/src/response.rs
@@ -1,44 +1,45 @@
-//! Responses: the head, and a body that comes in pieces.
+//! Parsing of responses: the head, then the body in pieces as it arrives.
 
 use super::body::{BodyReader, Framing, framing};
 use super::error::HttpError;
 use super::headers::{Headers, MAX_HEADERS, head_length};
 
-/// Status of a switch to another protocol, which nobody here asks for.
+/// Status of a switch to another protocol. It is never valid, as no request here asks for an upgrade.
 const SWITCHING_PROTOCOLS: u16 = 101;
 
-/// Head of a response.
+/// The head of a response.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct ResponseHead {
-    /// Status code.
+    /// The status code.
     pub status: u16,
     /// All header lines.
     pub headers: Headers,
 }
 
-/// What a reading of a response brought.
+/// The result of one call to [`ResponseReader::read`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ResponseProgress {
-    /// Bytes to be consumed.
+    /// The number of input bytes that the caller must discard.
     pub consumed: usize,
-    /// The head was read in this call or before.
+    /// Whether the head was read, in this call or an earlier one.
     pub head: bool,
-    /// The response is whole.
+    /// Whether the response is complete.
     pub complete: bool,
 }
 
-/// Reads one response; the body comes in pieces.
+/// Reads one response; its body is returned in pieces as it arrives.
 #[derive(Debug)]
 pub struct ResponseReader {
     head: Option<ResponseHead>,
     body: Option<BodyReader>,
     reusable: bool,
-    /// The request was HEAD.
+    /// Whether the response has no body because the request method was HEAD.
     without_body: bool,
 }
 
 impl ResponseReader {
-    /// A reader of the response to a request with `method`: one to HEAD has no body (RFC 9110, section 9.3.2).
+    /// Creates a reader for the response to a request with `method`. A response to HEAD has no body (RFC 9110, section
+    /// 9.3.2).
     pub fn new(method: &str) -> ResponseReader {
         ResponseReader { head: None, body: None, reusable: false, without_body: method == "HEAD" }
     }
@@ -48,17 +49,17 @@
         self.head.as_ref()
     }
 
-    /// Whether the connection may carry another request once the response is whole.
+    /// Whether the connection can be reused for another request once the response is complete.
     pub fn is_reusable(&self) -> bool {
         self.reusable
     }
 
-    /// Takes what it can from `bytes` and appends body bytes to `out`. Interim responses (1xx) are skipped.
-    /// `header_limit` is the longest head in bytes.
+    /// Reads as much of the response from `bytes` as is available and appends the body bytes to `out`. Interim responses
+    /// (1xx) are skipped. `header_limit` is the maximum length of the head in bytes.
     ///
     /// # Errors
     ///
-    /// The bytes are no response; the connection has to be dropped.
+    /// Returns an error if the bytes are not a valid response; the connection has to be closed.
     pub fn read(
         &mut self,
         bytes: &[u8],
@@ -69,15 +70,15 @@
         while self.head.is_none() {
             match read_response_head(&bytes[consumed..], header_limit)? {
                 None => return Ok(ResponseProgress { consumed, head: false, complete: false }),
-                Some(read) if (100..200).contains(&read.head.status) => {
-                    if read.head.status == SWITCHING_PROTOCOLS {
+                Some(parsed) if (100..200).contains(&parsed.head.status) => {
+                    if parsed.head.status == SWITCHING_PROTOCOLS {
                         return Err(HttpError::Malformed);
                     }
-                    consumed += read.length;
+                    consumed += parsed.length;
                 }
-                Some(read) => {
-                    consumed += read.length;
-                    self.begin(read.head, read.minor_version)?;
+                Some(parsed) => {
+                    consumed += parsed.length;
+                    self.begin_body(parsed.head, parsed.minor_version)?;
                 }
             }
         }
@@ -89,9 +90,9 @@
         Ok(ResponseProgress { consumed, head: true, complete: progress.complete })
     }
 
-    fn begin(&mut self, head: ResponseHead, minor_version: u8) -> Result<(), HttpError> {
-        let stated = framing(&head.headers)?;
-        let framing = match (self.without_body || matches!(head.status, 204 | 304), stated) {
+    fn begin_body(&mut self, head: ResponseHead, minor_version: u8) -> Result<(), HttpError> {
+        let stated_framing = framing(&head.headers)?;
+        let framing = match (self.without_body || matches!(head.status, 204 | 304), stated_framing) {
             (true, _) => Framing::Length(0),
             (false, Some(framing)) => framing,
             (false, None) => Framing::UntilClose,
@@ -106,26 +107,26 @@
         Ok(())
     }
 
-    /// Whether the end of the connection makes the response whole.
+    /// Whether the response becomes complete when the connection ends.
     pub fn complete_at_close(&self) -> bool {
         self.body.as_ref().is_some_and(BodyReader::ends_with_connection)
     }
 }
 
-/// The head of a response, as it was read.
-struct ReadHead {
+/// A parsed response head.
+struct ParsedHead {
     head: ResponseHead,
-    /// The version behind `HTTP/1.`.
+    /// The digit after `HTTP/1.` in the status line.
     minor_version: u8,
-    /// Bytes of the head.
+    /// The length of the head in bytes.
     length: usize,
 }
 
-fn read_response_head(bytes: &[u8], limit: usize) -> Result<Option<ReadHead>, HttpError> {
+fn read_response_head(bytes: &[u8], limit: usize) -> Result<Option<ParsedHead>, HttpError> {
     let mut lines = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut parsed = httparse::Response::new(&mut lines);
     let Some(length) = head_length(parsed.parse(bytes), bytes.len(), limit)? else { return Ok(None) };
     let headers = Headers::read(parsed.headers)?;
     let head = ResponseHead { status: parsed.code.unwrap_or_default(), headers };
-    Ok(Some(ReadHead { head, minor_version: parsed.version.unwrap_or(0), length }))
+    Ok(Some(ParsedHead { head, minor_version: parsed.version.unwrap_or(0), length }))
 }
--- a/crates/http/src/write.rs
+++ b/crates/http/src/write.rs
@@ -1,13 +1,13 @@
-//! Writing of messages: heads, bodies and chunks, into a buffer.
+//! Serialization of heads, bodies and chunks into a buffer.
 
-/// Writes the head of a request; header lines and [`write_head_end`] follow.
+/// Writes a request line; header lines and [`write_head_end`] follow.
 pub fn write_request_line(out: &mut Vec<u8>, method: &str, target: &str) {
     for part in [method, " ", target, " HTTP/1.1\r\n"] {
         out.extend_from_slice(part.as_bytes());
     }
 }
 
-/// Writes the first line of a response; header lines and [`write_head_end`] follow.
+/// Writes a status line; header lines and [`write_head_end`] follow.
 pub fn write_status_line(out: &mut Vec<u8>, status: u16) {
     out.extend_from_slice(b"HTTP/1.1 ");
     write_number(out, u64::from(status));
@@ -23,7 +23,7 @@
     }
 }
 
-/// Appends a header line with a decimal number.
+/// Appends a header line whose value is a decimal number.
 pub fn write_number_header(out: &mut Vec<u8>, name: &str, value: u64) {
     out.extend_from_slice(name.as_bytes());
     out.extend_from_slice(b": ");
@@ -31,7 +31,7 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends the head of a message.
+/// Appends the empty line that ends the head of a message.
 pub fn write_head_end(out: &mut Vec<u8>) {
     out.extend_from_slice(b"\r\n");
 }
@@ -52,7 +52,7 @@
     out.extend_from_slice(&digits[start..]);
 }
 
-/// Appends a chunk of a chunked body. An empty one would end the body, so it is left out.
+/// Appends a chunk of a chunked body. An empty chunk would end the body, so nothing is written for it.
 pub fn write_chunk(out: &mut Vec<u8>, chunk: &[u8]) {
     if chunk.is_empty() {
         return;
@@ -62,12 +62,12 @@
     out.extend_from_slice(b"\r\n");
 }
 
-/// Ends a chunked body.
+/// Appends the last chunk, which ends a chunked body.
 pub fn write_last_chunk(out: &mut Vec<u8>) {
     out.extend_from_slice(b"0\r\n\r\n");
 }
 
-/// Writes a whole response with a body of known length; `close` says that the connection ends after it.
+/// Writes a complete response with a body of known length. `close` announces that the connection ends after it.
 pub fn write_response(out: &mut Vec<u8>, status: u16, headers: &[(&str, &str)], body: &[u8], close: bool) {
     write_status_line(out, status);
     for (name, value) in headers {
@@ -81,7 +81,7 @@
     out.extend_from_slice(body);
 }
 
-/// Reason phrase of a status line (RFC 9110, section 15); clients ignore it.
+/// The reason phrase of a status line (RFC 9110, section 15). Clients ignore it.
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
--- a/crates/http/tests/event_stream.rs
+++ b/crates/http/tests/event_stream.rs
@@ -1,4 +1,4 @@
-//! Reading of event streams: tables of streams, at every split into two pieces.
+//! Tests of event stream parsing: tables of streams, each split into two reads at every position.
 
 use orchidvalve_http::{EventStreamBoundary, EventStreamReader, StreamEvent};
 use rstest::rstest;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn an_unfinished_event_is_never_reported() {
+fn an_incomplete_event_is_not_reported() {
     let text = "weight-versions: 6\nid: 1\ndata: a\n\n";
     for length in 1..text.len() {
         let (events, _, partial) = events(&[&text.as_bytes()[..length]]);
@@ -62,14 +62,14 @@
 #[case("id: -1\ndata: a\n\n")]
 #[case("id: 18446744073709551616\ndata: a\n\n")]
 #[case("data: a\n\n")]
-fn ids_that_are_no_numbers_are_none(#[case] text: &str) {
+fn non_numeric_ids_are_ignored(#[case] text: &str) {
     let (events, _, _) = events(&[text.as_bytes()]);
     assert_eq!((events[0].id, events[0].data.as_slice()), (None, b"a".as_slice()));
 }
 
-/// What passes a stream on without reading its events stands in one exactly where a reader of events does.
+/// The boundary tracker, which doesn't parse events, is inside an event exactly where the event reader is.
 #[rstest]
-fn boundaries_are_where_events_are_whole(
+fn boundary_tracker_agrees_with_event_reader(
     #[values(
         "id: 1\ndata: a\n\nid: 2\ndata: b\n\n",
         "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n",
--- a/crates/http/tests/golden_http.rs
+++ b/crates/http/tests/golden_http.rs
@@ -1,4 +1,5 @@
-//! HTTP messages: the bytes that are written for fixed ones, and what is read of random ones, by seeds.
+//! Golden tests of HTTP messages: the bytes written for fixed messages, and the results of reading random messages, one
+//! hash per seed.
 
 use std::path::Path;
 
@@ -17,39 +18,39 @@
 const SEEDS: u64 = 12;
 const MESSAGES: u32 = 150;
 const LIMITS: MessageLimits = MessageLimits { header_bytes: 600, body_bytes: 200 };
-/// Every status with a reason of its own, and some without.
+/// Every status with its own reason phrase, and some without.
 const STATUSES: [u16; 22] = [
     200, 202, 204, 307, 400, 404, 405, 408, 409, 412, 413, 421, 422, 429, 431, 500, 502, 503, 504, 201, 301,
     599,
 ];
 
-fn written(write: impl Fn(&mut Vec<u8>)) -> Vec<u8> {
+fn bytes_of(write: impl Fn(&mut Vec<u8>)) -> Vec<u8> {
     let mut bytes = Vec::new();
     write(&mut bytes);
     bytes
 }
 
 #[test]
-fn messages_are_written_as_recorded() {
+fn written_messages_match_golden_bytes() {
     let mut samples: Vec<(String, Vec<u8>)> = Vec::new();
     let mut add = |name: &str, bytes: Vec<u8>| samples.push((name.to_owned(), bytes));
     for status in STATUSES {
-        add(&format!("status-line-{status}"), written(|out| write_status_line(out, status)));
+        add(&format!("status-line-{status}"), bytes_of(|out| write_status_line(out, status)));
     }
-    add("request-line", written(|out| write_request_line(out, "POST", "/a/b?c=d")));
-    add("header", written(|out| write_header(out, "X-Name", "a value")));
-    add("empty-header", written(|out| write_header(out, "X-Empty", "")));
-    add("number-header", written(|out| write_number_header(out, "Content-Length", 1_234_567)));
-    add("number-least", written(|out| write_number(out, 0)));
-    add("number-greatest", written(|out| write_number(out, u64::MAX)));
-    add("end-of-head", written(write_head_end));
-    add("chunk", written(|out| write_chunk(out, &[b'x'; 300])));
-    add("empty-chunk", written(|out| write_chunk(out, b"")));
-    add("last-chunk", written(write_last_chunk));
+    add("request-line", bytes_of(|out| write_request_line(out, "POST", "/a/b?c=d")));
+    add("header", bytes_of(|out| write_header(out, "X-Name", "a value")));
+    add("empty-header", bytes_of(|out| write_header(out, "X-Empty", "")));
+    add("number-header", bytes_of(|out| write_number_header(out, "Content-Length", 1_234_567)));
+    add("number-least", bytes_of(|out| write_number(out, 0)));
+    add("number-greatest", bytes_of(|out| write_number(out, u64::MAX)));
+    add("end-of-head", bytes_of(write_head_end));
+    add("chunk", bytes_of(|out| write_chunk(out, &[b'x'; 300])));
+    add("empty-chunk", bytes_of(|out| write_chunk(out, b"")));
+    add("last-chunk", bytes_of(write_last_chunk));
     let headers = [("Content-Type", "application/json"), ("Retry-After", "1")];
-    add("response", written(|out| write_response(out, 200, &headers, b"{\"a\":1}", false)));
-    add("response-that-closes", written(|out| write_response(out, 503, &headers, b"", true)));
-    let request = written(|out| {
+    add("response", bytes_of(|out| write_response(out, 200, &headers, b"{\"a\":1}", false)));
+    add("response-that-closes", bytes_of(|out| write_response(out, 503, &headers, b"", true)));
+    let request = bytes_of(|out| {
         write_request_line(out, "PUT", "/v1/x");
         write_header(out, "Host", "a.example");
         write_header(out, "Transfer-Encoding", "chunked");
@@ -59,7 +60,7 @@
         write_last_chunk(out);
     });
     add("chunked-request", request);
-    let events = written(|out| {
+    let events = bytes_of(|out| {
         write_status_line(out, 200);
         write_header(out, "Content-Type", "text/event-stream");
         write_header(out, "Transfer-Encoding", "chunked");
@@ -82,8 +83,8 @@
     choices.choose(random).expect("a choice")
 }
 
-/// Header lines that say how the body is delimited and whether the connection stays, mostly sensible.
-fn add_headers(random: &mut Pcg64Mcg, text: &mut Vec<u8>, body: &[u8]) {
+/// Appends random headers, mostly valid, that decide the body framing and connection persistence, and then the body.
+fn append_headers_and_body(random: &mut Pcg64Mcg, text: &mut Vec<u8>, body: &[u8]) {
     let names = ["Host", "hOsT", "X-A", "Accept", "X_Odd!"];
     let values = ["a.example", "  spaced\t", "", "one, two", "caf\u{e9}", "\u{a0}kept\u{a0}"];
     for _ in 0..random.random_range(0..4) {
@@ -112,13 +113,13 @@
     }
     text.extend_from_slice(b"\r\n");
     if chunked {
-        add_chunks(random, text, body);
+        append_chunks(random, text, body);
     } else {
         text.extend_from_slice(body);
     }
 }
 
-fn add_chunks(random: &mut Pcg64Mcg, text: &mut Vec<u8>, body: &[u8]) {
+fn append_chunks(random: &mut Pcg64Mcg, text: &mut Vec<u8>, body: &[u8]) {
     let mut rest = body;
     while !rest.is_empty() {
         let (chunk, more) = rest.split_at(random.random_range(1..=rest.len()));
@@ -140,15 +141,15 @@
     (0..length).map(|_| random.random()).collect()
 }
 
-/// Changes a byte of some messages.
-fn damage(random: &mut Pcg64Mcg, text: &mut [u8]) {
+/// Overwrites one byte in some of the messages.
+fn corrupt_a_byte(random: &mut Pcg64Mcg, text: &mut [u8]) {
     if random.random_bool(0.15) {
-        let place = random.random_range(0..text.len().min(80));
-        text[place] = random.random();
+        let position = random.random_range(0..text.len().min(80));
+        text[position] = random.random();
     }
 }
 
-fn add_headers_to(trace: &mut Trace, headers: &Headers) {
+fn trace_headers(trace: &mut Trace, headers: &Headers) {
     for (name, value) in headers.iter() {
         trace.add(name.as_bytes());
         trace.add(value.as_bytes());
@@ -156,8 +157,8 @@
     trace.add_number(headers.number("content-length").unwrap_or(u64::MAX));
 }
 
-/// Hands the bytes to a reader as they come, piece by piece; it says how many it took, or that it is done.
-fn feed(random: &mut Pcg64Mcg, text: &[u8], mut read: impl FnMut(&[u8]) -> Option<usize>) {
+/// Passes the bytes to a reader in random pieces. `read` returns how many bytes it consumed, or `None` once it is done.
+fn read_in_pieces(random: &mut Pcg64Mcg, text: &[u8], mut read: impl FnMut(&[u8]) -> Option<usize>) {
     let (mut start, mut end) = (0, 0);
     while end < text.len() {
         end = (end + random.random_range(1..200)).min(text.len());
@@ -166,7 +167,7 @@
     }
 }
 
-fn requests(seed: u64) -> u64 {
+fn hash_of_requests(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut trace = Trace::new();
     for _ in 0..MESSAGES {
@@ -175,10 +176,10 @@
         let target = pick(&mut random, &["/", "/a/b?c=d&e=f", "/a?after-seq=7", "*", "http://a/b", ""]);
         let version = pick(&mut random, &["1.1", "1.1", "1.1", "1.0", "2.0"]);
         let mut text = format!("{method} {target} HTTP/{version}\r\n").into_bytes();
-        add_headers(&mut random, &mut text, &body);
-        damage(&mut random, &mut text);
+        append_headers_and_body(&mut random, &mut text, &body);
+        corrupt_a_byte(&mut random, &mut text);
         let mut reader = RequestReader::default();
-        feed(&mut random, &text, |bytes| match reader.read(bytes, &LIMITS) {
+        read_in_pieces(&mut random, &text, |bytes| match reader.read(bytes, &LIMITS) {
             Err(error) => {
                 trace.add_number(u64::from(error.status()));
                 None
@@ -191,7 +192,7 @@
                 trace.add(request.target.as_bytes());
                 trace.add(request.path().as_bytes());
                 trace.add(request.query("after-seq").unwrap_or("none").as_bytes());
-                add_headers_to(&mut trace, &request.headers);
+                trace_headers(&mut trace, &request.headers);
                 trace.add(&request.body);
                 trace.add_number(u64::from(request.keep_alive));
                 None
@@ -201,7 +202,7 @@
     trace.finish()
 }
 
-fn responses(seed: u64) -> u64 {
+fn hash_of_responses(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut trace = Trace::new();
     for _ in 0..MESSAGES {
@@ -214,11 +215,11 @@
         if *status == 100 {
             text.extend_from_slice(b"\r\nHTTP/1.1 200 OK\r\n");
         }
-        add_headers(&mut random, &mut text, &body);
-        damage(&mut random, &mut text);
+        append_headers_and_body(&mut random, &mut text, &body);
+        corrupt_a_byte(&mut random, &mut text);
         let mut reader = ResponseReader::new(method);
         let mut out = Vec::new();
-        feed(&mut random, &text, |bytes| match reader.read(bytes, LIMITS.header_bytes, &mut out) {
+        read_in_pieces(&mut random, &text, |bytes| match reader.read(bytes, LIMITS.header_bytes, &mut out) {
             Err(error) => {
                 trace.add_number(u64::from(error.status()));
                 None
@@ -235,13 +236,13 @@
         trace.add_number(u64::from(reader.complete_at_close()));
         if let Some(head) = reader.head() {
             trace.add_number(u64::from(head.status));
-            add_headers_to(&mut trace, &head.headers);
+            trace_headers(&mut trace, &head.headers);
         }
     }
     trace.finish()
 }
 
-fn events(seed: u64) -> u64 {
+fn hash_of_events(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut trace = Trace::new();
     let lines = [
@@ -286,12 +287,12 @@
 }
 
 #[test]
-fn messages_are_read_as_recorded() {
+fn read_messages_match_golden_hashes() {
     let mut hashes = Vec::new();
     for seed in 1..=SEEDS {
-        hashes.push((format!("requests-seed-{seed}"), requests(seed)));
-        hashes.push((format!("responses-seed-{seed}"), responses(seed)));
-        hashes.push((format!("events-seed-{seed}"), events(seed)));
+        hashes.push((format!("requests-seed-{seed}"), hash_of_requests(seed)));
+        hashes.push((format!("responses-seed-{seed}"), hash_of_responses(seed)));
+        hashes.push((format!("events-seed-{seed}"), hash_of_events(seed)));
     }
     check_hashes(&Path::new(FOLDER).join("http_read.txt"), &hashes);
 }
--- a/crates/http/tests/messages.rs
+++ b/crates/http/tests/messages.rs
@@ -1,5 +1,5 @@
-//! Reading and writing of HTTP/1.1 messages: tables of messages, every split of a message into two reads, and
-//! messages changed one byte at a time.
+//! Tests of reading and writing HTTP/1.1 messages: tables of messages, every split of a message into two reads, and
+//! messages with one byte changed.
 
 use orchidvalve_http::{
     HttpError, MessageLimits, Request, RequestReader, ResponseReader, write_chunk, write_head_end,
@@ -13,7 +13,8 @@
 const LIMITS: MessageLimits = MessageLimits { header_bytes: 1024, body_bytes: 64 };
 const HEADER_LIMIT: usize = 1024;
 
-/// A connection's inbox that hands all its bytes to a reader again and again, as the event loop does.
+/// The receive buffer of a connection. It passes its bytes to the reader until no request is complete, as the event
+/// loop does.
 #[derive(Default)]
 struct Inbox {
     bytes: Vec<u8>,
@@ -36,7 +37,7 @@
     }
 }
 
-/// All requests of the bytes, and what is left of them.
+/// Returns all complete requests in the bytes, and the receive buffer with what is left.
 fn requests(bytes: &[u8]) -> Result<(Vec<Request>, Inbox), HttpError> {
     let mut inbox = Inbox::default();
     inbox.receive(bytes)?;
@@ -45,7 +46,7 @@
 
 fn request(bytes: &[u8]) -> Result<Request, HttpError> {
     let (mut requests, inbox) = requests(bytes)?;
-    assert_eq!(requests.len(), 1, "one whole request");
+    assert_eq!(requests.len(), 1, "one complete request");
     assert!(inbox.bytes.is_empty() && !inbox.reader.is_mid_request());
     Ok(requests.remove(0))
 }
@@ -81,24 +82,24 @@
 #[case::length(WITH_LENGTH)]
 #[case::chunked(CHUNKED)]
 fn every_split_gives_the_same_request(#[case] text: &str) {
-    let whole = request(text.as_bytes()).unwrap();
+    let expected = request(text.as_bytes()).unwrap();
     for split in 0..=text.len() {
         let mut inbox = Inbox::default();
         inbox.receive(&text.as_bytes()[..split]).unwrap();
         assert_eq!(inbox.requests.len(), usize::from(split == text.len()), "{split}");
         inbox.receive(&text.as_bytes()[split..]).unwrap();
-        assert_eq!(inbox.requests, std::slice::from_ref(&whole), "{split}");
+        assert_eq!(inbox.requests, std::slice::from_ref(&expected), "{split}");
         assert!(inbox.bytes.is_empty());
     }
     let mut inbox = Inbox::default();
     for byte in text.bytes() {
         inbox.receive(&[byte]).unwrap();
     }
-    assert_eq!(inbox.requests, [whole]);
+    assert_eq!(inbox.requests, [expected]);
 }
 
 #[test]
-fn pipelined_requests_are_kept_apart() {
+fn pipelined_requests_are_separated() {
     let text = [WITH_LENGTH, CHUNKED, PLAIN, "GET /part"].concat();
     for split in 0..=text.len() {
         let mut inbox = Inbox::default();
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn a_reader_knows_that_it_is_within_a_request() {
+fn mid_request_state_lasts_until_the_body_is_complete() {
     let mut inbox = Inbox::default();
     assert!(!inbox.reader.is_mid_request());
     inbox.receive(&WITH_LENGTH.as_bytes()[..WITH_LENGTH.len() - 2]).unwrap();
@@ -127,7 +128,7 @@
 #[case("HTTP/1.1", "Connection: keep-alive\r\n", true)]
 #[case("HTTP/1.0", "", false)]
 #[case("HTTP/1.0", "Connection: keep-alive\r\n", true)]
-fn the_client_says_whether_the_connection_stays(
+fn connection_persistence_follows_version_and_connection_header(
     #[case] version: &str,
     #[case] header: &str,
     #[case] keep_alive: bool,
@@ -163,7 +164,7 @@
 #[case::empty_name(": 5\r\n", 400)]
 #[case::return_in_value("X: a\rContent-Length: 5\r\n", 400)]
 #[case::zero_byte("X: a\0b\r\n", 400)]
-fn ambiguous_heads_are_refused(#[case] header: &str, #[case] status: u16) {
+fn ambiguous_heads_are_rejected(#[case] header: &str, #[case] status: u16) {
     let text = format!("POST / HTTP/1.1\r\nHost: a\r\n{header}\r\nhello");
     assert_eq!(requests(text.as_bytes()).err().map(HttpError::status), Some(status));
 }
@@ -175,7 +176,7 @@
 #[case::no_version("GET /\r\n\r\n")]
 #[case::space_in_target("GET /a b HTTP/1.1\r\n\r\n")]
 #[case::binary("\u{16}\u{3}\u{1}\u{2}\r\n\r\n")]
-fn broken_first_lines_are_refused(#[case] text: &str) {
+fn malformed_request_lines_are_rejected(#[case] text: &str) {
     assert_eq!(requests(text.as_bytes()).err(), Some(HttpError::Malformed));
 }
 
@@ -194,13 +195,13 @@
 #[case::longer_than_stated("4\r\nhello\r\n")]
 #[case::shorter_than_stated("6\r\nhello\r\n0\r\n\r\n")]
 #[case::end_by_line_feed("5\r\nhello\n0\r\n\r\n")]
-fn broken_chunks_are_refused(#[case] chunks: &str) {
+fn malformed_chunks_are_rejected(#[case] chunks: &str) {
     let text = format!("POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n{chunks}");
     assert_eq!(requests(text.as_bytes()).err(), Some(HttpError::Malformed));
 }
 
 #[test]
-fn a_chunked_body_is_bounded_before_it_has_come() {
+fn chunked_body_limit_applies_to_announced_sizes() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     assert_eq!(requests(format!("{head}41\r\n").as_bytes()).err(), Some(HttpError::BodyTooLong));
     let two = format!("{head}20\r\n{}\r\n21\r\n", "x".repeat(32));
@@ -210,14 +211,14 @@
 }
 
 #[test]
-fn endless_chunk_lines_are_refused() {
+fn overlong_chunk_size_lines_are_rejected() {
     let head = "POST / HTTP/1.1\r\nHost: a\r\nTransfer-Encoding: chunked\r\n\r\n";
     let endless = format!("{head}5;{}", "x".repeat(100_000));
     assert_eq!(requests(endless.as_bytes()).err(), Some(HttpError::Malformed));
 }
 
 #[test]
-fn heads_are_bounded_whether_whole_or_not() {
+fn head_limit_applies_to_complete_and_partial_heads() {
     let head = |length: usize| format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "x".repeat(length - 23));
     assert!(request(head(LIMITS.header_bytes).as_bytes()).is_ok());
     let long = head(LIMITS.header_bytes + 1);
@@ -228,37 +229,38 @@
     assert_eq!(requests(many.as_bytes()).err().map(HttpError::status), Some(431));
 }
 
-/// No change of one byte of the framing makes a second request appear out of a body, whatever is refused.
+/// Changing one byte of the framing or the body never makes a second request appear out of a body, whether or not the
+/// message is rejected.
 #[rstest]
 #[case::length("Content-Length: 36\r\n\r\n", "GET /smuggled HTTP/1.1\r\nHost: b\r\n\r\n\n")]
 #[case::chunked(
     "Transfer-Encoding: chunked\r\n\r\n",
     "24\r\nGET /smuggled HTTP/1.1\r\nHost: b\r\n\r\n\n\r\n0\r\n\r\n"
 )]
-fn a_changed_byte_hides_no_request(#[case] framing: &str, #[case] body: &str) {
+fn one_changed_byte_cannot_smuggle_a_request(#[case] framing: &str, #[case] body: &str) {
     let text = format!("POST /a HTTP/1.1\r\nHost: a\r\n{framing}{body}");
     assert_eq!(requests(text.as_bytes()).unwrap().0.len(), 1);
     let head_end = text.find("\r\n\r\n").unwrap() + 4;
-    for place in 0..text.len() {
+    for position in 0..text.len() {
         for byte in [b' ', b'\t', b'\r', b'\n', b':', b',', b';', b'0', b'9', b'x', 0, 0xff] {
             let mut changed = text.clone().into_bytes();
-            changed[place] = byte;
+            changed[position] = byte;
             let mut inbox = Inbox::default();
             let outcome = inbox.receive(&changed);
-            // A changed name, value or end of a head's line may well change the framing; the request that then
-            // follows is the client's own. A change further on must not.
-            if place >= head_end {
+            // A change in the head may legitimately change the framing, and the request that then follows is one that the
+            // client sent itself. A change after the head must not.
+            if position >= head_end {
                 let smuggled = inbox.requests.iter().any(|request| request.target == "/smuggled");
-                assert!(!smuggled, "byte {byte} at {place}: {outcome:?}");
+                assert!(!smuggled, "byte {byte} at {position}: {outcome:?}");
             }
             assert!(inbox.requests.iter().all(|request| request.body.len() <= LIMITS.body_bytes));
         }
     }
 }
 
-/// Random bytes behind a sound beginning neither panic nor take more than is there.
+/// Random bytes after a valid beginning cause neither a panic nor the consumption of more bytes than are available.
 #[test]
-fn random_bytes_do_no_harm() {
+fn random_bytes_do_not_panic() {
     let mut random = Pcg64Mcg::seed_from_u64(17);
     for _ in 0..5_000 {
         let text = [PLAIN, WITH_LENGTH, CHUNKED][random.random_range(0..3)];
@@ -270,7 +272,7 @@
     }
 }
 
-/// What became of a response that arrived in pieces.
+/// The result of reading a response that arrived in pieces.
 #[derive(Debug, PartialEq)]
 struct Outcome {
     status: Option<u16>,
@@ -281,7 +283,7 @@
     extra: usize,
 }
 
-fn respond(method: &str, pieces: &[&[u8]]) -> Result<Outcome, HttpError> {
+fn read_response(method: &str, pieces: &[&[u8]]) -> Result<Outcome, HttpError> {
     let mut reader = ResponseReader::new(method);
     let (mut inbox, mut body, mut complete) = (Vec::new(), Vec::new(), false);
     for piece in pieces {
@@ -301,8 +303,8 @@
     })
 }
 
-fn whole(text: &str) -> Outcome {
-    respond("GET", &[text.as_bytes()]).unwrap()
+fn read_at_once(text: &str) -> Outcome {
+    read_response("GET", &[text.as_bytes()]).unwrap()
 }
 
 #[rstest]
@@ -323,19 +325,22 @@
     true
 )]
 fn responses_are_read_at_every_split(#[case] text: &str, #[case] body: &str, #[case] reusable: bool) {
-    let at_once = whole(text);
+    let at_once = read_at_once(text);
     assert_eq!((at_once.body.as_slice(), at_once.complete), (body.as_bytes(), true));
     assert_eq!((at_once.reusable, at_once.extra), (reusable, 0));
     for split in 0..text.len() {
         let (first, rest) = text.as_bytes().split_at(split);
-        let cut = respond("GET", &[first]).unwrap();
-        assert!(!cut.complete && !cut.complete_at_close, "a cut at {split} looks whole");
-        assert_eq!(respond("GET", &[first, rest]).unwrap(), at_once, "{split}");
+        let truncated = read_response("GET", &[first]).unwrap();
+        assert!(
+            !truncated.complete && !truncated.complete_at_close,
+            "truncated at {split}, but looks complete"
+        );
+        assert_eq!(read_response("GET", &[first, rest]).unwrap(), at_once, "{split}");
     }
 }
 
 #[test]
-fn body_pieces_come_as_they_arrive() {
+fn body_bytes_are_returned_as_they_arrive() {
     let mut reader = ResponseReader::new("GET");
     let mut out = Vec::new();
     let first = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\na\r\nhel";
@@ -348,8 +353,8 @@
 }
 
 #[test]
-fn a_body_without_length_lasts_until_the_close() {
-    let outcome = whole("HTTP/1.1 200 OK\r\n\r\npart");
+fn a_body_without_length_ends_with_the_connection() {
+    let outcome = read_at_once("HTTP/1.1 200 OK\r\n\r\npart");
     assert_eq!(outcome.body, b"part");
     assert!(!outcome.complete && !outcome.reusable && outcome.complete_at_close);
 }
@@ -357,7 +362,7 @@
 #[test]
 fn responses_to_head_have_no_body() {
     let text = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n";
-    let outcome = respond("HEAD", &[text]).unwrap();
+    let outcome = read_response("HEAD", &[text]).unwrap();
     assert!(outcome.complete && outcome.body.is_empty() && outcome.reusable);
 }
 
@@ -365,8 +370,8 @@
 #[case("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "HTTP/1.1 200 OK\r\n")]
 #[case("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n", "x")]
 #[case("HTTP/1.1 204 No Content\r\n\r\n", "body")]
-fn bytes_behind_a_response_are_left(#[case] text: &str, #[case] extra: &str) {
-    let outcome = whole(&format!("{text}{extra}"));
+fn bytes_after_a_response_are_not_consumed(#[case] text: &str, #[case] extra: &str) {
+    let outcome = read_at_once(&format!("{text}{extra}"));
     assert!(outcome.complete);
     assert_eq!(outcome.extra, extra.len());
 }
@@ -381,14 +386,14 @@
 #[case::switched("HTTP/1.1 101 Switching Protocols\r\n\r\n")]
 #[case::folded("HTTP/1.1 200 OK\r\nX: a\r\n b\r\nContent-Length: 0\r\n\r\n")]
 #[case::space_before_colon("HTTP/1.1 200 OK\r\nContent-Length : 5\r\n\r\nhello")]
-fn bytes_that_are_no_response_are_refused(#[case] text: &str) {
-    assert!(respond("GET", &[text.as_bytes()]).is_err());
+fn malformed_responses_are_rejected(#[case] text: &str) {
+    assert!(read_response("GET", &[text.as_bytes()]).is_err());
 }
 
 #[test]
-fn heads_of_responses_are_bounded() {
+fn response_heads_are_bounded() {
     let text = format!("HTTP/1.1 200 OK\r\nX: {}", "x".repeat(HEADER_LIMIT));
-    assert_eq!(respond("GET", &[text.as_bytes()]).err(), Some(HttpError::HeaderTooLong));
+    assert_eq!(read_response("GET", &[text.as_bytes()]).err(), Some(HttpError::HeaderTooLong));
 }
 
 #[test]
@@ -421,13 +426,13 @@
 ) {
     let mut out = Vec::new();
     write_response(&mut out, status, headers, body, close);
-    let outcome = respond("GET", &[&out]).unwrap();
+    let outcome = read_response("GET", &[&out]).unwrap();
     assert_eq!((outcome.status, outcome.body.as_slice()), (Some(status), body));
     assert!(outcome.complete && outcome.reusable != close && outcome.extra == 0);
 }
 
 #[test]
-fn a_status_line_is_written_with_its_reason() {
+fn status_line_includes_the_reason_phrase() {
     let mut out = Vec::new();
     write_status_line(&mut out, 404);
     assert_eq!(out, b"HTTP/1.1 404 Not Found\r\n");
