--- a/crates/data-plane/src/admission.rs
+++ b/crates/data-plane/src/admission.rs
@@ -1,7 +1,8 @@
-//! Admission of clients' requests: route and tenant of each, both by one configuration.
+//! Admission of clients' requests: finds the route and the tenant of each request in one version of the configuration.
 //!
-//! To clients, "there is no such route" and "the key isn't known" are final. A gateway that may have missed a newer
-//! configuration, which may have the route or the key, therefore tells them to try again instead.
+//! The responses "no such route" (404) and "unknown key" (401) are final for a client. A gateway whose configuration may
+//! be outdated cannot know that: a newer configuration may have the route or the key. It responds with 503 instead, so
+//! that the client tries again.
 
 use orchidvalve_configuration::{RouteTable, RouteType};
 use orchidvalve_http::Request;
@@ -9,22 +10,22 @@
 use crate::authentication::{Authenticated, KeyRequirement, Unauthenticated, authenticate};
 use crate::requests::RETRY_AFTER;
 
-/// Silence of the control plane after which the configuration may be outdated, in milliseconds: more than two of its
-/// heartbeats.
+/// The configuration may be outdated after this long without a message from the control plane, in milliseconds. More than
+/// two of its heartbeats.
 const FEED_SILENCE_MS: u64 = 600;
 
-/// How the configuration of this gateway stands to the newest one.
+/// Whether the configuration of this gateway is up to date.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ConfigurationAge {
-    /// A control node would have sent a newer one by now.
+    /// The control node is in touch and would have sent a newer configuration by now.
     Current,
-    /// There may be a newer one.
+    /// There may be a newer configuration that this gateway hasn't received.
     MayBeOutdated,
 }
 
 impl ConfigurationAge {
-    /// The age at `now`; `last_message_at` is when a message last came from the control node that keeps the session, None
-    /// without one. Both in milliseconds of the steady clock.
+    /// Returns the age at `now`. `last_message_at` is when the last message arrived from the control node of the
+    /// session, or `None` without a session. Both are in milliseconds of the steady clock.
     pub fn of_feed(last_message_at: Option<u64>, now: u64) -> ConfigurationAge {
         match last_message_at {
             Some(at) if now <= at.saturating_add(FEED_SILENCE_MS) => ConfigurationAge::Current,
@@ -33,23 +34,23 @@
     }
 }
 
-/// A request that may run: by which route, and whose it is.
+/// An admitted request: its route and its caller.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct Admitted {
-    /// Index of its route in the table by which it was admitted.
+    /// Index of the request's route in the table by which it was admitted.
     pub route: usize,
-    /// Whose it is.
+    /// The tenant that the request belongs to, if any.
     pub caller: Authenticated,
 }
 
-/// Why a request isn't admitted. It has not run and never will.
+/// The reason why a request is not admitted. The request has not run and never will.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Refusal {
-    /// The configuration has no route for its host and path.
+    /// The configuration has no route for the request's host and path.
     NoRoute,
-    /// It carries no known key and needs one.
+    /// The route requires a key, and the request carries no known one.
     Unauthenticated,
-    /// One of these, by a configuration that may be outdated.
+    /// Either of the other reasons, found in a configuration that may be outdated.
     TryAgain,
 }
 
@@ -89,11 +90,11 @@
     }
 }
 
-/// Admits a request to its route.
+/// Looks up the route of a request and authenticates its caller.
 ///
 /// # Errors
 ///
-/// There is no route for it, or no tenant has its key.
+/// Returns an error if no route matches, or if the route requires a key and the request carries no known one.
 pub fn admit_request(
     request: &Request,
     table: &RouteTable,
@@ -106,11 +107,12 @@
     Ok(Admitted { route: route.index, caller })
 }
 
-/// Admits a call on a batch job. Its path has no route: the routes of its host say whether it needs a key.
+/// Authenticates a call about a batch job. The path of such a call has no route, so the routes of its host decide whether
+/// it needs a key.
 ///
 /// # Errors
 ///
-/// No tenant has its key.
+/// Returns an error if a key is required and the request carries no known one.
 pub fn admit_job_call(
     request: &Request,
     table: &RouteTable,
--- a/crates/data-plane/src/attempts.rs
+++ b/crates/data-plane/src/attempts.rs
@@ -1,9 +1,9 @@
-//! Tracks the attempts of a call (a client's request or a call about a batch job), to decide whether it may be
-//! attempted again and whether its caller may be promised that it has not run.
+//! Tracks the attempts of a call (a client's request or a call about a batch job), to decide whether the call may be
+//! attempted again and whether its client may be promised that it has not run.
 //!
-//! Both conclusions are values that nothing outside this module can make. An attempt takes an [`AttemptPermit`], a
-//! promise takes a [`NeverExecuted`]; so a call that isn't idempotent can't be attempted again by mistake, nor be
-//! promised not to run while an attempt is in flight or has ended in an unknown way.
+//! Both conclusions are types that only this module can construct. Starting an attempt requires an [`AttemptPermit`], and
+//! a promise requires a [`NeverExecuted`]. A call that isn't idempotent therefore cannot be attempted again by mistake,
+//! nor be promised not to run while an attempt is in flight or has ended with an unknown outcome.
 
 use orchidvalve_http::ResponseHead;
 
@@ -11,59 +11,61 @@
 use crate::upstream::Failure;
 pub use crate::upstream::Idempotency;
 
-/// Proof that one attempt didn't run and never will.
+/// Evidence that one attempt did not execute and never will.
 #[derive(Debug)]
 pub struct NotExecuted(());
 
 impl NotExecuted {
-    /// The connection never came up, so nothing was sent. After any other failure the call may have run.
+    /// Returns evidence if no connection could be established, as then nothing was sent. After any other failure the call
+    /// may have run.
     pub fn from_failure(failure: Failure) -> Option<NotExecuted> {
         (failure == Failure::Connect).then_some(NotExecuted(()))
     }
 
-    /// The server stated so in the head of its response; the body can't revoke that.
+    /// Returns evidence if the head of the response states that the server did not run the request. The rest of the
+    /// response cannot revoke that statement.
     pub fn from_response(head: &ResponseHead) -> Option<NotExecuted> {
         is_rejection(head).then_some(NotExecuted(()))
     }
 
-    /// A store stated that it has not executed the call and never will.
+    /// A store node stated that it has not executed the call and never will.
     pub(crate) fn from_store() -> NotExecuted {
         NotExecuted(())
     }
 }
 
-/// Permission for one attempt of a call. It can't be copied, and is used up by the attempt.
+/// Permission for one attempt of a call. It cannot be copied, and starting the attempt consumes it.
 #[derive(PartialEq, Eq, Debug)]
 pub struct AttemptPermit(Idempotency);
 
 impl AttemptPermit {
-    /// Whether the call that is attempted may run more than once.
+    /// Whether the attempted call may run more than once.
     pub fn idempotency(&self) -> Idempotency {
         self.0
     }
 }
 
-/// Proof that a call has not run and never will: none of its attempts has, and none is in flight.
+/// Evidence that a call has not run and never will: no attempt has executed, and none is in flight.
 #[derive(Debug)]
 pub struct NeverExecuted(());
 
-/// The attempts of one call.
+/// Tracks the attempts of one call.
 #[derive(Debug)]
 pub struct AttemptTracker {
     idempotency: Idempotency,
-    /// Attempts that have not ended.
+    /// The number of attempts that have not ended.
     in_flight: u32,
-    /// Some attempt has ended without proof that it didn't run.
+    /// Whether an attempt has ended without evidence that it did not execute.
     may_have_executed: bool,
 }
 
 impl AttemptTracker {
-    /// A call without attempts.
+    /// Creates the tracker of a call without attempts.
     pub fn new(idempotency: Idempotency) -> AttemptTracker {
         AttemptTracker { idempotency, in_flight: 0, may_have_executed: false }
     }
 
-    /// Begins one more attempt; None where the call isn't idempotent and may have run.
+    /// Begins another attempt. Returns `None` if the call isn't idempotent and may have run.
     pub fn begin(&mut self) -> Option<AttemptPermit> {
         let allowed = self.is_idempotent() || self.never_executed().is_some();
         allowed.then(|| {
@@ -72,7 +74,7 @@
         })
     }
 
-    /// An attempt has ended; `proof` says that it surely didn't run.
+    /// Records that an attempt has ended; `proof` is evidence that it did not execute.
     pub fn end(&mut self, proof: Option<NotExecuted>) {
         self.in_flight = self.in_flight.saturating_sub(1);
         self.may_have_executed |= proof.is_none();
@@ -83,7 +85,7 @@
         self.idempotency == Idempotency::Idempotent
     }
 
-    /// Proof that the call has not run and never will, where that is so.
+    /// Returns evidence that the call has not run and never will, or `None` if it may have run or may still run.
     pub fn never_executed(&self) -> Option<NeverExecuted> {
         (self.in_flight == 0 && !self.may_have_executed).then_some(NeverExecuted(()))
     }
--- a/crates/data-plane/src/authentication.rs
+++ b/crates/data-plane/src/authentication.rs
@@ -1,39 +1,39 @@
-//! Authentication of clients' requests: the tenant that a request belongs to, by the API key that it carries as
-//! bearer token (RFC 6750, section 2.1). Keys are secrets: no value made here holds one.
+//! Authentication of clients' requests: finds the tenant of a request by the API key that the request carries as a bearer
+//! token (RFC 6750, section 2.1). Keys are secrets, so no value of this module contains one.
 
 use compact_str::CompactString;
 use orchidvalve_configuration::TenantTable;
 use orchidvalve_http::Headers;
 
-/// Header in which clients send their key.
+/// The header in which clients send their API key.
 const AUTHORIZATION_HEADER: &str = "authorization";
-/// Header in which servers are told the tenant.
+/// The header that names the tenant to servers.
 pub const TENANT_HEADER: &str = "Tenant";
-/// Scheme of the credentials; its case doesn't matter (RFC 9110, section 11.1).
+/// The authentication scheme, compared case-insensitively (RFC 9110, section 11.1).
 const BEARER_SCHEME: &str = "bearer";
 
-/// Whether a request needs a key where the configuration has tenants.
+/// Whether a request needs an API key if the configuration has tenants.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum KeyRequirement {
-    /// It does.
+    /// A known key is required.
     Required,
-    /// It doesn't, but a known key still names its tenant.
+    /// No key is required, but a known one still identifies the tenant.
     Optional,
 }
 
-/// Whose request it is. Fixed when the request begins, whatever happens to the key later.
+/// The caller of a request. It is determined when the request begins; later changes of the key have no effect on it.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Authenticated {
-    /// The configuration has no tenants: servers get the headers as the client sent them.
+    /// The configuration has no tenants: servers receive the headers as the client sent them.
     WithoutTenants,
-    /// Nobody's in particular: the request carries no known key and needs none.
+    /// The request belongs to no tenant: it carries no known key and needs none.
     Public,
-    /// That of the tenant with this name.
+    /// The request belongs to the tenant with this name.
     Tenant(CompactString),
 }
 
 impl Authenticated {
-    /// Name of the tenant, if there is one.
+    /// Returns the name of the tenant, if the request belongs to one.
     pub fn tenant(&self) -> Option<&str> {
         match self {
             Authenticated::Tenant(name) => Some(name),
@@ -41,26 +41,26 @@
         }
     }
 
-    /// Whether a header of the client is kept from servers: its key, and what it says of its tenant itself.
+    /// Whether a header of the client must not be forwarded to servers because it carries its key or claims a tenant.
     pub fn withholds(&self, header: &str) -> bool {
         *self != Authenticated::WithoutTenants && is_credential(header)
     }
 }
 
-/// The request carries no known key and needs one.
+/// The error that a request needs a key and carries no known one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Unauthenticated;
 
-/// Whether a header says whose a request is: only this system may tell servers.
+/// Whether a header identifies the caller of a request. Only the gateway may send such headers to servers.
 pub fn is_credential(header: &str) -> bool {
     header.eq_ignore_ascii_case(AUTHORIZATION_HEADER) || header.eq_ignore_ascii_case(TENANT_HEADER)
 }
 
-/// The tenant of a request with these headers; `tenants` are those of the configuration by which it is routed.
+/// Returns the caller of a request with these headers. `tenants` are those of the configuration that routes the request.
 ///
 /// # Errors
 ///
-/// A key is required, and the headers hold none, several, or one that no tenant has.
+/// Returns an error if a key is required and the headers hold no key, several, or an unknown one.
 pub fn authenticate(
     headers: &Headers,
     tenants: Option<&TenantTable>,
@@ -74,7 +74,7 @@
     }
 }
 
-/// The key of the only `Authorization` header. Several such headers could be understood in several ways.
+/// Returns the key in the only `Authorization` header. Several such headers would be ambiguous and yield `None`.
 fn bearer_key(headers: &Headers) -> Option<&str> {
     let mut lines = headers.iter().filter(|(name, _)| name.eq_ignore_ascii_case(AUTHORIZATION_HEADER));
     let (_, credentials) = lines.next()?;
--- a/crates/data-plane/src/backoff.rs
+++ b/crates/data-plane/src/backoff.rs
@@ -1,19 +1,19 @@
-//! Growing pauses after failures.
+//! Exponential backoff after failures.
 
-/// The pause doubles so often at most; it is at its bound by then.
+/// The largest number of doublings. Every pause in use reaches its upper bound before that.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// A pause that doubles with every failure up to a bound (exponential backoff).
+/// A pause that doubles with each failure, up to an upper bound (exponential backoff).
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Backoff {
-    /// Pause after the first failure, in milliseconds.
+    /// The pause after the first failure, in milliseconds.
     pub first_ms: u64,
     /// The longest pause, in milliseconds.
     pub max_ms: u64,
 }
 
 impl Backoff {
-    /// The pause after a failure that so many others went before, in milliseconds.
+    /// Returns the pause in milliseconds after a failure that was preceded by this many others.
     pub fn after_ms(self, earlier_failures: u32) -> u64 {
         (self.first_ms << earlier_failures.min(MAX_DOUBLINGS)).min(self.max_ms)
     }
--- a/crates/data-plane/src/balancer/failure_accrual.rs
+++ b/crates/data-plane/src/balancer/failure_accrual.rs
@@ -1,13 +1,13 @@
-//! What counts towards the ejection of a server, and how long it is ejected (outlier detection, as of Envoy).
+//! Failure accrual: which failures eject a server, and for how long (outlier detection as in Envoy).
 
 use crate::backoff::Backoff;
 
-/// How long a server that failed is ejected.
+/// How long a server that failed is ejected: 60 ms at first, doubling up to one second.
 const EJECTION: Backoff = Backoff { first_ms: 60, max_ms: 1_000 };
-/// A server that returns so many errors of its own in a row is ejected.
+/// A server is ejected after this many consecutive error responses of its own.
 const CONSECUTIVE_ERRORS: u32 = 3;
 
-/// Failures of one server since its last success.
+/// The failures of one server since its last success.
 #[derive(Clone, Default, Debug)]
 pub(super) struct FailureAccrual {
     failures: u32,
@@ -24,13 +24,13 @@
         *self = FailureAccrual::default();
     }
 
-    /// Counts an error that the server returned; whether it has to be ejected for that.
+    /// Counts an error response of the server. Returns whether the server has to be ejected.
     pub fn returned_error(&mut self) -> bool {
         self.consecutive_errors += 1;
         self.consecutive_errors >= CONSECUTIVE_ERRORS
     }
 
-    /// Ejects the server, unless it is already; whether it did.
+    /// Ejects the server unless it is already ejected. Returns whether it was ejected now.
     pub fn eject(&mut self, now: u64) -> bool {
         if self.is_ejected(now) {
             return false;
--- a/crates/data-plane/src/balancer/mod.rs
+++ b/crates/data-plane/src/balancer/mod.rs
@@ -1,5 +1,5 @@
-//! The gateway's view of its upstream servers: the feed's table with what this gateway sees of each of them, and the
-//! choice of one for a request.
+//! The gateway's view of its upstream servers: the server table received from the control node together with what this
+//! gateway observes of each server, and the choice of a server for each request.
 
 mod failure_accrual;
 mod slot_share;
@@ -15,43 +15,43 @@
 pub use self::slot_share::slot_share;
 pub use self::upstream::{ServerKey, Success, Upstream};
 
-/// A response that took so many times as long as is usual at its service is slow.
+/// A response is slow if it took this many times the usual latency of its service.
 const SLOW_FACTOR: f64 = 3.0;
-/// Weight of a new latency in what is usual.
+/// The weight of a new latency in the moving average that gives the usual latency.
 const LATENCY_WEIGHT: f64 = 0.1;
 
-/// Order in which servers are picked, best first. The derived order goes by the fields in this order.
+/// The rank of a server; the lowest one is picked. The derived order compares the fields in their order of declaration.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
     ejected: bool,
     in_flight: u32,
     other_zone: bool,
-    /// No connection to it is kept, or its last response was slow.
+    /// Whether no idle connection to the server is kept, or its last response was slow.
     no_warm_connection: bool,
 }
 
-/// Chooses among all servers: fewest exchanges of this gateway first.
+/// Chooses a server for each request: the one with the fewest exchanges of this gateway.
 #[derive(Default, Debug)]
 pub struct Balancer {
     keys: HashMap<String, ServerKey>,
     upstreams: HashMap<ServerKey, Upstream>,
     by_service: HashMap<CompactString, Vec<ServerKey>>,
-    /// Usual latency of each service, in milliseconds.
+    /// The usual latency of each service, in milliseconds.
     latencies: HashMap<String, f64>,
     last_key: u32,
 }
 
-/// What an update of the server table changed.
+/// The changes that an update of the server table made.
 #[derive(Default, Debug)]
 pub struct BalancerChange {
-    /// Servers that are new or changed.
+    /// The keys of servers that were added or whose entries changed.
     pub changed: Vec<ServerKey>,
-    /// Servers that are no longer listed.
+    /// The keys of servers that are no longer listed.
     pub removed: Vec<ServerKey>,
 }
 
 impl Balancer {
-    /// Takes over the server table.
+    /// Replaces the server table.
     pub fn update(&mut self, table: &ServerTable) -> BalancerChange {
         let mut change = BalancerChange::default();
         let unlisted: Vec<String> =
@@ -87,7 +87,7 @@
         key
     }
 
-    /// In the order of the keys, so that ties are broken by the random numbers alone.
+    /// Rebuilds the index by service. The keys are sorted, so that ties are broken by the random numbers alone.
     fn index_by_service(&mut self) {
         self.by_service.clear();
         for upstream in self.upstreams.values() {
@@ -96,21 +96,23 @@
         self.by_service.values_mut().for_each(|keys| keys.sort_unstable());
     }
 
-    /// All servers, in the order of their keys.
+    /// Returns the keys of all servers, in ascending order.
     pub fn keys(&self) -> Vec<ServerKey> {
         let mut keys: Vec<ServerKey> = self.upstreams.keys().copied().collect();
         keys.sort_unstable();
         keys
     }
 
-    /// What is known of a server; None once it is no longer listed.
+    /// Returns the state of a server, or `None` if it is no longer listed.
     pub fn get(&self, key: ServerKey) -> Option<&Upstream> {
         self.upstreams.get(&key)
     }
 
-    /// The server with the fewest exchanges of this gateway; then one of this zone; then one to which a connection is
-    /// kept, unless its last response was slow; ties at random. Servers in `excluded` and draining ones aren't picked;
-    /// ejected ones only where there is no other.
+    /// Picks a server of a service, or returns `None` if there is none that may be picked.
+    ///
+    /// Prefers the server with the fewest exchanges of this gateway, then one in the same zone, then one to which an idle
+    /// connection is kept and whose last response wasn't slow; ties are broken at random. Draining servers and those in
+    /// `excluded` are never picked, ejected ones only if there is no other.
     pub fn pick(
         &self,
         service: &str,
@@ -143,27 +145,27 @@
         best.map(|(upstream, _)| upstream.key)
     }
 
-    /// Exchanges of this gateway with all servers of a service.
+    /// Returns the number of exchanges that this gateway has in flight with all servers of a service.
     pub fn in_flight(&self, service: &str) -> u32 {
         let keys = self.by_service.get(service).into_iter().flatten();
         keys.filter_map(|key| self.upstreams.get(key)).map(|upstream| upstream.in_flight).sum()
     }
 
-    /// An exchange with the server begins.
+    /// Records that an exchange with the server begins.
     pub fn begin_exchange(&mut self, key: ServerKey) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.in_flight += 1;
         }
     }
 
-    /// An exchange with the server is over.
+    /// Records that an exchange with the server has ended.
     pub fn end_exchange(&mut self, key: ServerKey) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.in_flight = upstream.in_flight.saturating_sub(1);
         }
     }
 
-    /// The server responded well.
+    /// Records a response that isn't a server error.
     pub fn succeeded(&mut self, key: ServerKey, success: Success) {
         let Some(upstream) = self.upstreams.get_mut(&key) else { return };
         let latency_ms = success.latency_ms as f64;
@@ -173,21 +175,21 @@
         upstream.succeeded(success, is_slow);
     }
 
-    /// The server responded with an error of its own.
+    /// Records an error response of the server itself (5xx).
     pub fn returned_error(&mut self, key: ServerKey, now: u64) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.returned_error(now);
         }
     }
 
-    /// The server didn't respond, or rejected the request. Failures while it is ejected lengthen the ejection once.
+    /// Records that the server didn't respond, or rejected the request. Failures during an ejection don't lengthen it.
     pub fn failed(&mut self, key: ServerKey, now: u64) {
         if let Some(upstream) = self.upstreams.get_mut(&key) {
             upstream.failed(now);
         }
     }
 
-    /// The server told its load in the header `Instance-Load`: running, waiting, slots.
+    /// Records the load that the server reports in the header `Instance-Load`: requests running, requests waiting, slots.
     pub fn record_load(&mut self, key: ServerKey, load: &str) {
         let waiting = load.split(',').nth(1).and_then(|waiting| waiting.trim().parse().ok());
         if let (Some(upstream), Some(waiting)) = (self.upstreams.get_mut(&key), waiting) {
--- a/crates/data-plane/src/balancer/slot_share.rs
+++ b/crates/data-plane/src/balancer/slot_share.rs
@@ -1,11 +1,12 @@
-//! Division of a server's slots among the gateways that run generations.
+//! Division of a server's slots among the workers, which are the gateways that run generations.
 
 use orchidvalve_protocol::identity::NodeAddress;
 use orchidvalve_protocol::rendezvous;
 
-/// A worker's share of a server's slots, where `workers` share them: the slots are dealt out in an order of the workers
-/// that differs from server to server, so the shares of all workers add up to the slots. None for a gateway that isn't
-/// a worker.
+/// Returns the number of a server's slots that belong to `gateway`, or `None` if it isn't one of `workers`.
+///
+/// The slots are dealt out to the workers in an order that differs from server to server (rendezvous hashing), so the
+/// quotas of all workers add up to the number of slots.
 pub fn slot_share(slots: u32, workers: &[NodeAddress], gateway: NodeAddress, instance: &str) -> Option<u32> {
     if !workers.contains(&gateway) {
         return None;
--- a/crates/data-plane/src/balancer/upstream.rs
+++ b/crates/data-plane/src/balancer/upstream.rs
@@ -1,4 +1,4 @@
-//! One server as this gateway sees it.
+//! The state of one server as seen by this gateway.
 
 use std::net::SocketAddrV4;
 
@@ -6,36 +6,37 @@
 
 use super::failure_accrual::FailureAccrual;
 
-/// Number of one start of a server at this gateway; never used twice.
+/// Identifies one incarnation of a server within this gateway; never reused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ServerKey(pub u32);
 
-/// A response that counts as a success.
+/// A response that counts as a success of its server.
 #[derive(Clone, Copy, Debug)]
 pub struct Success {
-    /// When it was complete.
+    /// When the response was complete, in milliseconds of the steady clock.
     pub at: u64,
-    /// How long it took, in milliseconds.
+    /// The time from the start of the attempt to the complete response, in milliseconds.
     pub latency_ms: u64,
-    /// How long its connection is kept, in milliseconds.
+    /// How long the connection is kept alive after the response, in milliseconds.
     pub keep_alive_ms: u64,
 }
 
-/// One start of a server.
+/// One incarnation of a server.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// Its number.
+    /// Identifies the incarnation.
     pub key: ServerKey,
-    /// What the server table says of it.
+    /// The server's entry in the server table.
     pub entry: ServerEntry,
-    /// Where it listens.
+    /// The address on which the server listens.
     pub address: SocketAddrV4,
-    /// Exchanges of this gateway with it.
+    /// The number of exchanges that this gateway has in flight with the server.
     pub in_flight: u32,
-    /// Requests waiting there, by its latest response.
+    /// The number of requests queued at the server, according to its latest response.
     pub queued: u32,
     accrual: FailureAccrual,
-    /// Up to then a connection of this gateway to it is kept, and its last response wasn't slow.
+    /// The time until which an idle connection to the server is expected to be kept; 0 if its last response was slow or the
+    /// server failed.
     warm_until: u64,
 }
 
--- a/crates/data-plane/src/batch_calls.rs
+++ b/crates/data-plane/src/batch_calls.rs
@@ -1,8 +1,8 @@
-//! Calls about batch jobs: from a client's request to the stores and back.
+//! Calls about batch jobs: forwards clients' requests to the store nodes and returns their responses.
 //!
-//! A call goes to a member of the job's partition. Where a store can't be sure, or the link to it breaks, the
-//! call is retried within its time: stores take a job once and end it once. A submission or an end whose outcome
-//! isn't known is never answered with a status that promises that it hasn't been done.
+//! A call is sent to a member of the job's store partition. If a store node cannot give a definite response, or the link
+//! to it breaks, the call is retried until its timeout; store nodes accept a job once and end it once. A submission or an
+//! end of a job with an unknown outcome never gets a status that promises that it has not been executed.
 
 use std::collections::HashMap;
 
@@ -14,23 +14,23 @@
 use crate::attempts::{AttemptTracker, Idempotency, NeverExecuted, NotExecuted};
 use crate::store_links::OutboundMessage;
 
-/// Identifies a pending call. Sent to the stores as the request id, and echoed in their responses.
+/// Identifies a pending call. Sent to the store nodes as the request id, and echoed in their responses.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct CallId(pub u64);
 
-/// Path under which results are read and jobs are ended.
+/// The path prefix of calls that read a job's results or end the job.
 pub const JOBS_PREFIX: &str = "/v1/lots/";
-/// Path under which bodies of items are read.
+/// The path prefix of calls that read the body of an item.
 pub const ITEMS_PREFIX: &str = "/v1/items/";
-/// Timeout of a submission, in milliseconds. After it the outcome is answered as unknown.
+/// Timeout of a submission, in milliseconds. The response after it says that the outcome is unknown.
 const SUBMIT_TIMEOUT_MS: u64 = 1_500;
-/// Timeout of any other call, in milliseconds, added to the wait that its caller allows.
+/// Timeout of any other call, in milliseconds. Added to the wait that the client allows.
 const READ_TIMEOUT_MS: u64 = 1_200;
 /// Delay before a call is retried, in milliseconds.
 const RETRY_MS: u64 = 60;
-/// `Retry-After` of a submission that was sent to no store, in milliseconds.
+/// `Retry-After` of a submission that was sent to no store node, in milliseconds.
 const UNSENT_RETRY_AFTER_MS: u32 = 300;
-/// Timeout of one attempt at a store, in milliseconds. After it another member of the partition is tried.
+/// Timeout of one attempt at a store node, in milliseconds. After it another member of the partition is tried.
 const ATTEMPT_TIMEOUT_MS: u64 = 600;
 
 /// The operation of a call.
@@ -38,16 +38,16 @@
 pub enum BatchCall {
     /// Submits a job.
     Submit {
-        /// The job, encoded as stores keep it.
+        /// The job, encoded as the store nodes keep it.
         job: Vec<u8>,
-        /// When it was received, in milliseconds of the wall clock.
+        /// When the job was received, in milliseconds of the wall clock.
         received_at_ms: u64,
     },
     /// Reads results.
     Read {
         /// Only results with a higher sequence number are returned.
         after: u64,
-        /// How long the store may wait for the first of them, in milliseconds.
+        /// How long the store node may wait for the first result, in milliseconds.
         wait_ms: u32,
     },
     /// Reads the body of an item.
@@ -64,24 +64,24 @@
 pub enum BatchResponse {
     /// The job is committed.
     Accepted,
-    /// The job was not accepted, and nothing of it runs or will run.
+    /// The job was not accepted, and no part of it has run or will run.
     Rejected {
-        /// Proof that no attempt of the submission was accepted.
+        /// Evidence that no attempt of the submission was accepted.
         proof: NeverExecuted,
-        /// When the client may try again, in milliseconds.
+        /// The time after which the client may try again, in milliseconds.
         retry_after_ms: u32,
     },
-    /// Whether the job was accepted or ended isn't known; the status of the response promises neither.
+    /// It is unknown whether the job was accepted or ended. The status of the response promises neither.
     OutcomeUnknown,
     /// There is no such job or item.
     NotFound,
-    /// No store can give a definite response now.
+    /// No store node can give a definite response now.
     Unavailable,
     /// Results of a job.
     Results {
-        /// How many items the job has.
+        /// The number of items in the job.
         total: u32,
-        /// Sequence number before the first of the results.
+        /// The sequence number that precedes the first of the results.
         after: u64,
         /// The results.
         outcomes: Vec<ItemOutcome>,
@@ -94,11 +94,11 @@
     OtherTenant,
 }
 
-/// An attempt of a call at a store.
+/// An attempt of a call at a store node.
 #[derive(Clone, Copy, Debug)]
 struct Attempt {
     store: NodeAddress,
-    /// When the call is attempted at another store.
+    /// When the call is attempted at another store node.
     times_out_at: u64,
 }
 
@@ -106,14 +106,14 @@
 struct PendingCall {
     /// Id of the job.
     job: String,
-    /// Tenant of the caller.
+    /// The tenant of the client, if any.
     tenant: Option<String>,
     call: BatchCall,
     deadline: u64,
     in_flight: Option<Attempt>,
     retry_at: u64,
     attempts: usize,
-    /// What is known of the attempts so far. A store may receive the message of an attempt more than once.
+    /// The attempts so far. A store node may receive the message of one attempt more than once.
     tracker: AttemptTracker,
 }
 
@@ -133,18 +133,18 @@
     last: u64,
 }
 
-/// The partition of a job.
+/// Returns the store partition of a job.
 pub fn partition_of(job: &str, partitions: usize) -> u16 {
     (fingerprint(job.as_bytes()) % partitions.max(1) as u64) as u16
 }
 
 impl BatchCalls {
-    /// The number of pending calls.
+    /// Returns the number of pending calls.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// Begins a call of a tenant about the job `job`; it is sent with the next [`BatchCalls::tick`].
+    /// Begins a tenant's call about the job `job`. It is sent with the next [`BatchCalls::tick`].
     pub fn begin(&mut self, now: u64, job: &str, tenant: Option<&str>, call: BatchCall) -> CallId {
         self.last += 1;
         let id = CallId(self.last);
@@ -152,13 +152,13 @@
         id
     }
 
-    /// The client has disconnected: the call is dropped. A submission that was sent may still be accepted.
+    /// Drops a call whose client has disconnected. If it is a submission that was sent, the job may still be accepted.
     pub fn remove(&mut self, call: CallId) {
         self.pending.remove(&call);
     }
 
-    /// Expires calls and begins the attempts that are due. `is_up` tells whether the link to a store is up, `same_zone`
-    /// whether a store is in this gateway's zone.
+    /// Expires calls and begins the attempts that are due. `is_up` returns whether the link to a store node is up,
+    /// `same_zone` whether a store node is in this gateway's zone.
     pub fn tick(
         &mut self,
         now: u64,
@@ -192,19 +192,22 @@
         }
     }
 
-    /// The process ends now: every pending call is given its final response.
+    /// Ends every pending call with its final response, as the process is about to exit.
     pub fn end_all(&mut self) -> Vec<CallResponse> {
         let response =
             |(call, pending): (CallId, PendingCall)| CallResponse { call, response: pending.expire() };
         self.pending.drain().map(response).collect()
     }
 
-    /// A store has responded. A response of a kind that doesn't fit the call's operation is ignored.
+    /// Handles a store node's response. Returns the response to the client, or `None` if the call is still pending. A
+    /// response of a kind that doesn't fit the call's operation is ignored.
     pub fn answered(&mut self, now: u64, call: CallId, answer: StoreResponse) -> Option<BatchResponse> {
         let pending = self.pending.get_mut(&call)?;
         if !pending.call.allows(&answer) {
             let CallId(number) = call;
-            log::warn!("jobs: a store gave call {number} the answer to another one; check its version");
+            log::warn!(
+                "jobs: store node sent a response of the wrong kind to call {number}; check its version"
+            );
             return None;
         }
         let is_rejected = matches!(answer, StoreResponse::Rejected { .. });
@@ -213,7 +216,7 @@
             StoreResponse::Accepted => BatchResponse::Accepted,
             StoreResponse::Rejected { retry_after_ms } => match pending.tracker.never_executed() {
                 Some(proof) => BatchResponse::Rejected { proof, retry_after_ms },
-                // This store surely didn't take it, but an earlier attempt may have been taken elsewhere.
+                // This store node didn't accept the job, but an earlier attempt may have been accepted elsewhere.
                 None => {
                     pending.retry_at = now + RETRY_MS;
                     return None;
@@ -236,7 +239,7 @@
         Some(response)
     }
 
-    /// The link to a store broke: calls in flight there are retried at once.
+    /// Handles the loss of the link to a store node: calls in flight there are retried at once.
     pub fn store_lost(&mut self, now: u64, store: NodeAddress) {
         for pending in self.pending.values_mut() {
             if pending.in_flight.is_some_and(|attempt| attempt.store == store) {
@@ -246,14 +249,14 @@
         }
     }
 
-    /// When [`BatchCalls::tick`] has to be called next.
+    /// Returns when [`BatchCalls::tick`] has to be called next.
     pub fn next_wakeup(&self) -> u64 {
         self.pending.values().map(PendingCall::next_due).min().unwrap_or(u64::MAX)
     }
 }
 
 impl BatchCall {
-    /// Whether the answer is of a kind that fits this operation.
+    /// Whether a response is of a kind that fits this operation.
     fn allows(&self, answer: &StoreResponse) -> bool {
         match answer {
             StoreResponse::Accepted | StoreResponse::Rejected { .. } | StoreResponse::OutcomeUnknown => {
@@ -287,7 +290,7 @@
         }
     }
 
-    /// Whether a store has to be asked now; an attempt that has timed out ends.
+    /// Whether an attempt is due. An attempt in flight that has timed out is ended.
     fn is_due(&mut self, now: u64) -> bool {
         if let Some(attempt) = self.in_flight {
             if now < attempt.times_out_at {
@@ -298,12 +301,12 @@
         now >= self.retry_at
     }
 
-    /// When [`PendingCall::is_due`] or the deadline has to be looked at next.
+    /// Returns when [`PendingCall::is_due`] or the deadline has to be checked next.
     fn next_due(&self) -> u64 {
         self.deadline.min(self.in_flight.map_or(self.retry_at, |attempt| attempt.times_out_at))
     }
 
-    /// The call is sent to a store; false where it may not be.
+    /// Begins an attempt at a store node. Returns false if the call must not be attempted again.
     fn begin_attempt(&mut self, now: u64, store: NodeAddress) -> bool {
         if self.tracker.begin().is_none() {
             return false;
@@ -314,14 +317,14 @@
         true
     }
 
-    /// The store that was asked has answered, or isn't waited for any more.
+    /// Ends the attempt in flight, whose store node has responded or is no longer waited for.
     fn end_attempt(&mut self, proof: Option<NotExecuted>) {
         self.in_flight = None;
         self.tracker.end(proof);
     }
 
-    /// Submissions and ends enter at the head; reads go to a member of this zone where there is one, and to
-    /// the next one with every further attempt.
+    /// Picks the store node for the next attempt. Submissions and ends are sent to the head of the partition. Reads are
+    /// sent to a member in this zone if there is one, and to the next member with every further attempt.
     fn pick(
         &self,
         members: &[NodeAddress],
@@ -341,8 +344,8 @@
         }
     }
 
-    /// How long a store may wait until there is something to tell, in milliseconds: what is left of the time that the
-    /// caller allows. A read that is attempted again after that is answered at once, before this gateway has to end it.
+    /// Returns how long a store node may wait for results, in milliseconds: the time left of the wait that the client
+    /// allows. A read that is attempted after that gets its response immediately, before this gateway has to end it.
     fn wait_left_ms(&self, now: u64) -> u64 {
         match self.call {
             BatchCall::Read { .. } => self.deadline.saturating_sub(READ_TIMEOUT_MS + now),
@@ -376,7 +379,7 @@
         }
     }
 
-    /// What the client is told at the deadline. A submission or an end that was sent may have been done.
+    /// Returns the response at the deadline. A submission or an end that was sent may have been executed.
     fn expire(&self) -> BatchResponse {
         match (&self.call, self.tracker.never_executed()) {
             (BatchCall::Submit { .. }, Some(proof)) => {
--- a/crates/data-plane/src/clients.rs
+++ b/crates/data-plane/src/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients: requests are read one after the other and answered in order (RFC 9112, section 9.3.2).
+//! Client connections: requests are read one at a time and responded to in order (RFC 9112, section 9.3.2).
 
 use std::collections::HashMap;
 
@@ -13,26 +13,25 @@
 use crate::response_class::forwarded_headers;
 use crate::startup_queue::QueuedId;
 
-/// Time after which a response that was written has arrived at its client, in milliseconds.
+/// The time after which a written response is assumed to have reached its client, in milliseconds.
 const RESPONSE_DELIVERY_MS: u64 = 200;
-/// Time between two sweeps for connections that have timed out, in milliseconds.
+/// The interval between two sweeps for connections that have timed out, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 100;
 
-/// Least time after which an idle connection of the platform's readiness checks is closed, in milliseconds: many times
-/// the second after which the platform asks again. Closed at that very moment, the connection would meet the next
-/// question, which would count as a miss.
+/// The minimum idle timeout of connections for the platform's readiness checks, in milliseconds. It is many times the
+/// platform's check interval of one second: a connection closed just when the next check arrives would make that check
+/// fail.
 const MIN_READINESS_IDLE_TIMEOUT_MS: u64 = 10_000;
 
-/// Time after which an idle connection of the platform's readiness checks is closed, where clients may be idle for
-/// `client_idle_ms`.
+/// Returns the idle timeout of connections for the platform's readiness checks in milliseconds, given that of clients.
 pub fn readiness_idle_timeout_ms(client_idle_ms: u64) -> u64 {
     client_idle_ms.max(MIN_READINESS_IDLE_TIMEOUT_MS)
 }
 
-/// What a client's connection is busy with.
+/// The work that a client's connection is busy with.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub enum Busy {
-    /// A request that waits for a configuration and servers.
+    /// A request that waits for a configuration and a server table.
     Queued(QueuedId),
     /// A request that is forwarded to servers.
     Request(RequestId),
@@ -47,9 +46,9 @@
     keep_alive: bool,
     head_request: bool,
     attempt_id: Option<String>,
-    /// Part of the next request was received.
+    /// Whether part of the next request was received.
     receiving: bool,
-    /// Since when the connection is idle, or since when a request is being received.
+    /// When the connection became idle, or when the first byte of the request being received arrived.
     waiting_since: u64,
     /// When the first byte of the last complete request was received.
     first_byte_at: u64,
@@ -58,7 +57,7 @@
 }
 
 impl Client {
-    /// Whether the connection ends with its next response.
+    /// Whether the connection closes after its next response.
     fn closes_after_response(&self, draining: bool) -> bool {
         !self.keep_alive || draining
     }
@@ -69,36 +68,36 @@
     }
 }
 
-/// All connections of clients.
+/// All client connections.
 #[derive(Default, Debug)]
 pub struct Clients {
     clients: HashMap<ConnectionId, Client>,
     by_work: HashMap<Busy, ConnectionId>,
-    /// Graceful shutdown: connections end with their next response.
+    /// Whether the gateway is shutting down gracefully: connections close after their next response.
     draining: bool,
-    /// Connections that were ended while draining, and whose last responses may still be on their way.
+    /// Connections that were closed while draining and may still have response bytes to send.
     closed: Vec<ConnectionId>,
     next_sweep_at: u64,
 }
 
-/// What was read from a client.
+/// The result of reading from a client's connection.
 #[derive(Debug)]
 pub enum ReadOutcome {
     /// A complete request.
     Request(Request),
-    /// The bytes are no request: a response with this status ends the connection.
+    /// The bytes are not an acceptable request: the error response ends the connection.
     Malformed(HttpError),
-    /// No complete request is there.
+    /// No complete request is available.
     Incomplete,
 }
 
-/// Whether part of a request is there; empty lines before one are none.
+/// Whether the bytes contain the beginning of a request. Empty lines before a request don't count.
 fn begins_request(bytes: &[u8]) -> bool {
     !bytes.iter().all(|byte| matches!(byte, b'\r' | b'\n'))
 }
 
-/// Status of the response to bytes that are no request. A gateway that knows no configuration can't know what is too
-/// long.
+/// Returns the status of the response to a malformed request. A gateway without a configuration doesn't know the size
+/// limits, so for a message that is too long it responds with 503.
 pub fn malformed_status(error: HttpError, knows_limits: bool) -> u16 {
     match error {
         HttpError::HeaderTooLong | HttpError::BodyTooLong if !knows_limits => 503,
@@ -106,7 +105,7 @@
     }
 }
 
-/// Writes the head of a server's response but for its framing; `close` says that the connection ends with it.
+/// Writes the head of a server's response without its framing. `close` announces that the connection ends afterwards.
 fn write_forwarded_head(outbox: &mut Vec<u8>, head: &ResponseHead, close: bool) {
     write_status_line(outbox, head.status);
     for (name, value) in forwarded_headers(&head.headers) {
@@ -118,7 +117,7 @@
 }
 
 impl Clients {
-    /// A client has connected.
+    /// Adds the connection of a client.
     pub fn accepted(&mut self, connection: ConnectionId, now: u64) {
         let client = Client {
             reader: RequestReader::default(),
@@ -134,12 +133,12 @@
         self.clients.insert(connection, client);
     }
 
-    /// Whether the connection is a client's.
+    /// Whether the connection belongs to a client.
     pub fn contains(&self, connection: ConnectionId) -> bool {
         self.clients.contains_key(&connection)
     }
 
-    /// The number of connections.
+    /// Returns the number of connections.
     pub fn len(&self) -> usize {
         self.clients.len()
     }
@@ -149,7 +148,7 @@
         self.clients.is_empty()
     }
 
-    /// From now on connections end with their next response; idle ones end now.
+    /// Starts draining: idle connections are closed now, all others after their next response.
     pub fn begin_draining(&mut self, network: &mut Network, now: u64) {
         self.draining = true;
         let idle: Vec<ConnectionId> =
@@ -162,9 +161,11 @@
         }
     }
 
-    /// Closes an idle connection. The next request may be on its way, and must not be read any more: its client may
-    /// repeat a request that isn't idempotent only if this process hasn't read it. So the connection is reset; one whose
-    /// last response may still be on its way is closed in order, since a reset would discard that response.
+    /// Closes an idle connection.
+    ///
+    /// The client's next request may already be on its way and must not be read any more, as the client may repeat a
+    /// request that isn't idempotent only if this process hasn't read it. The connection is therefore reset. If its last
+    /// response may still be in transit, it is closed in order instead, as a reset would discard that response.
     fn close_idle(&mut self, network: &mut Network, connection: ConnectionId, now: u64) {
         let Some(client) = self.clients.remove(&connection) else { return };
         if client.has_received_response(now) && network.queued_bytes(connection) == 0 {
@@ -174,18 +175,18 @@
         }
     }
 
-    /// Whether part of a request has come on some connection.
+    /// Whether part of a request was received on any connection.
     pub fn is_receiving(&self) -> bool {
         self.clients.values().any(|client| client.receiving)
     }
 
-    /// Whether the system has taken all that was written since [`Clients::begin_draining`].
+    /// Whether the operating system has accepted all bytes written since [`Clients::begin_draining`].
     pub fn is_flushed(&mut self, network: &Network) -> bool {
         self.closed.retain(|connection| network.queued_bytes(*connection) > 0);
         self.closed.is_empty() && self.clients.keys().all(|connection| network.queued_bytes(*connection) == 0)
     }
 
-    /// The next request of a connection that isn't busy.
+    /// Reads the next request of a connection that isn't busy.
     pub fn read(
         &mut self,
         network: &mut Network,
@@ -224,12 +225,12 @@
         }
     }
 
-    /// When this process first saw a byte of the last complete request.
+    /// Returns when this process received the first byte of the last complete request.
     pub fn first_byte_at(&self, connection: ConnectionId) -> Option<u64> {
         self.clients.get(&connection).map(|client| client.first_byte_at)
     }
 
-    /// Marks the connection as busy with this until its response is written.
+    /// Marks the connection as busy with this work until its response is written.
     pub fn assign(&mut self, connection: ConnectionId, busy: Busy) {
         if let Some(client) = self.clients.get_mut(&connection) {
             client.busy = Some(busy);
@@ -237,12 +238,12 @@
         }
     }
 
-    /// The connection that is busy with this.
+    /// Returns the connection that is busy with this work.
     pub fn connection_of(&self, busy: Busy) -> Option<ConnectionId> {
         self.by_work.get(&busy).copied()
     }
 
-    /// A connection has ended; what it was busy with.
+    /// Removes a connection that has ended. Returns the work it was busy with.
     pub fn closed(&mut self, connection: ConnectionId) -> Option<Busy> {
         let busy = self.clients.remove(&connection)?.busy?;
         self.by_work.remove(&busy);
@@ -259,7 +260,7 @@
         }
     }
 
-    /// Writes a complete response of the gateway's own or of a store.
+    /// Writes a complete response that was produced by the gateway or a store node.
     pub fn respond(
         &mut self,
         network: &mut Network,
@@ -333,7 +334,7 @@
         }
     }
 
-    /// Writes a part of a streamed response.
+    /// Writes a chunk of a streamed response.
     pub fn write_stream_chunk(&mut self, network: &mut Network, connection: ConnectionId, bytes: &[u8]) {
         let has_body = self.clients.get(&connection).is_some_and(|client| !client.head_request);
         if let Some(outbox) = network.outbox(connection).filter(|_| has_body) {
@@ -341,7 +342,7 @@
         }
     }
 
-    /// A streamed response is complete.
+    /// Ends a streamed response that is complete.
     pub fn end_stream(&mut self, network: &mut Network, connection: ConnectionId, now: u64) {
         let Some(client) = self.clients.get(&connection) else { return };
         let close = client.closes_after_response(self.draining);
@@ -351,14 +352,14 @@
         self.finish_response(network, connection, close, now);
     }
 
-    /// Closes the connection of a streamed response that can't be completed, so that it doesn't look complete.
+    /// Closes the connection of a streamed response that cannot be completed, so that it doesn't look complete.
     pub fn abort_stream(&mut self, network: &mut Network, connection: ConnectionId) {
         self.closed(connection);
         network.flush();
         network.abort(connection);
     }
 
-    /// Closes connections that were idle, or whose request was being received, for too long; returns these.
+    /// Closes connections that have been idle, or whose request has been incomplete, for too long. Returns them.
     pub fn close_expired(
         &mut self,
         network: &mut Network,
--- a/crates/data-plane/src/exchanges/mod.rs
+++ b/crates/data-plane/src/exchanges/mod.rs
@@ -1,4 +1,4 @@
-//! What each exchange with a server is for: a request of a client, a generation or a reward call.
+//! The purpose of each exchange with a server: a client's request, a generation or a reward call.
 
 mod outcomes;
 mod request_encoding;
@@ -14,7 +14,7 @@
 use crate::requests::RequestAttemptId;
 use crate::upstream::ExchangeId;
 
-/// Purpose of an exchange.
+/// The purpose of an exchange.
 #[derive(Debug)]
 pub enum Purpose {
     /// An attempt of a client's request.
@@ -25,32 +25,32 @@
     Reward {
         /// The call.
         call: RewardCallId,
-        /// Head of the response, once it has come.
+        /// The head of the response, once received.
         head: Option<ResponseHead>,
     },
 }
 
-/// A generation's stream.
+/// The stream of a generation.
 #[derive(Debug)]
 pub struct Stream {
-    /// The attempt that it belongs to.
+    /// The attempt that the stream belongs to.
     pub attempt: AttemptId,
-    /// Head of the response, once it has come.
+    /// The head of the response, once received.
     pub head: Option<ResponseHead>,
-    /// Reads the events of the body.
+    /// The parser of the body's events.
     pub events: EventStreamReader,
 }
 
-/// An exchange and its server.
+/// An exchange with a server.
 #[derive(Debug)]
 pub struct Exchange {
     /// The server.
     pub server: ServerKey,
-    /// What it is for.
+    /// The purpose of the exchange.
     pub purpose: Purpose,
 }
 
-/// All exchanges in flight, found by their numbers and by what they are for.
+/// All exchanges in flight, by their ids and by their purposes.
 #[derive(Default, Debug)]
 pub struct Exchanges {
     exchanges: HashMap<ExchangeId, Exchange>,
@@ -60,7 +60,7 @@
 }
 
 impl Exchanges {
-    /// An exchange begins.
+    /// Adds an exchange that begins.
     pub fn insert(&mut self, id: ExchangeId, server: ServerKey, purpose: Purpose) {
         match &purpose {
             Purpose::Request(attempt) => {
@@ -76,12 +76,12 @@
         self.exchanges.insert(id, Exchange { server, purpose });
     }
 
-    /// An exchange in flight.
+    /// Returns an exchange in flight.
     pub fn get_mut(&mut self, id: ExchangeId) -> Option<&mut Exchange> {
         self.exchanges.get_mut(&id)
     }
 
-    /// An exchange is over.
+    /// Removes an exchange that has ended.
     pub fn remove(&mut self, id: ExchangeId) -> Option<Exchange> {
         let exchange = self.exchanges.remove(&id)?;
         match &exchange.purpose {
@@ -92,17 +92,17 @@
         Some(exchange)
     }
 
-    /// The exchange of a request's attempt.
+    /// Returns the exchange of a request's attempt.
     pub fn of_request(&self, attempt: RequestAttemptId) -> Option<ExchangeId> {
         self.requests.get(&attempt).copied()
     }
 
-    /// The exchange of a generation's attempt.
+    /// Returns the exchange of a generation's attempt.
     pub fn of_generation(&self, attempt: AttemptId) -> Option<ExchangeId> {
         self.generations.get(&attempt).copied()
     }
 
-    /// The exchange of a reward call.
+    /// Returns the exchange of a reward call.
     pub fn of_reward(&self, call: RewardCallId) -> Option<ExchangeId> {
         self.rewards.get(&call).copied()
     }
--- a/crates/data-plane/src/exchanges/outcomes.rs
+++ b/crates/data-plane/src/exchanges/outcomes.rs
@@ -1,4 +1,4 @@
-//! What the responses of servers mean for generations and reward calls.
+//! Maps servers' responses to outcomes of generations and reward calls.
 
 use orchidvalve_http::ResponseHead;
 
@@ -6,8 +6,8 @@
 use crate::generations::{AttemptOutcome, RewardOutcome};
 use crate::response_class::{is_signed, is_success};
 
-/// How a generation's stream ended that is complete by its framing. A success without its server's signature is no
-/// response of a server.
+/// Returns the outcome of a generation's stream that is complete by its framing. A success without the server's signature
+/// did not come from a server and counts as broken.
 pub fn stream_outcome(stream: &Stream) -> AttemptOutcome {
     match &stream.head {
         Some(head) if is_success(head) => {
@@ -27,7 +27,7 @@
     }
 }
 
-/// How a generation's stream ended that has no framing, when its connection was closed in order.
+/// Returns the outcome of a generation's stream that has no framing and whose connection was closed in order.
 pub fn closed_stream_outcome(stream: &Stream) -> AttemptOutcome {
     match stream_outcome(stream) {
         AttemptOutcome::Complete => AttemptOutcome::Closed,
@@ -35,7 +35,7 @@
     }
 }
 
-/// How a reward call ended whose response is complete.
+/// Returns the outcome of a reward call whose response is complete.
 pub fn reward_outcome(head: Option<&ResponseHead>) -> RewardOutcome {
     match head {
         Some(head) => RewardOutcome::Response {
@@ -52,7 +52,7 @@
     (seconds >= 0.0).then_some((seconds * 1_000.0) as u64)
 }
 
-/// The version of the weights under which a response begins: the last of those in `Weight-Versions`.
+/// Returns the version of the weights under which a response begins: the last one in `Weight-Versions`.
 pub fn weight_version(head: &ResponseHead) -> Option<u64> {
     let versions = head.headers.get("weight-versions")?;
     versions.rsplit(',').next()?.trim().parse().ok()
--- a/crates/data-plane/src/exchanges/request_encoding.rs
+++ b/crates/data-plane/src/exchanges/request_encoding.rs
@@ -1,4 +1,4 @@
-//! Requests as servers get them: HTTP/1.1 (RFC 9112), with the headers that servers go by.
+//! Encoding of requests to servers as HTTP/1.1 (RFC 9112), with the headers that servers evaluate.
 
 use std::sync::Arc;
 
@@ -8,12 +8,13 @@
 use crate::generations::{Item, RouteFacts};
 use crate::response_class::forwarded_headers;
 
-/// Room for the head of a request, in bytes.
+/// The capacity reserved for the head of a request, in bytes.
 const HEAD_CAPACITY: usize = 512;
 
-/// A client's request as it is sent to a server: unchanged but for the headers of its connection, the time that the
-/// server is given, the instance that is meant, and the event after which a stream is resumed. Where the configuration
-/// has tenants, the client's key is left out, and the server is told the tenant.
+/// Encodes a client's request for a server.
+///
+/// Only these parts are changed: hop-by-hop headers, the deadline, the expected instance, and the event after which a
+/// stream is resumed. If the configuration has tenants, the client's key is removed and a header names the tenant.
 pub fn request_bytes(
     request: &Request,
     caller: &Authenticated,
@@ -49,8 +50,10 @@
     out
 }
 
-/// A generation as it is sent to a server. Where its job has a tenant, or the configuration has tenants, headers of the
-/// item that say whose it is are left out: only this system tells servers the tenant.
+/// Encodes a generation for a server.
+///
+/// If the batch job has a tenant, or the configuration has tenants, headers of the item that identify a caller are
+/// removed: only the gateway names the tenant to servers.
 pub fn generation_bytes(
     item: &Item,
     route: &RouteFacts,
@@ -86,7 +89,7 @@
     out
 }
 
-/// A reward call as it is sent to a server.
+/// Encodes a reward call for a server.
 pub fn reward_bytes(item: &Arc<Item>, instance: &str, deadline_ms: u64) -> Vec<u8> {
     let Some(scorer) = &item.scorer else { return Vec::new() };
     let mut out = Vec::with_capacity(scorer.body.len() + HEAD_CAPACITY);
--- a/crates/data-plane/src/gateway/batch_calls.rs
+++ b/crates/data-plane/src/gateway/batch_calls.rs
@@ -1,4 +1,4 @@
-//! Clients' calls about batch jobs: submission, results, bodies of items, the end of a job.
+//! Clients' calls about batch jobs: submission, results, bodies of items, and the end of a job.
 
 use orchidvalve_batch::results::write_results_page;
 use orchidvalve_batch::{ItemResult as WrittenResult, Job, JobOrigin};
@@ -15,12 +15,11 @@
 use crate::clients::Busy;
 use crate::text_compression::decompress;
 
-/// Version of weights that servers start with.
+/// The version of the weights with which servers start.
 const FIRST_VERSION: u64 = 1;
 
 impl Gateway {
-    /// Begins a submission: checks the batch job in a request on a route of batch jobs, and begins the call to the
-    /// stores.
+    /// Parses the batch job in a request and begins its submission to the store nodes.
     pub(super) fn begin_submission(
         &mut self,
         connection: ConnectionId,
@@ -45,7 +44,7 @@
                 self.report_model_use(&job, route.single_version);
                 let encoded = frames::encode(&job);
                 log::info!(
-                    "jobs: {id} is received: step {}, {} items, {:?} from version {}",
+                    "jobs: received job {id}: step {}, {} items, {:?} from version {}",
                     job.step.unwrap_or(0),
                     job.len(),
                     job.model.as_deref().unwrap_or("no model"),
@@ -57,13 +56,13 @@
                 self.frontend.clients.assign(connection, Busy::Job(call));
             }
             Err(error) => {
-                log::warn!("jobs: {id} is refused: {error}");
+                log::warn!("jobs: job {id} rejected: {error}");
                 self.respond(connection, error.status(), &[], error.to_string().as_bytes());
             }
         }
     }
 
-    /// Reports how a job uses its model, unless the control state knows of such use.
+    /// Reports to the control node how a job uses its model, unless the control state already covers that use.
     fn report_model_use(&mut self, job: &Job, single_version: bool) {
         let Some(model) = &job.model else { return };
         let state = self.feed.replica().state();
@@ -82,7 +81,7 @@
         }
     }
 
-    /// A request about a job that was submitted: its results, an item's body, or its end.
+    /// Begins a call about a submitted job: its results, an item's body, or its end.
     pub(super) fn begin_job_call(&mut self, connection: ConnectionId, request: Request) {
         let Some(routes) = self.routes.clone() else {
             return self.queue_until_ready(connection, request);
@@ -116,7 +115,7 @@
         }
     }
 
-    /// Writes the client of a call its final response.
+    /// Sends the client of a call its final response.
     pub(super) fn respond_to_call(&mut self, call: CallId, response: &BatchResponse) {
         let Some(connection) = self.frontend.clients.connection_of(Busy::Job(call)) else { return };
         match response {
@@ -137,7 +136,7 @@
             BatchResponse::Body(body) => self.respond(connection, 200, &[], body),
             BatchResponse::Ended => {
                 let CallId(number) = call;
-                log::info!("jobs: call {number} has ended its job");
+                log::info!("jobs: call {number} ended its batch job");
                 self.respond(connection, 200, &[], b"");
             }
         }
@@ -158,13 +157,13 @@
                 self.respond(connection, 200, &[("Content-Type", "application/json")], &body);
             }
             None => {
-                log::error!("jobs: a store gave a damaged text; check its disk and its version");
+                log::error!("jobs: store node returned a corrupted text; check its disk and its version");
                 self.respond(connection, 503, &[], b"");
             }
         }
     }
 
-    /// Sends the attempts of calls that are due to stores, and the final responses of expired calls to clients.
+    /// Sends the attempts that are due to store nodes, and the final responses of expired calls to clients.
     pub(super) fn tick_calls(&mut self) {
         if self.calls.pending() == 0 {
             return;
@@ -182,7 +181,7 @@
     }
 }
 
-/// A result as it is written for the trainer; None if its text is damaged.
+/// Converts an outcome for the results page; returns `None` if its text is corrupted.
 fn written(outcome: &ItemOutcome) -> Option<WrittenResult> {
     Some(WrittenResult {
         id: outcome.item.as_str().into(),
--- a/crates/data-plane/src/gateway/client_requests.rs
+++ b/crates/data-plane/src/gateway/client_requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients and the responses to them; readiness.
+//! Requests of clients and the responses to them, and readiness checks.
 
 use std::sync::Arc;
 
@@ -16,17 +16,17 @@
 use crate::startup_queue::QueuedRequest;
 use crate::upstream::Failure;
 
-/// Bounds of requests on the readiness listener.
+/// Size limits of requests on the readiness listener.
 const READINESS_LIMITS: MessageLimits = MessageLimits { header_bytes: 8 << 10, body_bytes: 1 << 10 };
-/// Bounds of clients' requests as long as there is no configuration to say them.
+/// Size limits of clients' requests while there is no configuration.
 const DEFAULT_LIMITS: MessageLimits = MessageLimits { header_bytes: 16 << 10, body_bytes: 32 << 20 };
-/// Time after which an idle connection is closed as long as there is no configuration, in milliseconds.
+/// Idle timeout of client connections while there is no configuration, in milliseconds.
 const DEFAULT_IDLE_TIMEOUT_MS: u64 = 15_000;
-/// Time for the head of a request as long as there is no configuration, in milliseconds.
+/// Timeout for the head of a request while there is no configuration, in milliseconds.
 const DEFAULT_HEADER_TIMEOUT_MS: u64 = 3_000;
 
 impl Gateway {
-    /// Bounds of clients' requests.
+    /// Returns the size limits of clients' requests.
     fn limits(&self) -> MessageLimits {
         match &self.routes {
             Some(routes) => MessageLimits {
@@ -37,7 +37,8 @@
         }
     }
 
-    /// Bytes arrived from a client: begins the next request, or several that are answered at once.
+    /// Reads the bytes that have arrived from a client and begins its next request. Continues while requests get their
+    /// responses at once.
     pub(super) fn client_data(&mut self, connection: ConnectionId) {
         let limits = self.limits();
         loop {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Writes a client a response of the gateway's own or of a store.
+    /// Sends a client a response that was produced by the gateway or a store node.
     pub(super) fn respond(
         &mut self,
         connection: ConnectionId,
@@ -65,8 +66,8 @@
         self.frontend.clients.respond(&mut self.network, connection, status, headers, body, self.now);
     }
 
-    /// Begins a request that was completely received. Paths of batch jobs are fixed; all others are looked up in the
-    /// route table.
+    /// Begins a request that was completely received. The paths of calls about batch jobs are fixed; all other paths are
+    /// looked up in the route table.
     fn begin_request(&mut self, connection: ConnectionId, request: Request) {
         if request.path().starts_with(JOBS_PREFIX) || request.path().starts_with(ITEMS_PREFIX) {
             self.begin_job_call(connection, request);
@@ -79,13 +80,12 @@
         self.begin_routed(connection, request);
     }
 
-    /// Whether there is a configuration, and a table of servers to go with it.
+    /// Whether there are a configuration and a server table.
     fn is_configured(&self) -> bool {
         self.routes.is_some() && self.feed.replica().servers().version().number > 0
     }
 
-    /// Queues a request until there are a configuration and servers, which are on their way; a gateway that is shutting
-    /// down rejects it.
+    /// Queues a request until a configuration and a server table arrive. A gateway that is shutting down rejects it.
     pub(super) fn queue_until_ready(&mut self, connection: ConnectionId, request: Request) {
         let first_byte_at = self.frontend.clients.first_byte_at(connection).unwrap_or(self.now);
         let received = ReceivedRequest { request, first_byte_at };
@@ -96,12 +96,13 @@
         }
     }
 
-    /// Rejects a request, with the promise that it hasn't run.
+    /// Rejects a request with a status that promises that it has not run.
     fn reject(&mut self, connection: ConnectionId) {
         self.respond(connection, 503, &[("Retry-After", RETRY_AFTER)], b"");
     }
 
-    /// Queued requests go on once what they need is known; those that have waited for too long are rejected.
+    /// Begins the queued requests once there are a configuration and a server table. Rejects those that have waited for
+    /// too long.
     pub(super) fn serve_startup_queue(&mut self) {
         if self.is_configured() {
             for queued in self.startup_queue.drain() {
@@ -114,7 +115,7 @@
         self.reject_queued(expired);
     }
 
-    /// Queued requests are answered with the promise that they haven't run.
+    /// Rejects queued requests with a status that promises that they have not run.
     pub(super) fn reject_queued(&mut self, rejected: Vec<QueuedRequest>) {
         for queued in rejected {
             if let Some(connection) = self.frontend.clients.connection_of(Busy::Queued(queued.id)) {
@@ -124,17 +125,17 @@
         }
     }
 
-    /// How the configuration in force stands to the newest one.
+    /// Returns whether the current configuration is up to date.
     pub(super) fn configuration_age(&self) -> ConfigurationAge {
         ConfigurationAge::of_feed(self.feed.last_message_at(), self.now)
     }
 
-    /// Answers a request that isn't admitted.
+    /// Responds to a request that isn't admitted.
     pub(super) fn refuse(&mut self, connection: ConnectionId, refusal: Refusal) {
         self.respond(connection, refusal.status(), refusal.headers(), refusal.body());
     }
 
-    /// Begins a request by its route.
+    /// Begins a request on its route.
     fn begin_routed(&mut self, connection: ConnectionId, request: Request) {
         let Some(routes) = self.routes.clone() else {
             self.reject(connection);
@@ -157,7 +158,7 @@
         self.run_request_commands(commands);
     }
 
-    /// Executes commands of the requests, and those that these cause in turn.
+    /// Executes commands of the requests, and the commands that result from them.
     pub(super) fn run_request_commands(&mut self, commands: Vec<RequestCommand>) {
         let mut commands = commands;
         while !commands.is_empty() {
@@ -217,12 +218,12 @@
         }
     }
 
-    /// The connection of the client that waits for the response to a request; None if the client has disconnected.
+    /// Returns the connection of the client that waits for the response to a request, or `None` if it has disconnected.
     fn client_of(&self, request: RequestId) -> Option<ConnectionId> {
         self.frontend.clients.connection_of(Busy::Request(request))
     }
 
-    /// Writes the client of a request its final response.
+    /// Sends the client of a request its final response.
     fn respond_to_request(&mut self, request: RequestId, response: &Response) {
         let Some(connection) = self.client_of(request) else { return };
         match response {
@@ -235,7 +236,7 @@
         self.frontend.responded.push(connection);
     }
 
-    /// A client's connection has ended: what it waited for is cancelled.
+    /// Handles the end of a client's connection: its pending request or call is cancelled.
     pub(super) fn client_disconnected(&mut self, connection: ConnectionId) {
         match self.frontend.clients.closed(connection) {
             Some(Busy::Request(id)) => {
@@ -250,7 +251,7 @@
         self.network.abort(connection);
     }
 
-    /// Bytes arrived from the platform: answers its readiness checks.
+    /// Reads the bytes that have arrived from the platform and responds to its readiness checks.
     pub(super) fn readiness_data(&mut self, connection: ConnectionId) {
         loop {
             match self.frontend.readiness.read(&mut self.network, connection, &READINESS_LIMITS, self.now) {
@@ -282,12 +283,12 @@
         }
     }
 
-    /// Ready while it has a configuration and servers and isn't shutting down.
+    /// Whether the gateway is ready: it has a configuration and a server table and isn't shutting down.
     fn is_ready(&self) -> bool {
         self.shutdown_since.is_none() && self.is_configured()
     }
 
-    /// Closes connections that were idle, or whose request was being received, for too long.
+    /// Closes connections that have been idle, or whose request has been incomplete, for too long.
     pub(super) fn close_expired_clients(&mut self) {
         let (idle_ms, header_ms) = match &self.routes {
             Some(routes) => (routes.limits().idle_timeout_ms, routes.limits().header_timeout_ms),
--- a/crates/data-plane/src/gateway/control_updates.rs
+++ b/crates/data-plane/src/gateway/control_updates.rs
@@ -1,4 +1,4 @@
-//! Updates from the control plane's feed (control state, server table, list of workers), and expiry of stores' leases.
+//! Updates received from the control node (control state, server table, list of workers), and expiry of store nodes' leases.
 
 use std::collections::BTreeSet;
 
@@ -10,8 +10,8 @@
 use super::partition_heads::PartitionHeads;
 
 impl Gateway {
-    /// Expires leases of stores. Done first in each turn of the event loop, since this process may have been paused for
-    /// longer than a lease.
+    /// Drops the groups of store nodes whose leases have expired. Called first in each turn of the event loop, as this
+    /// process may have been suspended for longer than a lease.
     pub(super) fn drop_expired_leases(&mut self) {
         let expired = self.stores.links.expire_leases(&mut self.network, self.now);
         if expired.is_empty() {
@@ -20,14 +20,14 @@
         let mut commands = Vec::new();
         let state = self.feed.replica().state();
         for store in &expired {
-            log::warn!("work: store {store} is silent; what it handed out is dropped");
+            log::warn!("work: store node {store} is unresponsive; the groups that it assigned are dropped");
             self.work.store_lease_expired(*store, state, &mut self.runner, &mut commands);
             self.calls.store_lost(self.now, *store);
         }
         self.run_generation_commands(commands);
     }
 
-    /// Applies an update of the feed.
+    /// Applies an update received from the control node.
     pub(super) fn feed_changed(&mut self, update: FeedUpdate) {
         if update.state {
             self.state_changed();
@@ -42,7 +42,7 @@
         }
     }
 
-    /// Applies a new control state: links to its stores, heads of its partitions, and its configuration.
+    /// Applies a new control state: links to its store nodes, heads of its partitions, and its configuration.
     fn state_changed(&mut self) {
         let state = self.feed.replica().state();
         let stores: BTreeSet<NodeAddress> = state
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Groups that former heads of partitions assigned pass to the new ones.
+    /// Begins the leases of new partition heads, which take over the groups that the former heads assigned.
     fn heads_changed(&mut self, heads: PartitionHeads) {
         for head in heads.replaced_since(&self.stores.heads) {
             self.stores.links.begin_lease(head, self.now);
@@ -79,7 +79,7 @@
         self.stores.heads = heads;
     }
 
-    /// Applies a new server table to the balancer, and what has changed in it to the runner.
+    /// Applies a new server table to the balancer, and its changes to the runner.
     fn servers_changed(&mut self) {
         let change = self.servers.balancer.update(self.feed.replica().servers());
         for key in change.removed {
--- a/crates/data-plane/src/gateway/generation_work.rs
+++ b/crates/data-plane/src/gateway/generation_work.rs
@@ -1,4 +1,4 @@
-//! Messages of stores, the capacity that this gateway offers them, and the commands of the runner of generations.
+//! Messages of store nodes, the capacity that this gateway offers them, and the commands of the runner of generations.
 
 use orchidvalve_net::ConnectionId;
 use orchidvalve_protocol::identity::NodeAddress;
@@ -14,9 +14,9 @@
 use crate::store_links::OutboundMessage;
 use crate::work::AssignedGroups;
 
-/// A gateway without a session for so long returns the groups that no server that it knows can run, in milliseconds.
+/// A gateway that has had no session for this long returns the groups that no server in its table can run, in milliseconds.
 const SESSION_LOST_MS: u64 = 500;
-/// Generations that are pending here beyond what can be in flight, as a share of that.
+/// The number of generations that may be pending here, as a fraction of those that can be in flight.
 const QUEUE_FRACTION: f32 = 0.25;
 
 impl Gateway {
@@ -36,8 +36,8 @@
         });
     }
 
-    /// This gateway's share of the slots of a model server, if it is a worker. The groups of a former worker go on with
-    /// one generation at a time at each server.
+    /// Returns this gateway's quota of the slots of a model server, or `None` if it isn't a worker. The remaining groups of
+    /// a former worker continue with one generation at a time at each server.
     fn own_slot_share(&self, server: &Upstream) -> Option<u32> {
         if server.entry.models.is_empty() {
             return None;
@@ -50,7 +50,7 @@
         gateway_address(&self.options)
     }
 
-    /// Workers or servers have changed, and with them this gateway's shares of the servers' slots.
+    /// Applies a change of the workers or servers, which changes this gateway's quotas of the servers' slots.
     pub(super) fn shares_changed(&mut self) {
         let workers = self.feed.replica().workers().len().max(1);
         self.runner.set_share(1.0 / workers as f64);
@@ -60,7 +60,7 @@
         self.send_work_limit();
     }
 
-    /// Tells stores how many generations may be assigned to this gateway: its slots and a few that are pending.
+    /// Reports to the store nodes how many generations may be assigned to this gateway: its slots plus a few pending ones.
     pub(super) fn send_work_limit(&mut self) {
         let servers =
             self.servers.balancer.keys().into_iter().filter_map(|key| self.servers.balancer.get(key));
@@ -70,7 +70,7 @@
         self.stores.links.set_work_limit(&mut self.network, limit);
     }
 
-    /// Bytes arrived on the link to a store: handles all complete messages.
+    /// Reads the bytes that have arrived on the link to a store node and handles all complete messages.
     pub(super) fn store_data(&mut self, connection: ConnectionId) {
         let Some((store, messages)) = self.stores.links.read(&mut self.network, connection, self.now) else {
             return;
@@ -105,7 +105,7 @@
         self.run_generation_commands(commands);
     }
 
-    /// Executes commands of the runner, and those that these cause in turn.
+    /// Executes commands of the runner, and the commands that result from them.
     pub(super) fn run_generation_commands(&mut self, commands: Vec<RunnerCommand>) {
         let mut commands = commands;
         while !commands.is_empty() {
@@ -169,9 +169,11 @@
         }
     }
 
-    /// A gateway without a session doesn't hear which servers could run its groups. Other gateways do, so it returns
-    /// such groups. Where the control plane as a whole is away, no new version is named either, and the servers that
-    /// this gateway knows stay eligible.
+    /// Returns groups that no server known here can run, if there has been no session for [`SESSION_LOST_MS`].
+    ///
+    /// A gateway without a session receives no updates of the server table, but other gateways do and may find servers. If
+    /// the control plane as a whole is unavailable, no new version is announced either, and the servers known here remain
+    /// eligible.
     pub(super) fn return_unservable(&mut self) {
         if self.feed.has_session() {
             if let Some(since) = self.session_lost_since.take() {
@@ -188,7 +190,7 @@
         self.run_generation_commands(commands);
         let returned = self.work.return_groups(groups);
         for OutboundMessage { store, message } in &returned {
-            log::info!("work: out of touch, {message:?} goes back to store {store}");
+            log::info!("work: no session with a control node; {message:?} returned to store node {store}");
         }
         self.send_to_stores(&returned);
     }
@@ -199,7 +201,8 @@
         self.send_to_stores(&due);
     }
 
-    /// A message to a store whose link isn't up is lost; what sent it sends it again when it is due.
+    /// Sends messages to store nodes. A message to a store node whose link is down is lost; its sender repeats it when it
+    /// is due again.
     pub(super) fn send_to_stores(&mut self, messages: &[OutboundMessage]) {
         for OutboundMessage { store, message } in messages {
             self.stores.links.send(&mut self.network, *store, message);
@@ -211,7 +214,7 @@
     ModelVersion { model: model.as_str().into(), version: *version }
 }
 
-/// A generation or a reward call, which may be sent again.
+/// Returns the metadata of a generation or a reward call, both of which may be sent again.
 fn post(attempt_id: Option<&str>) -> Envelope<'_> {
     Envelope { method: "POST", attempt_id, idempotency: Idempotency::Idempotent }
 }
--- a/crates/data-plane/src/gateway/load_reports.rs
+++ b/crates/data-plane/src/gateway/load_reports.rs
@@ -1,4 +1,4 @@
-//! What this gateway has to do at the servers of services that the system scales, for the head of the control chain.
+//! Reports of this gateway's demand for services with automatic scaling, for the head of the control chain.
 
 use orchidvalve_configuration::RouteTable;
 use orchidvalve_protocol::messages::ServiceLoad;
@@ -6,8 +6,8 @@
 use super::Gateway;
 
 impl Gateway {
-    /// Tells the control node of the session what there is to do, if that is due. Without a service that is scaled nobody
-    /// needs to know.
+    /// Sends the load of all scaled services to the control node of the session, if a report is due. Nothing is sent if no
+    /// service is scaled.
     pub(super) fn report_load(&mut self) {
         if !self.load_reports.is_due(self.now) {
             return;
--- a/crates/data-plane/src/gateway/mod.rs
+++ b/crates/data-plane/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The gateway process: sockets and timers around requests, jobs and generations.
+//! The gateway process: connects requests, batch jobs and generations to sockets and timers.
 
 mod batch_calls;
 mod client_requests;
@@ -41,40 +41,42 @@
 use crate::usage::UsageCounts;
 use crate::work::{RewardRoutes, Work};
 
-/// Listeners of the process, as the network numbers them.
+/// Ids of the process's listeners in the network.
 const FRONTEND_LISTENER: u32 = 1;
 const READINESS_LISTENER: u32 = 2;
-/// Longest wait of the event loop, in milliseconds.
+/// The maximum time that one turn of the event loop waits, in milliseconds.
 const MAX_POLL_MS: u64 = 250;
 
-/// What a gateway process is started with.
+/// The options of a gateway process.
 #[derive(Clone, Debug)]
 pub struct GatewayOptions {
-    /// Name of the machine, as the operator knows it.
+    /// The name of the machine, as known to the operator.
     pub name: String,
-    /// Zone of the machine.
+    /// The zone of the machine.
     pub zone: String,
-    /// Share of a core that the process may use.
+    /// The fraction of a CPU core that the process may use.
     pub share: f32,
-    /// Where clients connect.
+    /// The address on which clients connect.
     pub frontend: SocketAddrV4,
-    /// Where the platform asks whether the process is ready.
+    /// The address on which the platform checks readiness.
     pub readiness: SocketAddrV4,
-    /// Address that connections to others leave from; the kernel chooses one where there is none.
+    /// The source address of outgoing connections; the kernel selects one if it is `None`.
     pub source: Option<Ipv4Addr>,
-    /// Control nodes at which a session may be asked for.
+    /// Control nodes from which a session may be requested.
     pub seeds: Vec<NodeAddress>,
-    /// Time from SIGTERM to SIGKILL, in milliseconds.
+    /// The time from SIGTERM to SIGKILL, in milliseconds.
     pub grace_ms: u64,
-    /// Length of a window of usage, in milliseconds.
+    /// The length of a usage window, in milliseconds.
     pub usage_window_ms: u64,
 }
 
-/// Why a gateway process ends.
+/// The reason why a gateway process fails.
 #[derive(Debug, Display, Error, From)]
 pub enum GatewayError {
-    /// The network can't be used.
-    #[display("door: the network failed: {_0}; check that the addresses are this machine's and free")]
+    /// The network cannot be used.
+    #[display(
+        "door: network error: {_0}; check that the listen addresses belong to this machine and are free"
+    )]
     Network(io::Error),
 }
 
@@ -83,11 +85,11 @@
 struct Frontend {
     clients: Clients,
     readiness: Clients,
-    /// Connections that were responded to, whose next request may have arrived meanwhile.
+    /// Connections to which a response was sent, and on which the next request may already have arrived.
     responded: Vec<ConnectionId>,
 }
 
-/// Servers: which there are, connections to them, and what these are used for.
+/// The servers, the connections to them, and the exchanges on these.
 #[derive(Default)]
 struct Servers {
     balancer: Balancer,
@@ -95,7 +97,7 @@
     exchanges: Exchanges,
 }
 
-/// Stores: links to them, and where they are.
+/// The links to store nodes, and the positions of the store nodes.
 struct Stores {
     links: StoreLinks,
     same_zone: BTreeSet<NodeAddress>,
@@ -108,7 +110,7 @@
     clock: Clock,
     network: Network,
     feed: FeedClient,
-    /// The configuration in force, once there is one.
+    /// The current configuration, once there is one.
     routes: Option<Arc<RouteTable>>,
     frontend: Frontend,
     servers: Servers,
@@ -122,22 +124,22 @@
     own_answers: OwnAnswers,
     load_reports: LoadReports,
     shutdown_since: Option<u64>,
-    /// Since when no session with a control node stands.
+    /// Since when there has been no session with a control node.
     session_lost_since: Option<u64>,
-    /// The time of this turn of the event loop, in milliseconds of the clock.
+    /// The time of the current turn of the event loop, in milliseconds of the clock.
     now: u64,
 }
 
-/// The address by which other processes know a gateway; nothing listens there.
+/// Returns the address that identifies a gateway to other processes; nothing listens on it.
 fn gateway_address(options: &GatewayOptions) -> NodeAddress {
     NodeAddress::new(*options.frontend.ip(), 0)
 }
 
-/// Runs a gateway process until it is told to stop and has answered what it took.
+/// Runs a gateway process until it receives SIGTERM and has responded to all accepted requests.
 ///
 /// # Errors
 ///
-/// The network can't be used.
+/// Returns an error if the network cannot be used.
 pub fn run(options: GatewayOptions) -> Result<(), GatewayError> {
     let mut gateway = Gateway::start(options)?;
     loop {
@@ -204,7 +206,7 @@
         })
     }
 
-    /// The time until something is due, [`MAX_POLL_MS`] at most.
+    /// Returns the time until the next action is due, at most [`MAX_POLL_MS`].
     fn wait(&self) -> Duration {
         let now = self.clock.now();
         let next = [
@@ -247,7 +249,7 @@
         }
     }
 
-    /// Bytes arrived on a connection: they go to what owns it.
+    /// Dispatches the data that has arrived on a connection to the owner of the connection.
     fn data(&mut self, connection: ConnectionId) {
         if self.servers.connections.owns(connection) {
             let mut events = Vec::new();
@@ -284,7 +286,7 @@
         }
     }
 
-    /// Does everything that follows from time passing.
+    /// Performs all time-dependent actions.
     fn tick(&mut self) {
         self.reject_late_requests();
         self.feed.maintain(&mut self.network, self.now);
--- a/crates/data-plane/src/gateway/partition_heads.rs
+++ b/crates/data-plane/src/gateway/partition_heads.rs
@@ -1,20 +1,20 @@
-//! Which store is the head of each partition.
+//! The head store node of each partition.
 
 use orchidvalve_control_state::Placement;
 use orchidvalve_protocol::identity::NodeAddress;
 
-/// The head of each partition, by the number of the partition; None where a partition has no members.
+/// The head of each partition, by partition number; `None` if the partition has no members.
 #[derive(Default)]
 pub(super) struct PartitionHeads(Vec<Option<NodeAddress>>);
 
 impl PartitionHeads {
-    /// The heads by these placements, which are in the order of the partitions' numbers.
+    /// Returns the heads in these placements, which are ordered by partition number.
     pub(super) fn of(placements: &[Placement]) -> PartitionHeads {
         let head = |placement: &Placement| placement.members.first().map(|member| member.address);
         PartitionHeads(placements.iter().map(head).collect())
     }
 
-    /// The heads of partitions that had another one, or none, in `former`.
+    /// Returns the heads of those partitions that had a different head, or none, in `former`.
     pub(super) fn replaced_since(&self, former: &PartitionHeads) -> impl Iterator<Item = NodeAddress> {
         let former = former.0.iter().copied().chain(std::iter::repeat(None));
         self.0
--- a/crates/data-plane/src/gateway/shutdown.rs
+++ b/crates/data-plane/src/gateway/shutdown.rs
@@ -1,39 +1,40 @@
-//! Graceful shutdown: a gateway process that was told to stop takes nothing new, and answers all that it took.
+//! Graceful shutdown: after SIGTERM a gateway accepts no new work and responds to all requests that it has accepted.
 
 use orchidvalve_protocol::messages::StoreHealth;
 
 use super::Gateway;
 use crate::batch_calls::CallResponse;
 
-/// Time after SIGTERM in which the platform still sends new connections, in milliseconds.
+/// How long after SIGTERM the platform may still send new connections, in milliseconds.
 const LINGER_MS: u64 = 2_600;
-/// Time before SIGKILL at which a process that shuts down ends whatever is left, at most, in milliseconds...
+/// The maximum time before SIGKILL at which a process that shuts down ends everything pending, in milliseconds.
 const MAX_STOP_MARGIN_MS: u64 = 700;
-/// ...and as a part of the time from SIGTERM to SIGKILL: what a server still works on may be ended in the last sixth of
-/// that time only.
+/// The same margin as a fraction of the time from SIGTERM to SIGKILL: requests that servers are still running may be ended
+/// only in the last sixth of that time.
 const STOP_MARGIN_DIVISOR: u64 = 8;
 
-/// Times of a process that shuts down, in milliseconds of its clock.
+/// Points in time of a shutdown, in milliseconds of the steady clock.
 #[derive(Clone, Copy)]
 struct ShutdownTimes {
-    /// When it gives its last responses.
+    /// When the process sends its last responses.
     last_response_at: u64,
-    /// When the platform has surely heard that it isn't ready.
+    /// When the platform has certainly noticed that the process isn't ready.
     linger_until: u64,
 }
 
-/// How long after SIGTERM a process gives its last responses, where SIGKILL follows after `grace_ms`.
+/// Returns how long after SIGTERM a process sends its last responses, if SIGKILL follows SIGTERM after `grace_ms`.
 pub fn last_response_after_ms(grace_ms: u64) -> u64 {
     grace_ms - MAX_STOP_MARGIN_MS.min(grace_ms / STOP_MARGIN_DIVISOR)
 }
 
 impl Gateway {
-    /// SIGTERM: nothing new is assigned to this gateway, and the platform sends no new connections soon.
+    /// Handles SIGTERM: store nodes assign no more groups to this gateway, and the platform soon stops sending new
+    /// connections.
     pub(super) fn begin_shutdown(&mut self) {
         if self.shutdown_since.is_some() {
             return;
         }
-        log::info!("door: stopping; {} requests are pending", self.requests.pending());
+        log::info!("door: stopping; {} requests pending", self.requests.pending());
         self.shutdown_since = Some(self.now);
         self.stores.links.set_work_limit(&mut self.network, 0);
         self.feed.set_health(StoreHealth { draining: true, ..StoreHealth::default() });
@@ -42,7 +43,7 @@
         self.frontend.clients.begin_draining(&mut self.network, self.now);
     }
 
-    /// The times of a process that was told to stop.
+    /// Returns the points in time of the shutdown, if it has begun.
     fn shutdown_times(&self) -> Option<ShutdownTimes> {
         self.shutdown_since.map(|since| ShutdownTimes {
             last_response_at: since + last_response_after_ms(self.options.grace_ms),
@@ -50,16 +51,16 @@
         })
     }
 
-    /// Where the platform goes on sending clients to a process that shuts down, since too few others are ready,
-    /// requests are rejected that it may not be able to answer in time.
+    /// Rejects new requests that may not get a response in time. Needed if the platform keeps sending clients to a process
+    /// that shuts down because too few others are ready.
     pub(super) fn reject_late_requests(&mut self) {
         if let Some(times) = self.shutdown_times().filter(|times| self.now >= times.linger_until) {
             self.requests.reject_beyond(times.last_response_at);
         }
     }
 
-    /// Whether a process that shuts down has answered everything, or has no time left; what is pending then is
-    /// answered.
+    /// Whether a process that shuts down has responded to everything or has run out of time. Ends what is still pending in
+    /// that case.
     pub(super) fn is_finished(&mut self) -> bool {
         let Some(times) = self.shutdown_times() else { return false };
         let time_is_up = self.now >= times.last_response_at;
@@ -72,7 +73,7 @@
         true
     }
 
-    /// Whether nothing is pending or being received, and every response is on its way.
+    /// Whether nothing is pending or being received, and every response has been handed to the operating system.
     fn is_idle(&mut self) -> bool {
         self.requests.pending() == 0
             && !self.frontend.clients.is_receiving()
@@ -83,7 +84,7 @@
             && self.frontend.clients.is_flushed(&self.network)
     }
 
-    /// Gives every pending request and call its final response.
+    /// Sends every pending request and call its final response.
     fn end_pending(&mut self) {
         let mut commands = Vec::new();
         self.requests.end_all(&mut commands);
--- a/crates/data-plane/src/gateway/upstream_io.rs
+++ b/crates/data-plane/src/gateway/upstream_io.rs
@@ -1,5 +1,5 @@
-//! Exchanges with servers: sends requests, and routes events of responses to the request, generation or reward call
-//! that each exchange is for.
+//! Exchanges with servers: sends requests, and dispatches the events of responses to the request, generation or reward
+//! call that is the purpose of the exchange.
 
 use orchidvalve_http::ResponseHead;
 
@@ -12,7 +12,7 @@
 use crate::response_class::is_signed;
 use crate::upstream::{ExchangeId, Failure, OutboundRequest, UpstreamEvent};
 
-/// A request to a server, but for its bytes.
+/// The properties of a request to a server, without its bytes.
 pub(super) struct Envelope<'a> {
     pub method: &'a str,
     /// The `Attempt-Id`, if the request has one.
@@ -20,16 +20,16 @@
     pub idempotency: Idempotency,
 }
 
-/// What says that a response is complete.
+/// How the end of a response is recognized.
 #[derive(Clone, Copy, Debug)]
 enum Framing {
-    /// Its length or its chunks.
+    /// By its length or its last chunk.
     Complete,
-    /// Only the end of its connection.
+    /// By the end of its connection only.
     None,
 }
 
-/// Commands that events of exchanges have caused.
+/// The commands that result from events of exchanges.
 #[derive(Default)]
 struct EventCommands {
     generations: Vec<RunnerCommand>,
@@ -37,8 +37,8 @@
 }
 
 impl Gateway {
-    /// Sends a request to a server, whose instance the bytes name. False where the server is no longer listed or no
-    /// connection can be begun: nothing was sent.
+    /// Sends a request to a server. `bytes` encodes it for the server's instance id. Returns false if nothing was sent
+    /// because the server is no longer listed or no connection could be started.
     pub(super) fn begin_exchange(
         &mut self,
         server: ServerKey,
@@ -60,7 +60,7 @@
         true
     }
 
-    /// Cancels an exchange: no further events of it are received.
+    /// Cancels an exchange. No further events of it are received.
     pub(super) fn drop_exchange(&mut self, exchange: ExchangeId) {
         self.servers.connections.cancel(&mut self.network, exchange);
         if let Some(entry) = self.servers.exchanges.remove(exchange) {
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Routes events of exchanges to what these are for, and executes the commands that they cause.
+    /// Dispatches events of exchanges by their purpose, and executes the resulting commands.
     pub(super) fn upstream_events(&mut self, events: Vec<UpstreamEvent>) {
         let mut commands = EventCommands::default();
         for event in events {
--- a/crates/data-plane/src/gateway/usage_counts.rs
+++ b/crates/data-plane/src/gateway/usage_counts.rs
@@ -1,25 +1,25 @@
-//! Usage: what the requests say of it is counted by windows, and the control node is told.
+//! Usage: counts requests by window and reports the counts to the control node.
 
 use orchidvalve_protocol::messages::{SessionMessage, WindowUsage};
 
 use super::Gateway;
 
 impl Gateway {
-    /// Counts the requests that have begun at servers.
+    /// Counts the requests that have started at servers.
     pub(super) fn count_usage(&mut self) {
         for begun in self.requests.take_begun() {
             self.usage.record(&begun.tenant, self.clock.wall_ms_at(begun.at));
         }
     }
 
-    /// Tells the control node the counts that have changed, or all of them in a new session.
+    /// Reports the counts that have changed to the control node, or all counts in a new session.
     pub(super) fn report_usage(&mut self) {
         let Some(session) = self.feed.session_number() else { return };
         let windows = self.usage.take_due(self.now, session);
         self.send_usage(windows);
     }
 
-    /// Tells the control node all that it wasn't told, as this process stops.
+    /// Reports all unreported counts to the control node, as this process is about to exit.
     pub(super) fn report_all_usage(&mut self) {
         self.count_usage();
         let Some(session) = self.feed.session_number() else { return };
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Windows whose reports are decided need no counts any more.
+    /// Drops the counts of windows whose usage reports are decided.
     pub(super) fn forget_decided_usage(&mut self) {
         if let Some(next_window) = self.feed.replica().state().usage_reports().next_window() {
             self.usage.forget_before(next_window);
--- a/crates/data-plane/src/generations/attempt.rs
+++ b/crates/data-plane/src/generations/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt of an item at a server: the text that it has made so far, and its pace.
+//! One attempt of an item at a server: the text generated so far, and its pace.
 
 use orchidvalve_scheduler::GenerationId;
 
@@ -9,41 +9,41 @@
 
 /// One attempt of an item.
 pub struct Attempt {
-    /// What it makes.
+    /// The generation that the attempt belongs to.
     pub generation: GenerationId,
-    /// Where it runs.
+    /// The server that runs the attempt.
     pub server: ServerKey,
     /// The model, if the batch job names one.
     pub model: Option<ModelKey>,
-    /// Which versions of the weights its text may have.
+    /// The versions of the weights that may generate the text.
     pub rule: VersionRule,
-    /// The events so far, with those that it resumed from.
+    /// The text so far, including the events from which the attempt resumed.
     pub text: Text,
-    /// The version under which the next event is made, as far as known.
+    /// The version of the weights that generates the next event, if known.
     pub version: Option<u64>,
-    /// When it was sent.
+    /// When the attempt was sent, in milliseconds of the steady clock.
     pub sent_at: u64,
-    /// When its first event came.
+    /// When the attempt's first event was received.
     pub first_event_at: Option<u64>,
-    /// When its last event came.
+    /// When the attempt's last event was received.
     pub last_event_at: Option<u64>,
-    /// When it is looked at next whether it has stalled.
+    /// When the attempt is checked next for a stall; `u64::MAX` if no check is scheduled.
     pub check_at: u64,
-    /// Events of this attempt, without those that it resumed from.
+    /// The number of events received from this attempt, excluding those that it resumed from.
     pub events: u32,
 }
 
-/// What pauses are usual on a route, in milliseconds.
+/// The usual pauses in the streams of a route, in milliseconds.
 #[derive(Default)]
 pub struct StreamPace {
-    /// From the sending to the first event.
+    /// The time from sending an attempt to its first event.
     pub first_event_ms: Ewma,
-    /// Between two events.
+    /// The time between two events.
     pub gap_ms: Ewma,
 }
 
 impl Attempt {
-    /// The mean time between events of this attempt, in milliseconds; None before the second one.
+    /// Returns the mean time between events of this attempt in milliseconds, or `None` before the second event.
     pub fn gap_ms(&self) -> Option<f64> {
         let span = self.last_event_at?.saturating_sub(self.first_event_at?) as f64;
         (self.events > 1).then(|| (span / f64::from(self.events - 1)).max(1.0))
--- a/crates/data-plane/src/generations/eligibility.rs
+++ b/crates/data-plane/src/generations/eligibility.rs
@@ -1,4 +1,4 @@
-//! Which servers may run which generations: model, version of the weights, ejection.
+//! Eligibility: which servers may run which generations, by model, version of the weights and ejection.
 
 use std::collections::HashMap;
 
@@ -9,9 +9,9 @@
 use super::item::ItemState;
 use super::servers::Servers;
 
-/// What the scheduler asks about servers, at one moment.
+/// The state by which the scheduler decides which servers are eligible, at one point in time.
 pub struct View<'a> {
-    /// The moment.
+    /// The current time, in milliseconds of the steady clock.
     pub now: u64,
     /// All servers.
     pub servers: &'a Servers,
@@ -26,7 +26,7 @@
     }
 }
 
-/// The version that a server must serve to resume the item's text, where that matters.
+/// Returns the version that a server must serve to resume the item's text, or `None` if any allowed version will do.
 fn required_version(group: &Group, item: &ItemState) -> Option<u64> {
     let bound = group.route.single_version && item.attempts.is_empty();
     if bound { item.resumable_text.single_version() } else { None }
--- a/crates/data-plane/src/generations/ewma.rs
+++ b/crates/data-plane/src/generations/ewma.rs
@@ -1,6 +1,6 @@
-//! Running averages of paces.
+//! Exponentially weighted moving averages of time intervals.
 
-/// The weight of a new observation.
+/// The weight of a new observation in the average.
 const WEIGHT: f64 = 0.2;
 
 /// An exponentially weighted moving average of positive observations; 0 before the first one.
@@ -8,12 +8,12 @@
 pub struct Ewma(f64);
 
 impl Ewma {
-    /// Takes in an observation.
+    /// Adds an observation.
     pub fn observe(&mut self, observed: f64) {
         self.0 = if self.0 == 0.0 { observed } else { self.0 + WEIGHT * (observed - self.0) };
     }
 
-    /// The average; 0 before the first observation.
+    /// Returns the average; 0 before the first observation.
     pub fn value(self) -> f64 {
         self.0
     }
--- a/crates/data-plane/src/generations/item.rs
+++ b/crates/data-plane/src/generations/item.rs
@@ -1,36 +1,36 @@
-//! The state of one item: its attempts, the text that can be resumed, and its reward call.
+//! The state of one item: its attempts, its resumable text, and its reward calls.
 
 use std::sync::Arc;
 
 use super::interface::{AttemptId, Item, RewardCallId, ServerKey};
 use super::text::Text;
 
-/// What is being done for an item.
+/// The processing phase of an item.
 pub enum Phase {
-    /// Its text is being made.
+    /// The text is being generated.
     Generating,
-    /// Its text is complete and waits for the score.
+    /// The text is complete and waits for its score.
     Scoring(Box<Scoring>),
-    /// It has a result.
+    /// The item has a result.
     Done,
 }
 
-/// A complete text and the calls for its score.
+/// A complete text and the reward calls that score it.
 pub struct Scoring {
-    /// The text.
+    /// The complete text.
     pub text: Text,
     /// The calls in flight, at most two.
     pub calls: Vec<RewardCallId>,
-    /// Where the last call went.
+    /// The server to which the last call was sent.
     pub last_server: Option<ServerKey>,
-    /// Responses of 500.
+    /// The number of responses with status 500 to the calls.
     pub failures: u32,
-    /// A call has been hedged.
+    /// Whether a call has been hedged.
     pub hedged: bool,
 }
 
 impl Scoring {
-    /// No call has been sent yet.
+    /// Creates the state of a text for which no call has been sent yet.
     pub fn new(text: Text) -> Self {
         Self { text, calls: Vec::new(), last_server: None, failures: 0, hedged: false }
     }
@@ -41,28 +41,28 @@
 pub struct ItemAttempt {
     /// The attempt.
     pub id: AttemptId,
-    /// Where it runs.
+    /// The server that runs the attempt.
     pub server: ServerKey,
 }
 
 /// One item of a group.
 pub struct ItemState {
-    /// What to send.
+    /// The item as assigned by the store node.
     pub item: Arc<Item>,
-    /// The complete events of attempts that broke off; the next attempt resumes from there.
+    /// The complete events of attempts that broke off. The next attempt resumes after them.
     pub resumable_text: Text,
     /// The attempts in flight, at most two.
     pub attempts: Vec<ItemAttempt>,
-    /// Responses of 500.
+    /// The number of responses with status 500 to attempts of the item.
     pub failures: u32,
-    /// Attempts that stalled.
+    /// The number of attempts that stalled.
     pub stalls: u32,
-    /// What is being done.
+    /// The processing phase.
     pub phase: Phase,
 }
 
 impl ItemState {
-    /// Nothing has been sent yet; `resumable_text` may hold the text of an earlier attempt.
+    /// Creates the state of an item without attempts. `resumable_text` may hold the text of an earlier attempt.
     pub fn new(item: Item, resumable_text: Text) -> Self {
         Self {
             item: Arc::new(item),
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Whether no attempt of its text is in flight or needed any more.
+    /// Whether no attempt is in flight and no complete text waits for its score.
     pub fn is_idle(&self) -> bool {
         match self.phase {
             Phase::Generating => self.attempts.is_empty(),
@@ -83,17 +83,17 @@
         }
     }
 
-    /// Keeps the text of an attempt that broke off if it is longer than the one already kept.
+    /// Keeps the text of an attempt that broke off if it is longer than the text already kept.
     pub fn keep(&mut self, text: Text) {
         self.resumable_text = std::mem::take(&mut self.resumable_text).longer(text);
     }
 
-    /// An attempt has ended.
+    /// Removes an attempt that has ended.
     pub fn remove_attempt(&mut self, id: AttemptId) {
         self.attempts.retain(|attempt| attempt.id != id);
     }
 
-    /// Takes out the attempt at a server.
+    /// Removes the attempt at a server and returns its id.
     pub fn take_attempt_at(&mut self, server: ServerKey) -> Option<AttemptId> {
         let position = self.attempts.iter().position(|attempt| attempt.server == server)?;
         Some(self.attempts.remove(position).id)
--- a/crates/data-plane/src/generations/mod.rs
+++ b/crates/data-plane/src/generations/mod.rs
@@ -1,11 +1,11 @@
-//! Runs the groups of generations that stores have assigned to this gateway; free of I/O.
+//! Runs the groups of generations that store nodes have assigned to this gateway, without I/O of its own.
 //!
-//! [`Runner`] takes assignments, the table of servers and what happens on streams, and asks for attempts,
-//! cancellations and reports as [`RunnerCommand`]s. The scheduler of `orchidvalve_scheduler` chooses the servers; this
-//! module owns texts, versions of weights, failures, reward calls and expiry.
+//! The inputs of [`Runner`] are assignments, the server table and events of streams; its outputs are [`RunnerCommand`]s
+//! for attempts, cancellations and reports. The scheduler of `orchidvalve_scheduler` selects the servers; this module is
+//! responsible for texts, versions of weights, failures, reward calls and expiry.
 //!
-//! Time is a `u64` in milliseconds of a steady clock. After a batch of inputs the host calls
-//! [`Runner::tick`] once, and again at the time that [`Runner::next_wakeup`] names.
+//! Times are `u64` values in milliseconds of a steady clock. The host calls [`Runner::tick`] once after a batch of inputs,
+//! and again at the time returned by [`Runner::next_wakeup`].
 
 mod attempt;
 mod eligibility;
--- a/crates/data-plane/src/generations/reward_calls.rs
+++ b/crates/data-plane/src/generations/reward_calls.rs
@@ -1,4 +1,4 @@
-//! Reward calls in flight and pending, and the servers that take them.
+//! The reward calls in flight and pending, and the servers that run them.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,24 +9,24 @@
 
 use super::interface::{RewardCallId, RewardRoute, Routes, Scorer, ServerKey};
 
-/// Reward calls take this share of a service's slots at most, all gateways together: the rest is for requests that
-/// somebody waits for.
+/// The maximum fraction of a service's slots that reward calls of all gateways together occupy. The rest is reserved for
+/// clients' requests.
 const SLOT_SHARE: f64 = 2.0 / 3.0;
 
 /// One attempt of a reward call.
 pub struct RewardCall {
-    /// Whose text is scored.
+    /// The generation whose text is scored.
     pub generation: GenerationId,
-    /// Where it was sent.
+    /// The server that the call was sent to.
     pub server: ServerKey,
     pool: PoolKey,
 }
 
-/// Servers that score, and what is in flight at them.
+/// The scoring servers of one service, and the calls in flight at them.
 #[derive(Default)]
 struct Pool {
     servers: LoadIndex<ServerKey>,
-    /// Slots of each server that isn't draining.
+    /// The slots of each server that isn't draining.
     slots: HashMap<ServerKey, u32>,
     all_slots: u32,
     in_flight: u32,
@@ -43,7 +43,7 @@
         self.all_slots -= self.slots.remove(&key).unwrap_or(0);
     }
 
-    /// Whether one more call leaves this gateway within its share of the slots that reward calls may take.
+    /// Whether one more call stays within this gateway's fraction of the slots available to reward calls.
     fn has_capacity(&self, gateway_share: f64) -> bool {
         let share = f64::from(self.all_slots) * SLOT_SHARE * gateway_share;
         self.in_flight < (share.ceil() as u32).max(1)
@@ -62,7 +62,7 @@
 }
 
 impl RewardCalls {
-    /// Starts without servers and calls.
+    /// Creates the state without servers and calls.
     pub fn new(random: Pcg64Mcg, routes: Arc<dyn Routes>) -> Self {
         Self {
             routes,
@@ -75,7 +75,8 @@
         }
     }
 
-    /// Adds a server or changes how many calls this gateway may have in flight there, and how many slots it has.
+    /// Adds or updates a server. `limit` is the number of calls that this gateway may have in flight there, `slots` the
+    /// number of slots of the server.
     pub fn set_server(&mut self, key: ServerKey, pool: PoolKey, limit: u32, slots: u32, same_zone: bool) {
         if self.pool_of.get(&key).is_some_and(|known| *known != pool) {
             self.remove_server(key);
@@ -86,29 +87,29 @@
         pool.set_slots(key, slots);
     }
 
-    /// Takes a server out.
+    /// Removes a server.
     pub fn remove_server(&mut self, key: ServerKey) {
         if let Some(pool) = self.pool_of.remove(&key).and_then(|pool| self.pools.get_mut(&pool)) {
             pool.remove(key);
         }
     }
 
-    /// Whether the call is still in flight.
+    /// Whether the call is in flight.
     pub fn is_in_flight(&self, call: RewardCallId) -> bool {
         self.calls.contains_key(&call)
     }
 
-    /// The number of calls in flight.
+    /// Returns the number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether calls wait for a server.
+    /// Whether any call waits for a server.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty()
     }
 
-    /// Puts an item among those whose call waits for a server, unless it is there already; whether it was put there.
+    /// Queues an item whose call needs a server, unless it is already queued. Returns whether it was added.
     pub fn push_pending(&mut self, generation: GenerationId) -> bool {
         let is_new = !self.pending.contains(&generation);
         if is_new {
@@ -117,39 +118,39 @@
         is_new
     }
 
-    /// Puts an item back whose call found no server.
+    /// Requeues an item for whose call no server was available.
     pub fn return_pending(&mut self, generation: GenerationId) {
         self.pending.push_back(generation);
     }
 
-    /// Takes out the item that has waited longest.
+    /// Removes and returns the item that has waited longest.
     pub fn pop_pending(&mut self) -> Option<GenerationId> {
         self.pending.pop_front()
     }
 
-    /// The number of items whose call waits for a server.
+    /// Returns the number of items whose calls wait for a server.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// The item whose call it is.
+    /// Returns the generation that a call scores.
     pub fn generation(&self, call: RewardCallId) -> Option<GenerationId> {
         self.calls.get(&call).map(|call| call.generation)
     }
 
-    /// The routes in the configuration have changed.
+    /// Replaces the routes after a change of the configuration.
     pub fn set_routes(&mut self, routes: Arc<dyn Routes>) {
         self.routes = routes;
     }
 
-    /// The route of a reward call, with a service drawn for one call.
+    /// Returns the route of a reward call, with a service drawn at random for one call.
     pub fn draw_route(&mut self, scorer: &Scorer) -> Option<RewardRoute> {
         let random = self.random.next_u64();
         self.routes.reward_route(&scorer.hostname, &scorer.path, random)
     }
 
-    /// The server of a pool for one more call, other than `avoid`; that one too if there is no other and `allow_same`
-    /// is set. `gateway_share` is this gateway's share of every server's slots.
+    /// Picks a server of the pool for one more call, other than `avoid`. If `allow_same` is set, `avoid` itself is picked
+    /// when there is no other. `gateway_share` is this gateway's fraction of every server's slots.
     pub fn pick(
         &self,
         pool: PoolKey,
@@ -163,7 +164,7 @@
         if allow_same { other.or_else(|| pool.servers.pick(available)) } else { other }
     }
 
-    /// A call is sent.
+    /// Records that a call is sent.
     pub fn begin(&mut self, generation: GenerationId, pool: PoolKey, server: ServerKey) -> RewardCallId {
         self.last_call += 1;
         let call = RewardCallId(self.last_call);
@@ -174,7 +175,7 @@
         call
     }
 
-    /// A call has ended; None if it wasn't in flight.
+    /// Records that a call has ended. Returns `None` if it wasn't in flight.
     pub fn end(&mut self, call: RewardCallId) -> Option<RewardCall> {
         let ended = self.calls.remove(&call)?;
         if let Some(pool) = self.pools.get_mut(&ended.pool) {
--- a/crates/data-plane/src/generations/runner/groups.rs
+++ b/crates/data-plane/src/generations/runner/groups.rs
@@ -1,4 +1,4 @@
-//! Groups are opened and closed: assignment, the end of a batch job, an expired lease, a changed route, expiry.
+//! The life cycle of groups: assignment, cancellation of a batch job, lease expiry, route changes, item expiry.
 
 use std::collections::HashMap;
 use std::hash::Hash;
@@ -16,9 +16,9 @@
 use crate::generations::timers::Timer;
 
 impl Runner {
-    /// Begins a group. If it is open already, a repeated assignment is ignored, and one under a newer epoch (another
-    /// store is the head) replaces the old one: the group goes on as it stands if the same items are open, else it
-    /// begins anew with the texts made so far.
+    /// Begins a group. A repeated assignment of an open group is ignored. An assignment under a newer epoch, by a new head
+    /// of the partition, replaces the open group: its state is kept if the same items are open, otherwise the group
+    /// restarts with the texts generated so far.
     pub fn assign(&mut self, assignment: Assignment, out: &mut Vec<RunnerCommand>) {
         if let Some(key) = self.find_group(&assignment.id.job, assignment.id.group) {
             let open = &self.groups[&key].id;
@@ -58,21 +58,20 @@
         self.open_group(group, out);
     }
 
-    /// A batch job has ended: all its attempts are cancelled in this step.
+    /// Cancels all attempts of a batch job that has ended.
     pub fn cancel(&mut self, job: &str, out: &mut Vec<RunnerCommand>) {
         for key in self.jobs.get(job).cloned().unwrap_or_default() {
             self.archive_group(key, out);
         }
     }
 
-    /// The lease under which a store assigned groups of this partition has expired: all groups of this and older epochs
-    /// are dropped.
+    /// Drops the groups of a partition whose lease has expired: those assigned in this epoch or an earlier one.
     pub fn lease_expired(&mut self, partition: u16, epoch: u64, out: &mut Vec<RunnerCommand>) {
         self.drop_groups(out, |group| group.id.partition == partition && group.id.epoch <= epoch);
     }
 
-    /// Groups without attempts in flight that no server could run, as far as this gateway knows, are dropped
-    /// and returned. For a gateway that doesn't hear of servers any more.
+    /// Drops and returns the groups that have no attempts in flight and that no server in the server table could run. Used
+    /// while the gateway doesn't receive updates of the server table.
     pub fn drop_unservable(&mut self, out: &mut Vec<RunnerCommand>) -> Vec<GroupId> {
         let unservable = self.groups_where(|group| {
             group.items.iter().all(ItemState::is_idle) && group.requirements.are_unservable(&self.servers)
@@ -84,8 +83,8 @@
         ids
     }
 
-    /// The configuration has changed: each group goes on by the route that `find` gives for it. `None`: its route has
-    /// ended, and its items expire.
+    /// Applies a change of the configuration: each group continues with the route that `find` returns for it. If that is
+    /// `None`, the route no longer exists and the group's items expire.
     pub fn reroute(
         &mut self,
         find: impl Fn(&GroupId) -> Option<Arc<RouteFacts>>,
@@ -100,7 +99,7 @@
         }
     }
 
-    /// The time of a group's expiry has come, unless a new assignment put it off.
+    /// Expires a group whose timer is due, unless a new assignment has postponed its expiry.
     pub(super) fn expiry_due(&mut self, now: u64, key: GroupKey, out: &mut Vec<RunnerCommand>) {
         match self.groups.get(&key).map(|group| group.expires_at) {
             Some(expires_at) if expires_at > now => self.timers.add(expires_at, Timer::Expire(key)),
@@ -109,7 +108,7 @@
         }
     }
 
-    /// All items of the group that have no result yet expire.
+    /// Expires all items of the group that have no result yet.
     pub(super) fn expire_group(&mut self, key: GroupKey, out: &mut Vec<RunnerCommand>) {
         let count = self.groups.get(&key).map_or(0, |group| group.items.len());
         for index in 0..count as u32 {
@@ -117,8 +116,8 @@
         }
     }
 
-    /// Puts an open group under a new assignment as it stands, if both have the same open items and the same route;
-    /// whether it did.
+    /// Applies a new assignment to an open group without changing its state, if both have the same open items and the same
+    /// route. Returns whether it did.
     fn reassign(&mut self, key: GroupKey, assignment: &Assignment) -> bool {
         let Some(group) = self.groups.get_mut(&key) else { return false };
         let open = group.items.iter().filter(|state| !matches!(state.phase, Phase::Done));
@@ -145,7 +144,7 @@
             group.route = facts.clone();
             return;
         }
-        // Attempts at servers of the old service may not go on.
+        // Attempts at servers of the old service must not continue.
         let Some(mut group) = self.remove_group(key, out) else { return };
         group.route = facts.clone();
         let pool = self.servers.pool(&facts.service);
@@ -183,8 +182,8 @@
         self.needs_dispatch = true;
     }
 
-    /// The state of an item, with the text that this gateway has kept of it, if it satisfies the rule and can be used:
-    /// a part of a text whose version is served nowhere would wait for ever.
+    /// Creates the state of an item from the text archived for it, if that text satisfies the rule and can be used. An
+    /// incomplete text whose version no server serves is discarded, as it could never be resumed.
     fn restore(&mut self, item: Item, requirements: Requirements, rule: VersionRule) -> ItemState {
         let archived = self.archive.take(&item, requirements.model);
         match archived.filter(|archived| archived.text.satisfies(rule)) {
@@ -200,7 +199,7 @@
         }
     }
 
-    /// Drops a group; its texts are kept for a later assignment of the same items.
+    /// Drops a group and archives its texts for a later assignment of the same items.
     fn archive_group(&mut self, key: GroupKey, out: &mut Vec<RunnerCommand>) {
         let Some(group) = self.remove_group(key, out) else { return };
         for state in group.items {
@@ -246,7 +245,7 @@
     }
 }
 
-/// The number of a key; a key that is new gets the next number.
+/// Returns the value of a key. A new key is assigned the next number.
 fn intern<K: Hash + Eq, V: Copy>(keys: &mut HashMap<K, V>, key: K, numbered: fn(usize) -> V) -> V {
     let next = numbered(keys.len());
     *keys.entry(key).or_insert(next)
--- a/crates/data-plane/src/generations/runner/mod.rs
+++ b/crates/data-plane/src/generations/runner/mod.rs
@@ -1,4 +1,4 @@
-//! The runner: its state, its step, and the table of servers.
+//! The runner: its state, its periodic step, and the server table.
 
 mod groups;
 mod rewards;
@@ -36,7 +36,7 @@
     paces: HashMap<RouteKey, StreamPace>,
     eligibility_classes: HashMap<Requirements, u64>,
     next_group: u32,
-    /// Something happened after which a pending generation or reward call may find a server.
+    /// Whether a pending generation or reward call may find a server since the last dispatch.
     needs_dispatch: bool,
     next_attempt: u64,
     next_hedge_at: Option<u64>,
@@ -44,7 +44,7 @@
 }
 
 impl Runner {
-    /// Starts without servers and groups. `random` breaks ties; `share` is this gateway's part of every
+    /// Creates a runner without servers and groups. `random` breaks ties; `share` is this gateway's fraction of every
     /// server's slots; `routes` finds the routes of reward calls.
     pub fn new(random: Pcg64Mcg, share: f64, routes: Arc<dyn Routes>) -> Self {
         Self {
@@ -67,13 +67,13 @@
         }
     }
 
-    /// The configuration has changed: reward calls follow these routes from now on.
+    /// Replaces the routes of reward calls after a change of the configuration.
     pub fn set_routes(&mut self, routes: Arc<dyn Routes>) {
         self.rewards.set_routes(routes);
         self.needs_dispatch = true;
     }
 
-    /// Sets this gateway's part of every server's slots.
+    /// Sets this gateway's fraction of every server's slots.
     pub fn set_share(&mut self, share: f64) {
         self.servers.set_share(share);
         for key in self.servers.keys() {
@@ -81,13 +81,13 @@
         }
     }
 
-    /// Adds a server or takes in what the server table says of it now.
+    /// Adds a server, or updates it from its entry in the server table.
     pub fn set_server(&mut self, info: &ServerInfo) {
         self.servers.set(info);
         self.refresh_limit(info.key);
     }
 
-    /// A server is no longer listed. Its attempts go on until the host reports how they ended.
+    /// Removes a server that is no longer listed. Its attempts continue until the host reports their ends.
     pub fn remove_server(&mut self, key: ServerKey) {
         self.servers.remove(key);
         self.scheduler.remove_server(key);
@@ -95,8 +95,9 @@
         self.needs_dispatch = true;
     }
 
-    /// Does what is due: expires items, cancels stalled streams, attempts what can be attempted. The host calls it once
-    /// after a batch of other inputs, and at the time of [`Runner::next_wakeup`].
+    /// Handles everything that is due: expires items, cancels stalled streams, and starts attempts and reward calls that
+    /// can find a server. The host calls it once after a batch of other inputs, and at the time of
+    /// [`Runner::next_wakeup`].
     pub fn tick(&mut self, now: u64, out: &mut Vec<RunnerCommand>) {
         while let Some(timer) = self.timers.pop_due(now) {
             self.fire(now, timer, out);
@@ -118,24 +119,24 @@
         });
     }
 
-    /// When [`Runner::tick`] has to be called next, without other inputs.
+    /// Returns when [`Runner::tick`] has to be called next if there are no other inputs.
     pub fn next_wakeup(&self) -> Option<u64> {
         let has_pending = self.scheduler.has_pending() || self.rewards.has_pending();
         let ejection_end = self.servers.next_ejection_end().filter(|_| has_pending);
         [self.timers.next(), self.next_hedge_at, ejection_end].into_iter().flatten().min()
     }
 
-    /// The number of open groups.
+    /// Returns the number of open groups.
     pub fn open_groups(&self) -> usize {
         self.groups.len()
     }
 
-    /// The number of generations that wait for a server of a service.
+    /// Returns the number of generations that wait for a server of a service.
     pub fn waiting_generations(&self, service: &str) -> usize {
         self.servers.known_pool(service).map_or(0, |pool| self.scheduler.pending(pool))
     }
 
-    /// The number of attempts in flight, reward calls included.
+    /// Returns the number of attempts in flight, including reward calls.
     pub fn in_flight(&self) -> usize {
         self.attempts.len() + self.rewards.in_flight()
     }
@@ -150,7 +151,7 @@
         }
     }
 
-    /// Tells the scheduler and the reward calls how many attempts the server may have in flight now.
+    /// Updates the number of attempts that may be in flight at the server, in the scheduler and the reward calls.
     fn refresh_limit(&mut self, key: ServerKey) {
         let limit = self.servers.limit(key);
         if let Some(server) = self.servers.get(key) {
@@ -169,7 +170,7 @@
         self.groups.get_mut(&generation.group)?.items.get_mut(generation.index as usize)
     }
 
-    /// Runs `decide` on the scheduler and carries out what it decides.
+    /// Calls `decide` with the scheduler and executes the decisions that it returns.
     fn decide(
         &mut self,
         now: u64,
@@ -197,12 +198,12 @@
         self.decide(now, out, |scheduler, view, decisions| scheduler.dispatch(now, view, decisions));
     }
 
-    /// The generation needs no server any more: its attempts are cancelled.
+    /// Cancels the attempts of a generation that needs no server any more.
     fn settle(&mut self, generation: GenerationId, out: &mut Vec<RunnerCommand>) {
         self.cancel_by(out, |scheduler, decisions| scheduler.settle(generation, decisions));
     }
 
-    /// Runs a `decide` that only cancels attempts, for which neither the time nor the view matters.
+    /// Calls a `decide` that only cancels attempts and therefore needs neither the time nor the view.
     fn cancel_by(
         &mut self,
         out: &mut Vec<RunnerCommand>,
@@ -211,7 +212,7 @@
         self.decide(0, out, |scheduler, _, decisions| decide(scheduler, decisions));
     }
 
-    /// The item has its result: its attempts are cancelled, and the store is told, once.
+    /// Reports the result of an item to the store node, once, and cancels its attempts.
     fn report(&mut self, generation: GenerationId, result: ItemResult, out: &mut Vec<RunnerCommand>) {
         self.settle(generation, out);
         self.cancel_rewards(generation, out);
@@ -230,7 +231,7 @@
         self.needs_dispatch = true;
     }
 
-    /// Takes a group out and cancels its attempts; nothing of it is reported.
+    /// Removes a group and cancels its attempts without reporting anything.
     fn remove_group(&mut self, key: GroupKey, out: &mut Vec<RunnerCommand>) -> Option<Group> {
         for index in 0..self.groups.get(&key)?.items.len() as u32 {
             self.cancel_rewards(GenerationId { group: key, index }, out);
--- a/crates/data-plane/src/generations/runner/rewards.rs
+++ b/crates/data-plane/src/generations/runner/rewards.rs
@@ -1,4 +1,4 @@
-//! Reward calls: the complete text of an item is scored by the scoring service before its result is reported.
+//! Reward calls: the scoring service scores the complete text of an item before its result is reported.
 
 use compact_str::CompactString;
 use orchidvalve_scheduler::GenerationId;
@@ -12,17 +12,17 @@
 
 /// Backoff before a reward call is retried, in milliseconds.
 const RETRY_BACKOFF_MS: u64 = 30;
-/// Backoff if the configuration has no route for it now, in milliseconds.
+/// Backoff while the configuration has no route for a reward call, in milliseconds.
 const NO_ROUTE_BACKOFF_MS: u64 = 1_000;
-/// A call is hedged after this many times the latency target of the route.
+/// A reward call is hedged after this many times the latency target of its route.
 const HEDGE_FACTOR: u64 = 2;
-/// A call is given this many times the latency target.
+/// The deadline of a reward call, as a multiple of the latency target of its route.
 const DEADLINE_FACTOR: u64 = 8;
-/// A call is given at least this long, in milliseconds.
+/// The minimum deadline of a reward call, in milliseconds.
 const MIN_DEADLINE_MS: u64 = 2_000;
 
 impl Runner {
-    /// A reward call has ended.
+    /// Handles the end of a reward call.
     pub fn reward_ended(
         &mut self,
         now: u64,
@@ -54,7 +54,7 @@
         self.reward_failed(now, generation, out);
     }
 
-    /// Puts the reward call of an item among those that wait for a server.
+    /// Queues the reward call of an item until a server is available.
     pub(super) fn retry_reward(&mut self, generation: GenerationId) {
         if self.scoring(generation).is_some_and(|scoring| scoring.calls.is_empty())
             && self.rewards.push_pending(generation)
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Sends the reward calls that find a server.
+    /// Sends the pending reward calls for which a server is available.
     pub(super) fn dispatch_rewards(&mut self, now: u64, out: &mut Vec<RunnerCommand>) {
         for _ in 0..self.rewards.pending() {
             let Some(generation) = self.rewards.pop_pending() else { return };
@@ -81,7 +81,7 @@
         }
     }
 
-    /// A call takes long: it is hedged at another server, once.
+    /// Hedges a slow reward call at another server, once per item.
     pub(super) fn hedge_reward(&mut self, now: u64, call: RewardCallId, out: &mut Vec<RunnerCommand>) {
         let Some(generation) = self.rewards.generation(call) else { return };
         let Some(scoring) = self.scoring(generation).filter(|scoring| !scoring.hedged) else { return };
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The deadline of a call has passed.
+    /// Ends a reward call whose deadline has passed.
     pub(super) fn expire_reward(&mut self, now: u64, call: RewardCallId, out: &mut Vec<RunnerCommand>) {
         if self.rewards.is_in_flight(call) {
             out.push(RunnerCommand::CancelReward { call });
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Cancels all calls of an item.
+    /// Cancels all reward calls of an item.
     pub(super) fn cancel_rewards(&mut self, generation: GenerationId, out: &mut Vec<RunnerCommand>) {
         let Some(scoring) = self.scoring(generation) else { return };
         for call in std::mem::take(&mut scoring.calls) {
@@ -109,7 +109,7 @@
         }
     }
 
-    /// The text has its score.
+    /// Reports the result of an item whose text has been scored.
     fn scored(&mut self, generation: GenerationId, score: CompactString, out: &mut Vec<RunnerCommand>) {
         let Some(scoring) = self.scoring(generation) else { return };
         let result = std::mem::take(&mut scoring.text).into_result(Some(score));
@@ -129,7 +129,8 @@
         self.timers.add(now + RETRY_BACKOFF_MS, Timer::RetryReward(generation));
     }
 
-    /// A server other than the one that had the last call; that one too if there is no other and `allow_same` is set.
+    /// Picks a server other than that of the last call. If `allow_same` is set, that server is picked when there is no
+    /// other.
     fn pick_reward_server(
         &mut self,
         now: u64,
@@ -165,7 +166,7 @@
         self.timers.add(now + deadline_ms, Timer::ExpireReward(call));
     }
 
-    /// The route of the item's reward call, with a service drawn for one call.
+    /// Returns the route of the item's reward call, with a service drawn at random for one call.
     fn reward_route(&mut self, generation: GenerationId) -> Option<RewardRoute> {
         let group = self.groups.get(&generation.group)?;
         let scorer = group.items.get(generation.index as usize)?.item.scorer.as_ref()?;
--- a/crates/data-plane/src/generations/runner/stalls.rs
+++ b/crates/data-plane/src/generations/runner/stalls.rs
@@ -1,26 +1,27 @@
-//! Streams that stall: how long a server may be silent before its attempt is cancelled.
+//! Stall detection: how long a stream may go without an event before its attempt is cancelled.
 //!
-//! The bound follows the pace of the route and of the attempt itself: the mean time to the first event, then between
-//! events.
+//! The timeout adapts to the pace of the route and of the attempt itself: the mean time to the first event at first, then
+//! the mean time between events.
 
 use super::Runner;
 use crate::generations::attempt::Attempt;
 use crate::generations::interface::{AttemptId, AttemptOutcome, RunnerCommand};
 use crate::generations::timers::Timer;
 
-/// The least time without an event after which a stream has stalled, in milliseconds.
+/// The minimum stall timeout after the first event, in milliseconds.
 const MIN_STALL_TIMEOUT_MS: u64 = 600;
-/// The same before the first event, in milliseconds.
+/// The minimum stall timeout before the first event, in milliseconds.
 const MIN_FIRST_EVENT_TIMEOUT_MS: u64 = 800;
-/// A stream has stalled after this many times the usual time between events.
+/// The stall timeout as a multiple of the usual time between events.
 const STALL_FACTOR: f64 = 6.0;
-/// Before any pace is known, a stream has stalled after this part of the time in which all results are due.
+/// Until a pace is known, the stall timeout is the target duration of the job divided by this.
 const UNKNOWN_PACE_DIVISOR: u64 = 4;
-/// The time allowed doubles with every attempt of an item that stalled, this often.
+/// The stall timeout doubles with every stalled attempt of an item, at most this many times.
 const MAX_DOUBLINGS: u32 = 4;
 
 impl Runner {
-    /// An event has been added to the text: the first two of an attempt show its pace, and with it the time allowed.
+    /// Records that an event was added to the text. The first two events of an attempt determine its pace, and with it the
+    /// stall timeout.
     pub(super) fn record_event(&mut self, now: u64, id: AttemptId) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         attempt.events += 1;
@@ -37,7 +38,7 @@
         }
     }
 
-    /// Cancels an attempt whose stream has stalled, or looks again later.
+    /// Cancels an attempt whose stream has stalled, or schedules the next check.
     pub(super) fn check_stall(&mut self, now: u64, id: AttemptId, out: &mut Vec<RunnerCommand>) {
         let Some(attempt) = self.attempts.get_mut(&id).filter(|attempt| attempt.check_at <= now) else {
             return;
@@ -50,8 +51,8 @@
         self.attempt_ended(now, id, AttemptOutcome::Stalled, out);
     }
 
-    /// Sets the timer for the moment at which the stream will have stalled, unless an earlier one is set. Gives that
-    /// moment.
+    /// Schedules a check for the time at which the stream will have stalled, unless an earlier one is scheduled. Returns
+    /// that time.
     pub(super) fn schedule_stall_check(&mut self, id: AttemptId) -> u64 {
         let Some(attempt) = self.attempts.get(&id) else { return u64::MAX };
         let stalls_at = attempt.last_event_at.unwrap_or(attempt.sent_at) + self.stall_timeout_ms(attempt);
@@ -64,7 +65,7 @@
         stalls_at
     }
 
-    /// An attempt has ended: the time between its events is taken into the pace of its server and its route.
+    /// Records the time between events of an attempt that has ended, for its server and its route.
     pub(super) fn record_pace(&mut self, attempt: &Attempt) {
         let Some(gap_ms) = attempt.gap_ms() else { return };
         self.servers.observe_pace(attempt.server, gap_ms);
@@ -73,7 +74,7 @@
         }
     }
 
-    /// How long the stream may be without an event, in milliseconds.
+    /// Returns how long the stream may go without an event, in milliseconds.
     fn stall_timeout_ms(&self, attempt: &Attempt) -> u64 {
         let Some(group) = self.groups.get(&attempt.generation.group) else { return MIN_STALL_TIMEOUT_MS };
         let stalls = group.items[attempt.generation.index as usize].stalls;
--- a/crates/data-plane/src/generations/runner/streams.rs
+++ b/crates/data-plane/src/generations/runner/streams.rs
@@ -1,4 +1,4 @@
-//! Attempts of items and the streams that come back.
+//! Attempts of items, and the streams that they return.
 
 use orchidvalve_scheduler::GenerationId;
 
@@ -9,7 +9,7 @@
 use crate::generations::text::{EventError, Text};
 
 impl Runner {
-    /// The head of a 2xx has come; `version` is what it says of the weights.
+    /// Handles the head of a 2xx response; `version` is the version of the weights that it states.
     pub fn stream_started(&mut self, id: AttemptId, version: Option<u64>, out: &mut Vec<RunnerCommand>) {
         let Some(attempt) = self.attempts.get_mut(&id) else { return };
         self.servers.accepted(attempt.server);
@@ -26,7 +26,7 @@
         }
     }
 
-    /// An event has come; `version` is its own line about the weights, if it has one.
+    /// Handles an event; `version` is the version of the weights that it states, if any.
     pub fn event_received(
         &mut self,
         now: u64,
@@ -58,7 +58,7 @@
         }
     }
 
-    /// The attempt has ended.
+    /// Handles the end of an attempt.
     pub fn attempt_ended(
         &mut self,
         now: u64,
@@ -73,7 +73,7 @@
             AttemptOutcome::Complete if !attempt.text.is_empty() => {
                 return self.completed(now, id, attempt, out);
             }
-            // Another attempt has been asked for what follows this text, and nothing does.
+            // This attempt was to resume the text and added nothing, so the text was already complete.
             AttemptOutcome::Closed if !attempt.text.is_empty() && attempt.events == 0 => {
                 return self.completed(now, id, attempt, out);
             }
@@ -112,7 +112,7 @@
         self.retry_or_expire(id, &attempt, text, out);
     }
 
-    /// Attempts an item at a server, resuming from the text kept of it.
+    /// Begins an attempt of an item at a server, resuming from the item's text.
     pub(super) fn begin_attempt(
         &mut self,
         now: u64,
@@ -164,7 +164,7 @@
         self.schedule_stall_check(id);
     }
 
-    /// Cancels an attempt that isn't needed any more. What it has made is kept in case the item still needs it.
+    /// Cancels an attempt that isn't needed any more. Its text is kept in case the item still needs it.
     pub(super) fn cancel_attempt(
         &mut self,
         generation: GenerationId,
@@ -182,7 +182,7 @@
         }
     }
 
-    /// Drops the kept texts whose only version no server serves any more.
+    /// Discards the resumable texts whose only version is no longer served by any server.
     pub(super) fn discard_unservable_texts(&mut self) {
         if !self.servers.take_version_lost() {
             return;
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The text is complete: the item's other attempt is cancelled, and its reward call is due.
+    /// Handles a complete text: cancels the item's other attempt and queues its reward call.
     fn completed(&mut self, now: u64, id: AttemptId, attempt: Attempt, out: &mut Vec<RunnerCommand>) {
         let generation = attempt.generation;
         self.servers.succeeded(attempt.server);
@@ -230,7 +230,7 @@
         });
     }
 
-    /// Ends an attempt whose stream can't be used further.
+    /// Ends an attempt whose stream cannot be used any further.
     fn abort(&mut self, id: AttemptId, out: &mut Vec<RunnerCommand>) {
         let Some(mut attempt) = self.attempts.remove(&id) else { return };
         out.push(RunnerCommand::CancelAttempt { attempt: id });
@@ -239,7 +239,7 @@
         self.retry_or_expire(id, &attempt, text, out);
     }
 
-    /// The item is attempted elsewhere, or expires if it has failed too often.
+    /// Keeps the text of an ended attempt for the next one, or expires the item if it has failed too often.
     fn retry_or_expire(
         &mut self,
         id: AttemptId,
@@ -260,7 +260,7 @@
         }
     }
 
-    /// A server has answered an item with 500.
+    /// Counts and reports a response with status 500 to an item.
     fn item_failed(&mut self, generation: GenerationId, out: &mut Vec<RunnerCommand>) {
         let Some(group) = self.groups.get_mut(&generation.group) else { return };
         let Some(state) = group.items.get_mut(generation.index as usize) else { return };
@@ -269,7 +269,8 @@
         out.push(RunnerCommand::ReportFailures { group: group.id.clone(), item, failures });
     }
 
-    /// An item has had so many responses of 500, at other gateways among them: at their limit it expires.
+    /// Records the number of responses with status 500 to an item, including those received by other gateways. The item
+    /// expires when the number reaches the route's limit.
     pub fn failures_known(&mut self, job: &str, item: &str, failures: u32, out: &mut Vec<RunnerCommand>) {
         for key in self.jobs.get(job).cloned().unwrap_or_default() {
             let Some(group) = self.groups.get_mut(&key) else { continue };
@@ -291,7 +292,7 @@
         }
     }
 
-    /// Takes in that the server doesn't serve the version it was asked for; whether it said which it serves.
+    /// Records that the server doesn't serve the expected version. Returns whether it stated a different one.
     fn version_mismatch(&mut self, attempt: &Attempt, version: Option<u64>) -> bool {
         let Some(model) = attempt.model else { return false };
         let known = self.servers.version(attempt.server, Some(model));
--- a/crates/data-plane/src/generations/servers/mod.rs
+++ b/crates/data-plane/src/generations/servers/mod.rs
@@ -1,4 +1,4 @@
-//! What is known of model servers and scoring servers: capacity, versions of weights, failures, pace.
+//! The state of model servers and scoring servers: capacity, versions of weights, failures, pace.
 
 mod ejection;
 mod versions;
@@ -13,33 +13,33 @@
 use super::ewma::Ewma;
 use super::interface::{ServerInfo, ServerKey};
 
-/// A server slower than the others by this factor gets fewer generations.
+/// A server whose time between events exceeds that of its pool by this factor is assigned fewer generations.
 const SLOW_FACTOR: f64 = 1.5;
-/// The least share of its usual number that a slow server gets.
+/// The minimum fraction of its usual number of generations that a slow server is assigned.
 const MIN_SPEED_SHARE: f64 = 0.25;
 
-/// Names a model among those known.
+/// Identifies a model within this gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ModelKey(u32);
 
-/// The part of a server's slots that belongs to one gateway: rounded up, at least one.
+/// Returns a gateway's quota of a server's slots for a fraction of them: rounded up, at least one.
 pub fn share_limit(slots: u32, share: f64) -> u32 {
     ((f64::from(slots) * share).ceil() as u32).max(1)
 }
 
-/// A model that a server serves.
+/// A model that a server serves, and the version of its weights.
 #[derive(Clone, Copy, Debug)]
 struct ServedModel {
     model: ModelKey,
     version: u64,
 }
 
-/// One server.
+/// The state of one server.
 #[derive(Debug)]
 pub struct Server {
-    /// The pool of its service.
+    /// The pool of the server's service.
     pub pool: PoolKey,
-    /// It is in this gateway's zone.
+    /// Whether the server is in this gateway's zone.
     pub same_zone: bool,
     slots: u32,
     queued: u32,
@@ -47,7 +47,7 @@
     draining: bool,
     models: Vec<ServedModel>,
     accrual: FailureAccrual,
-    /// Time between two events of a stream, in milliseconds.
+    /// The time between two events of a stream at the server, in milliseconds.
     gap_ms: Ewma,
 }
 
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Its slots, unless it is draining.
+    /// Returns the number of slots; 0 if the server is draining.
     pub fn usable_slots(&self) -> u32 {
         if self.draining { 0 } else { self.slots }
     }
@@ -76,20 +76,20 @@
     }
 }
 
-/// All servers of a gateway.
+/// The state of all servers known to a gateway.
 pub struct Servers {
     table: HashMap<ServerKey, Server>,
     services: HashMap<CompactString, PoolKey>,
     models: HashMap<CompactString, ModelKey>,
     versions: ServedVersions,
     ejections: Ejections,
-    /// Time between two events of a stream in a pool, in milliseconds.
+    /// The time between two events of a stream in each pool, in milliseconds.
     gap_ms: HashMap<PoolKey, Ewma>,
     share: f64,
 }
 
 impl Servers {
-    /// Starts empty; `share` is this gateway's part of every server's slots.
+    /// Creates the state without servers. `share` is this gateway's fraction of every server's slots.
     pub fn new(share: f64) -> Self {
         Self {
             table: HashMap::new(),
@@ -102,42 +102,43 @@
         }
     }
 
-    /// This gateway's part of every server's slots.
+    /// Returns this gateway's fraction of every server's slots.
     pub fn share(&self) -> f64 {
         self.share
     }
 
-    /// Sets this gateway's part of every server's slots.
+    /// Sets this gateway's fraction of every server's slots.
     pub fn set_share(&mut self, share: f64) {
         self.share = share;
     }
 
-    /// The pool of a service.
+    /// Returns the pool of a service, and creates it if necessary.
     pub fn pool(&mut self, service: &CompactString) -> PoolKey {
         intern(&mut self.services, service, PoolKey)
     }
 
-    /// The pool of a service, if any of its servers or generations were known.
+    /// Returns the pool of a service if it exists already.
     pub fn known_pool(&self, service: &str) -> Option<PoolKey> {
         self.services.get(service).copied()
     }
 
-    /// The key of a model.
+    /// Returns the key of a model, and assigns one if necessary.
     pub fn model(&mut self, name: &CompactString) -> ModelKey {
         intern(&mut self.models, name, ModelKey)
     }
 
-    /// All servers, in no order.
+    /// Returns the keys of all servers, in arbitrary order.
     pub fn keys(&self) -> Vec<ServerKey> {
         self.table.keys().copied().collect()
     }
 
-    /// One server.
+    /// Returns the state of a server.
     pub fn get(&self, key: ServerKey) -> Option<&Server> {
         self.table.get(&key)
     }
 
-    /// Adds a server or takes in what the server table says of it now. Versions never go back: the table lags.
+    /// Adds a server, or updates it from its entry in the server table. Versions never decrease, as the table lags behind
+    /// what responses have shown.
     pub fn set(&mut self, info: &ServerInfo) {
         let pool = self.pool(&info.service);
         let listed: Vec<_> = info
@@ -159,7 +160,7 @@
         self.count_versions(info.key);
     }
 
-    /// Takes a server out.
+    /// Removes a server.
     pub fn remove(&mut self, key: ServerKey) {
         self.uncount_versions(key);
         if let Some(server) = self.table.remove(&key) {
@@ -167,7 +168,7 @@
         }
     }
 
-    /// The most generations this gateway may have in flight at the server; 0 if it is draining.
+    /// Returns the number of generations that this gateway may have in flight at the server; 0 if it is draining.
     pub fn limit(&self, key: ServerKey) -> u32 {
         let Some(server) = self.table.get(&key).filter(|server| !server.draining) else { return 0 };
         let usable = server.slots.saturating_sub(server.queued);
@@ -181,32 +182,32 @@
         usual
     }
 
-    /// The version of the model's weights at the server, as far as known.
+    /// Returns the version of the model's weights at the server, if known.
     pub fn version(&self, key: ServerKey, model: Option<ModelKey>) -> Option<u64> {
         self.table.get(&key)?.version(model?)
     }
 
-    /// Whether the server may be sent something now.
+    /// Whether the server is neither draining nor ejected.
     pub fn available(&self, key: ServerKey, now: u64) -> bool {
         self.table.get(&key).is_some_and(|server| !server.draining && !server.accrual.is_ejected(now))
     }
 
-    /// Whether some server that isn't draining serves this version.
+    /// Whether a server that isn't draining serves this version.
     pub fn any_serves(&self, pool: PoolKey, model: ModelKey, version: u64) -> bool {
         self.versions.contains(ServedVersion { pool, model, version })
     }
 
-    /// Whether some server that isn't draining serves this version or a later one.
+    /// Whether a server that isn't draining serves this version or a later one.
     pub fn any_serves_from(&self, pool: PoolKey, model: ModelKey, version: u64) -> bool {
         self.versions.contains_from(ServedVersion { pool, model, version })
     }
 
-    /// Whether the last server of some version may have gone since the last call.
+    /// Whether, since the last call, a version may have lost its last server.
     pub fn take_version_lost(&mut self) -> bool {
         self.versions.take_lost()
     }
 
-    /// A response or an event has shown the version at the server.
+    /// Records the version that a response or an event has shown at the server.
     pub fn observe_version(&mut self, key: ServerKey, model: ModelKey, version: u64) {
         if self.version(key, Some(model)) == Some(version) {
             return;
@@ -221,8 +222,9 @@
         self.count_versions(key);
     }
 
-    /// The server doesn't serve the version it was thought to serve, and didn't say which it serves: the newest
-    /// version of the pool is the best guess. If that was the guess already, the server table has to say.
+    /// Records that the server doesn't serve the version recorded for it, without having stated which one it serves. The
+    /// latest version in the pool is assumed instead; if that was the recorded one, the version is reset to 0 until the
+    /// server table or a response shows it.
     pub fn invalidate_version(&mut self, key: ServerKey, model: ModelKey) {
         let Some(server) = self.table.get(&key) else { return };
         if let Some(newest) = self.versions.newest(server.pool, model) {
@@ -231,47 +233,47 @@
         }
     }
 
-    /// The server rejected a request: it is ejected for a little, for as long as it asked within a bound.
+    /// Records that the server rejected a request. It is ejected briefly, or for its `Retry-After` up to a limit.
     pub fn rejected(&mut self, key: ServerKey, now: u64, retry_after_ms: Option<u64>) {
         if let Some(server) = self.table.get_mut(&key) {
             self.ejections.rejected(key, &mut server.accrual, now, retry_after_ms);
         }
     }
 
-    /// An attempt failed at the server: it is ejected for a little.
+    /// Records that an attempt failed at the server. It is ejected briefly.
     pub fn failed(&mut self, key: ServerKey, now: u64) {
         if let Some(server) = self.table.get_mut(&key) {
             self.ejections.failed(key, &mut server.accrual, now);
         }
     }
 
-    /// The server took a request in.
+    /// Records that the server accepted a request.
     pub fn accepted(&mut self, key: ServerKey) {
         if let Some(server) = self.table.get_mut(&key) {
             server.accrual.accepted();
         }
     }
 
-    /// The server ended a request well.
+    /// Records that the server completed a request successfully.
     pub fn succeeded(&mut self, key: ServerKey) {
         if let Some(server) = self.table.get_mut(&key) {
             server.accrual.succeeded();
         }
     }
 
-    /// Events at the server came this far apart.
+    /// Records the mean time between two events of a stream at the server, in milliseconds.
     pub fn observe_pace(&mut self, key: ServerKey, gap_ms: f64) {
         let Some(server) = self.table.get_mut(&key) else { return };
         server.gap_ms.observe(gap_ms);
         self.gap_ms.entry(server.pool).or_default().observe(gap_ms);
     }
 
-    /// Ends the ejections that are over; whether there were any.
+    /// Removes the ejections that are over. Returns whether there were any.
     pub fn end_ejections(&mut self, now: u64) -> bool {
         self.ejections.end_due(now)
     }
 
-    /// When the next ejection ends.
+    /// Returns when the next ejection ends.
     pub fn next_ejection_end(&self) -> Option<u64> {
         self.ejections.next_end()
     }
@@ -295,7 +297,7 @@
     }
 }
 
-/// The key of a name; a name that is new gets the next number.
+/// Returns the key of a name. A new name is assigned the next number.
 fn intern<Key: Copy>(
     names: &mut HashMap<CompactString, Key>,
     name: &CompactString,
--- a/crates/data-plane/src/generations/text_archive.rs
+++ b/crates/data-plane/src/generations/text_archive.rs
@@ -1,4 +1,4 @@
-//! Texts of items whose batch job has ended, for a later batch job that brings them back.
+//! Archive of the texts of items whose groups were dropped, for a later assignment of the same items.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
@@ -9,25 +9,25 @@
 use super::servers::ModelKey;
 use super::text::Text;
 
-/// The most bytes of text that are kept.
+/// The maximum total size of the archived texts, in bytes.
 const MAX_BYTES: usize = 4 << 20;
 
-/// A text with the body it was made from.
+/// An archived text and the item properties that must match for its reuse.
 #[derive(Debug)]
 pub struct ArchivedText {
     /// The body of the item.
     pub body: Arc<[u8]>,
-    /// The model that made the text.
+    /// The model that generated the text.
     pub model: Option<ModelKey>,
-    /// The tenant of the batch job: another one's text isn't used.
+    /// The tenant of the batch job. The text is never reused for another tenant.
     pub tenant: Option<CompactString>,
-    /// The text as far as it goes.
+    /// The text, possibly incomplete.
     pub text: Text,
-    /// The text is the complete output.
+    /// Whether the text is the complete output.
     pub is_complete: bool,
 }
 
-/// The most recent texts, found by the id of their item.
+/// The most recently archived texts, by item id.
 #[derive(Default)]
 pub struct TextArchive {
     texts: HashMap<CompactString, ArchivedText>,
@@ -36,7 +36,7 @@
 }
 
 impl TextArchive {
-    /// Keeps a text; the oldest ones are dropped beyond the bound.
+    /// Archives a text that isn't empty. The oldest texts are dropped while the total exceeds the size limit.
     pub fn put(&mut self, item: CompactString, resumable_text: ArchivedText) {
         if resumable_text.text.is_empty() {
             return;
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Takes out the text of an item with the same body, model and tenant.
+    /// Removes and returns the text of an item, if its body, model and tenant are the same.
     pub fn take(&mut self, item: &Item, model: Option<ModelKey>) -> Option<ArchivedText> {
         if self.texts.is_empty() {
             return None;
--- a/crates/data-plane/src/generations/timers.rs
+++ b/crates/data-plane/src/generations/timers.rs
@@ -1,4 +1,4 @@
-//! Times at which something is due.
+//! A timer queue for the runner of generations.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -6,12 +6,12 @@
 use super::interface::{AttemptId, RewardCallId};
 use orchidvalve_scheduler::{GenerationId, GroupKey};
 
-/// What is due.
+/// The event that a timer triggers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Timer {
     /// The items of a group expire.
     Expire(GroupKey),
-    /// A stream may have stalled.
+    /// The stream of an attempt may have stalled.
     Stall(AttemptId),
     /// The reward call of an item may be retried.
     RetryReward(GenerationId),
@@ -21,14 +21,14 @@
     ExpireReward(RewardCallId),
 }
 
-/// A timer and its time. The derived order goes by the fields in this order.
+/// A timer and its due time. The derived order compares the fields in their order of declaration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct DueTimer {
     at: u64,
     timer: Timer,
 }
 
-/// Timers in the order of their time. Those that no longer matter are dropped when they come up.
+/// Timers ordered by due time. Timers that no longer apply are dropped when they reach the front.
 #[derive(Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<DueTimer>>,
@@ -40,7 +40,7 @@
         self.heap.push(Reverse(DueTimer { at, timer }));
     }
 
-    /// Takes out a timer that is due.
+    /// Removes and returns a timer that is due.
     pub fn pop_due(&mut self, now: u64) -> Option<Timer> {
         if self.next()? > now {
             return None;
@@ -48,12 +48,12 @@
         self.heap.pop().map(|Reverse(due)| due.timer)
     }
 
-    /// When the next one is due.
+    /// Returns when the next timer is due.
     pub fn next(&self) -> Option<u64> {
         self.heap.peek().map(|Reverse(due)| due.at)
     }
 
-    /// Drops timers from the front that no longer matter.
+    /// Drops timers from the front of the queue as long as they no longer apply.
     pub fn drop_stale(&mut self, matters: impl Fn(Timer) -> bool) {
         while self.heap.peek().is_some_and(|Reverse(due)| !matters(due.timer)) {
             self.heap.pop();
--- a/crates/data-plane/src/lib.rs
+++ b/crates/data-plane/src/lib.rs
@@ -1,20 +1,22 @@
-//! Data plane: requests of clients, streams, groups of generations, reward calls.
+//! The data plane of a gateway: clients' requests, streams, groups of generations, and reward calls.
 //!
-//! [`gateway`] is the process: it wires everything else to sockets and timers. The other modules do no I/O of their
-//! own, or write to connections that they are handed, and take the time as an argument: milliseconds of a steady clock.
+//! [`gateway`] is the process: it connects all other modules to sockets and timers. The other modules do no I/O of their
+//! own, or write to connections that are passed to them, and receive the time as an argument, in milliseconds of a steady
+//! clock.
 //!
 //! `docs/architecture.md` follows a client's request and a batch job through these modules step by step.
 //!
-//! * [`admission`] finds a request's route and its tenant, whom [`authentication`] tells by the API key.
-//! * [`requests`] decides on attempts, retries and hedges of clients' requests; [`balancer`] chooses the server of each;
-//!   [`attempts`] proves what may be attempted again and what may be promised.
-//! * [`generations`] runs groups of generations that stores assign through [`work`] and [`store_links`].
-//! * [`batch_calls`] carries clients' calls about batch jobs to the stores.
-//! * [`usage`] counts the requests of each tenant that began at servers, for the reports of usage.
-//! * [`clients`] and [`upstream`] keep the connections to clients and to servers; [`exchanges`] says what each exchange
-//!   with a server is for.
-//! * [`startup_queue`] keeps requests that come before there are a configuration and servers; [`response_class`] says
-//!   what a server's response means; [`own_answers`] counts what the gateway itself answers; [`text_compression`] packs texts on their way to the stores.
+//! * [`admission`] finds a request's route and tenant; [`authentication`] identifies the tenant by the API key.
+//! * [`requests`] decides on attempts, retries and hedges of clients' requests; [`balancer`] selects the server of each
+//!   attempt; [`attempts`] determines what may be attempted again and what may be promised to the client.
+//! * [`generations`] runs groups of generations that store nodes assign through [`work`] and [`store_links`].
+//! * [`batch_calls`] forwards clients' calls about batch jobs to the store nodes.
+//! * [`usage`] counts the requests of each tenant that started at servers, for the usage reports.
+//! * [`clients`] and [`upstream`] manage the connections to clients and to servers; [`exchanges`] records the purpose of
+//!   each exchange with a server.
+//! * [`startup_queue`] holds requests that arrive before a configuration and a server table; [`response_class`] classifies
+//!   servers' responses; [`own_answers`] counts error responses that the gateway produced itself; [`text_compression`]
+//!   compresses texts for their transfer to the store nodes.
 
 pub mod admission;
 pub mod attempts;
--- a/crates/data-plane/src/own_answers.rs
+++ b/crates/data-plane/src/own_answers.rs
@@ -1,22 +1,22 @@
-//! Counts of the failures that a gateway itself answered clients with, by status, for a log line now and then.
+//! Counts of the error responses that a gateway produced itself, by status, for a periodic log line.
 
 use std::collections::BTreeMap;
 
-/// Time from one line to the next, in milliseconds.
+/// The interval between two log lines, in milliseconds.
 pub const LINE_INTERVAL_MS: u64 = 10_000;
-/// Least status that counts.
+/// The lowest status that is counted.
 const FIRST_FAILURE: u16 = 400;
 
-/// Failures since the last line.
+/// The error responses since the last log line.
 #[derive(Debug, Default)]
 pub struct OwnAnswers {
     counts: BTreeMap<u16, u64>,
-    /// When the first of them was answered.
+    /// When the first of them was sent, in milliseconds of the steady clock.
     since: u64,
 }
 
 impl OwnAnswers {
-    /// A client was answered with a status.
+    /// Counts a local response with this status.
     pub fn record(&mut self, now: u64, status: u16) {
         if status < FIRST_FAILURE {
             return;
@@ -27,7 +27,8 @@
         *self.counts.entry(status).or_default() += 1;
     }
 
-    /// The counts by status once a line is due, such as `401: 12, 404: 1`; they begin anew. Without failures none is.
+    /// Returns the counts by status, such as `401: 12, 404: 1`, and resets them, if a log line is due. No line is due
+    /// without error responses.
     pub fn take_due(&mut self, now: u64) -> Option<String> {
         let is_due = !self.counts.is_empty() && now >= self.since + LINE_INTERVAL_MS;
         is_due.then(|| {
--- a/crates/data-plane/src/requests/attempt.rs
+++ b/crates/data-plane/src/requests/attempt.rs
@@ -10,20 +10,21 @@
 use crate::balancer::{Balancer, ServerKey};
 use crate::upstream::Failure;
 
-/// Backoff before a rejected request is attempted again at servers that have rejected it, in milliseconds.
+/// Backoff before a request is attempted again at servers that have already rejected it, in milliseconds.
 const REJECTED_BACKOFF_MS: u64 = 15;
-/// A request is overdue once this part of its latency target is over: a hedge then may still be in time.
+/// A request is overdue once the latency target divided by this has passed: a hedge may then still meet the target.
 const OVERDUE_DIVISOR: u64 = 2;
-/// Hedges within [`orchidvalve_scheduler::BUDGET_WINDOW_MS`] that don't have to be a small share of the requests, for
-/// those that are overdue: a gateway that takes few would never hedge one whose server doesn't respond any more.
+/// The number of hedges within [`orchidvalve_scheduler::BUDGET_WINDOW_MS`] that overdue requests may use beyond the hedge
+/// budget, which is a small fraction of the requests. Without them, a gateway with few requests could never hedge a
+/// request to an unresponsive server.
 const RESERVED_HEDGES: u64 = 3;
-/// Percentile of a service's latencies after which a request may be hedged.
+/// A request may be hedged once it takes longer than this percentile of its service's latencies.
 const HEDGE_PERCENTILE: usize = 90;
-/// Least delay of a hedge, in milliseconds.
+/// The minimum delay before a hedge, in milliseconds.
 const MIN_HEDGE_DELAY_MS: u64 = 20;
 
 impl Requests {
-    /// Attempts the request at another server, or ends it where that can't be.
+    /// Attempts the request at another server. Fails the request if that is impossible and no attempt is in flight.
     pub(super) fn attempt_next(
         &mut self,
         now: u64,
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Attempts the request at `server`, or ends it where it isn't idempotent and may have run.
+    /// Attempts the request at `server`, or fails it if it isn't idempotent and may have run.
     fn attempt_at(
         &mut self,
         now: u64,
@@ -72,7 +73,7 @@
         self.schedule_hedge(now, id);
     }
 
-    /// Sets the time at which a hedge is due.
+    /// Schedules the hedge of the request, if its route allows one.
     fn schedule_hedge(&mut self, now: u64, id: RequestId) {
         let Some(pending) = self.pending.get_mut(&id).filter(|pending| pending.may_be_hedged()) else {
             return;
@@ -86,7 +87,7 @@
         pending.hedge_at = Some(now + delay_ms.max(MIN_HEDGE_DELAY_MS));
     }
 
-    /// Attempts a late request at a second server as well, if the budget allows it.
+    /// Sends an overdue request to a second server as well, if the hedge budget allows it.
     pub(super) fn hedge(
         &mut self,
         now: u64,
@@ -115,7 +116,7 @@
         }
     }
 
-    /// An attempt provably didn't run: the request is attempted at another server, or at the same ones after a backoff.
+    /// Retries a request whose last attempt did not execute: at another server, or at the same servers after a backoff.
     pub(super) fn retry_rejected(
         &mut self,
         now: u64,
@@ -137,7 +138,7 @@
         }
     }
 
-    /// An attempt has ended without a complete response.
+    /// Handles an attempt that ended without a complete response.
     pub fn attempt_failed(
         &mut self,
         now: u64,
@@ -154,7 +155,7 @@
         if failure == Failure::Connect {
             pending.uncount(&ended);
         }
-        // A connection that was closed as it was idle most likely carried nothing.
+        // A connection that the server closed while it was idle most likely carried no request.
         if !not_executed && failure != Failure::Stale {
             pending.may_have_begun(ended.started_at);
         }
--- a/crates/data-plane/src/requests/begun.rs
+++ b/crates/data-plane/src/requests/begun.rs
@@ -1,8 +1,9 @@
-//! When a client's request has begun to run, for the reports of usage.
+//! Determines when a client's request started to run at a server, for the usage reports.
 //!
-//! A stream begins with its first event. Any other request begins when it reaches a server, which is about when it was
-//! sent: it counts once the head of a response shows that it ran, at the time at which that attempt was sent. Where no
-//! attempt got a head and one may have run, the request counts when it ends, at the time of the earliest of them.
+//! A stream starts with its first event. Any other request starts when it reaches a server, which is approximately when
+//! the attempt was sent: the request counts once the head of a response shows that it ran, with the send time of that
+//! attempt. If no attempt received a head and one of them may have run, the request counts when it ends, with the send
+//! time of the earliest such attempt.
 
 use compact_str::CompactString;
 use orchidvalve_configuration::RouteType;
@@ -10,15 +11,15 @@
 use super::messages::RequestAttemptId;
 use super::pending::PendingRequest;
 
-/// Whether every attempt that began at a server counts. Otherwise a request counts once, however often it is attempted.
+/// Whether every attempt that started at a server counts. Otherwise a request counts once, whatever its number of attempts.
 const COUNTS_EACH_ATTEMPT: bool = false;
 
-/// A request of a tenant that began to run at a server.
+/// A tenant's request that started to run at a server.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct BegunRequest {
-    /// Name of the tenant.
+    /// The name of the tenant.
     pub tenant: CompactString,
-    /// When it began, in milliseconds of the steady clock.
+    /// When the request started, in milliseconds of the steady clock.
     pub at: u64,
 }
 
@@ -27,12 +28,13 @@
         self.caller.tenant().map(CompactString::from)
     }
 
-    /// Whether its responses are series of events, of which the first shows that it has begun.
+    /// Whether the request has started only once the first event of a response arrives.
     pub fn begins_with_event(&self) -> bool {
         self.route().route_type == RouteType::Streaming
     }
 
-    /// An attempt has surely begun at its server: at `at`, or when it was sent. Returns what counts by that.
+    /// Records that an attempt has certainly started at its server, at `at` or, if that is `None`, when it was sent.
+    /// Returns the request if it counts now.
     pub fn attempt_began(&mut self, attempt: RequestAttemptId, at: Option<u64>) -> Option<BegunRequest> {
         let begun = self.attempt_mut(attempt)?;
         let at = at.unwrap_or(begun.started_at);
@@ -42,14 +44,14 @@
         self.tenant_name().filter(|_| counts).map(|tenant| BegunRequest { tenant, at })
     }
 
-    /// An attempt that was sent at `sent_at` has ended without showing whether it ran.
+    /// Records that an attempt, sent at `sent_at`, has ended without showing whether it ran.
     pub fn may_have_begun(&mut self, sent_at: u64) {
         if !self.begins_with_event() {
             self.may_have_begun_at = Some(self.may_have_begun_at.map_or(sent_at, |at| at.min(sent_at)));
         }
     }
 
-    /// The request ends: what counts now, although no attempt has surely begun.
+    /// Called when the request ends. Returns the request if it has not counted yet and an attempt may have run.
     pub fn begun_at_last(&self) -> Option<BegunRequest> {
         if self.has_begun || self.begins_with_event() {
             return None;
--- a/crates/data-plane/src/requests/completion.rs
+++ b/crates/data-plane/src/requests/completion.rs
@@ -1,4 +1,4 @@
-//! How requests end: with a server's response, with the end of a stream, or with a response of the gateway's own.
+//! The end of a request: a server's response, the end of a stream, or a local response of the gateway.
 
 use orchidvalve_http::ResponseHead;
 
@@ -11,10 +11,10 @@
 use crate::upstream::{Failure, keep_alive_ms};
 
 impl Requests {
-    /// The response of an attempt is complete by its framing.
+    /// Handles an attempt whose response is complete by its framing.
     ///
-    /// A success without the server's signature and a stream that ends within an event count as broken responses. A
-    /// rejection is retried, and so is a failure status if the request is idempotent.
+    /// A success without the server's signature, and a stream that ends within an event, count as broken responses. A
+    /// rejected request is retried, and so is an idempotent one after a failure status.
     pub fn attempt_completed(
         &mut self,
         now: u64,
@@ -60,10 +60,10 @@
         }
     }
 
-    /// The connection of an attempt was closed in order, and its response has no framing.
+    /// Handles an attempt whose response has no framing and whose connection was closed in order.
     ///
-    /// A stream that may be resumed is resumed after its last event, as its server may have died there: it is complete
-    /// once an attempt adds nothing. Any other response is complete.
+    /// The server of a resumable stream may have died at this point, so the stream is resumed after its last event; it is
+    /// complete once an attempt adds no events. Any other response is complete.
     pub fn attempt_closed(
         &mut self,
         now: u64,
@@ -87,7 +87,7 @@
         }
     }
 
-    /// A server ran the request and gave a complete response that isn't streamed.
+    /// Handles a complete, unstreamed response of a server that ran the request.
     fn responded(
         &mut self,
         now: u64,
@@ -100,7 +100,7 @@
         let Some(pending) = self.pending.get_mut(&id) else { return };
         let promises = promises_no_execution(head.status);
         if pending.is_idempotent() && is_failure(head.status) {
-            // No promise is forwarded that the server didn't give.
+            // A status that promises that nothing ran is not forwarded if the server did not state so (`Not-Executed`).
             if !promises {
                 pending.last_failure = Some(ServerResponse { head, body: ended.body });
             }
@@ -108,7 +108,7 @@
                 self.attempt_next(now, id, balancer, out);
             }
         } else if pending.has_started() || promises {
-            // Nor can a stream go on with this response.
+            // A started stream cannot continue with this response either.
             self.fail(id, out);
         } else {
             self.finish(now, id, head, ended, out);
@@ -132,12 +132,13 @@
         out.push(RequestCommand::Respond { request: id, response });
     }
 
-    /// No server can respond: the request ends with status 502.
+    /// Ends the request because no server can respond; the status is 502 if the request may have run.
     pub(super) fn fail(&mut self, id: RequestId, out: &mut Vec<RequestCommand>) {
         self.end(id, 502, out);
     }
 
-    /// Ends a request without a successful response. `indeterminate` is the status if it may have run.
+    /// Ends a request without a successful response. `indeterminate` is the status sent if the request may have run and
+    /// no failure response can be forwarded.
     pub(super) fn end(&mut self, id: RequestId, indeterminate: u16, out: &mut Vec<RequestCommand>) {
         let Some(mut pending) = self.pending.remove(&id) else { return };
         let (never_executed, has_started) = (pending.never_executed(), pending.has_started());
--- a/crates/data-plane/src/requests/forwarded_stream.rs
+++ b/crates/data-plane/src/requests/forwarded_stream.rs
@@ -1,29 +1,29 @@
-//! Streamed responses on their way to a client.
+//! Streamed responses that are being forwarded to a client.
 
 use derive_more::{Display, Error};
 use orchidvalve_http::{EventStreamBoundary, EventStreamReader, ResponseHead};
 
 use super::messages::{RequestAttemptId, RequestCommand, RequestId};
 
-/// Media type of responses that are series of events.
+/// The media type of event streams.
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// An event that doesn't follow the last one: the attempt can't be forwarded any further.
+/// The error that an event doesn't follow the last forwarded one, so the attempt cannot be forwarded any further.
 #[derive(PartialEq, Eq, Debug, Display, Error)]
-#[display("an event doesn't follow the last one; the stream goes on at another server")]
+#[display("the event does not follow the last forwarded one; the stream is resumed at another server")]
 pub(super) struct OutOfOrder;
 
-/// A stream of which some server has sent the head.
+/// A streamed response of which at least one server has sent the head.
 #[derive(Debug)]
 pub(super) struct ForwardedStream {
     request: RequestId,
     /// The attempt that is being forwarded, or the last one that was.
     pub attempt: RequestAttemptId,
-    /// Head that the client hasn't been given yet.
+    /// The head of the response, while the client has not been sent it.
     deferred_head: Option<ResponseHead>,
-    /// Events of a stream that may be resumed at another server.
+    /// The forwarded events, if the stream may be resumed at another server.
     events: Option<ForwardedEvents>,
-    /// Where a stream of events that is forwarded chunk by chunk stands.
+    /// Tracks event boundaries in an event stream that is forwarded chunk by chunk.
     boundary: Option<EventStreamBoundary>,
 }
 
@@ -31,14 +31,14 @@
 #[derive(Debug)]
 struct ForwardedEvents {
     reader: EventStreamReader,
-    /// Id of the last one, or that from which the client asked.
+    /// The id of the last forwarded event; initially the client's `Last-Event-Id`.
     last_id: Option<u64>,
-    /// Whether the attempt that is being forwarded has added any.
+    /// Whether the attempt that is being forwarded has contributed an event.
     has_added: bool,
 }
 
 impl ForwardedStream {
-    /// A stream that can't be resumed is forwarded chunk by chunk; its head is to be forwarded at once.
+    /// Creates a stream that cannot be resumed. It is forwarded chunk by chunk, and its head has to be sent at once.
     pub fn unresumable(
         request: RequestId,
         attempt: RequestAttemptId,
@@ -48,8 +48,8 @@
         ForwardedStream { request, attempt, deferred_head: None, events: None, boundary }
     }
 
-    /// A stream that may be resumed is forwarded event by event. The head is deferred until the first of them, since
-    /// up to then an attempt at another server may begin the response anew. `requested_after` is the client's
+    /// Creates a stream that may be resumed. It is forwarded event by event, and its head is deferred until the first
+    /// event, as until then an attempt at another server may start the response afresh. `requested_after` is the client's
     /// `Last-Event-Id`.
     pub fn resumable(
         request: RequestId,
@@ -65,17 +65,18 @@
         ForwardedStream { request, attempt, deferred_head: Some(head), events: Some(events), boundary: None }
     }
 
-    /// Whether the client has got a part of the response.
+    /// Whether part of the response has been sent to the client.
     pub fn has_started(&self) -> bool {
         self.deferred_head.is_none()
     }
 
-    /// The event after which another attempt has to resume; None if it has to send everything.
+    /// Returns the id of the event after which another attempt has to resume, or `None` if it has to send the complete
+    /// stream.
     pub fn resume_from(&self) -> Option<u64> {
         self.events.as_ref().filter(|_| self.has_started()).and_then(|events| events.last_id)
     }
 
-    /// Another server resumes the stream.
+    /// Continues the stream with another attempt.
     pub fn resume_at(&mut self, attempt: RequestAttemptId) {
         self.attempt = attempt;
         if let Some(events) = &mut self.events {
@@ -84,11 +85,11 @@
         }
     }
 
-    /// Forwards a chunk of the body, or the events that are complete by it.
+    /// Forwards a chunk of the body, or the events that it completes.
     ///
     /// # Errors
     ///
-    /// An event doesn't follow the last one. The events before it are forwarded.
+    /// Returns an error if an event doesn't follow the last one. The events before it are forwarded.
     pub fn forward(&mut self, bytes: Vec<u8>, out: &mut Vec<RequestCommand>) -> Result<(), OutOfOrder> {
         let request = self.request;
         let Some(events) = &mut self.events else {
@@ -122,18 +123,19 @@
         result
     }
 
-    /// Whether events of the attempt were forwarded in a stream that may be resumed after them.
+    /// Whether the current attempt has contributed events to a stream that may be resumed after them.
     pub fn has_added_events(&self) -> bool {
         self.events.as_ref().is_some_and(|events| events.has_added)
     }
 
-    /// Whether an event of the attempt has come, once a part of its body has.
+    /// Whether the current attempt has sent an event, given that part of its body was received. Always true for a stream
+    /// that is forwarded chunk by chunk.
     pub fn has_events(&self) -> bool {
         self.events.as_ref().is_none_or(|events| events.has_added)
     }
 
-    /// Whether the attempt ended between two events. A server that dies in the middle of one may end its connection in
-    /// order, which is the end of a response without a length.
+    /// Whether the attempt ended between two events. A server that dies in the middle of an event may still close its
+    /// connection in order, which also ends a response without a length.
     pub fn ends_between_events(&self) -> bool {
         let in_event = match (&self.events, &self.boundary) {
             (Some(events), _) => events.reader.has_partial_event(),
@@ -143,7 +145,7 @@
         !in_event
     }
 
-    /// The stream is complete.
+    /// Completes the stream.
     pub fn end(&mut self, out: &mut Vec<RequestCommand>) {
         self.send_deferred_head(out);
         out.push(RequestCommand::EndStream { request: self.request });
--- a/crates/data-plane/src/requests/messages.rs
+++ b/crates/data-plane/src/requests/messages.rs
@@ -1,4 +1,4 @@
-//! Inputs of [`Requests`](super::Requests), and its commands to the host.
+//! Inputs of [`Requests`](super::Requests), and the commands that it issues to its host.
 
 use orchidvalve_http::{Request, ResponseHead};
 
@@ -13,16 +13,17 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RequestAttemptId(pub u64);
 
-/// A client's request, completely received.
+/// A client's request that was received completely.
 #[derive(Debug)]
 pub struct ReceivedRequest {
     /// The request.
     pub request: Request,
-    /// When its first byte came, in milliseconds of the steady clock. The client's time runs since then at least.
+    /// When the first byte of the request was received, in milliseconds of the steady clock. The client's deadline runs
+    /// from then at the latest.
     pub first_byte_at: u64,
 }
 
-/// A command to the host.
+/// A command to the host, which performs the I/O.
 #[derive(Debug)]
 pub enum RequestCommand {
     /// Begin an attempt: send the request to a server.
@@ -33,11 +34,11 @@
         request: RequestId,
         /// The target server.
         server: ServerKey,
-        /// Value of the `Deadline-Ms` header: the time that is left for the server, in milliseconds.
+        /// Value of the `Deadline-Ms` header: the time left for the server, in milliseconds.
         deadline_ms: u64,
-        /// Value of the `Last-Event-Id` header, which replaces the client's.
+        /// Value of the `Last-Event-Id` header, which replaces that of the client.
         last_event_id: Option<u64>,
-        /// Permission for this attempt, used up by it.
+        /// Permission for this attempt, consumed by it.
         permit: AttemptPermit,
     },
     /// Cancel an attempt by closing its connection.
@@ -71,7 +72,7 @@
         /// The client's request.
         request: RequestId,
     },
-    /// Abort a streamed response that can't be completed: the client's connection is closed, so that the response
+    /// Abort a streamed response that cannot be completed: the client's connection is closed, so that the response
     /// doesn't look complete.
     AbortStream {
         /// The client's request.
@@ -89,9 +90,9 @@
         /// The complete body.
         body: Vec<u8>,
     },
-    /// Status 503, which promises the client that the request hasn't run and never will.
+    /// Status 503, which promises the client that the request has not run and never will.
     NeverExecuted(NeverExecuted),
-    /// A status of the gateway's own, which doesn't tell whether the request has run.
+    /// A local response whose status doesn't tell whether the request has run.
     OutcomeUnknown {
         /// The status.
         status: u16,
--- a/crates/data-plane/src/requests/mod.rs
+++ b/crates/data-plane/src/requests/mod.rs
@@ -1,8 +1,9 @@
-//! Clients' requests: selection of a server for each attempt, retries and hedges, and the response to the client.
+//! Clients' requests: selects a server for each attempt, retries and hedges, and produces the response to the client.
 //!
-//! An idempotent request is hedged at another server when its response is late, within a budget; one that isn't
-//! idempotent is attempted again only where it surely hasn't run: see [`crate::attempts`]. A resumable stream goes on
-//! at another server within the same response. A request that can't be answered is given its final response at once.
+//! An idempotent request is hedged at another server when its response is overdue, within the hedge budget. A request that
+//! isn't idempotent is attempted again only if it has certainly not run (see [`crate::attempts`]). A resumable stream
+//! continues at another server within the same response. A request that no server can respond to gets its final response
+//! at once.
 
 mod attempt;
 mod begun;
@@ -30,15 +31,17 @@
 use crate::response_class::{is_rejection, is_signed};
 use crate::upstream::Failure;
 
-/// Margin before the deadline at which a request without a response is ended, so that the client still receives the
-/// final response in time.
+/// How long before its deadline a request without a response is ended, so that the client receives the final response in
+/// time, in milliseconds.
 const DEADLINE_MARGIN_MS: u64 = 12;
-/// Value of `Retry-After`, in seconds, in the response to a request that hasn't run.
+/// Value of `Retry-After`, in seconds, in responses to requests that have not run.
 pub const RETRY_AFTER: &str = "0.1";
 
-/// The pending requests of a gateway's clients. Their life in order: [`Requests::begin`], the events of each attempt
-/// ([`Requests::head_received`], [`Requests::body_received`], [`Requests::attempt_completed`] or
-/// [`Requests::attempt_failed`]), and a [`RequestCommand`] that responds to the client.
+/// The pending requests of a gateway's clients.
+///
+/// The life cycle of a request is: [`Requests::begin`], the events of each attempt ([`Requests::head_received`],
+/// [`Requests::body_received`], [`Requests::attempt_completed`] or [`Requests::attempt_failed`]), and a
+/// [`RequestCommand`] that responds to the client.
 pub struct Requests {
     zone: String,
     pending: HashMap<RequestId, PendingRequest>,
@@ -48,14 +51,14 @@
     random: Pcg64Mcg,
     last_request: u64,
     last_attempt: u64,
-    /// When the process gives its last responses: a request whose deadline is later is rejected.
+    /// When this process sends its last responses. New requests with a later deadline are rejected.
     last_response_at: u64,
-    /// Requests that have begun at servers and weren't taken yet.
+    /// Requests that have started at servers since the last [`Requests::take_begun`].
     begun: Vec<BegunRequest>,
 }
 
 impl Requests {
-    /// Starts without requests, in this zone; `random` breaks ties and draws services by their weights.
+    /// Creates an empty set of requests for a gateway in `zone`. `random` breaks ties and draws services by weight.
     pub fn new(zone: &str, random: Pcg64Mcg) -> Requests {
         Requests {
             zone: zone.to_owned(),
@@ -71,23 +74,23 @@
         }
     }
 
-    /// The number of pending requests.
+    /// Returns the number of pending requests.
     pub fn pending(&self) -> usize {
         self.pending.len()
     }
 
-    /// The number of pending requests for a service that have no attempt in flight.
+    /// Returns the number of pending requests for a service that have no attempt in flight.
     pub fn waiting(&self, service: &str) -> usize {
         let of_service = self.pending.values().filter(|pending| pending.service() == service);
         of_service.filter(|pending| pending.attempts_in_flight() == 0).count()
     }
 
-    /// The request as received from the client.
+    /// Returns the request as received from the client.
     pub fn request(&self, id: RequestId) -> Option<&Arc<Request>> {
         self.pending.get(&id).map(|pending| &pending.request)
     }
 
-    /// Whose the request is: the same for all its attempts.
+    /// Returns the caller of the request, which is the same for all its attempts.
     pub fn caller(&self, id: RequestId) -> Option<&Authenticated> {
         self.pending.get(&id).map(|pending| &pending.caller)
     }
@@ -123,13 +126,13 @@
         id
     }
 
-    /// The process has to end soon and gives its last responses at `last_response_at`: a request that begins from now
-    /// on and might have none by then is rejected at once, so that its client asks another gateway in time.
+    /// Rejects new requests whose deadline is later than `last_response_at`, when this process sends its last responses
+    /// before it exits: they might get no response, and their clients can still try another gateway in time.
     pub fn reject_beyond(&mut self, last_response_at: u64) {
         self.last_response_at = last_response_at;
     }
 
-    /// The process ends now: every pending request is given its final response, and a stream that has begun is aborted.
+    /// Sends every pending request its final response, as the process is about to exit. Started streams are aborted.
     pub fn end_all(&mut self, out: &mut Vec<RequestCommand>) {
         let pending: Vec<RequestId> = self.pending.keys().copied().collect();
         for id in pending {
@@ -137,14 +140,14 @@
         }
     }
 
-    /// The client's connection has ended: its attempts are cancelled.
+    /// Drops a request whose client has disconnected, and cancels its attempts.
     pub fn client_disconnected(&mut self, id: RequestId, out: &mut Vec<RequestCommand>) {
         if let Some(pending) = self.pending.remove(&id) {
             self.cancel_attempts(pending, out);
         }
     }
 
-    /// Requests of tenants that have begun at servers since the last call.
+    /// Returns the tenants' requests that have started at servers since the last call.
     pub fn take_begun(&mut self) -> Vec<BegunRequest> {
         std::mem::take(&mut self.begun)
     }
@@ -157,7 +160,7 @@
         }
     }
 
-    /// The head of an attempt's response was received.
+    /// Handles the head of an attempt's response.
     pub fn head_received(
         &mut self,
         attempt: RequestAttemptId,
@@ -187,7 +190,7 @@
         self.begun.extend(begun);
     }
 
-    /// A part of the body of an attempt's response was received.
+    /// Handles a part of the body of an attempt's response.
     pub fn body_received(
         &mut self,
         now: u64,
@@ -236,12 +239,12 @@
         }
     }
 
-    /// When [`Requests::tick`] has to be called next.
+    /// Returns when [`Requests::tick`] has to be called next.
     pub fn next_wakeup(&self) -> u64 {
         self.pending.values().map(PendingRequest::next_due).min().unwrap_or(u64::MAX)
     }
 
-    /// The age of the oldest pending request, in milliseconds.
+    /// Returns the age of the oldest pending request, in milliseconds.
     pub fn oldest_ms(&self, now: u64) -> u64 {
         self.pending.values().map(|pending| now.saturating_sub(pending.received_at)).max().unwrap_or(0)
     }
