--- a/crates/data-plane/src/requests/pending.rs
+++ b/crates/data-plane/src/requests/pending.rs
@@ -1,4 +1,4 @@
-//! One pending request: its attempts, its timers, and the part of the response that was sent to its client.
+//! The state of one pending request: its attempts, its timers, and the part of the response sent to its client.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,15 +12,15 @@
 use crate::authentication::Authenticated;
 use crate::balancer::ServerKey;
 
-/// Deadline of a request that states none, in milliseconds.
+/// The time allowed for a request that states no deadline, in milliseconds.
 pub(super) const DEFAULT_DEADLINE_MS: u64 = 30_000;
 
-/// How an attempt counts against the route's `max-attempts`.
+/// How an attempt counts towards the route's `max-attempts`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum AttemptKind {
-    /// As one, unless no connection to the server could be established.
+    /// Counts as one, unless no connection to the server could be established.
     Counted,
-    /// Not at all: it replaces an attempt whose reused connection the server had closed (a transparent retry).
+    /// Does not count: it replaces an attempt whose reused connection the server had already closed.
     TransparentRetry,
 }
 
@@ -30,11 +30,11 @@
     pub server: ServerKey,
     pub kind: AttemptKind,
     pub started_at: u64,
-    /// Head of the response, once received.
+    /// The head of the response, once received.
     pub head: Option<ResponseHead>,
-    /// Body of a response that isn't streamed, as far as received.
+    /// The part of an unstreamed response's body received so far.
     pub body: Vec<u8>,
-    /// Whether it has surely begun at its server.
+    /// Whether the attempt has certainly started to run at its server.
     pub has_begun: bool,
 }
 
@@ -42,9 +42,9 @@
 #[derive(Debug)]
 pub(super) struct Destination {
     pub routes: Arc<RouteTable>,
-    /// Index of the route.
+    /// Index of the request's route in `routes`.
     pub route: usize,
-    /// Index of the service that was picked.
+    /// Index of the picked service in `routes`.
     pub service: usize,
 }
 
@@ -58,7 +58,7 @@
     }
 }
 
-/// Status, headers and body of a server's response.
+/// The head and body of a server's response.
 #[derive(Debug)]
 pub(super) struct ServerResponse {
     pub head: ResponseHead,
@@ -69,26 +69,26 @@
 pub(super) struct PendingRequest {
     pub request: Arc<Request>,
     pub destination: Destination,
-    /// Whose it is, by the configuration that its destination is from.
+    /// The caller of the request, authenticated by the configuration of `destination`.
     pub caller: Authenticated,
     pub received_at: u64,
     pub deadline: u64,
     attempts: HashMap<RequestAttemptId, Attempt>,
     tracker: AttemptTracker,
     pub attempted_servers: Vec<ServerKey>,
-    /// Attempts that count against the route's `max-attempts`.
+    /// The number of attempts that count towards the route's `max-attempts`.
     counted_attempts: u32,
-    /// Whether it has had its one transparent retry.
+    /// Whether the request has used its only transparent retry.
     pub transparently_retried: bool,
-    /// The response that is being forwarded as a stream.
+    /// The streamed response that is being forwarded.
     pub stream: Option<ForwardedStream>,
     pub retry_at: Option<u64>,
     pub hedge_at: Option<u64>,
-    /// The last response with a failure status, forwarded if no later attempt succeeds.
+    /// The last response with a failure status, which is forwarded if no later attempt succeeds.
     pub last_failure: Option<ServerResponse>,
-    /// Whether an attempt has surely begun at a server.
+    /// Whether an attempt has certainly started to run at a server.
     pub has_begun: bool,
-    /// When the first attempt was sent that has ended without showing whether it ran.
+    /// When the earliest attempt was sent that has ended without showing whether it ran.
     pub may_have_begun_at: Option<u64>,
 }
 
@@ -130,12 +130,12 @@
         self.destination.service()
     }
 
-    /// Latency target of the route, in milliseconds.
+    /// Returns the latency target of the route, in milliseconds.
     pub fn latency_target_ms(&self) -> u64 {
         self.route().target_latency_ms.unwrap_or(DEFAULT_DEADLINE_MS)
     }
 
-    /// Begins an attempt at `server`; None where the request isn't idempotent and may have run.
+    /// Begins an attempt at `server`. Returns `None` if the request isn't idempotent and may have run.
     pub fn begin_attempt(
         &mut self,
         attempt: RequestAttemptId,
@@ -153,14 +153,14 @@
         Some(permit)
     }
 
-    /// An attempt is over.
+    /// Removes an attempt that has ended; `proof` is evidence that it did not execute.
     pub fn end_attempt(&mut self, attempt: RequestAttemptId, proof: Option<NotExecuted>) -> Option<Attempt> {
         let ended = self.attempts.remove(&attempt)?;
         self.tracker.end(proof);
         Some(ended)
     }
 
-    /// An attempt has ended without a connection to its server: it no longer counts.
+    /// Stops counting an attempt towards `max-attempts` because it could not connect to its server.
     pub fn uncount(&mut self, ended: &Attempt) {
         self.counted_attempts -= u32::from(ended.kind == AttemptKind::Counted);
     }
@@ -177,32 +177,33 @@
         self.attempts.len()
     }
 
-    /// When the oldest attempt in flight was sent.
+    /// Returns when the oldest attempt in flight was sent.
     pub fn earliest_sent_at(&self) -> Option<u64> {
         self.attempts.values().map(|attempt| attempt.started_at).min()
     }
 
-    /// Servers at which attempts are in flight.
+    /// Returns the servers at which attempts are in flight.
     pub fn servers_in_flight(&self) -> Vec<ServerKey> {
         self.attempts.values().map(|attempt| attempt.server).collect()
     }
 
-    /// Ends the request; returns the attempts that have to be cancelled.
+    /// Ends the request and returns the attempts that have to be cancelled.
     pub fn into_attempts_in_flight(self) -> impl Iterator<Item = RequestAttemptId> {
         self.attempts.into_keys()
     }
 
-    /// Proof that it has not run and never will.
+    /// Returns evidence that the request has not run and never will.
     pub fn never_executed(&self) -> Option<NeverExecuted> {
         self.tracker.never_executed()
     }
 
-    /// Whether it may be attempted again after it may have run.
+    /// Whether the request may be attempted again although it may have run.
     pub fn is_idempotent(&self) -> bool {
         self.tracker.is_idempotent()
     }
 
-    /// Whether an attempt may be hedged. Streams aren't: a second attempt would repeat the prefill of the whole prompt.
+    /// Whether the request may be hedged. Streams are not, as a second attempt would repeat the prefill of the entire
+    /// prompt.
     pub fn may_be_hedged(&self) -> bool {
         self.route().route_type == RouteType::Idempotent && self.has_attempts_left()
     }
@@ -211,19 +212,19 @@
         self.counted_attempts < self.route().max_attempts.max(1)
     }
 
-    /// Whether a part of the response was sent to the client.
+    /// Whether part of the response has been sent to the client.
     pub fn has_started(&self) -> bool {
         self.stream.as_ref().is_some_and(ForwardedStream::has_started)
     }
 
-    /// Whether an attempt whose stream ended without framing may have left out events that another one could add.
+    /// Whether an attempt whose stream ended without framing may be missing events that another attempt could add.
     pub fn may_be_unfinished(&self, attempt: RequestAttemptId) -> bool {
         let stream = self.stream.as_ref().filter(|stream| stream.attempt == attempt);
         stream.is_some_and(|stream| stream.has_added_events() && stream.ends_between_events())
             && self.has_attempts_left()
     }
 
-    /// The earliest of its timers.
+    /// Returns the time of the request's earliest timer.
     pub fn next_due(&self) -> u64 {
         let retry = self.retry_at.unwrap_or(u64::MAX);
         self.deadline.min(retry).min(self.hedge_at.unwrap_or(u64::MAX))
--- a/crates/data-plane/src/startup_queue.rs
+++ b/crates/data-plane/src/startup_queue.rs
@@ -1,34 +1,35 @@
-//! Requests that came before this gateway knew a configuration and servers, as after a loss of power of all machines.
+//! Requests received before this gateway has a configuration and a server table, such as after a power failure of all
+//! machines.
 //!
-//! Both are mostly on their way, so a request waits for them, but for no more than three quarters of the time that its
-//! client has: what is left is enough for an attempt at another gateway.
+//! Both normally arrive soon, so a request is queued, but for at most three quarters of the time that its client allows:
+//! the rest is enough for an attempt at another gateway.
 
 use orchidvalve_http::Request;
 
 use crate::requests::ReceivedRequest;
 
-/// Number of a request that waits.
+/// Identifies a queued request.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct QueuedId(u64);
 
-/// A request waits for this share of the time that its client has, in percent.
+/// The maximum wait of a request, in percent of the time that its client allows.
 const WAIT_PERCENT: u64 = 75;
-/// The longest wait, and that of a request that states no deadline, in milliseconds.
+/// The maximum wait of any request, and the wait of a request that states no deadline, in milliseconds.
 const MAX_WAIT_MS: u64 = 2_000;
-/// The most bytes of bodies that wait at once.
+/// The maximum total size of the bodies of queued requests, in bytes.
 const MAX_BYTES: usize = 8 << 20;
 
-/// A request that waits.
+/// A queued request.
 #[derive(Debug)]
 pub struct QueuedRequest {
-    /// Its number.
+    /// Identifies the queued request.
     pub id: QueuedId,
     /// The request.
     pub received: ReceivedRequest,
     reject_at: u64,
 }
 
-/// All requests that wait, in the order in which they came.
+/// All queued requests, in the order of their arrival.
 #[derive(Default, Debug)]
 pub struct StartupQueue {
     queued: Vec<QueuedRequest>,
@@ -37,7 +38,7 @@
 }
 
 impl StartupQueue {
-    /// Queues a request; None where too much waits already.
+    /// Queues a request. Returns `None` if the queue is full.
     pub fn push(&mut self, received: ReceivedRequest) -> Option<QueuedId> {
         let bytes = received.request.body.len();
         if self.bytes + bytes > MAX_BYTES {
@@ -51,22 +52,22 @@
         Some(id)
     }
 
-    /// Drops a request whose client has disconnected.
+    /// Removes a request whose client has disconnected.
     pub fn remove(&mut self, id: QueuedId) {
         self.extract(|queued| queued.id == id);
     }
 
-    /// Takes out all requests, in the order in which they came.
+    /// Removes and returns all requests, in the order of their arrival.
     pub fn drain(&mut self) -> Vec<QueuedRequest> {
         self.extract(|_| true)
     }
 
-    /// Takes out the requests that have waited for too long.
+    /// Removes and returns the requests that have waited for too long.
     pub fn drain_expired(&mut self, now: u64) -> Vec<QueuedRequest> {
         self.extract(|queued| queued.reject_at <= now)
     }
 
-    /// When [`StartupQueue::drain_expired`] has to be called next.
+    /// Returns when [`StartupQueue::drain_expired`] has to be called next.
     pub fn next_wakeup(&self) -> u64 {
         self.queued.iter().map(|queued| queued.reject_at).min().unwrap_or(u64::MAX)
     }
--- a/crates/data-plane/src/store_links.rs
+++ b/crates/data-plane/src/store_links.rs
@@ -1,7 +1,7 @@
-//! Links of this gateway to the stores, and the leases of the stores here.
+//! Links of this gateway to the store nodes, and the leases that the store nodes hold here.
 //!
-//! A store that assigns groups to this gateway holds a lease on them, which it renews by every message. When the lease
-//! expires the groups are dropped here, and the store assigns them elsewhere.
+//! A store node that assigns groups to this gateway holds a lease on them, which each of its messages renews. When the
+//! lease expires, the gateway drops the groups, and the store node assigns them elsewhere.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,22 +11,24 @@
 use orchidvalve_protocol::identity::NodeAddress;
 use orchidvalve_protocol::messages::{GatewayMessage, Handshake, LinkProtocol, StoreMessage};
 
-/// Time between two heartbeats, in milliseconds.
+/// The interval between two heartbeats, in milliseconds.
 const HEARTBEAT_MS: u64 = 400;
-/// The leases of a store that sends nothing on its link for this time expire, in milliseconds; the link is opened anew.
+/// The leases of a store node that sends nothing on an established link for this long expire, and the link is opened
+/// again. In milliseconds.
 pub const LEASE_MS: u64 = 1_400;
-/// The leases of a store whose link is lost expire after this time, in milliseconds; up to then the next head of its
-/// partitions may take them over. Jobs that it ends without this gateway knowing stop no later.
+/// The leases of a store node whose link is lost expire after this time, in milliseconds. Until then the next head of its
+/// partitions may take over the groups. Jobs that the store node ends in the meantime, unknown to this gateway, also stop
+/// by then.
 pub const DISCONNECTED_LEASE_MS: u64 = 2_300;
-/// Backoff and time-out of a link.
+/// Retry interval and connect timeout of a link.
 const PACE: ReconnectTiming = ReconnectTiming { retry_interval_ms: 150, connect_timeout_ms: 300 };
 
-/// A message and the store that it goes to.
+/// A message and the store node that it is sent to.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutboundMessage {
-    /// Where to.
+    /// The receiver.
     pub store: NodeAddress,
-    /// What to send.
+    /// The message.
     pub message: GatewayMessage,
 }
 
@@ -34,7 +36,8 @@
 struct Link {
     outgoing: OutgoingLink,
     last_received_at: u64,
-    /// When the store last renewed its leases by a message, or they began without one; None when they have expired.
+    /// When the store node last renewed its leases by a message, or when its leases began without one. `None` if they have
+    /// expired.
     lease_renewed_at: Option<u64>,
     heartbeat_at: u64,
 }
@@ -49,18 +52,18 @@
         }
     }
 
-    /// Whether nothing has come for too long on a link that is up.
+    /// Whether nothing has been received for too long on an established link.
     fn has_timed_out(&self, now: u64) -> bool {
         self.outgoing.is_up() && now >= self.last_received_at + LEASE_MS
     }
 
-    /// When the store's leases expire, whether or not the link comes up again without a message from the store.
+    /// Returns when the store node's leases expire unless a message from it arrives, whether or not its link is up.
     fn lease_expires_at(&self) -> Option<u64> {
         self.lease_renewed_at.map(|at| at + DISCONNECTED_LEASE_MS)
     }
 }
 
-/// All links to stores.
+/// All links to store nodes.
 #[derive(Debug)]
 pub struct StoreLinks {
     handshake: Handshake,
@@ -69,12 +72,13 @@
 }
 
 impl StoreLinks {
-    /// Starts without links; every link begins with the handshake.
+    /// Creates the state without links. Every link starts with `handshake`.
     pub fn new(handshake: Handshake) -> StoreLinks {
         StoreLinks { handshake, links: BTreeMap::new(), generation_capacity: 0 }
     }
 
-    /// Keeps links to just these stores. Returns those whose links were closed: calls in flight there aren't answered.
+    /// Keeps links to exactly these store nodes. Returns those whose links were closed: calls in flight there get no
+    /// response.
     pub fn set_stores(&mut self, network: &mut Network, stores: &BTreeSet<NodeAddress>) -> Vec<NodeAddress> {
         let mut closed = Vec::new();
         self.links.retain(|address, link| {
@@ -91,15 +95,15 @@
         closed
     }
 
-    /// The store is the head of a partition from now on, and the groups that the former head assigned pass to it: its
-    /// leases begin, and expire if nothing comes from it.
+    /// Begins the leases of a store node that has become the head of a partition and takes over the groups that the former
+    /// head assigned. The leases expire if no message arrives from it.
     pub fn begin_lease(&mut self, store: NodeAddress, now: u64) {
         if let Some(link) = self.links.get_mut(&store) {
             link.lease_renewed_at.get_or_insert(now);
         }
     }
 
-    /// Sets the number of generations that this gateway can have in flight or pending; all stores are told.
+    /// Sets the number of generations that may be in flight or pending at this gateway, and sends it to all store nodes.
     pub fn set_work_limit(&mut self, network: &mut Network, limit: u32) {
         if limit != self.generation_capacity {
             self.generation_capacity = limit;
@@ -109,23 +113,23 @@
         }
     }
 
-    /// Whether the link to the store is up.
+    /// Whether the link to the store node is up.
     pub fn is_up(&self, store: NodeAddress) -> bool {
         self.links.get(&store).is_some_and(|link| link.outgoing.is_up())
     }
 
-    /// Sends a message; false if the link isn't up.
+    /// Sends a message. Returns false if the link isn't up.
     pub fn send(&self, network: &mut Network, store: NodeAddress, message: &GatewayMessage) -> bool {
         self.links.get(&store).is_some_and(|link| link.outgoing.send(network, message))
     }
 
-    /// Whether the connection is that of a link.
+    /// Whether the connection belongs to a link.
     pub fn owns(&self, connection: ConnectionId) -> bool {
         self.links.values().any(|link| link.outgoing.owns(connection))
     }
 
-    /// Closes links whose stores sent nothing for too long, before anything that waits on them is read. Returns
-    /// the stores whose leases here have expired.
+    /// Closes links on which nothing was received for too long, before any unread messages on them are processed. Returns
+    /// the store nodes whose leases have expired.
     pub fn expire_leases(&mut self, network: &mut Network, now: u64) -> Vec<NodeAddress> {
         let mut expired = Vec::new();
         for (address, link) in &mut self.links {
@@ -155,7 +159,7 @@
         }
     }
 
-    /// When [`StoreLinks::maintain`] or [`StoreLinks::expire_leases`] have to be called next.
+    /// Returns when [`StoreLinks::maintain`] or [`StoreLinks::expire_leases`] has to be called next.
     pub fn next_wakeup(&self) -> u64 {
         let due = |link: &Link| {
             let due = link.outgoing.next_wakeup(link.heartbeat_at.min(link.last_received_at + LEASE_MS));
@@ -164,7 +168,7 @@
         self.links.values().map(due).min().unwrap_or(u64::MAX)
     }
 
-    /// A connection is up; the store if it is one of these links.
+    /// Handles an established connection. Returns the store node if it is the connection of a link.
     pub fn connected(
         &mut self,
         network: &mut Network,
@@ -182,7 +186,7 @@
         Some(*address)
     }
 
-    /// A connection ended; the store if it was one of these links.
+    /// Handles the end of a connection. Returns the store node if it was the connection of a link.
     pub fn closed(
         &mut self,
         network: &mut Network,
@@ -194,7 +198,7 @@
         Some(*address)
     }
 
-    /// The messages that have arrived on a link, and the store that sent them.
+    /// Returns the messages that have arrived on a link, and the store node that sent them.
     pub fn read(
         &mut self,
         network: &mut Network,
@@ -213,7 +217,7 @@
                 }
                 Ok(None) => break,
                 Err(error) => {
-                    log::warn!("stores: {error}");
+                    log::warn!("stores: link closed after an invalid frame: {error}");
                     link.outgoing.disconnected(network, now);
                     break;
                 }
--- a/crates/data-plane/src/text_compression.rs
+++ b/crates/data-plane/src/text_compression.rs
@@ -1,29 +1,29 @@
-//! Compression of texts on their way between gateways and stores, since they cross zones and are kept in several
+//! Compression of texts for the transfer between gateways and store nodes, as texts cross zones and are stored in several
 //! copies.
 //!
-//! Generated texts repeat few strings but use few characters, so a Huffman code alone gains nearly all there is to
-//! gain, for little processor time. A store keeps a compressed text as it came. A compressed text is a byte that says
-//! how it is coded, and either the text or a raw DEFLATE stream (RFC 1951).
+//! Generated texts have few repeated strings but a small alphabet, so Huffman coding alone achieves nearly all of the
+//! possible compression at little CPU cost. Store nodes keep a compressed text as received. A compressed text is a byte
+//! for the coding, followed by either the text itself or a raw DEFLATE stream (RFC 1951).
 
 use miniz_oxide::deflate::core::{
     CompressorOxide, TDEFLFlush, TDEFLStatus, compress_to_output, create_comp_flags_from_zip_params,
 };
 use miniz_oxide::inflate::decompress_to_vec_with_limit;
 
-/// Texts shorter than this aren't compressed: the code's table would outweigh the gain.
+/// Texts shorter than this are not compressed, as the Huffman table would outweigh the gain.
 const MIN_COMPRESSED_BYTES: usize = 192;
-/// No text is longer.
+/// The maximum length of a decompressed text, in bytes.
 const MAX_BYTES: usize = 64 << 20;
-/// First byte of a text that is kept as it is.
+/// The first byte of an uncompressed text.
 const PLAIN: u8 = 0;
-/// First byte of a compressed text.
+/// The first byte of a DEFLATE-compressed text.
 const DEFLATED: u8 = 1;
-/// Level and strategy of the compression: no search for repeated strings.
+/// Parameters of the compressor: raw stream, Huffman coding only, no search for repeated strings.
 const LEVEL: i32 = 1;
 const RAW_STREAM: i32 = 0;
 const HUFFMAN_ONLY: i32 = 2;
 
-/// Compresses texts for stores. Its working memory is large, so one compressor serves all texts of a gateway.
+/// Compresses texts for store nodes. As its working memory is large, a gateway has a single compressor.
 pub struct TextCompressor {
     compressor: Box<CompressorOxide>,
 }
@@ -62,7 +62,7 @@
     }
 }
 
-/// The text that [`TextCompressor::compress`] compressed; None if the bytes are damaged. No bytes are an empty text: an
+/// Reverses [`TextCompressor::compress`]. Returns `None` if the bytes are corrupted. Zero bytes are an empty text, as an
 /// outcome without a text has none.
 pub fn decompress(compressed: &[u8]) -> Option<Vec<u8>> {
     if compressed.is_empty() {
--- a/crates/data-plane/src/upstream/connections.rs
+++ b/crates/data-plane/src/upstream/connections.rs
@@ -1,4 +1,4 @@
-//! The exchanges of a gateway with its servers, each on a connection of its own.
+//! The exchanges of a gateway with its servers, each on its own connection.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -12,37 +12,37 @@
 use super::idle_pool::{IdlePool, ReturnedConnection, stated_keep_alive_ms};
 use super::recent_ids::RecentIds;
 
-/// Longest head of a response, in bytes.
+/// The maximum length of a response head, in bytes.
 const HEADER_LIMIT: usize = 64 << 10;
-/// A connection that isn't up within this time has failed, in milliseconds.
+/// The time within which a connection must be established, in milliseconds.
 pub const CONNECT_TIMEOUT_MS: u64 = 400;
-/// How long sent bytes may stay unacknowledged by the server's machine.
+/// How long sent bytes may remain unacknowledged by the server's host (`TCP_USER_TIMEOUT`).
 const USER_TIMEOUT: Duration = Duration::from_millis(3_000);
 
-/// A request that was sent and whose response isn't complete.
+/// A request that was sent and whose response is incomplete.
 #[derive(Debug)]
 struct Exchange {
     id: ExchangeId,
     server: SocketAddrV4,
     reader: ResponseReader,
     attempt_id: Option<CompactString>,
-    /// Some bytes of the server have come.
+    /// Whether any bytes of the response have been consumed.
     received_any: bool,
     head_reported: bool,
-    /// The connection has carried an earlier exchange.
+    /// Whether the connection has carried an earlier exchange.
     reused: bool,
     connect_by: Option<u64>,
     recent_ids: RecentIds,
 }
 
-/// A connection that has to be up by some time.
+/// A connection that must be established by a point in time.
 #[derive(Clone, Copy, Debug)]
 struct Connecting {
     by: u64,
     connection: ConnectionId,
 }
 
-/// All exchanges and idle connections of a gateway.
+/// All exchanges in flight and idle connections of a gateway.
 #[derive(Default, Debug)]
 pub struct UpstreamConnections {
     exchanges: HashMap<ConnectionId, Exchange>,
@@ -53,13 +53,13 @@
 }
 
 impl UpstreamConnections {
-    /// The number of connections to `server`, idle or not.
+    /// Returns the number of connections to `server`, whether idle or busy.
     pub fn connections_to(&self, server: &SocketAddrV4) -> usize {
         let busy = self.exchanges.values().filter(|exchange| exchange.server == *server).count();
         busy + self.idle.count(server)
     }
 
-    /// Sends a request. None where no connection can be begun.
+    /// Sends a request. Returns `None` if no connection could be started.
     pub fn send(
         &mut self,
         network: &mut Network,
@@ -98,12 +98,12 @@
         Some(id)
     }
 
-    /// Whether the connection is to a server.
+    /// Whether the connection leads to a server.
     pub fn owns(&self, connection: ConnectionId) -> bool {
         self.exchanges.contains_key(&connection) || self.idle.contains(connection)
     }
 
-    /// A connection that was begun is up.
+    /// Records that a new connection is established.
     pub fn connected(&mut self, connection: ConnectionId) {
         if let Some(exchange) = self.exchanges.get_mut(&connection) {
             exchange.connect_by = None;
@@ -115,7 +115,7 @@
         self.idle.close_all(network, &server);
     }
 
-    /// Cancels an exchange and closes its connection, by which most servers drop the request.
+    /// Cancels an exchange and closes its connection, upon which most servers drop the request.
     pub fn cancel(&mut self, network: &mut Network, exchange: ExchangeId) {
         if let Some(connection) = self.connections.remove(&exchange) {
             self.exchanges.remove(&connection);
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Bytes have arrived.
+    /// Reads the bytes that have arrived on a connection.
     pub fn data(
         &mut self,
         network: &mut Network,
@@ -147,7 +147,7 @@
             exchange.head_reported = true;
             if let Some(head) = exchange.reader.head() {
                 if !belongs(head, exchange.attempt_id.as_deref(), exchange.reused) {
-                    log::warn!("servers: {} sent an answer to another request", exchange.server);
+                    log::warn!("servers: {} sent the response to another request", exchange.server);
                     self.fail(network, connection, Failure::Broken, events);
                     return;
                 }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Keeps the connection of a complete response, or drops it.
+    /// Returns the connection of a complete response to the idle pool, or closes it if it isn't reusable.
     fn retire(&mut self, network: &mut Network, connection: ConnectionId, now: u64) {
         let Some(exchange) = self.exchanges.remove(&connection) else { return };
         self.connections.remove(&exchange.id);
@@ -177,7 +177,8 @@
         self.idle.put(network, returned, now);
     }
 
-    /// The connection has ended. A response without a length is complete by that, if its server ended it in order.
+    /// Handles the end of a connection. It completes a response without a length if the server closed the connection in
+    /// order.
     pub fn closed(
         &mut self,
         network: &mut Network,
@@ -222,7 +223,7 @@
         Some(exchange.id)
     }
 
-    /// Connections that didn't come up in time fail; idle ones that are too old are closed.
+    /// Fails connections that weren't established in time, and closes idle connections that are too old.
     pub fn expire(&mut self, network: &mut Network, now: u64, events: &mut Vec<UpstreamEvent>) {
         let (late, waiting): (Vec<_>, Vec<_>) =
             self.connecting.drain(..).partition(|connecting| connecting.by <= now);
@@ -235,14 +236,15 @@
         self.idle.close_expired(network, now);
     }
 
-    /// Earliest time at which a connection has to be up.
+    /// Returns the earliest time by which a connection must be established.
     pub fn next_deadline(&self) -> Option<u64> {
         self.connecting.iter().map(|connecting| connecting.by).min()
     }
 }
 
-/// Whether a response can be that to the request with `attempt_id`. Servers echo the id; only rejections come without,
-/// and those count where no earlier request of the connection can have brought them.
+/// Whether a response can belong to the request with `attempt_id`. Servers echo the id, except in rejections. A response
+/// without an id is therefore accepted only if it isn't a success and no earlier request on the connection can have
+/// caused it.
 fn belongs(head: &ResponseHead, attempt_id: Option<&str>, reused: bool) -> bool {
     match (head.headers.get("attempt-id"), attempt_id) {
         (Some(echoed), Some(id)) => echoed == id,
--- a/crates/data-plane/src/upstream/exchange.rs
+++ b/crates/data-plane/src/upstream/exchange.rs
@@ -1,31 +1,31 @@
-//! One exchange: what is sent to a server, and what happens to it.
+//! A single exchange: the request to a server, and the events of its response.
 
 use orchidvalve_http::ResponseHead;
 
 /// Whether a call may run more than once (RFC 9110, section 9.2.2).
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Idempotency {
-    /// It may be attempted again, also after it may have run.
+    /// The call may be attempted again even after it may have run.
     Idempotent,
-    /// It may be attempted again only if it surely hasn't run.
+    /// The call may be attempted again only if it has certainly not run.
     AtMostOnce,
 }
 
-/// One request and its response on a connection.
+/// Identifies an exchange: one request and its response on a connection.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ExchangeId(pub u64);
 
-/// Why an exchange ended without a complete response.
+/// The reason why an exchange ended without a complete response.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Failure {
-    /// No connection came up: the request was surely not sent.
+    /// No connection was established, so the request was certainly not sent.
     Connect,
-    /// A reused connection ended before any byte of a response: most likely the server closed it as it was idle. The
-    /// request may have run.
+    /// A reused connection ended before any byte of a response arrived, most likely because the server closed it while it
+    /// was idle. The request may have run.
     Stale,
-    /// The connection ended, or what came is no response to this request. The request may have run.
+    /// The connection ended, or the bytes received are not a response to this request. The request may have run.
     Broken,
-    /// A stream without a length ended between two events, in order: it may be complete, or its server may have died.
+    /// A stream without a length ended in order between two events: it may be complete, or its server may have died.
     Unfinished,
 }
 
@@ -34,47 +34,48 @@
 pub struct OutboundRequest<'a> {
     /// The method, which decides whether the response has a body.
     pub method: &'a str,
-    /// The `Attempt-Id`; responses that carry another one belong to other requests.
+    /// The `Attempt-Id`. Responses with a different one belong to other requests.
     pub attempt_id: Option<&'a str>,
-    /// The request as it is written.
+    /// The encoded request.
     pub bytes: &'a [u8],
-    /// For a request that may run at most once, no connection is reused that the server may be about to close.
+    /// Whether the request may run more than once. If not, it is not sent on a connection that the server may be about to
+    /// close.
     pub idempotency: Idempotency,
 }
 
-/// What happened to an exchange.
+/// An event of an exchange.
 #[derive(PartialEq, Debug)]
 pub enum UpstreamEvent {
-    /// The head of the response has come.
+    /// The head of the response was received.
     Head {
-        /// Which exchange.
+        /// The exchange.
         exchange: ExchangeId,
         /// The head.
         head: ResponseHead,
     },
-    /// A part of the body has come.
+    /// A part of the body was received.
     Body {
-        /// Which exchange.
+        /// The exchange.
         exchange: ExchangeId,
-        /// The part.
+        /// The bytes of the part.
         bytes: Vec<u8>,
     },
-    /// The response is complete by its length or its chunks.
+    /// The response is complete by its length or its last chunk.
     Complete {
-        /// Which exchange.
+        /// The exchange.
         exchange: ExchangeId,
     },
-    /// The response has neither a length nor chunks, and its connection was closed in order. That is its end (RFC 9112,
-    /// section 6.3), but the connection of a server that dies may end like that, too.
+    /// The response has neither a length nor chunked coding, and its connection was closed in order. This ends the response
+    /// (RFC 9112, section 6.3), but the connection of a server that dies may end in the same way.
     Closed {
-        /// Which exchange.
+        /// The exchange.
         exchange: ExchangeId,
     },
     /// The exchange ended without a complete response.
     Failed {
-        /// Which exchange.
+        /// The exchange.
         exchange: ExchangeId,
-        /// Why.
+        /// The reason.
         failure: Failure,
     },
 }
--- a/crates/data-plane/src/upstream/idle_pool.rs
+++ b/crates/data-plane/src/upstream/idle_pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to servers, kept alive for further requests within bounds of number and time.
+//! Pool of idle connections to servers, kept alive for further requests within limits of number and age.
 
 use std::collections::HashMap;
 use std::net::SocketAddrV4;
@@ -9,49 +9,49 @@
 use super::exchange::{Idempotency, OutboundRequest};
 use super::recent_ids::RecentIds;
 
-/// An idle connection is kept alive so long where the server doesn't say, in milliseconds.
+/// How long an idle connection is kept if the server doesn't state a keep-alive timeout, in milliseconds.
 const DEFAULT_IDLE_MS: u64 = 4_000;
-/// A server is trusted to keep a connection alive so long where it doesn't say, in milliseconds.
+/// How long a server without a stated keep-alive timeout is trusted to keep a connection open, in milliseconds.
 const TRUSTED_IDLE_MS: u64 = 400;
-/// An idle connection is closed so long before the server would close it, in milliseconds.
+/// How long before the server's stated timeout an idle connection is closed, in milliseconds.
 const IDLE_MARGIN_MS: u64 = 500;
-/// Idle connections to one server that are kept alive at most.
+/// The maximum number of idle connections to one server.
 const MAX_IDLE: usize = 8;
-/// Time between two sweeps for idle connections that are too old, in milliseconds.
+/// The interval between two sweeps for expired idle connections, in milliseconds.
 const SWEEP_INTERVAL_MS: u64 = 100;
 
 /// An idle connection.
 #[derive(Debug)]
 pub(super) struct IdleConnection {
     pub(super) connection: ConnectionId,
-    /// Up to then the server surely keeps it alive.
+    /// The time until which the server certainly keeps the connection open.
     trusted_until: u64,
-    /// Closed from then on.
+    /// The time at which the connection is closed.
     until: u64,
     pub(super) recent_ids: RecentIds,
 }
 
-/// A connection whose response is complete.
+/// A connection whose response is complete, on its return to the pool.
 #[derive(Debug)]
 pub(super) struct ReturnedConnection {
     pub(super) connection: ConnectionId,
     pub(super) server: SocketAddrV4,
     pub(super) recent_ids: RecentIds,
-    /// How long the server says that it keeps it alive, in milliseconds.
+    /// The keep-alive timeout that the server stated, less the safety margin, in milliseconds.
     pub(super) stated_keep_alive_ms: Option<u64>,
 }
 
 /// The idle connections of a gateway.
 #[derive(Default, Debug)]
 pub(super) struct IdlePool {
-    /// Those to each server, in the order in which they became idle.
+    /// The idle connections to each server, in the order in which they became idle.
     by_server: HashMap<SocketAddrV4, Vec<IdleConnection>>,
     servers: HashMap<ConnectionId, SocketAddrV4>,
     next_sweep_at: u64,
 }
 
 impl IdlePool {
-    /// Number of idle connections to `server`.
+    /// Returns the number of idle connections to `server`.
     pub(super) fn count(&self, server: &SocketAddrV4) -> usize {
         self.by_server.get(server).map_or(0, Vec::len)
     }
@@ -60,9 +60,9 @@
         self.servers.contains_key(&connection)
     }
 
-    /// The connection that was used last, of those that haven't carried the id of this request yet: a second response
-    /// to its first attempt couldn't be told from the response. One with bytes in it can't be trusted: they belong to
-    /// no request.
+    /// Takes the most recently used connection that hasn't carried the id of this request yet: a late second response to
+    /// the earlier attempt could not be distinguished from the response to this one. A connection with unread bytes is
+    /// closed instead, as these belong to no request.
     pub(super) fn take(
         &mut self,
         network: &mut Network,
@@ -92,13 +92,13 @@
         None
     }
 
-    /// Keeps a connection alive, or closes it where it can't be trusted or too many are kept already.
+    /// Adds a connection, or closes it if it can't be trusted or the pool has enough connections to its server.
     pub(super) fn put(&mut self, network: &mut Network, returned: ReturnedConnection, now: u64) {
         let ReturnedConnection { connection, server, recent_ids, stated_keep_alive_ms } = returned;
         let keep_alive_ms = stated_keep_alive_ms.unwrap_or(DEFAULT_IDLE_MS);
         let trusted_ms = stated_keep_alive_ms.unwrap_or(TRUSTED_IDLE_MS);
         let idle = self.by_server.entry(server).or_default();
-        // Bytes beyond the response belong to no request: the connection can't be trusted.
+        // Bytes beyond the response belong to no request, so the connection can't be trusted.
         if is_quiescent(network, connection) && keep_alive_ms > 0 && idle.len() < MAX_IDLE {
             let (trusted_until, until) = (now.saturating_add(trusted_ms), now.saturating_add(keep_alive_ms));
             idle.push(IdleConnection { connection, trusted_until, until, recent_ids });
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Closes the connection, if it is idle.
+    /// Closes the connection if it is idle.
     pub(super) fn close(&mut self, network: &mut Network, connection: ConnectionId) {
         if let Some(server) = self.servers.remove(&connection) {
             if let Some(idle) = self.by_server.get_mut(&server) {
@@ -145,20 +145,20 @@
     }
 }
 
-/// Whether nothing waits on a connection in either direction: neither bytes that belong to no request, nor the rest
-/// of a request that was answered early.
+/// Whether a connection is open and has nothing pending in either direction: neither unread bytes that belong to no
+/// request, nor the unsent rest of a request that was responded to early.
 fn is_quiescent(network: &Network, connection: ConnectionId) -> bool {
     network.is_open(connection)
         && network.inbox(connection).is_empty()
         && network.queued_bytes(connection) == 0
 }
 
-/// How long a connection is kept alive after this response, in milliseconds.
+/// Returns how long a connection is kept alive after this response, in milliseconds.
 pub fn keep_alive_ms(head: &ResponseHead) -> u64 {
     stated_keep_alive_ms(head).unwrap_or(DEFAULT_IDLE_MS)
 }
 
-/// The same where the server says so.
+/// Returns the keep-alive timeout that the response states, less the safety margin, in milliseconds.
 pub(super) fn stated_keep_alive_ms(head: &ResponseHead) -> Option<u64> {
     let parts = head.headers.get("keep-alive")?.split(',');
     let seconds = parts.filter_map(|part| part.trim().strip_prefix("timeout=")).next()?;
--- a/crates/data-plane/src/upstream/mod.rs
+++ b/crates/data-plane/src/upstream/mod.rs
@@ -1,12 +1,12 @@
-//! Requests to servers: connections that are kept alive and reused, and the responses that come on them.
+//! Exchanges with servers: connections that are kept alive and reused, and the responses received on them.
 //!
-//! An exchange is one request on one connection. Its response comes as [`UpstreamEvent`]s: the head, parts of the
-//! body, and its end. Dropping an exchange closes its connection, by which most servers drop the request.
+//! An exchange is one request on one connection. Its response is reported as [`UpstreamEvent`]s: the head, parts of the
+//! body, and the end. Cancelling an exchange closes its connection, upon which most servers drop the request.
 //!
-//! Which request a response belongs to follows from its connection and the `Attempt-Id` that servers echo: they may
-//! send a second response, late, where the next one is due. So on a reused connection every response has to bear the
-//! id, and no id is sent twice on one connection. A connection whose request was answered before it was wholly sent
-//! isn't reused, so no other bytes come where the rest of a body is due.
+//! A response is matched to its request by its connection and by the `Attempt-Id` that servers echo, because a server may
+//! send a late second response where the response to the next request is expected. On a reused connection, every response
+//! must therefore carry the id, and no id is sent twice on one connection. A connection whose request was responded to
+//! before it was completely sent isn't reused, as otherwise other bytes could be taken for the rest of its body.
 
 mod connections;
 mod exchange;
--- a/crates/data-plane/src/usage.rs
+++ b/crates/data-plane/src/usage.rs
@@ -1,9 +1,8 @@
-//! Counts of the requests that began at servers, by window of usage and tenant, as this process tells them to its
-//! control node.
+//! Counts of the requests that started at servers, by usage window and tenant, for the reports to the control node.
 //!
-//! Counts are those since the start of the process, so a message that is lost or comes twice does no harm: with each
-//! new session all windows that the control nodes may not know are told again. A window is forgotten once the
-//! replicated state says that its report is decided.
+//! Counts are totals since the start of the process, so a lost or duplicated message does no harm: every new session
+//! reports all windows that the control nodes may not know. A window is dropped once the replicated state shows that its
+//! usage report is decided.
 
 use std::collections::BTreeMap;
 
@@ -11,33 +10,33 @@
 use orchidvalve_control_state::MAX_UNDECIDED_WINDOWS;
 use orchidvalve_protocol::messages::{TenantRequests, WindowUsage};
 
-/// Least time between two messages with counts, in milliseconds: that between two heartbeats.
+/// The minimum interval between two messages with counts, in milliseconds; equal to the heartbeat interval.
 pub const REPORT_INTERVAL_MS: u64 = 250;
 
-/// Requests of one tenant in one window.
+/// The requests of one tenant in one window.
 #[derive(Clone, Copy, Default, Debug)]
 struct TenantCount {
     requests: u64,
-    /// How many of them the session that is open was told.
+    /// The number of requests already reported in the current session.
     told: u64,
 }
 
-/// The counts of this process. Times of day are in milliseconds since 1970.
+/// The usage counts of this process. Wall-clock times are in milliseconds since 1970.
 #[derive(Debug)]
 pub struct UsageCounts {
     window_ms: u64,
     windows: BTreeMap<u64, BTreeMap<CompactString, TenantCount>>,
-    /// Windows before this one are decided.
+    /// The first window whose report isn't decided yet.
     next_window: u64,
-    /// Newest window that a request was counted in too late.
+    /// The latest window for which a request started after its report was decided.
     latest_missed: Option<u64>,
-    /// Number of the session to which `told` refers.
+    /// Number of the session in which counts were last reported.
     session: u64,
     next_report_at: u64,
 }
 
 impl UsageCounts {
-    /// No requests yet; windows have this length, in milliseconds.
+    /// Creates empty counts for windows of this length, in milliseconds.
     pub fn new(window_ms: u64) -> UsageCounts {
         UsageCounts {
             window_ms: window_ms.max(1),
@@ -49,7 +48,7 @@
         }
     }
 
-    /// A request of `tenant` began at this time of day.
+    /// Counts a request of `tenant` that started at this wall-clock time.
     pub fn record(&mut self, tenant: &CompactString, wall_ms: u64) {
         let window = wall_ms / self.window_ms;
         if window < self.next_window {
@@ -68,7 +67,7 @@
         }
     }
 
-    /// The reports of all windows before this one are decided.
+    /// Drops all windows before this one, as their reports are decided.
     pub fn forget_before(&mut self, next_window: u64) {
         if next_window > self.next_window {
             self.next_window = next_window;
@@ -76,7 +75,7 @@
         }
     }
 
-    /// What is to be told now, if that is due; it counts as told to the session with this number.
+    /// Returns the counts to report now, or `None` if nothing is due. They are marked as reported in this session.
     pub fn take_due(&mut self, now: u64, session: u64) -> Option<Vec<WindowUsage>> {
         if session == self.session && now < self.next_report_at {
             return None;
@@ -86,7 +85,7 @@
         Some(windows)
     }
 
-    /// All that the session with this number hasn't been told; it counts as told from now on.
+    /// Returns all counts not yet reported in this session, and marks them as reported.
     pub fn take_untold(&mut self, session: u64) -> Option<Vec<WindowUsage>> {
         if session != self.session {
             self.session = session;
@@ -108,7 +107,7 @@
         (!untold.is_empty()).then_some(untold)
     }
 
-    /// Whether the session with this number was told everything; without a session, whether there is nothing to tell.
+    /// Whether everything was reported in this session; without a session, whether there is nothing to report.
     pub fn is_told(&self, session: Option<u64>) -> bool {
         match session {
             Some(session) if session == self.session => {
@@ -119,7 +118,7 @@
         }
     }
 
-    /// When something has to be told next, at the latest by the session with this number.
+    /// Returns when the next report to this session is due.
     pub fn next_wakeup(&self, session: Option<u64>) -> u64 {
         if session.is_none() || self.is_told(session) { u64::MAX } else { self.next_report_at }
     }
--- a/crates/data-plane/src/work/ended_jobs.rs
+++ b/crates/data-plane/src/work/ended_jobs.rs
@@ -1,13 +1,14 @@
-//! Batch jobs that have ended, so that groups of them that come late aren't run.
+//! Batch jobs that have ended, so that assignments of their groups that arrive late are ignored.
 
 use std::collections::{HashSet, VecDeque};
 
 use super::JobKey;
 
-/// Ended jobs that are remembered. What comes late comes within seconds, in which some dozens end at most.
+/// The number of ended jobs that are remembered. Late assignments arrive within seconds, in which a few dozen jobs end at
+/// most.
 const CAPACITY: usize = 1_024;
 
-/// The jobs that ended last.
+/// The most recently ended jobs.
 #[derive(Debug, Default)]
 pub(crate) struct EndedJobs {
     known: HashSet<JobKey>,
@@ -15,7 +16,7 @@
 }
 
 impl EndedJobs {
-    /// A job has ended; it may be known already.
+    /// Records that a job has ended. Has no effect if that is already recorded.
     pub fn insert(&mut self, key: JobKey) {
         if !self.known.insert(key.clone()) {
             return;
--- a/crates/data-plane/src/work/mod.rs
+++ b/crates/data-plane/src/work/mod.rs
@@ -1,5 +1,5 @@
-//! The generations of this gateway: between the stores that assign them, the runner, and the stores that record their
-//! outcomes.
+//! The generations assigned to this gateway, on their way from the store nodes that assign them to the runner and, as
+//! outcomes, back to the store nodes that record them.
 
 mod ended_jobs;
 mod outcomes;
@@ -21,14 +21,14 @@
 use crate::generations::{Assignment, GroupId, ItemResult, RouteFacts, Runner, RunnerCommand};
 use crate::store_links::OutboundMessage;
 
-/// Items expire this much after the time that the route allows, in milliseconds: the age of a job that a store tells is
-/// the difference of two processes' wall clocks, which may be two seconds apart if one of them was being set when its
-/// process started.
+/// Items expire this long after the time that their route allows, in milliseconds. The age of a job that a store node
+/// reports is the difference between the wall clocks of two processes. These may differ by two seconds if one of the
+/// clocks was being adjusted when its process started.
 const EXPIRY_MARGIN_MS: u64 = 3_000;
-/// Time after which an item expires whose route states none, in milliseconds.
+/// The time allowed for items whose route states no limit, in milliseconds.
 const NO_EXPIRY_MS: u64 = u64::MAX / 4;
 
-/// A batch job: its partition and its id there.
+/// Identifies a batch job by its store partition and its id.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub(crate) struct JobKey {
     pub partition: u16,
@@ -49,31 +49,31 @@
     }
 }
 
-/// A job of which groups were assigned to this gateway: by which route it goes.
+/// A job with groups assigned to this gateway, with the hostname and path that determine its route.
 #[derive(Debug)]
 struct OpenJob {
     hostname: String,
     path: String,
 }
 
-/// Groups of a batch job as the head of its partition assigns them.
+/// Groups of a batch job assigned by the head of its partition.
 pub struct AssignedGroups {
-    /// The head.
+    /// The head of the partition.
     pub store: NodeAddress,
-    /// The job, as far as the groups need it.
+    /// The properties of the job that its groups need.
     pub job: AssignedJob,
-    /// The groups.
+    /// The assigned groups.
     pub groups: Vec<AssignedGroup>,
 }
 
-/// The newest head that has assigned groups of a partition, under its lease.
+/// The latest head that has assigned groups of a partition under its lease.
 #[derive(Clone, Copy, Debug)]
 struct Lessor {
     epoch: u64,
     store: NodeAddress,
 }
 
-/// A job under the lease of one epoch. The derived order goes by the fields in this order.
+/// A job under the lease of one epoch. The derived order compares the fields in their order of declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct LeasedJob {
     partition: u16,
@@ -81,29 +81,30 @@
     job: CompactString,
 }
 
-/// Groups whose route isn't in the configuration that this gateway has.
+/// Groups whose route isn't in the current configuration of this gateway.
 struct UnroutedGroups {
-    /// When the job was first received, by this gateway's clock.
+    /// When the job was first received, in milliseconds of this gateway's steady clock.
     received_at: u64,
     job: AssignedJob,
     groups: Vec<AssignedGroup>,
 }
 
-/// What has been assigned to this gateway, and its outcomes.
+/// The work assigned to this gateway, and its outcomes.
 #[derive(Default)]
 pub struct Work {
     jobs: HashMap<JobKey, OpenJob>,
     unrouted: Vec<UnroutedGroups>,
     outcomes: OutcomeQueue,
-    /// By partition.
+    /// The lease holder of each partition.
     lessors: HashMap<u16, Lessor>,
     ended: EndedJobs,
 }
 
 impl Work {
-    /// Groups were assigned by the head of their partition. Those of an older epoch than one seen or of a job that has
-    /// ended are ignored: a former head may not know yet that another one ended it. Those without a route wait for the
-    /// next configuration.
+    /// Assigns groups received from the head of their partition to the runner.
+    ///
+    /// Groups of an epoch older than the latest one, or of a job that has ended, are ignored: a former head may not know
+    /// that another one ended the job. Groups without a route wait for the next configuration.
     pub fn assign(
         &mut self,
         now: u64,
@@ -122,7 +123,7 @@
         self.route(UnroutedGroups { received_at, job, groups }, table, runner, commands);
     }
 
-    /// Gives groups to the runner, by their route.
+    /// Passes groups to the runner with their route, or keeps them until there is one.
     fn route(
         &mut self,
         unrouted: UnroutedGroups,
@@ -133,7 +134,10 @@
         let job = &unrouted.job;
         let found = table.and_then(|table| Some((table, rollout_route(table, &job.hostname, &job.path)?)));
         let Some((table, route)) = found else {
-            log::warn!("work: job {} has no route now; its groups wait for a configuration", job.job);
+            log::warn!(
+                "work: job {} has no route in the current configuration; its groups wait for the next one",
+                job.job
+            );
             self.unrouted.push(unrouted);
             return;
         };
@@ -145,7 +149,7 @@
             route.max_queue_s.map_or(NO_EXPIRY_MS, |seconds| (seconds * 1_000.0) as u64 + EXPIRY_MARGIN_MS);
         let tenant = job.tenant.as_deref().map(CompactString::from);
         for group in groups {
-            // A new head doesn't know what is on its way to it.
+            // A new head doesn't know of outcomes that are in transit to it.
             let items = group.items.into_iter().filter(|item| !self.outcomes.contains(&key, &item.id));
             let assignment = Assignment {
                 id: GroupId {
@@ -166,8 +170,7 @@
         self.jobs.insert(key, open);
     }
 
-    /// The configuration has changed: open jobs go on by their routes in it. The items of those whose route has ended
-    /// expire.
+    /// Applies a change of the configuration to the open jobs. The items of jobs whose route no longer exists expire.
     pub fn routes_changed(
         &mut self,
         table: &Arc<RouteTable>,
@@ -189,7 +192,7 @@
         runner.reroute(|group| facts.get(&JobKey::of_group(group)).cloned(), commands);
     }
 
-    /// A job has ended.
+    /// Cancels a job that has ended.
     pub fn cancel(
         &mut self,
         partition: u16,
@@ -205,7 +208,7 @@
         self.outcomes.remove_job(&key);
     }
 
-    /// Groups that this gateway returns to the stores that assigned them, as messages to these.
+    /// Returns the messages that give groups back to the store nodes that assigned them.
     pub fn return_groups(&self, groups: Vec<GroupId>) -> Vec<OutboundMessage> {
         let mut by_job: BTreeMap<LeasedJob, Vec<u32>> = BTreeMap::new();
         for GroupId { partition, epoch, job, group } in groups {
@@ -221,8 +224,10 @@
         by_job.into_iter().filter_map(message).collect()
     }
 
-    /// The leases of a store are over: what it assigned is dropped. A head that is newer than the placement that this
-    /// gateway knows of keeps its leases whoever is silent, and loses them by its own silence.
+    /// Drops the groups assigned by a store node whose leases have expired.
+    ///
+    /// If a newer head than the placement known here has assigned groups of a partition, these groups depend on that head's
+    /// lease alone, and not on the one of the head in the placement.
     pub fn store_lease_expired(
         &mut self,
         store: NodeAddress,
@@ -239,13 +244,14 @@
         }
     }
 
-    /// The lease on what a partition's head assigned is over.
+    /// Drops the groups of a partition after the lease of its head has expired.
     pub fn lease_expired(&mut self, partition: u16, runner: &mut Runner, commands: &mut Vec<RunnerCommand>) {
         self.unrouted.retain(|groups| groups.job.partition != partition);
         runner.lease_expired(partition, u64::MAX, commands);
     }
 
-    /// The message that tells the store of responses of 500 to an item; `None` where its lessor isn't known any more.
+    /// Returns the message that reports the number of responses with status 500 to an item, or `None` if the lease holder
+    /// of the partition is unknown.
     pub fn failure_report(&self, group: &GroupId, item: &str, count: u32) -> Option<OutboundMessage> {
         let lessor = self.lessors.get(&group.partition)?;
         let failures = vec![ItemFailures { item: item.to_owned(), count }];
@@ -254,32 +260,32 @@
         Some(OutboundMessage { store: lessor.store, message })
     }
 
-    /// An item has a result.
+    /// Queues the result of an item for its store node.
     pub fn report(&mut self, group: &GroupId, item: &str, result: ItemResult) {
         self.outcomes.push(JobKey::of_group(group), item, result);
     }
 
-    /// Outcomes that are to be sent now, as messages to the heads of their partitions.
+    /// Returns the outcomes to send now, as messages to the heads of their partitions.
     pub fn take_due_outcomes(&mut self, now: u64, state: &ControlState) -> Vec<OutboundMessage> {
         self.outcomes.take_due(now, state)
     }
 
-    /// When [`Work::take_due_outcomes`] has to be called next.
+    /// Returns when [`Work::take_due_outcomes`] has to be called next.
     pub fn next_wakeup(&self) -> u64 {
         self.outcomes.next_wakeup()
     }
 
-    /// Outcomes that wait for an acknowledgement are sent again at once: a link to a store is new.
+    /// Makes all unacknowledged outcomes due at once, after a link to a store node was established.
     pub fn resend_outcomes(&mut self) {
         self.outcomes.resend_all();
     }
 
-    /// A store has acknowledged outcomes: it has recorded them.
+    /// Removes outcomes that a store node has acknowledged, which means that it has recorded them.
     pub fn acknowledge(&mut self, partition: u16, job: &str, items: &[String]) {
         self.outcomes.acknowledge(&JobKey::new(partition, job), items);
     }
 
-    /// The number of outcomes that wait for an acknowledgement.
+    /// Returns the number of unacknowledged outcomes.
     pub fn unacknowledged(&self) -> usize {
         self.outcomes.len()
     }
--- a/crates/data-plane/src/work/outcomes.rs
+++ b/crates/data-plane/src/work/outcomes.rs
@@ -1,4 +1,4 @@
-//! Outcomes of items that stores haven't acknowledged: they are sent again until they are.
+//! Outcomes of items that store nodes haven't acknowledged yet. They are sent again until they are.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,14 +10,14 @@
 use crate::store_links::OutboundMessage;
 use crate::text_compression::TextCompressor;
 
-/// Outcomes that a store hasn't acknowledged are sent again after this time, in milliseconds.
+/// The interval at which unacknowledged outcomes are sent again, in milliseconds.
 const RESEND_MS: u64 = 1_000;
 
-/// An outcome that the store hasn't acknowledged.
+/// An outcome that its store node hasn't acknowledged.
 #[derive(Debug)]
 struct Unacknowledged {
     outcome: ItemOutcome,
-    /// 0: it is due at once.
+    /// When the outcome was last sent; 0 if it is due at once.
     sent_at: u64,
 }
 
@@ -27,7 +27,7 @@
     }
 }
 
-/// All outcomes that wait for an acknowledgement, by job and item.
+/// All unacknowledged outcomes, by job and item.
 #[derive(Default)]
 pub(super) struct OutcomeQueue {
     jobs: BTreeMap<JobKey, HashMap<String, Unacknowledged>>,
@@ -35,7 +35,7 @@
 }
 
 impl OutcomeQueue {
-    /// An item has a result; it is sent with the next [`OutcomeQueue::take_due`].
+    /// Adds the result of an item. It is sent with the next [`OutcomeQueue::take_due`].
     pub fn push(&mut self, job: JobKey, item: &str, result: ItemResult) {
         let outcome = match result {
             ItemResult::Completed { message, weight_versions, score } => ItemOutcome {
@@ -56,7 +56,7 @@
         self.jobs.entry(job).or_default().insert(item.to_owned(), Unacknowledged { outcome, sent_at: 0 });
     }
 
-    /// Whether an outcome of the item is on its way to the store.
+    /// Whether an outcome of the item is waiting for an acknowledgement.
     pub fn contains(&self, job: &JobKey, item: &str) -> bool {
         self.jobs.get(job).is_some_and(|outcomes| outcomes.contains_key(item))
     }
@@ -66,7 +66,7 @@
         self.jobs.remove(job);
     }
 
-    /// A store has acknowledged outcomes: it has recorded them.
+    /// Removes outcomes that a store node has acknowledged, which means that it has recorded them.
     pub fn acknowledge(&mut self, job: &JobKey, items: &[String]) {
         if let Some(outcomes) = self.jobs.get_mut(job) {
             for item in items {
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Outcomes that are to be sent now, as messages to the heads of their partitions.
+    /// Returns the outcomes to send now, as messages to the heads of their partitions.
     pub fn take_due(&mut self, now: u64, state: &ControlState) -> Vec<OutboundMessage> {
         let mut due = Vec::new();
         for (job, outcomes) in &mut self.jobs {
@@ -89,7 +89,7 @@
                 unacknowledged.sent_at = now;
                 batch.push(unacknowledged.outcome.clone());
             }
-            // Without a store they are due again later.
+            // Without a head the outcomes become due again after the resend interval.
             if let Some(head) = head.filter(|_| !batch.is_empty()) {
                 let JobKey { partition, job } = job.clone();
                 let message = GatewayMessage::ReportOutcomes { partition, job, outcomes: batch };
@@ -99,20 +99,20 @@
         due
     }
 
-    /// When [`OutcomeQueue::take_due`] has to be called next.
+    /// Returns when [`OutcomeQueue::take_due`] has to be called next.
     pub fn next_wakeup(&self) -> u64 {
         let due = self.jobs.values().flat_map(HashMap::values).map(|entry| entry.sent_at + RESEND_MS);
         due.min().unwrap_or(u64::MAX)
     }
 
-    /// All outcomes are due at once.
+    /// Makes all outcomes due at once.
     pub fn resend_all(&mut self) {
         for unacknowledged in self.jobs.values_mut().flat_map(HashMap::values_mut) {
             unacknowledged.sent_at = 0;
         }
     }
 
-    /// The number of outcomes that wait for an acknowledgement.
+    /// Returns the number of unacknowledged outcomes.
     pub fn len(&self) -> usize {
         self.jobs.values().map(HashMap::len).sum()
     }
--- a/crates/data-plane/src/work/routes.rs
+++ b/crates/data-plane/src/work/routes.rs
@@ -1,4 +1,4 @@
-//! What generations need of the configuration, and of the messages in which stores assign them.
+//! Conversion of routes and of assigned items to the types of the runner.
 
 use std::sync::Arc;
 
@@ -8,12 +8,12 @@
 
 use crate::generations::{Item, RewardRoute, RouteFacts, Routes, Scorer};
 
-/// Time within which the results of a job are due whose route states none, in milliseconds.
+/// The target duration of a job whose route states none, in milliseconds.
 pub(super) const DEFAULT_RUN_MS: u64 = 30_000;
-/// Latency target of reward calls whose route states none, in milliseconds.
+/// The latency target of reward calls whose route states none, in milliseconds.
 const DEFAULT_REWARD_TARGET_MS: u64 = 500;
 
-/// Routes of reward calls in the configuration in force.
+/// Routes of reward calls in the current configuration.
 pub struct RewardRoutes(pub Option<Arc<RouteTable>>);
 
 impl Routes for RewardRoutes {
@@ -29,12 +29,12 @@
     }
 }
 
-/// The route of a batch job; `None` where only a route of another type covers its path.
+/// Returns the route of a batch job, or `None` if only a route of another type covers its path.
 pub(super) fn rollout_route<'a>(table: &'a RouteTable, hostname: &str, path: &str) -> Option<&'a Route> {
     table.lookup(hostname, path).filter(|route| route.route_type == RouteType::RolloutControl)
 }
 
-/// What a runner needs of the route of a batch job.
+/// Returns the settings of a batch job's route that the runner needs.
 pub(super) fn route_facts(table: &RouteTable, route: &Route) -> RouteFacts {
     let service = table.services().get(route.split.main_service());
     RouteFacts {
@@ -48,7 +48,7 @@
     }
 }
 
-/// The item that a store assigns, of a batch job of this tenant.
+/// Converts an item that a store node assigned, of a batch job of this tenant.
 pub(super) fn assigned_item(item: AssignedItem, tenant: Option<&CompactString>) -> Item {
     Item {
         id: item.id.into(),
