--- a/crates/consensus/src/acceptor.rs
+++ b/crates/consensus/src/acceptor.rs
@@ -5,12 +5,12 @@
 use crate::message::Ballot;
 use crate::view::View;
 
-/// A view that an acceptor has accepted. Its encoding is that of a pair, which is how it was first published.
+/// A view that an acceptor has accepted. It is encoded as a pair, because the first published format was a pair.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct AcceptedView {
-    /// The ballot under which it was accepted.
+    /// The ballot under which the view was accepted.
     pub ballot: Ballot,
-    /// The view.
+    /// The accepted view.
     pub view: View,
 }
 
@@ -46,25 +46,25 @@
     }
 }
 
-/// What an acceptor must not forget within an instance. Answers may leave only after it is durable.
+/// The state that an acceptor must keep within an instance. A reply may be sent only after this state is durable.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Acceptor {
-    /// Ballots below this one are refused.
+    /// The highest promised ballot. Lower ballots are rejected.
     pub promised: Option<Ballot>,
-    /// The view that was accepted last.
+    /// The most recently accepted view.
     pub accepted: Option<AcceptedView>,
 }
 
 impl Acceptor {
-    /// The ballot of the view that was accepted last.
+    /// Returns the ballot of the most recently accepted view.
     pub fn accepted_ballot(&self) -> Option<Ballot> {
         self.accepted.as_ref().map(|accepted| accepted.ballot)
     }
 
-    /// Phase 1: promises `ballot`.
+    /// Phase 1: promises `ballot` unless a higher ballot was promised.
     ///
     /// # Errors
-    /// The higher ballot that was promised already.
+    /// Returns the promised ballot if it is higher than `ballot`.
     pub fn prepare(&mut self, ballot: Ballot) -> Result<(), Ballot> {
         match self.promised {
             Some(promised) if promised > ballot => Err(promised),
@@ -78,7 +78,7 @@
     /// Phase 2: accepts `view` unless a higher ballot was promised.
     ///
     /// # Errors
-    /// The higher ballot that was promised already.
+    /// Returns the promised ballot if it is higher than `ballot`.
     pub fn accept(&mut self, ballot: Ballot, view: &View) -> Result<(), Ballot> {
         self.prepare(ballot)?;
         self.accepted = Some(AcceptedView { ballot, view: view.clone() });
--- a/crates/consensus/src/agreement.rs
+++ b/crates/consensus/src/agreement.rs
@@ -1,4 +1,4 @@
-//! The state machine that a control process drives: inputs, outputs, and when to do what.
+//! The state machine that a control node drives: its inputs, its outputs and the time of its next step.
 
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
 
@@ -17,7 +17,7 @@
 use crate::timing::{Milliseconds, Timing};
 use crate::view::{Epoch, View};
 
-/// Agreement on one view per epoch. All times are milliseconds of one steady clock.
+/// Agreement on one view per epoch. All times are milliseconds of one monotonic clock.
 #[derive(Clone, Debug)]
 pub struct Agreement {
     pub(crate) me: MemberId,
@@ -26,31 +26,32 @@
     pub(crate) pending_writes: PendingWrites,
     pub(crate) failure_detector: FailureDetector,
     pub(crate) seeds: Seeds,
-    /// Live members outside the chain.
+    /// Live control members outside the chain.
     pub(crate) learners: Vec<MemberId>,
     pub(crate) condition: Condition,
     pub(crate) timing: Timing,
     flap_damping: FlapDamping,
     pub(crate) instance: Instance,
     pub(crate) clock: Clock,
-    /// Something has changed that the next `tick` should look at, the sooner the better.
+    /// Set when an input has changed something that the next `tick` evaluates; `tick` is then due at once.
     pub(crate) reconsider: bool,
 }
 
-/// What the host has told of this process.
+/// Conditions of this process that the host reports.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Condition {
-    /// As a member outside the chain: everything acknowledged was copied in the current epoch.
+    /// Set while this member is outside the chain and has copied every acknowledged entry in the current epoch.
     pub(crate) caught_up_as_learner: bool,
-    /// Since when this process is about to end as planned.
+    /// Start of the planned shutdown of this process; `None` if none is planned.
     pub(crate) leaving_since: Option<Milliseconds>,
-    /// The writes of this process hang or fail.
+    /// Set while writes of this process hang or fail.
     pub(crate) impaired: bool,
 }
 
 impl Agreement {
-    /// `seeds` is the list of addresses that decide the first view, the same on all machines. `bootstrap` is the
-    /// setting of this start. `recovered` is what the disk holds, `None` for an empty one.
+    /// Creates the state machine of the process `me`. `seeds` lists the addresses that decide the first view and must
+    /// be the same on all control nodes. `bootstrap` is the `bootstrap` setting of this start. `recovered` is the state
+    /// read from disk, `None` if the disk is empty.
     pub fn new(
         me: MemberId,
         bootstrap: bool,
@@ -84,36 +85,36 @@
         self
     }
 
-    /// Pings are numbered from `number` on. A random one for each start of a process keeps answers to the pings of an
-    /// earlier start from being taken for answers to this one's.
+    /// Derives the number of the first ping from `number`. With a random `number` for each start of a process, a reply
+    /// to a ping of an earlier start is not mistaken for a reply to a ping of this start.
     #[must_use]
     pub fn with_first_ping(mut self, number: u64) -> Agreement {
         self.failure_detector.number_rounds_from(number);
         self
     }
 
-    /// The control machine at the address of this seed has no disk: it is no member, and the first view is decided
-    /// without it.
+    /// Excludes the control node at the address `seed` because it has no disk: it is not a member, and the first view
+    /// is decided without it.
     pub fn exclude_seed(&mut self, seed: NodeAddress) {
         self.reconsider |= self.seeds.exclude(seed);
     }
 
-    /// The greeting to send first on every new connection.
+    /// Returns the `Hello` that is sent first on every new connection.
     pub fn hello(&self) -> Message {
         Message::Hello { member: self.me, bootstrap: self.bootstrap, epoch: self.epoch() }
     }
 
-    /// Epoch of the latest view known, zero for none.
+    /// Returns the epoch of the latest known view, or zero if there is none.
     pub fn epoch(&self) -> Epoch {
         self.state.epoch()
     }
 
-    /// The latest view known. It may not be durable here yet; [`Output::ViewChanged`] tells when it is.
+    /// Returns the latest known view. It may not be durable here yet; [`Output::ViewChanged`] reports when it is.
     pub fn view(&self) -> Option<&View> {
         self.state.view.as_ref()
     }
 
-    /// When to call [`Agreement::tick`] next at the latest.
+    /// Returns the latest time at which the next [`Agreement::tick`] must be called.
     pub fn next_tick_at(&self) -> Milliseconds {
         if self.reconsider {
             return self.clock.now();
@@ -128,7 +129,7 @@
         next
     }
 
-    /// Lets time pass: sends pings, retries, proposes.
+    /// Advances the clock: sends pings that are due, and starts or retries a proposal.
     pub fn tick(&mut self, now: Milliseconds, outputs: &mut Vec<Output>) {
         self.pass_time(now);
         self.reconsider = false;
@@ -140,16 +141,16 @@
         }
     }
 
-    /// Sends pings at once, so that [`Agreement::quorum_confirmed_at`] soon reaches `now`.
+    /// Sends pings at once, so that [`Agreement::quorum_confirmed_at`] reaches `now` as soon as a majority replies.
     pub fn confirm_now(&mut self, now: Milliseconds, outputs: &mut Vec<Output>) {
         self.pass_time(now);
         self.send_pings(outputs);
     }
 
-    /// Latest time T such that a majority of the voters of the current view has answered, for its epoch, pings sent
-    /// at or after T while none of them had accepted a later view. So no later view was decided before T: what
-    /// ReadIndex is in Raft (Ongaro 2014, section 6.4). `None` while the writes of this process hang or fail: it may be
-    /// behind what it told others.
+    /// Returns the latest time T such that a majority of the voters of the current view has replied, for its epoch, to
+    /// pings sent at or after T while none of them had accepted a later view. So no later view was decided before T;
+    /// this corresponds to ReadIndex in Raft (Ongaro 2014, section 6.4). Returns `None` while writes of this process
+    /// hang or fail, because its disk may be behind the messages it has sent.
     pub fn quorum_confirmed_at(&self) -> Option<Milliseconds> {
         if self.condition.impaired {
             return None;
@@ -166,7 +167,7 @@
         times.get(majority(view.voters.len()) - 1).copied()
     }
 
-    /// Replaces the list of live control members that aren't in the chain.
+    /// Replaces the list of live control members that are not in the chain.
     pub fn set_learners(&mut self, learners: &[MemberId]) {
         if self.learners == learners {
             return;
@@ -176,10 +177,10 @@
         self.watch_members();
     }
 
-    /// `member` (this one or another) holds every entry that was acknowledged before `epoch`, as the chain library
-    /// says of members in sync and of learners. A note for another epoch than the current one is ignored, and one
-    /// for the current epoch ends with it, but a member that stays in the chain stays ready. May be called any
-    /// number of times. A view without the dead keeps at least one member of the chain that is ready.
+    /// Records that `member` (this one or another) holds every entry that was acknowledged before `epoch`. The chain
+    /// library reports this for members in sync and for learners. A report for an epoch other than the current one is
+    /// ignored. The record is cleared at the end of the epoch, except for a member that stays in the chain. May be
+    /// called any number of times. A view that removes dead members keeps at least one caught-up member in the chain.
     pub fn member_caught_up(&mut self, member: MemberId, epoch: Epoch, outputs: &mut Vec<Output>) {
         if epoch != self.epoch() {
             return;
@@ -189,11 +190,11 @@
         } else {
             self.failure_detector.mark_caught_up(member)
         };
-        // The host tells it each time that it looks: only news may ask for the next look at once.
+        // The host reports this repeatedly: only a change makes the next tick due at once.
         self.reconsider |= is_new;
     }
 
-    /// This process holds every entry; true if that wasn't known.
+    /// Records that this process holds every entry; returns true if that was not recorded before.
     fn mark_self_caught_up(&mut self, outputs: &mut Vec<Output>) -> bool {
         let in_chain = self.view().is_some_and(|view| view.in_chain(self.me));
         if !in_chain {
@@ -207,13 +208,13 @@
         is_new
     }
 
-    /// The write with this number, and all before it, will survive a loss of power.
+    /// Reports that the write with this number, and every write before it, survives a loss of power.
     pub fn write_durable(&mut self, write_number: WriteNumber, outputs: &mut Vec<Output>) {
         self.pending_writes.durable(write_number);
         self.release(outputs);
     }
 
-    /// Takes a message. `from` is the member that the connection belongs to.
+    /// Handles a message. `from` is the member at the other end of the connection.
     pub fn message_received(
         &mut self,
         now: Milliseconds,
@@ -228,7 +229,7 @@
         }
     }
 
-    /// What is known of `member`, this one included.
+    /// Returns the health of `member`, which may be this process.
     pub(crate) fn health(&self, member: MemberId) -> Health {
         if member == self.me {
             Health::Alive(self.status())
@@ -237,8 +238,8 @@
         }
     }
 
-    /// As `health`, but a member that is to stay out of the chain for a while isn't ready. Nobody is kept out of a
-    /// chain that is too short to bear a loss.
+    /// Like `health`, but a member that flap damping keeps out of the chain counts as not caught up. No member is kept
+    /// out of a chain that is too short to tolerate a loss.
     fn health_for_chain(&self, view: &View, member: MemberId) -> Health {
         let enough = self.timing.minimum_copies.max(majority(view.voters.len()));
         let is_suppressed = || {
@@ -254,7 +255,7 @@
         }
     }
 
-    /// The next view that the membership policy wants, by what is known now.
+    /// Returns the next view according to the membership policy and the current state of the members.
     pub(crate) fn wanted_view(&self) -> Option<View> {
         match &self.state.view {
             None => self.seeds.wanted_view(self.clock.now(), self.timing.voter_limit),
@@ -271,7 +272,8 @@
         }
     }
 
-    /// Always true before there is a view, as only known seeds are asked then.
+    /// Returns whether a majority of the voters can vote. Always true before the first view, because then only known
+    /// seeds receive a ballot.
     pub(crate) fn is_majority_alive(&self) -> bool {
         self.view().is_none_or(|view| {
             let can_vote = |voter: &&MemberId| self.health(**voter).can_vote();
@@ -279,7 +281,7 @@
         })
     }
 
-    /// Number of voters that are to propose before this one.
+    /// Returns the number of voters that propose before this one.
     pub(crate) fn rank(&self) -> u64 {
         match &self.state.view {
             None => self.seeds.rank(self.me),
@@ -287,8 +289,8 @@
         }
     }
 
-    /// True if this process may vote on the view after the current one. On the first view only a process may vote
-    /// that was started with `bootstrap=true`, now or before it made a promise.
+    /// Returns whether this process may vote on the view after the current one. Only a process that was started with
+    /// `bootstrap=true`, in this run or in an earlier one in which it made a promise, may vote on the first view.
     pub(crate) fn may_vote(&self) -> bool {
         match &self.state.view {
             Some(view) => view.is_voter(self.me),
@@ -299,18 +301,18 @@
         }
     }
 
-    /// Sends what must wait for all writes issued so far.
+    /// Sends `message` once all writes issued so far are durable.
     pub(crate) fn send_when_durable(&mut self, to: MemberId, message: Message) {
         self.pending_writes.defer(Output::Send { to, message });
     }
 
-    /// Issues a write of the state.
+    /// Issues a write of the durable state.
     pub(crate) fn persist(&mut self, outputs: &mut Vec<Output>) {
         let write_number = self.pending_writes.issue();
         outputs.push(Output::Persist { write_number, state: self.state.clone() });
     }
 
-    /// Takes over a decided view, if it is a later one.
+    /// Adopts a decided view if it is later than the current one.
     pub(crate) fn adopt(&mut self, view: View, outputs: &mut Vec<Output>) {
         if view.epoch <= self.epoch() {
             return;
@@ -331,8 +333,8 @@
         self.reconsider = true;
     }
 
-    /// A complete member that stays in the chain has taken part in all acknowledgements in between, unless it has
-    /// skipped a view. The first view starts without entries.
+    /// Returns whether this member is complete in `next`. A complete member that stays in the chain took part in all
+    /// acknowledgements in between, unless it skipped a view. The first view starts without entries.
     fn stays_complete(&self, next: &View) -> bool {
         let was_complete = self.state.view.as_ref().map_or(next.epoch == 1, |view| {
             self.state.complete && view.in_chain(self.me) && next.epoch == view.epoch + 1
@@ -340,7 +342,7 @@
         was_complete && next.in_chain(self.me)
     }
 
-    /// Puts out what was deferred until writes that are durable by now.
+    /// Emits the deferred outputs whose writes are durable.
     fn release(&mut self, outputs: &mut Vec<Output>) {
         while let Some(output) = self.pending_writes.release() {
             match output {
--- a/crates/consensus/src/durable_state.rs
+++ b/crates/consensus/src/durable_state.rs
@@ -5,19 +5,19 @@
 use crate::acceptor::Acceptor;
 use crate::view::{Epoch, View};
 
-/// Everything the agreement keeps on disk, a few hundred bytes, written as a whole.
+/// The complete on-disk state of the agreement, a few hundred bytes, always written in full.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct DurableState {
-    /// The latest view known.
+    /// The latest known view.
     pub view: Option<View>,
-    /// Promises for the instance after `view`.
+    /// Promise and accepted view in the instance after `view`.
     pub acceptor: Acceptor,
-    /// This member is in the chain of `view` and holds every entry that was acknowledged in earlier epochs.
+    /// Set if this member is in the chain of `view` and holds every entry that was acknowledged in earlier epochs.
     pub complete: bool,
 }
 
 impl DurableState {
-    /// Epoch of the latest view known, zero for none.
+    /// Returns the epoch of the latest known view, or zero if there is none.
     pub fn epoch(&self) -> Epoch {
         self.view.as_ref().map_or(0, |view| view.epoch)
     }
--- a/crates/consensus/src/failure_detector.rs
+++ b/crates/consensus/src/failure_detector.rs
@@ -1,4 +1,5 @@
-//! Failure detection by heartbeats (Chandra and Toueg 1996), and the times up to which a peer has confirmed the epoch.
+//! Failure detection by heartbeats (Chandra and Toueg 1996), and the time up to which each peer has confirmed the
+//! epoch.
 
 use std::collections::VecDeque;
 
@@ -7,45 +8,45 @@
 use crate::status::{Health, MemberStatus};
 use crate::timing::{FAILURE_TIMEOUT, Milliseconds, PING_INTERVAL};
 
-/// Most members that are remembered as caught up; far more than there ever are voters and learners.
+/// The maximum number of members that are recorded as caught up; far above the number of voters and learners.
 const MAX_CAUGHT_UP: usize = 32;
 
 #[derive(Clone, Debug)]
 struct Peer {
     member: MemberId,
-    /// Since when pings go to it, or since this process was found to have been frozen.
+    /// Time at which pings to this peer began, or at which this process was last found to have been frozen.
     watched_since: Milliseconds,
     answered_at: Option<Milliseconds>,
-    /// Latest send time of a ping that it answered for the current epoch with no accepted view pending.
+    /// Latest send time of a ping to which the peer replied for the current epoch without a pending accepted view.
     confirmed_at: Option<Milliseconds>,
-    /// Number of the latest ping that it answered, and what the answer said.
+    /// Number of the latest ping to which it replied; `status` is from that reply.
     answered_number: u64,
     status: MemberStatus,
-    /// Has told that the view of the current epoch is on its disk.
+    /// Set once the peer has reported that the view of the current epoch is on its disk.
     has_durable_view: bool,
 }
 
-/// A round of pings that may still be answered.
+/// A round of pings to which replies are still accepted.
 #[derive(Clone, Debug)]
 struct HeartbeatRound {
     number: u64,
     sent_at: Milliseconds,
 }
 
-/// Peers that are pinged: the other voters and the learners.
+/// Tracks the peers that are pinged: the other voters and the learners.
 #[derive(Clone, Debug, Default)]
 pub struct FailureDetector {
     peers: Vec<Peer>,
-    /// Members that hold everything acknowledged, as of the current epoch.
+    /// Members that hold every acknowledged entry as of the current epoch.
     caught_up: Vec<MemberId>,
-    /// In the order of their numbers.
+    /// Rounds that are still open, ordered by number.
     rounds: VecDeque<HeartbeatRound>,
     last_number: u64,
     next_ping_at: Milliseconds,
 }
 
 impl FailureDetector {
-    /// Replaces the watched members; what is known of those that stay is kept.
+    /// Replaces the watched members; the state of members that stay is kept.
     pub fn watch(&mut self, now: Milliseconds, members: impl Iterator<Item = MemberId>) {
         let mut previous = std::mem::take(&mut self.peers);
         for member in members {
@@ -62,7 +63,7 @@
         self.peers.iter().map(|peer| peer.member)
     }
 
-    /// Forgets who answered when: this process was frozen.
+    /// Clears the times of all replies after this process was frozen.
     pub fn reset(&mut self, now: Milliseconds) {
         self.rounds.clear();
         self.next_ping_at = now;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Forgets what was confirmed for the epoch before.
+    /// Clears everything that was confirmed for the previous epoch.
     pub fn enter_epoch(&mut self) {
         for peer in &mut self.peers {
             peer.confirmed_at = None;
@@ -86,22 +87,22 @@
         self.next_ping_at
     }
 
-    /// The next round of pings is due at `time`, if it wasn't due earlier.
+    /// Schedules the next round of pings at `time` unless it is due earlier.
     pub fn ping_at(&mut self, time: Milliseconds) {
         self.next_ping_at = self.next_ping_at.min(time);
     }
 
-    /// Earliest time at which a live peer would turn dead.
+    /// Returns the earliest time at which a live peer would count as dead.
     pub fn next_expiry(&self) -> Option<Milliseconds> {
         self.peers.iter().filter_map(|peer| peer.answered_at).map(|at| at + FAILURE_TIMEOUT).min()
     }
 
-    /// Pings are numbered from `number` on, lowered to leave room for all that follow.
+    /// Starts numbering pings at half of `number`, which leaves enough numbers for all later rounds.
     pub fn number_rounds_from(&mut self, number: u64) {
         self.last_number = number >> 1;
     }
 
-    /// Number for a round of pings sent now, above every earlier one of this run.
+    /// Returns the number for a round of pings sent now; it exceeds every earlier number of this run.
     pub fn start_heartbeat_round(&mut self, now: Milliseconds) -> u64 {
         self.next_ping_at = now + PING_INTERVAL;
         if let Some(round) = self.rounds.back()
@@ -115,8 +116,7 @@
         self.last_number
     }
 
-    /// Takes an answer; `current` if it is for the current epoch. Returns whether it changes what is known of the
-    /// peer.
+    /// Records a reply; `current` is set if it is for the current epoch. Returns whether the state of the peer changed.
     pub fn pong_received(
         &mut self,
         now: Milliseconds,
@@ -143,7 +143,7 @@
         changed || newly_caught_up
     }
 
-    /// Marks `member` as caught up, which holds until the epoch ends; true if it wasn't.
+    /// Marks `member` as caught up until the epoch ends; returns true if it was not marked before.
     pub fn mark_caught_up(&mut self, member: MemberId) -> bool {
         let is_new = !self.caught_up.contains(&member) && self.caught_up.len() < MAX_CAUGHT_UP;
         if is_new {
@@ -161,7 +161,7 @@
         self.peers.iter().find(|peer| peer.member == member)?.confirmed_at
     }
 
-    /// True if `member` has told that the view of the current epoch is on its disk.
+    /// Returns whether `member` has reported that the view of the current epoch is on its disk.
     pub fn has_durable_view(&self, member: MemberId) -> bool {
         self.peers.iter().any(|peer| peer.member == member && peer.has_durable_view)
     }
@@ -180,8 +180,8 @@
         }
     }
 
-    /// Notes an answer; true if it changes what is known. An answer that a later one has overtaken shows only that
-    /// the peer lives.
+    /// Records a reply; returns whether the state of the peer changed. A reply that arrives after the reply to a later
+    /// ping shows only that the peer is alive.
     fn answered(&mut self, now: Milliseconds, number: u64, current: bool, status: MemberStatus) -> bool {
         let revived = self.answered_at.is_none();
         let before = (self.status, self.has_durable_view);
--- a/crates/consensus/src/flap_damping.rs
+++ b/crates/consensus/src/flap_damping.rs
@@ -1,5 +1,5 @@
-//! Damping of flapping members: those that leave the chain again and again, as in a partition that only some members
-//! see, are kept out of it for a while.
+//! Flap damping: members that leave the chain repeatedly, as in a network partition that only some members observe,
+//! are kept out of the chain for a while.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -10,18 +10,18 @@
 struct Removal {
     member: MemberId,
     at: Milliseconds,
-    /// Removals of which each came within [`DAMPING_WINDOW`] of the one before.
+    /// Number of removals, each within [`DAMPING_WINDOW`] of the previous one.
     count: u32,
 }
 
-/// Removals from the chain that this process has seen lately.
+/// Recent removals from the chain that this process has observed.
 #[derive(Clone, Debug, Default)]
 pub struct FlapDamping {
     removals: Vec<Removal>,
 }
 
 impl FlapDamping {
-    /// Notes who left the chain between two views.
+    /// Records which members left the chain between two views.
     pub fn view_changed(&mut self, now: Milliseconds, previous: &View, next: &View) {
         self.removals.retain(|removal| now - removal.at < DAMPING_WINDOW);
         for member in previous.chain.iter().filter(|member| !next.in_chain(**member)) {
@@ -32,10 +32,10 @@
         }
     }
 
-    /// True while `member` is not to be taken into the chain again: no time at all as long as nobody has left it
-    /// twice, then a time that doubles with each further repetition. Repetitions of all members count together, as
-    /// a partition between two of them may make them leave in turns. The time ends `limit` after the removal at the
-    /// latest.
+    /// Returns true while `member` must stay out of the chain. The time is zero as long as no member has left the chain
+    /// twice, then doubles with each further repetition. The repetitions of all members are added up, because a
+    /// network partition between two members may make them leave in turns. The time ends at most `limit` after the
+    /// removal.
     pub fn suppresses(&self, now: Milliseconds, member: MemberId, limit: Milliseconds) -> bool {
         let repetitions: u32 = self.removals.iter().map(|removal| removal.count - 1).sum();
         let removal = self.removals.iter().find(|removal| removal.member == member);
--- a/crates/consensus/src/instance.rs
+++ b/crates/consensus/src/instance.rs
@@ -1,42 +1,42 @@
-//! What a process keeps in memory of one instance of Paxos, beside the durable [`crate::acceptor`].
+//! The in-memory state of one Paxos instance, in addition to the durable [`crate::acceptor`].
 
 use crate::acceptances::Acceptances;
 use crate::message::Ballot;
 use crate::proposer::Proposal;
 use crate::timing::Milliseconds;
 
-/// What a process does about the instance after its view. Nothing of it survives a restart.
+/// The state of this process in the instance after its current view. It does not survive a restart.
 #[derive(Clone, Debug, Default)]
 pub struct Instance {
     pub proposal: Option<Proposal>,
-    /// Who has accepted the view that was accepted here last.
+    /// Acceptances of the view that was most recently accepted here.
     pub acceptances: Option<Acceptances>,
-    /// Highest round seen in the instance.
+    /// The highest round seen in the instance.
     pub highest_round: u32,
-    /// Since when a view is wanted.
+    /// Time at which a next view became desired.
     pub wanted_since: Option<Milliseconds>,
-    /// Time of the latest step that this process or another proposer has made.
+    /// Time of the latest step by this process or another proposer.
     pub progress_at: Option<Milliseconds>,
-    /// When a proposal is due, by what was known at the last tick.
+    /// Time at which a proposal is due, as computed by the last tick.
     pub next_attempt_at: Option<Milliseconds>,
 }
 
 impl Instance {
-    /// Gives up the proposal. Its ballot is never used again.
+    /// Abandons the proposal. Its ballot is never used again.
     pub fn abandon(&mut self) {
         self.proposal = None;
         self.wanted_since = None;
         self.next_attempt_at = None;
     }
 
-    /// Notes a higher ballot; the next try exceeds it.
+    /// Records the higher ballot that a voter had promised; the next attempt exceeds it.
     pub fn refused(&mut self, ballot: Ballot, promised: Ballot) {
         if self.proposal.as_ref().is_some_and(|proposal| proposal.ballot() == ballot) {
             self.highest_round = self.highest_round.max(promised.round);
         }
     }
 
-    /// Notes that the proposer of `ballot` is at work.
+    /// Records that the proposer of `ballot` is active.
     pub fn ballot_seen(&mut self, now: Milliseconds, ballot: Ballot) {
         self.highest_round = self.highest_round.max(ballot.round);
         self.progress_at = Some(now);
--- a/crates/consensus/src/leave.rs
+++ b/crates/consensus/src/leave.rs
@@ -1,4 +1,4 @@
-//! What this process says of itself, and its planned leave: when it may end.
+//! The status that this process reports, and its planned shutdown: when the process may end.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -9,16 +9,16 @@
 use crate::view::View;
 
 impl Agreement {
-    /// This process is about to end as planned. The others replace it, as far as they can; when it may end,
-    /// [`Agreement::may_leave`] says. There is no way back but a new start.
+    /// Marks this process as about to shut down as planned. The other members replace it as far as they can;
+    /// [`Agreement::may_leave`] returns when the process may end. Only a restart of the process reverts this.
     pub fn set_leaving(&mut self) {
         self.condition.leaving_since.get_or_insert(self.clock.now());
         self.failure_detector.ping_at(self.clock.now());
         self.reconsider = true;
     }
 
-    /// The host says whether its own writes hang or fail. An impaired member is treated as dead for the chain but
-    /// stays a voter; it proposes nothing and confirms nothing to itself.
+    /// Sets whether writes of this process hang or fail. An impaired member is treated as dead for the chain but stays
+    /// a voter; it makes no proposals and does not confirm the epoch for itself.
     pub fn set_impaired(&mut self, impaired: bool) {
         if self.condition.impaired == impaired {
             return;
@@ -28,9 +28,9 @@
         self.reconsider = true;
     }
 
-    /// True if a majority of the voters of the latest view has that view on disk, as far as known here. From then on
-    /// the view survives the loss of any minority of its voters: one that is left knows it and tells the rest. No
-    /// repair or removal is complete before.
+    /// Returns true if a majority of the voters of the latest view has that view on disk, as far as known here. From
+    /// then on the view survives the loss of any minority of its voters: every majority that is left has a voter that
+    /// knows it and sends it to the others. No repair or removal is complete before.
     pub fn is_effective(&self) -> bool {
         let Some(view) = self.view() else { return false };
         let has_durable_view = |voter: &&MemberId| {
@@ -43,16 +43,17 @@
         view.voters.iter().filter(has_durable_view).count() >= majority(view.voters.len())
     }
 
-    /// True if this process may end after [`Agreement::set_leaving`]: it is no longer needed, or waiting is of no use.
+    /// Returns true if this process may end after [`Agreement::set_leaving`]: it is no longer needed, or waiting longer
+    /// cannot help.
     ///
     /// It is no longer needed if it never knew a view, or if the latest view is effective and has this process
-    /// neither in its chain nor among its voters. It may also stay a voter, outside the chain, if there is no live
-    /// learner that could take the place and a majority of the voters are others that have shown since
-    /// [`Agreement::set_leaving`] that they live: one that has just been lost still counts as alive.
+    /// neither in its chain nor among its voters. It may also end as a voter outside the chain if no live learner can
+    /// replace it and the other voters that can vote and have confirmed the epoch since [`Agreement::set_leaving`] are
+    /// a majority. The confirmation is required because a voter that has just been lost still counts as alive.
     ///
-    /// Waiting is of no use if every other voter and learner is alive and leaving, too. It is of use while one of
-    /// them is dead: it may come back and copy what only this process holds. The host ends the wait when its time is
-    /// up.
+    /// Waiting cannot help if every other voter and learner is alive and leaving, too. It can help while one of them is
+    /// dead: that one may return and copy entries that only this process holds. The host ends the wait at its own
+    /// deadline.
     pub fn may_leave(&self) -> bool {
         let Some(leaving_since) = self.condition.leaving_since else { return false };
         let Some(view) = self.view() else { return true };
@@ -74,8 +75,8 @@
         }
     }
 
-    /// True if the next view may be decided without this process knowing it, or if it would forget the latest one
-    /// in a loss of power.
+    /// Returns true if the next view may have been decided without this process knowing it, or if this process would
+    /// lose the latest view in a loss of power.
     pub(crate) fn is_unsettled(&self) -> bool {
         self.state.acceptor.accepted.is_some() || !self.is_view_durable()
     }
@@ -97,13 +98,13 @@
         self.view().is_some_and(|view| view.chain.iter().all(reaches))
     }
 
-    /// A live learner that may take this voter's place, now or when it is ready.
+    /// Returns whether a live learner may replace this voter, now or once the learner has caught up.
     fn has_successor(&self, view: &View) -> bool {
         let may_follow = |member: &&MemberId| !view.is_voter(**member) && self.health(**member).may_serve();
         self.learners.iter().any(|member| may_follow(&member))
     }
 
-    /// True if a majority of the voters are others that can vote and have confirmed the view after `since`.
+    /// Returns whether the other voters that can vote and have confirmed the view after `since` are a majority.
     fn is_majority_without_me(&self, view: &View, since: Milliseconds) -> bool {
         let has_confirmed =
             |voter: MemberId| self.failure_detector.confirmed_at(voter).is_some_and(|at| at > since);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,19 +1,20 @@
-//! Agreement on one view per epoch among the control machines, free of I/O.
+//! Agreement on one view per epoch among the control nodes, without I/O.
 //!
 //! A [`View`] names the voters and the chain of one epoch. The view of epoch `e + 1` is the value of one
 //! single-decree Paxos instance among the voters of the view of epoch `e`; there is no log of commands. The
-//! first view is decided among the addresses that the settings list, by processes that start with
+//! first view is decided among the addresses that the settings list, by processes that were started with
 //! `bootstrap=true`.
 //!
-//! [`Agreement`] is the state machine a host drives: it takes the time, messages and notices of finished writes
-//! and pushes messages, writes and new views as [`Output`]s. The parts below it have one job each:
+//! [`Agreement`] is the state machine that a host drives. Its inputs are the time, messages and notifications of
+//! durable writes; its [`Output`]s are messages, writes and new views. It consists of:
 //!
-//! - Paxos (Lamport 2001): [`acceptor`], [`proposer`] and [`acceptances`] are its roles, [`quorum`] says who votes,
-//!   `paxos` handles its messages, `instance` holds what is kept in memory of the current instance;
-//! - membership: [`membership_policy`] says which next view is wanted, `flap_damping` keeps members out that come and
-//!   go, `seeds` decides the first view, `leave` says when a view is effective and when a process may end;
-//! - failure detection: `failure_detector` sends heartbeats, [`status`] is what members say of themselves;
-//! - durability: `pending_writes` defers what may only leave after a write is durable.
+//! - Paxos (Lamport 2001): [`acceptor`], [`proposer`] and [`acceptances`] are its roles, [`quorum`] defines who votes,
+//!   `paxos` handles its messages, `instance` holds the in-memory state of the current instance;
+//! - membership: [`membership_policy`] computes the next view, `flap_damping` keeps members that repeatedly leave the
+//!   chain out of it, `seeds` proposes the first view, `leave` determines when a view is effective and when a process
+//!   may end;
+//! - failure detection: `failure_detector` sends heartbeats, [`status`] is the status that members report;
+//! - durability: `pending_writes` defers outputs until the writes they depend on are durable.
 
 pub mod acceptances;
 pub mod acceptor;
--- a/crates/consensus/src/membership_policy.rs
+++ b/crates/consensus/src/membership_policy.rs
@@ -1,4 +1,4 @@
-//! The membership policy: which next view is wanted, and who proposes it first.
+//! The membership policy: computes the next view and the order in which voters propose it.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -7,27 +7,29 @@
 use crate::timing::Timing;
 use crate::view::{MAX_VOTERS, View};
 
-/// What the next view is derived from: the view in force and what is known of the members. Views that follow each
-/// other differ by one step, so that their quorums overlap.
+/// The inputs from which the next view is derived: the current view and the health of the members. Consecutive views
+/// differ by one step, so that their quorums overlap.
 pub struct MembershipPolicy<'a, H> {
-    /// The view in force.
+    /// The current view.
     pub view: &'a View,
     /// The process that would propose.
     pub me: MemberId,
-    /// Control members outside the chain.
+    /// Live control members outside the chain.
     pub learners: &'a [MemberId],
-    /// How many copies and voters are wanted, and how fast.
+    /// The required number of copies and voters, and the replacement delay.
     pub timing: &'a Timing,
-    /// What is known of each member, `me` included.
+    /// Returns the health of a member, `me` included.
     pub health: H,
 }
 
 impl<H: Fn(MemberId) -> Health> MembershipPolicy<'_, H> {
-    /// The view that `me` should propose, if any. In this order: without the lost members of the chain; with one more
-    /// voter in the chain; without a dead voter that is one too many; without a leaving member; with learners as
-    /// new voters; without a live voter that is one too many. Nothing is wanted unless a majority of the voters before
-    /// and after it can vote. Only members of the chain remove lost ones from it: one outside may be the only one that
-    /// is cut off from them, and a removal by it would take away copies without need.
+    /// Returns the view that `me` should propose, if any.
+    ///
+    /// The first applicable step is taken: remove lost members from the chain; append a voter to the chain; remove a
+    /// dead surplus voter; remove a leaving member; add learners as voters; remove a live surplus voter. Every step
+    /// requires that a majority of the voters before and after it can vote. Only members of the chain remove lost
+    /// members from it: a process outside may be the only one that is partitioned from them, and its removal would
+    /// take away copies without need.
     pub fn wanted_view(&self) -> Option<View> {
         if !self.has_majority(&self.view.voters) {
             return None;
@@ -48,16 +50,16 @@
         able >= majority(voters.len())
     }
 
-    /// The chain without its dead and impaired members. One that stays must be ready, as an appended member that
-    /// hasn't caught up yet may lack entries that the lost ones have acknowledged.
+    /// Removes the dead and impaired members from the chain. At least one member that stays must be ready, because an
+    /// appended member that has not caught up yet may lack entries that the lost members have acknowledged.
     fn without_lost(&self) -> Option<View> {
         let mut next = successor(self.view);
         next.chain.retain(|member| !(self.health)(*member).is_lost());
         next.chain.iter().any(|member| (self.health)(*member).is_ready()).then_some(next)
     }
 
-    /// With one more voter in the chain. One that is about to end is taken back only where nothing can be
-    /// acknowledged without it, as when another member is lost right after it has left the chain.
+    /// Appends one voter to the chain. A leaving voter is appended only if the chain is too short to acknowledge
+    /// anything without it, for example after another member was lost right after the leaving one left the chain.
     fn with_voter_appended(&self) -> Option<View> {
         let outside = || self.view.voters.iter().copied().filter(|voter| !self.view.in_chain(*voter));
         let is_short = self.view.chain.len() < self.timing.minimum_copies;
@@ -69,9 +71,9 @@
         Some(next)
     }
 
-    /// Without a dead voter where there are more voters than wanted, as between the two steps of a handover. The
-    /// majority of the rest is no larger, so no loss that could be borne before can't be borne after. The voter comes
-    /// back as a learner.
+    /// Removes a dead voter if there are more voters than configured, as between the two steps of a handover. The
+    /// majority of the remaining voters is no larger, so every loss that was tolerated before is still tolerated. The
+    /// removed voter returns as a learner.
     fn without_surplus_voter(&self) -> Option<View> {
         if self.view.voters.len() <= self.timing.voter_limit {
             return None;
@@ -81,9 +83,9 @@
         Some(without_member(self.view, removed))
     }
 
-    /// Without one of an even number of voters, more than wanted, that all live and stay: a voter that was about to end
-    /// and whose process starts again after its successor was taken in. Otherwise each acknowledgement waits for one
-    /// disk more than it needs. As many losses can be borne as before.
+    /// Removes one voter if the number of voters is even and above the limit, and all of them are alive and stay. This
+    /// happens when a leaving voter restarts after its successor was added. The surplus voter would make each
+    /// acknowledgement wait for one more disk than necessary. The number of tolerated losses stays the same.
     fn without_spare_voter(&self) -> Option<View> {
         let voters = &self.view.voters;
         let is_one_too_many = voters.len() > self.timing.voter_limit && voters.len().is_multiple_of(2);
@@ -95,7 +97,7 @@
         self.can_spare(removed).then(|| without_member(self.view, removed))
     }
 
-    /// As many losses could be borne without any one of the voters.
+    /// Returns whether any one voter can be removed without tolerating fewer losses.
     fn has_spare_voter(&self) -> bool {
         let voters = self.view.voters.len();
         voters > self.timing.voter_limit || (voters > 2 && voters.is_multiple_of(2))
@@ -106,9 +108,9 @@
         self.view.voters.iter().copied().filter(leaving).find_map(|leaving| self.with_handover(leaving))
     }
 
-    /// The next step towards a view without a leaving voter. A ready learner becomes a voter and a member of the
-    /// chain first; once it is complete, the leaving one goes. Without a learner the leaving one stays a voter and
-    /// goes out of the chain, if enough complete copies stay there.
+    /// Returns the next step towards a view without a leaving voter. First a ready learner becomes a voter and a member
+    /// of the chain; once it is complete, the leaving voter is removed. Without an eligible learner the leaving voter
+    /// stays a voter and leaves the chain, if enough complete copies remain there.
     fn with_handover(&self, leaving: MemberId) -> Option<View> {
         let in_chain = self.view.in_chain(leaving);
         if self.has_spare_voter() {
@@ -131,7 +133,7 @@
         self.can_spare(leaving).then_some(next)
     }
 
-    /// True if the chain without `member` is complete and long enough for acknowledgements.
+    /// Returns whether the chain without `member` is complete and long enough for acknowledgements.
     fn can_spare(&self, member: MemberId) -> bool {
         if !self.view.in_chain(member) {
             return true;
@@ -159,8 +161,8 @@
         (missing_voters >= 2).then(|| with_additions(self.view, &[first, second]))
     }
 
-    /// The dead voter that `learner` takes the place of: one at the same address, whose disk is lost, at once; any
-    /// other only after a while.
+    /// Returns the voter outside the chain that `learner` replaces: one at the same address, whose disk is lost, at
+    /// once; any other only after it was dead for `replacement_delay`.
     fn replaceable_voter(&self, learner: MemberId) -> Option<MemberId> {
         let outside = || self.view.voters.iter().copied().filter(|voter| !self.view.in_chain(*voter));
         let lost_disk = outside().find(|voter| voter.address == learner.address);
@@ -174,15 +176,16 @@
         self.learners.iter().copied().filter(is_ready)
     }
 
-    /// It may become a voter now or once it is ready. The member of the chain at its address, if any, has to go first.
+    /// Returns whether `learner` may become a voter, now or once it is ready. A member of the chain at the same address
+    /// must be removed first.
     fn is_eligible(&self, learner: MemberId) -> bool {
         let shares_address = self.view.chain.iter().any(|entry| entry.address == learner.address);
         !shares_address && !self.view.is_voter(learner) && (self.health)(learner).may_serve()
     }
 }
 
-/// Number of voters able to propose that do so before `me`: the chain in its order, then the other voters by
-/// identity.
+/// Returns the number of voters that propose before `me`. The order is the chain first, then the other voters by
+/// identity; voters that cannot vote are not counted.
 pub fn rank(view: &View, me: MemberId, health: &impl Fn(MemberId) -> Health) -> u64 {
     let order = |member: MemberId| {
         let position = view.chain.iter().position(|entry| *entry == member);
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,4 +1,4 @@
-//! Messages between control machines, and their encoding.
+//! Messages between control nodes, and their encoding.
 
 use derive_more::{Display, Error, From};
 use musli::{Decode, Encode};
@@ -8,20 +8,20 @@
 use crate::status::MemberStatus;
 use crate::view::{Epoch, View};
 
-/// Largest encoded message in bytes; a longer one is refused before it is decoded.
+/// The largest encoded message in bytes; a longer one is rejected before it is decoded.
 pub const MAX_MESSAGE_BYTES: usize = 2_048;
 
-/// Number of a proposal. Ordered by round, then by proposer; a proposer uses each of its rounds once.
+/// Number of a proposal. Ordered by round, then by proposer; a proposer uses each round at most once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Ballot {
-    /// Rises with each retry, by whomever.
+    /// Round number, incremented by each attempt of any proposer.
     pub round: u32,
-    /// Makes the ballots of two proposers differ.
+    /// The process that proposes; distinguishes ballots of the same round.
     pub proposer: MemberId,
 }
 
-/// A message between control machines. `epoch` of a Paxos message is the epoch of the view to be decided,
-/// `epoch` of the others is the one of the latest view that the sender knows (zero for none).
+/// A message between control nodes. In a Paxos message, `epoch` is the epoch of the view to be decided. In any other
+/// message it is the epoch of the latest view that the sender knows (zero for none).
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Message {
     /// Sent first on each connection, and again to the seeds until there is a view.
@@ -30,75 +30,75 @@
         member: MemberId,
         /// Whether the sender may decide the first view.
         bootstrap: bool,
-        /// Of the latest view known.
+        /// Epoch of the latest view that the sender knows.
         epoch: Epoch,
     },
-    /// Heartbeat request: asks for a `Pong` with the same number.
+    /// Heartbeat request: the receiver replies with a `Pong` of the same number.
     Ping {
-        /// Of the heartbeat round of the sender.
+        /// Number of the sender's heartbeat round.
         number: u64,
-        /// Of the latest view known.
+        /// Epoch of the latest view that the sender knows.
         epoch: Epoch,
     },
-    /// Answer to a `Ping`.
+    /// Reply to a `Ping`.
     Pong {
-        /// Of the `Ping`.
+        /// Number of the `Ping`.
         number: u64,
-        /// Of the latest view on the sender's disk.
+        /// Epoch of the latest view on the sender's disk.
         epoch: Epoch,
-        /// Of the sender.
+        /// Status of the sender.
         status: MemberStatus,
     },
     /// Phase 1 of the instance.
     Prepare {
-        /// Of the instance.
+        /// Epoch of the instance.
         epoch: Epoch,
-        /// What the receiver is to promise.
+        /// The ballot that the receiver is to promise.
         ballot: Ballot,
     },
     /// The sender will ignore ballots below `ballot`.
     Promise {
-        /// Of the instance.
+        /// Epoch of the instance.
         epoch: Epoch,
-        /// The promise.
+        /// The promised ballot.
         ballot: Ballot,
-        /// What the sender has accepted so far.
+        /// The view that the sender has accepted so far, if any.
         accepted: Option<AcceptedView>,
     },
-    /// Phase 2 of the instance. Its epoch is the one of the view.
+    /// Phase 2 of the instance. The epoch of the instance is that of the view.
     Accept {
-        /// What a majority has promised.
+        /// The ballot that a majority has promised.
         ballot: Ballot,
-        /// What the receiver is to accept.
+        /// The view that the receiver is to accept.
         view: View,
     },
     /// The sender has accepted the view of `ballot`.
     Accepted {
-        /// Of the instance.
+        /// Epoch of the instance.
         epoch: Epoch,
-        /// Of the acceptance.
+        /// The ballot under which the view was accepted.
         ballot: Ballot,
     },
-    /// The sender refuses `ballot`.
+    /// The sender rejects `ballot`.
     Nack {
-        /// Of the instance.
+        /// Epoch of the instance.
         epoch: Epoch,
-        /// What is refused.
+        /// The rejected ballot.
         ballot: Ballot,
         /// The higher ballot that the sender has promised.
         promised: Ballot,
     },
-    /// A view that was decided.
+    /// Announces a decided view.
     Decided {
-        /// The view.
+        /// The decided view.
         view: View,
     },
 }
 
-/// Why bytes are no message.
+/// The reason why bytes are not a valid message.
 #[derive(Debug, Display, Error, From)]
 pub enum DecodeError {
-    /// More than [`MAX_MESSAGE_BYTES`].
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
     #[display(
         "agreement message of {length} bytes is longer than the limit of {MAX_MESSAGE_BYTES}; close the link"
     )]
@@ -107,15 +107,15 @@
         /// Length of the message in bytes.
         length: usize,
     },
-    /// The bytes differ from those that were sent.
+    /// The checksum does not match the message.
     #[display("agreement message is damaged (checksum differs); close the link and connect again")]
     #[from(ignore)]
     Checksum,
-    /// The bytes stand for no message of this version.
-    #[display("agreement message can't be decoded ({_0}); run the same version on all machines")]
+    /// The bytes are not a message of this version.
+    #[display("agreement message cannot be decoded ({_0}); run the same version on all control nodes")]
     Format(musli::storage::Error),
-    /// A view that is not [`View::is_well_formed`], or of another epoch than the message.
-    #[display("agreement message carries a view that breaks its rules; run the same version on all machines")]
+    /// A view that is not [`View::is_well_formed`], or whose epoch differs from that of the message.
+    #[display("agreement message carries an invalid view; run the same version on all control nodes")]
     #[from(ignore)]
     View,
 }
@@ -124,7 +124,7 @@
     /// Appends the encoded message and a checksum of it to `buffer`.
     ///
     /// # Errors
-    /// Encoding to memory fails only for values that the format can't hold; none of the messages has such.
+    /// Returns an error only for values that the format cannot represent; no message contains one.
     pub fn encode(&self, buffer: &mut Vec<u8>) -> Result<(), musli::storage::Error> {
         let start = buffer.len();
         musli::storage::to_writer(&mut *buffer, self)?;
@@ -133,10 +133,10 @@
         Ok(())
     }
 
-    /// Reads one message that fills `bytes`.
+    /// Decodes one message that occupies all of `bytes`.
     ///
     /// # Errors
-    /// If the bytes are too many, damaged, of another version, or carry a view that breaks its rules.
+    /// Returns an error if the message is too long, damaged, of another version, or carries an invalid view.
     pub fn decode(bytes: &[u8]) -> Result<Message, DecodeError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(DecodeError::TooLong { length: bytes.len() });
@@ -149,7 +149,7 @@
         if message.is_well_formed() { Ok(message) } else { Err(DecodeError::View) }
     }
 
-    /// False if the message carries a view that breaks the rules of [`View::is_well_formed`].
+    /// Returns false if the message carries a view that violates [`View::is_well_formed`].
     pub fn is_well_formed(&self) -> bool {
         match self {
             Message::Promise { epoch, accepted: Some(accepted), .. } => {
@@ -161,7 +161,7 @@
     }
 }
 
-/// FNV-1a with 32 bits (RFC 9923), which changes with every change of a single byte.
+/// Returns the 32-bit FNV-1a hash (RFC 9923), which changes with every change of a single byte.
 fn checksum(bytes: &[u8]) -> u32 {
     const OFFSET: u32 = 0x811c_9dc5;
     const PRIME: u32 = 0x0100_0193;
--- a/crates/consensus/src/messaging.rs
+++ b/crates/consensus/src/messaging.rs
@@ -1,4 +1,4 @@
-//! Messages of the members: which part handles each, who is told the view, and who is pinged.
+//! Dispatch of received messages, announcement of the current view, and pings.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -55,7 +55,7 @@
         self.compare_epochs(from, epoch, outputs);
     }
 
-    /// Tells the current view to a member that knows an older one.
+    /// Sends the current view to a member that knows an older one.
     fn compare_epochs(&mut self, from: MemberId, epoch: Epoch, outputs: &mut Vec<Output>) {
         self.seeds.system_exists |= epoch > 0;
         if epoch < self.epoch() {
@@ -69,7 +69,7 @@
         }
     }
 
-    /// Pings go to the voters and the learners; before there is a view, to the seeds.
+    /// Pings the voters and the learners, or the seeds before there is a view.
     pub(crate) fn watch_members(&mut self) {
         let me = self.me;
         let others = move |member: &MemberId| *member != me;
--- a/crates/consensus/src/output.rs
+++ b/crates/consensus/src/output.rs
@@ -1,4 +1,4 @@
-//! What the state machine asks its host to do.
+//! The outputs of the state machine, which its host carries out.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -6,40 +6,40 @@
 use crate::message::Message;
 use crate::view::View;
 
-/// Number of a write of the durable state. Numbers rise by one, and writes become durable in their order.
+/// Number of a write of the durable state. Numbers increase by one, and writes become durable in this order.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteNumber(u64);
 
 impl WriteNumber {
-    /// The number as an integer, for traces.
+    /// Returns the number as an integer, for traces.
     pub fn get(self) -> u64 {
         self.0
     }
 
-    /// The number of the write after this one.
+    /// Returns the number of the next write.
     pub(crate) fn next(self) -> WriteNumber {
         WriteNumber(self.0 + 1)
     }
 }
 
-/// What the host has to do.
+/// An action for the host.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Send a message; it may be lost, doubled or overtaken by others.
+    /// Send a message. The network may lose, duplicate or reorder it.
     Send {
-        /// The receiver.
+        /// The member that the message is for.
         to: MemberId,
-        /// What to send.
+        /// The message to send.
         message: Message,
     },
-    /// Write `state` in place of the one before and call [`crate::Agreement::write_durable`] with the number when it
-    /// will survive a loss of power. A number stands for all writes before it, too.
+    /// Write `state` in place of the previous state and call [`crate::Agreement::write_durable`] with the number once
+    /// it survives a loss of power. That call covers all earlier writes, too.
     Persist {
-        /// Of this write.
+        /// Number of this write.
         write_number: WriteNumber,
-        /// What to write.
+        /// The state to write.
         state: DurableState,
     },
-    /// The view is decided and durable here. Views may be skipped, and each epoch comes at most once per run.
+    /// The view is decided and durable here. Views may be skipped; each epoch is reported at most once per run.
     ViewChanged(View),
 }
--- a/crates/consensus/src/paxos.rs
+++ b/crates/consensus/src/paxos.rs
@@ -1,5 +1,5 @@
-//! The Paxos instance that decides the next view (Lamport 2001). As acceptor this process answers ballots; as proposer
-//! it starts them when the membership policy wants a view or an accepted one waits to be decided.
+//! The Paxos instance that decides the next view (Lamport 2001). As acceptor, this process replies to ballots; as
+//! proposer, it starts ballots when the membership policy returns a next view or an accepted view is not yet decided.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -14,8 +14,8 @@
 use crate::view::{Epoch, View};
 
 impl Agreement {
-    /// Starts or retries a proposal if one is wanted and it is this voter's turn. The voters take turns by rank, so
-    /// that they don't outbid each other for ever (section 2.4, progress).
+    /// Starts or retries a proposal if one is due. The voters propose at delays that increase with their rank, so that
+    /// they don't outbid each other forever (section 2.4, progress).
     pub(crate) fn propose_if_due(&mut self, outputs: &mut Vec<Output>) {
         self.instance.next_attempt_at = None;
         if !self.may_vote() || self.condition.impaired {
@@ -37,15 +37,15 @@
         }
     }
 
-    /// A view that was accepted here and may be decided already. Until that is known nothing is confirmed for the
-    /// current epoch, so it is brought to an end.
+    /// Returns a view that was accepted here and may have been decided. Nothing is confirmed for the current epoch
+    /// until this is known, so the instance is completed.
     fn accepted_view(&self) -> Option<View> {
         let accepted = self.state.acceptor.accepted.as_ref()?;
         self.is_majority_alive().then(|| accepted.view.clone())
     }
 
-    /// Starts phase 1 with a ballot of its own. `Prepare` leaves only after the own promise is durable, so that the
-    /// ballot isn't used a second time after a loss of power (section 2.5).
+    /// Starts phase 1 with a new ballot. `Prepare` is sent only after this process's own promise is durable, so that
+    /// the ballot isn't reused after a loss of power (section 2.5).
     fn propose(&mut self, view: View, outputs: &mut Vec<Output>) {
         let promised = self.state.acceptor.promised.map_or(0, |ballot| ballot.round);
         let Some(round) = self.instance.highest_round.max(promised).checked_add(1) else {
@@ -66,7 +66,7 @@
         }
     }
 
-    /// Phase 1 at the acceptor.
+    /// Phase 1 at the acceptor: replies to `Prepare`.
     pub(crate) fn prepare_received(
         &mut self,
         from: MemberId,
@@ -93,8 +93,8 @@
         }
     }
 
-    /// Phase 2 at the acceptor. Accepts a view and tells all that have to know: the voters before and after it, so
-    /// that each of them sees by itself that it is decided, also when the proposer is lost.
+    /// Phase 2 at the acceptor: accepts a view and sends `Accepted` to the voters before and after it. Each of them
+    /// thus learns by itself that the view is decided, even if the proposer is lost.
     pub(crate) fn accept_received(
         &mut self,
         from: MemberId,
@@ -125,7 +125,8 @@
         }
     }
 
-    /// Begins to count the acceptances of a view, with the proposer's own: it is durable before `Accept` leaves.
+    /// Starts counting the acceptances of a view. The proposer's own is counted at once: it is durable before `Accept`
+    /// is sent.
     fn count_acceptances(&mut self, ballot: Ballot, view: View, outputs: &mut Vec<Output>) {
         let epoch = view.epoch;
         if self.instance.acceptances.as_ref().is_none_or(|acceptances| acceptances.ballot() != ballot) {
@@ -136,7 +137,7 @@
         }
     }
 
-    /// Phase 1 at the proposer; the majority's last promise begins phase 2.
+    /// Phase 1 at the proposer: counts a promise; the one that completes a majority starts phase 2.
     pub(crate) fn promise_received(
         &mut self,
         from: MemberId,
@@ -184,8 +185,8 @@
         }
     }
 
-    /// True if `ballot` is one of a voter for the instance after the view in force here. Tells a laggard the current
-    /// view, and asks for it where this process is the laggard.
+    /// Returns true if `ballot` is from a voter and for the instance after the current view. Sends the current view to
+    /// a sender that is behind, and a `Hello`, which requests the latest view, to a sender that is ahead.
     fn is_current_instance(
         &self,
         from: MemberId,
@@ -203,7 +204,8 @@
         epoch == next && from_voter
     }
 
-    /// A voter of the view in force accepts what may follow it; so does one that becomes a voter by it.
+    /// Returns whether this process may accept `view`: it votes on it, or becomes a voter by it, and `view` may follow
+    /// the current view.
     fn may_accept(&self, view: &View) -> bool {
         match &self.state.view {
             None => view.epoch == 1 && view.is_well_formed() && self.may_vote(),
@@ -218,7 +220,7 @@
         }
     }
 
-    /// The other acceptors of the next instance, as far as they are known.
+    /// Returns the other acceptors of the next instance, as far as they are known.
     fn other_voters(&self) -> Vec<MemberId> {
         let me = self.me;
         match &self.state.view {
@@ -227,7 +229,7 @@
         }
     }
 
-    /// The voters before and after a decision for `view`, without this one.
+    /// Returns the voters before and after a decision for `view`, except this process.
     fn others_involved(&self, view: &View) -> Vec<MemberId> {
         let mut members = self.other_voters();
         for voter in &view.voters {
--- a/crates/consensus/src/quorum.rs
+++ b/crates/consensus/src/quorum.rs
@@ -1,10 +1,10 @@
-//! Quorums: who votes in an instance, and what number of them is a majority.
+//! Quorums: the voters of an instance and the size of a majority.
 
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
 
 use crate::view::View;
 
-/// Smallest number of `members` that overlaps with any other such number.
+/// Returns the smallest group size for which any two groups among `members` overlap.
 pub fn majority(members: usize) -> usize {
     members / 2 + 1
 }
@@ -14,17 +14,17 @@
 pub enum VoterSet {
     /// Instance 1: the seeds, known by address only.
     Seeds(Vec<NodeAddress>),
-    /// Later instances: the voters of the view before.
+    /// Later instances: the voters of the previous view.
     Members(Vec<MemberId>),
 }
 
 impl VoterSet {
-    /// The voters that decide the view after `view`.
+    /// Returns the voters that decide the view after `view`.
     pub fn after(view: &View) -> VoterSet {
         VoterSet::Members(view.voters.clone())
     }
 
-    /// True if `member` has a vote.
+    /// Returns true if `member` has a vote.
     pub fn contains(&self, member: MemberId) -> bool {
         self.position(member).is_some()
     }
@@ -44,7 +44,7 @@
     }
 }
 
-/// The votes that came in from one [`VoterSet`]. Each voter counts once.
+/// The votes received from one [`VoterSet`]. Each voter counts once.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Votes {
     voters: VoterSet,
@@ -53,12 +53,12 @@
 }
 
 impl Votes {
-    /// No votes yet.
+    /// Creates an empty count.
     pub fn new(voters: VoterSet) -> Votes {
         Votes { voters, voted: 0 }
     }
 
-    /// Counts the vote of `member`; false if it has none.
+    /// Counts the vote of `member`; returns false if it is not a voter.
     pub fn add(&mut self, member: MemberId) -> bool {
         let position = self.voters.position(member);
         if let Some(position) = position {
@@ -67,7 +67,7 @@
         position.is_some()
     }
 
-    /// True if a majority has voted.
+    /// Returns true if a majority has voted.
     pub fn has_majority(&self) -> bool {
         self.voted.count_ones() as usize >= majority(self.voters.len())
     }
--- a/crates/consensus/src/seeds.rs
+++ b/crates/consensus/src/seeds.rs
@@ -14,15 +14,15 @@
     bootstrap: bool,
 }
 
-/// The seeds and what their `Hello`s have told.
+/// The seeds, and the state reported in their `Hello` messages.
 #[derive(Clone, Debug)]
 pub struct Seeds {
     addresses: Vec<NodeAddress>,
-    /// Seeds without a disk: they are no members and don't vote.
+    /// Addresses of seeds without a disk: they are not members and don't vote.
     excluded: Vec<NodeAddress>,
-    /// The latest member of each address.
+    /// The latest known member at each address.
     known: Vec<KnownSeed>,
-    /// Some peer knows a view: the system exists, so no first view may be decided.
+    /// Set once a peer reports an epoch above zero: a first view has been decided, so none may be decided again.
     pub system_exists: bool,
     started_at: Option<Milliseconds>,
 }
@@ -32,15 +32,16 @@
         Seeds { addresses, excluded: Vec::new(), known: Vec::new(), system_exists: false, started_at: None }
     }
 
-    /// Addresses of the seeds that vote on the first view.
+    /// Returns the addresses of the seeds that vote on the first view.
     pub fn voting_seeds(&self) -> Vec<NodeAddress> {
         self.addresses.iter().copied().filter(|seed| !self.excluded.contains(seed)).collect()
     }
 
-    /// A seed has no disk, so it takes no part; true if that is news.
+    /// Excludes a seed that has no disk; returns true if it was not excluded before.
     ///
-    /// All machines are told so by the seed itself and agree sooner or later. Until then the sets of voters of two of
-    /// them differ in seeds that never vote, so a majority of the one and of the other have a voter in common.
+    /// The seed itself announces this to every control node, so they agree sooner or later. Until then the voter sets
+    /// of two of them differ only in seeds that never vote, so a majority of one set and a majority of the other still
+    /// have a voter in common.
     pub fn exclude(&mut self, seed: NodeAddress) -> bool {
         if !self.addresses.contains(&seed) || self.excluded.contains(&seed) {
             return false;
@@ -53,7 +54,7 @@
         self.addresses.contains(&member.address) && !self.excluded.contains(&member.address)
     }
 
-    /// Notes a member at a seed address; true if it wasn't known.
+    /// Records a member at a seed address; returns true if it was not known.
     pub fn learn(&mut self, member: MemberId, bootstrap: bool) -> bool {
         let seed = KnownSeed { member, bootstrap };
         if !self.is_seed(member) || self.known.contains(&seed) {
@@ -64,7 +65,7 @@
         true
     }
 
-    /// Starts the wait for the seeds at the first call.
+    /// Starts the wait for the seeds on the first call.
     pub fn start(&mut self, now: Milliseconds) {
         self.started_at.get_or_insert(now);
     }
@@ -77,13 +78,13 @@
         self.known.iter().filter(|seed| seed.bootstrap).map(|seed| seed.member)
     }
 
-    /// Number of known bootstrapping seeds with a lower address than `me`.
+    /// Returns the number of known bootstrapping seeds with a lower address than `me`.
     pub fn rank(&self, me: MemberId) -> u64 {
         self.bootstrapping().filter(|member| member.address < me.address).count() as u64
     }
 
-    /// The first view, once all seeds are known or a majority of them is and the wait is over. Seeds above
-    /// `voter_limit` are left out and stay learners.
+    /// Returns the first view once all seeds are known, or once a majority of them is known and [`SEED_WAIT`] has
+    /// passed. Seeds beyond `voter_limit` are left out and become learners.
     pub fn wanted_view(&self, now: Milliseconds, voter_limit: usize) -> Option<View> {
         let mut voters: Vec<MemberId> = self.bootstrapping().collect();
         let waited = self.started_at.is_some_and(|started_at| now >= started_at + SEED_WAIT);
--- a/crates/consensus/src/status.rs
+++ b/crates/consensus/src/status.rs
@@ -1,55 +1,56 @@
-//! What a member says of itself, and what others take it for.
+//! The status that a member reports, and the health that others derive from it.
 
 use musli::{Decode, Encode};
 
 use crate::timing::Milliseconds;
 
-/// What a member says of itself in each `Pong`.
+/// The status that a member reports in each `Pong`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct MemberStatus {
-    /// It holds everything that was acknowledged up to the epoch of the message.
+    /// The member holds every entry acknowledged up to the epoch of the message.
     pub caught_up: bool,
-    /// The next view may be decided without it: it has accepted one, or knows one that isn't on its disk yet.
+    /// The next view may be decided without this member knowing it: it has accepted one, or the latest view it knows is
+    /// not on its disk yet.
     pub unsettled: bool,
-    /// Every member of the chain of that epoch has answered its pings in time.
+    /// Every member of the chain of that epoch has replied to this member's pings in time.
     pub reaches_chain: bool,
-    /// It is about to end as planned and wants to be replaced.
+    /// The member is about to shut down as planned and needs to be replaced.
     pub leaving: bool,
-    /// Its own writes hang or fail.
+    /// Writes of this member hang or fail.
     pub impaired: bool,
 }
 
-/// What is known of a member.
+/// The health of a member as seen by this process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Health {
-    /// Answers in time, lately with this status.
+    /// The member replies in time and most recently reported this status.
     Alive(MemberStatus),
-    /// Not asked for long enough to tell.
+    /// The member has not been pinged for long enough to decide.
     Unknown,
-    /// Without an answer for longer than the timeout.
+    /// No reply for longer than [`FAILURE_TIMEOUT`](crate::timing::FAILURE_TIMEOUT).
     Dead {
-        /// Time since the timeout.
+        /// Time since the timeout expired, in milliseconds.
         duration: Milliseconds,
     },
 }
 
 impl Health {
-    /// It answers in time.
+    /// Returns true if the member replies in time.
     pub fn is_alive(self) -> bool {
         matches!(self, Health::Alive(_))
     }
 
-    /// It has not answered for longer than the timeout.
+    /// Returns true if the member has not replied for longer than the timeout.
     pub fn is_dead(self) -> bool {
         matches!(self, Health::Dead { .. })
     }
 
-    /// It answers and can write, so its vote counts.
+    /// Returns true if the member replies and can write, so that its vote counts.
     pub fn can_vote(self) -> bool {
         matches!(self, Health::Alive(status) if !status.impaired)
     }
 
-    /// It doesn't take part in acknowledgements: dead, or without a working disk.
+    /// Returns true if the member cannot take part in acknowledgements: it is dead, or its writes hang or fail.
     pub fn is_lost(self) -> bool {
         match self {
             Health::Alive(status) => status.impaired,
@@ -58,27 +59,27 @@
         }
     }
 
-    /// It holds everything acknowledged and can write, so it may carry the chain on.
+    /// Returns true if the member holds every acknowledged entry and can write, so that the chain may rely on it.
     pub fn is_ready(self) -> bool {
         matches!(self, Health::Alive(status) if status.caught_up && !status.impaired)
     }
 
-    /// It lives and is about to end as planned.
+    /// Returns true if the member is alive and about to shut down as planned.
     pub fn is_leaving(self) -> bool {
         matches!(self, Health::Alive(status) if status.leaving)
     }
 
-    /// It may become a member of the chain now or once it is ready.
+    /// Returns true if the member may become a member of the chain, now or once it is ready.
     pub fn may_serve(self) -> bool {
         matches!(self, Health::Alive(status) if !status.impaired && !status.leaving)
     }
 
-    /// It may join the chain now.
+    /// Returns true if the member may join the chain now.
     pub fn may_join(self) -> bool {
         self.may_serve() && self.can_join()
     }
 
-    /// It could join the chain now, though it may be about to end.
+    /// Like [`Health::may_join`], but also true for a leaving member.
     pub fn can_join(self) -> bool {
         self.is_ready() && matches!(self, Health::Alive(status) if status.reaches_chain)
     }
--- a/crates/consensus/src/view.rs
+++ b/crates/consensus/src/view.rs
@@ -3,13 +3,13 @@
 use musli::{Decode, Encode};
 use orchidvalve_protocol::identity::MemberId;
 
-/// Largest number of voters; a control plane grows to at most this many.
+/// The maximum number of voters in a view.
 pub const MAX_VOTERS: usize = 7;
 
-/// Number of a view. The first view has number 1; zero stands for no view.
+/// Number of a view. The first view has number 1; zero means that there is no view.
 pub type Epoch = u64;
 
-/// Voters and chain of one epoch. At most one view is decided per epoch.
+/// The voters and the chain of one epoch. At most one view is decided per epoch.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct View {
     /// Number of the view.
@@ -21,7 +21,8 @@
 }
 
 impl View {
-    /// True if the sizes are in bounds, nobody is listed twice and the chain is a non-empty subset of the voters.
+    /// Returns true if the sizes are within bounds, no member is listed twice and the chain is a non-empty subset of
+    /// the voters.
     pub fn is_well_formed(&self) -> bool {
         self.epoch > 0
             && self.voters.len() <= MAX_VOTERS
@@ -31,30 +32,30 @@
             && self.chain.iter().all(|member| self.is_voter(*member))
     }
 
-    /// True if `self` may follow `previous`: the next epoch, and a chain that keeps at least one member, so that
-    /// acknowledged entries survive.
+    /// Returns true if `self` may follow `previous`: it has the next epoch, and its chain keeps at least one member, so
+    /// that acknowledged entries survive.
     pub fn follows(&self, previous: &View) -> bool {
         self.is_well_formed()
             && self.epoch == previous.epoch + 1
             && self.chain.iter().any(|member| previous.in_chain(*member))
     }
 
-    /// True if `member` votes on the next view.
+    /// Returns true if `member` votes on the next view.
     pub fn is_voter(&self, member: MemberId) -> bool {
         self.voters.contains(&member)
     }
 
-    /// True if `member` replicates the control state.
+    /// Returns true if `member` replicates the control state.
     pub fn in_chain(&self, member: MemberId) -> bool {
         self.chain.contains(&member)
     }
 
-    /// First member of the chain, which takes the writes.
+    /// Returns the first member of the chain, which receives the writes.
     pub fn head(&self) -> Option<MemberId> {
         self.chain.first().copied()
     }
 
-    /// Last member of the chain, which acknowledges the writes.
+    /// Returns the last member of the chain, which acknowledges the writes.
     pub fn tail(&self) -> Option<MemberId> {
         self.chain.last().copied()
     }
