--- a/crates/consensus/tests/decisions.rs
+++ b/crates/consensus/tests/decisions.rs
@@ -1,4 +1,4 @@
-//! Step by step: how the first view and each following one come about.
+//! How the first view and the following ones are decided, step by step.
 
 use orchidvalve_consensus::timing::{
     FAILURE_TIMEOUT, PING_INTERVAL, PROPOSER_STAGGER, REPLACEMENT_DELAY, SEED_WAIT,
@@ -11,8 +11,8 @@
 use support::network::Network;
 use support::{addresses, ballot, member, members, sent_to, settle, started, view};
 
-/// Three members in view 1, long enough together to know each other as alive.
-fn three() -> Network {
+/// Three members in view 1 that have run long enough to count each other as alive.
+fn three_members() -> Network {
     let mut network = Network::new();
     let all = members(3);
     for me in &all {
@@ -22,7 +22,7 @@
     network
 }
 
-fn fresh(machine: u8, bootstrap: bool) -> Agreement {
+fn with_empty_disk(machine: u8, bootstrap: bool) -> Agreement {
     Agreement::new(member(machine, 1), bootstrap, addresses(3), None)
 }
 
@@ -30,7 +30,7 @@
 fn three_seeds_decide_the_first_view_at_once() {
     let mut network = Network::new();
     for machine in 1..=3 {
-        network.add(member(machine, 1), fresh(machine, true));
+        network.add(member(machine, 1), with_empty_disk(machine, true));
     }
     network.run(50);
     let expected = view(1, &members(3), &members(3));
@@ -41,8 +41,8 @@
 #[test]
 fn two_of_three_seeds_wait_and_then_decide_without_the_third() {
     let mut network = Network::new();
-    network.add(member(1, 1), fresh(1, true));
-    network.add(member(3, 1), fresh(3, true));
+    network.add(member(1, 1), with_empty_disk(1, true));
+    network.add(member(3, 1), with_empty_disk(3, true));
     network.run(SEED_WAIT - 1);
     assert!(network.changes.is_empty());
     network.run(50);
@@ -53,7 +53,7 @@
 #[test]
 fn one_of_three_seeds_decides_nothing() {
     let mut network = Network::new();
-    network.add(member(1, 1), fresh(1, true));
+    network.add(member(1, 1), with_empty_disk(1, true));
     network.run(5_000);
     assert_eq!(network.epoch(member(1, 1)), 0);
 }
@@ -61,24 +61,24 @@
 #[test]
 fn seeds_with_empty_disks_that_do_not_bootstrap_decide_nothing() {
     let mut network = Network::new();
-    network.add(member(1, 1), fresh(1, true));
-    network.add(member(2, 1), fresh(2, false));
-    network.add(member(3, 1), fresh(3, false));
+    network.add(member(1, 1), with_empty_disk(1, true));
+    network.add(member(2, 1), with_empty_disk(2, false));
+    network.add(member(3, 1), with_empty_disk(3, false));
     network.run(5_000);
     assert!((1..=3).all(|machine| network.epoch(member(machine, 1)) == 0));
 }
 
 #[test]
-fn a_fresh_process_learns_the_view_of_a_running_system() {
-    let mut network = three();
-    network.add(member(4, 1), fresh(4, false));
+fn process_with_an_empty_disk_learns_the_view_of_a_running_system() {
+    let mut network = three_members();
+    network.add(member(4, 1), with_empty_disk(4, false));
     network.run(10);
     assert_eq!(network.view(member(4, 1)), view(1, &members(3), &members(3)));
 }
 
 #[test]
 fn a_seed_that_met_a_running_system_does_not_vote_on_the_first_view() {
-    let mut agreement = fresh(1, true);
+    let mut agreement = with_empty_disk(1, true);
     let mut outputs = Vec::new();
     agreement.tick(1_000, &mut outputs);
     let hello = Message::Hello { member: member(2, 1), bootstrap: false, epoch: 3 };
@@ -94,7 +94,7 @@
 #[case::middle(2)]
 #[case::tail(3)]
 fn a_dead_member_leaves_the_chain_but_stays_a_voter(#[case] dead: u8) {
-    let mut network = three();
+    let mut network = three_members();
     let kept: Vec<_> =
         members(3).into_iter().filter(|entry| entry.address != member(dead, 1).address).collect();
     network.remove(member(dead, 1));
@@ -107,21 +107,21 @@
 }
 
 #[test]
-fn the_second_in_order_proposes_after_the_stagger_if_the_first_does_not() {
-    let mut network = three();
+fn second_voter_in_rank_proposes_after_the_stagger_if_the_first_does_not() {
+    let mut network = three_members();
     network.remove(member(3, 1));
-    // The head's proposals are lost on the way to the middle, which still sees the head alive.
+    // The proposals of the head are lost on the way to the middle, which still counts the head as alive.
     network.run(FAILURE_TIMEOUT - PING_INTERVAL);
     let before = network.now;
-    network.cut(member(1, 1), member(3, 1));
+    network.partition(member(1, 1), member(3, 1));
     network.run(2 * PING_INTERVAL + PROPOSER_STAGGER);
     assert!(network.now - before < FAILURE_TIMEOUT + PROPOSER_STAGGER);
     assert_eq!(network.epoch(member(2, 1)), 2);
 }
 
 #[test]
-fn nothing_is_tried_without_a_majority() {
-    let mut network = three();
+fn nothing_is_proposed_without_a_majority() {
+    let mut network = three_members();
     network.remove(member(1, 1));
     network.remove(member(2, 1));
     network.run(5_000);
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn a_member_that_is_not_in_sync_does_not_carry_on_the_chain_alone() {
+fn member_that_has_not_caught_up_does_not_continue_the_chain_alone() {
     let mut network = Network::new();
     let all = members(3);
     let chain = [all[0], all[1]];
@@ -151,14 +151,18 @@
 
 #[test]
 fn a_returning_voter_is_appended_once_it_is_ready() {
-    let mut network = three();
+    let mut network = three_members();
     network.remove(member(1, 1));
     network.run(1_500);
     let second = view(2, &members(3), &members(3)[1..]);
     assert_eq!(network.view(member(2, 1)), second);
     network.add(member(1, 1), started(member(1, 1), &view(1, &members(3), &members(3))));
     network.run(2_000);
-    assert_eq!(network.view(member(1, 1)), second, "it learns the view, but isn't ready");
+    assert_eq!(
+        network.view(member(1, 1)),
+        second,
+        "the returning voter knows the view but has not caught up"
+    );
     network.drive(member(1, 1), |agreement, _, outputs| agreement.member_caught_up(member(1, 1), 2, outputs));
     network.run(1_000);
     let chain = [member(2, 1), member(3, 1), member(1, 1)];
@@ -166,8 +170,8 @@
 }
 
 #[test]
-fn the_word_of_the_tail_that_a_learner_is_ready_is_enough() {
-    let mut network = three();
+fn report_of_the_tail_that_a_member_has_caught_up_is_sufficient() {
+    let mut network = three_members();
     network.remove(member(1, 1));
     network.run(1_500);
     network.add(member(1, 1), started(member(1, 1), &view(1, &members(3), &members(3))));
@@ -178,8 +182,8 @@
 }
 
 #[test]
-fn a_note_of_readiness_for_another_epoch_is_ignored() {
-    let mut network = three();
+fn caught_up_report_for_another_epoch_is_ignored() {
+    let mut network = three_members();
     network.remove(member(1, 1));
     network.run(1_500);
     network.add(member(1, 1), started(member(1, 1), &view(1, &members(3), &members(3))));
@@ -193,13 +197,13 @@
     assert_eq!(network.epoch(member(3, 1)), 2);
 }
 
-/// Adds a ready learner that all members know of.
+/// Adds a caught-up learner that all members know.
 fn add_learner(network: &mut Network, learner: orchidvalve_protocol::identity::MemberId) {
     network.add(learner, Agreement::new(learner, false, addresses(3), None));
-    offer(network, &[learner]);
+    announce_learners(network, &[learner]);
 }
 
-fn offer(network: &mut Network, learners: &[orchidvalve_protocol::identity::MemberId]) {
+fn announce_learners(network: &mut Network, learners: &[orchidvalve_protocol::identity::MemberId]) {
     let all: Vec<_> = network.nodes.keys().copied().collect();
     for me in all {
         network.drive(me, |agreement, _, _| agreement.set_learners(learners));
@@ -214,8 +218,8 @@
 }
 
 #[test]
-fn a_machine_that_lost_its_disk_takes_the_place_of_its_old_identity() {
-    let mut network = three();
+fn machine_that_lost_its_disk_replaces_its_old_identity() {
+    let mut network = three_members();
     network.remove(member(2, 1));
     network.run(1_500);
     add_learner(&mut network, member(2, 2));
@@ -225,8 +229,8 @@
 }
 
 #[test]
-fn another_learner_takes_the_place_of_a_dead_voter_only_after_a_while() {
-    let mut network = three();
+fn learner_at_another_address_replaces_a_dead_voter_only_after_the_delay() {
+    let mut network = three_members();
     network.remove(member(2, 1));
     network.run(FAILURE_TIMEOUT + PING_INTERVAL);
     add_learner(&mut network, member(4, 1));
@@ -239,7 +243,7 @@
 
 #[test]
 fn a_single_learner_does_not_make_the_number_of_voters_even() {
-    let mut network = three();
+    let mut network = three_members();
     add_learner(&mut network, member(4, 1));
     network.run(5_000);
     assert_eq!(network.epoch(member(1, 1)), 1);
@@ -247,10 +251,10 @@
 
 #[test]
 fn two_learners_at_the_same_time_become_voters_together() {
-    let mut network = three();
+    let mut network = three_members();
     network.add(member(4, 1), Agreement::new(member(4, 1), false, addresses(3), None));
     network.add(member(5, 1), Agreement::new(member(5, 1), false, addresses(3), None));
-    offer(&mut network, &[member(4, 1), member(5, 1)]);
+    announce_learners(&mut network, &[member(4, 1), member(5, 1)]);
     network.run(1_000);
     assert!((1..=5).all(|machine| network.view(member(machine, 1)) == view(2, &members(5), &members(5))));
 }
@@ -269,9 +273,9 @@
 }
 
 #[test]
-fn a_cut_in_one_direction_counts_as_dead_and_the_chain_settles() {
-    let mut network = three();
-    network.cut(member(2, 1), member(1, 1));
+fn one_way_partition_counts_as_dead_and_the_view_settles() {
+    let mut network = three_members();
+    network.partition(member(2, 1), member(1, 1));
     network.run(30_000);
     let changes = network.changes.len();
     network.run(10_000);
@@ -280,7 +284,7 @@
 }
 
 #[test]
-fn a_voter_answers_an_older_instance_with_the_decided_view() {
+fn voter_replies_to_an_older_instance_with_the_decided_view() {
     let current = view(5, &members(3), &members(3));
     let mut agreement = started(member(1, 1), &current);
     let prepare = Message::Prepare { epoch: 5, ballot: ballot(9, member(2, 1)) };
@@ -290,7 +294,7 @@
 }
 
 #[test]
-fn a_promise_leaves_only_after_it_is_durable() {
+fn promise_is_sent_only_after_it_is_durable() {
     let mut agreement = started(member(1, 1), &view(1, &members(3), &members(3)));
     let prepare = Message::Prepare { epoch: 2, ballot: ballot(1, member(2, 1)) };
     let mut outputs = Vec::new();
@@ -305,7 +309,7 @@
 }
 
 #[test]
-fn a_view_is_told_only_after_it_is_durable() {
+fn view_is_reported_only_after_it_is_durable() {
     let mut agreement = started(member(1, 1), &view(1, &members(3), &members(3)));
     let next = view(2, &members(3), &members(2));
     let mut outputs = Vec::new();
@@ -316,7 +320,7 @@
 }
 
 #[test]
-fn a_lower_ballot_is_refused_with_the_promised_one() {
+fn lower_ballot_is_rejected_with_the_promised_one() {
     let mut agreement = started(member(1, 1), &view(1, &members(3), &members(3)));
     let mut outputs = Vec::new();
     let high = ballot(4, member(2, 1));
@@ -343,9 +347,9 @@
     assert_eq!(outputs, []);
 }
 
-/// Runs with all hosts telling every 50 ms that their machine holds everything, until `done` or `limit`
-/// milliseconds are over; returns the time it took.
-fn run_ready_until(network: &mut Network, limit: u64, done: impl Fn(&Network) -> bool) -> u64 {
+/// Runs until `done`, for at most `limit` milliseconds; returns the time it took. Every 50 ms all hosts report that
+/// their member has caught up.
+fn run_caught_up_until(network: &mut Network, limit: u64, done: impl Fn(&Network) -> bool) -> u64 {
     let start = network.now;
     while network.now < start + limit && !done(network) {
         for me in members(3) {
@@ -360,32 +364,32 @@
 }
 
 #[test]
-fn two_members_that_miss_each_other_make_one_change_and_one_more_when_the_cut_ends() {
-    let mut network = three();
-    network.cut(member(2, 1), member(3, 1));
-    network.cut(member(3, 1), member(2, 1));
-    run_ready_until(&mut network, 60_000, |_| false);
+fn partition_of_two_members_causes_one_view_change_and_another_when_it_heals() {
+    let mut network = three_members();
+    network.partition(member(2, 1), member(3, 1));
+    network.partition(member(3, 1), member(2, 1));
+    run_caught_up_until(&mut network, 60_000, |_| false);
     let settled = network.view(member(1, 1));
     assert_eq!((settled.epoch, settled.chain.len()), (2, 2), "{settled:?}");
     network.heal();
-    let time = run_ready_until(&mut network, 5_000, |network| network.epoch(member(1, 1)) == 3);
+    let time = run_caught_up_until(&mut network, 5_000, |network| network.epoch(member(1, 1)) == 3);
     assert!(time < 2 * FAILURE_TIMEOUT, "{time} ms");
     assert_eq!(network.view(member(1, 1)).chain.len(), 3);
 }
 
 #[test]
-fn a_member_that_leaves_the_chain_again_and_again_is_kept_out_for_a_bounded_time() {
-    let mut network = three();
-    let whole = |network: &Network| network.view(member(1, 1)).chain.len() == 3;
+fn flapping_member_is_kept_out_of_the_chain_for_a_bounded_time() {
+    let mut network = three_members();
+    let is_complete = |network: &Network| network.view(member(1, 1)).chain.len() == 3;
     let limit = Timing::default().damping_limit;
     for round in 0..6 {
         for other in &members(3)[..2] {
-            network.cut(*other, member(3, 1));
-            network.cut(member(3, 1), *other);
+            network.partition(*other, member(3, 1));
+            network.partition(member(3, 1), *other);
         }
-        let removal = run_ready_until(&mut network, 5_000, |network| !whole(network));
+        let removal = run_caught_up_until(&mut network, 5_000, |network| !is_complete(network));
         network.heal();
-        let time = run_ready_until(&mut network, 60_000, whole);
+        let time = run_caught_up_until(&mut network, 60_000, is_complete);
         println!("round {round}: removed after {removal} ms, back after {time} ms");
         let is_suppressed = time >= limit - PING_INTERVAL;
         assert_eq!(is_suppressed, round > 0, "round {round}: {time} ms");
@@ -394,13 +398,13 @@
 }
 
 #[test]
-fn a_voter_outside_the_chain_does_not_remove_members_that_it_alone_misses() {
+fn voter_outside_the_chain_does_not_remove_members_that_only_it_cannot_reach() {
     let mut network = Network::new();
     let all = members(3);
     for me in &all {
         network.add(*me, started(*me, &view(1, &all, &all[..2])));
     }
-    network.cut(all[1], all[2]);
+    network.partition(all[1], all[2]);
     network.run(10_000);
     assert_eq!(network.epoch(all[0]), 1);
 }
--- a/crates/consensus/tests/failure_detector.rs
+++ b/crates/consensus/tests/failure_detector.rs
@@ -1,4 +1,4 @@
-//! Confirmation by a majority, and the behaviour after a freeze.
+//! Confirmation of the epoch by a majority, and the behaviour after a freeze of the process.
 
 use orchidvalve_consensus::timing::{FAILURE_TIMEOUT, PING_INTERVAL};
 use orchidvalve_consensus::{Agreement, MemberStatus, Message, Output};
@@ -18,7 +18,7 @@
     sent_to(outputs, to).iter().find_map(number).expect("no ping")
 }
 
-/// The first of three members, with the number of a ping sent at 1000.
+/// The first of three members, and the number of a ping that it sent at 1000.
 fn pinging() -> (Agreement, u64) {
     let mut agreement = started(member(1, 1), &view(1, &members(3), &members(3)));
     let mut outputs = Vec::new();
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn an_answer_confirms_the_send_time_of_its_ping() {
+fn reply_confirms_the_send_time_of_its_ping() {
     let (mut agreement, number) = pinging();
     assert_eq!(agreement.quorum_confirmed_at(), None);
     agreement.message_received(1_090, member(2, 1), pong(number), &mut Vec::new());
@@ -45,9 +45,9 @@
 #[case::accepted_a_later_view(|number| {
     Message::Pong { number, epoch: 1, status: MemberStatus { unsettled: true, ..ready() } }
 })]
-fn an_answer_that_proves_nothing_does_not_confirm(#[case] answer: fn(u64) -> Message) {
+fn reply_without_evidence_for_the_epoch_does_not_confirm_it(#[case] reply: fn(u64) -> Message) {
     let (mut agreement, number) = pinging();
-    agreement.message_received(1_090, member(2, 1), answer(number), &mut Vec::new());
+    agreement.message_received(1_090, member(2, 1), reply(number), &mut Vec::new());
     assert_eq!(agreement.quorum_confirmed_at(), None);
 }
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_accepted_view_ends_the_own_confirmation() {
+fn process_that_accepted_a_view_does_not_confirm_the_epoch() {
     let (mut agreement, number) = pinging();
     let accept = Message::Accept { ballot: ballot(1, member(3, 1)), view: view(2, &members(3), &members(2)) };
     agreement.message_received(1_010, member(3, 1), accept, &mut Vec::new());
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_accepted_view_without_its_proposer_is_brought_to_an_end() {
+fn accepted_view_is_decided_after_its_proposer_is_lost() {
     let mut network = Network::new();
     let all = members(3);
     for me in &all {
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_thawed_process_declares_nobody_dead_before_new_pings_had_their_time() {
+fn thawed_process_counts_no_peer_as_dead_before_the_timeout_of_new_pings() {
     let mut agreement = started(member(1, 1), &view(1, &members(3), &members(3)));
     let mut outputs = Vec::new();
     for now in (1_000..3_000).step_by(100) {
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn an_answer_to_a_ping_from_before_the_freeze_does_not_count() {
+fn reply_to_a_ping_from_before_the_freeze_is_ignored() {
     let (mut agreement, number) = pinging();
     agreement.message_received(60_000, member(2, 1), pong(number), &mut Vec::new());
     assert_eq!(agreement.quorum_confirmed_at(), None);
@@ -167,10 +167,10 @@
     assert!(ping_number(&outputs, member(2, 1)) > first);
 }
 
-/// The peer still had a ping of an earlier start in its buffers. Its answer comes to the next start, which counts
-/// its time from the same moment on.
+/// Guards against a reply to a ping of an earlier start that was still in the peer's buffers. It arrives at the next
+/// start, whose clock begins at the same time.
 #[test]
-fn an_answer_to_a_ping_of_an_earlier_start_is_none_to_this_one() {
+fn reply_to_a_ping_of_an_earlier_start_is_ignored() {
     let start = |first_ping: u64| {
         let voters = members(3);
         let mut agreement = started(member(1, 1), &view(1, &voters, &voters)).with_first_ping(first_ping);
@@ -178,20 +178,20 @@
         agreement.tick(1_000, &mut outputs);
         (agreement, ping_number(&outputs, member(2, 1)))
     };
-    let (_, former) = start(0x51a3_0f62_9c4e_7b21);
+    let (_, earlier) = start(0x51a3_0f62_9c4e_7b21);
     let (mut agreement, number) = start(0x2f90_c811_4d63_aa07);
-    agreement.message_received(1_050, member(2, 1), pong(former), &mut Vec::new());
+    agreement.message_received(1_050, member(2, 1), pong(earlier), &mut Vec::new());
     assert_eq!(agreement.quorum_confirmed_at(), None);
     agreement.message_received(1_060, member(2, 1), pong(number), &mut Vec::new());
     assert_eq!(agreement.quorum_confirmed_at(), Some(1_000));
 }
 
-/// A host tells at each look that a member holds everything: one outside the chain for as long as it stands by.
+/// A host reports at each of its ticks that a member has caught up, for a standby as long as it is outside the chain.
 #[rstest]
-#[case::one_that_stands_by(member(4, 1), member(4, 1))]
+#[case::standby(member(4, 1), member(4, 1))]
 #[case::a_member_of_the_chain(member(1, 1), member(1, 1))]
-#[case::another_one(member(1, 1), member(4, 1))]
-fn only_news_of_a_ready_member_is_looked_at_at_once(#[case] me: MemberId, #[case] ready: MemberId) {
+#[case::another_member(member(1, 1), member(4, 1))]
+fn only_a_new_caught_up_report_makes_the_tick_due_at_once(#[case] me: MemberId, #[case] ready: MemberId) {
     let mut agreement = started(me, &view(1, &members(3), &members(3)));
     for turn in 0..3 {
         agreement.tick(1_000, &mut Vec::new());
--- a/crates/consensus/tests/first_view.rs
+++ b/crates/consensus/tests/first_view.rs
@@ -1,4 +1,4 @@
-//! The first view where only three of the machines are seeds, and some of these come late or never.
+//! The first view of a system in which three of the machines are seeds, some of which start late or never.
 
 use orchidvalve_consensus::{Agreement, Timing};
 use rstest::rstest;
@@ -11,7 +11,7 @@
 const SEEDS: u8 = 3;
 const CATCH_UP: u64 = 4_400;
 
-fn start(machines: &[u8], tolerance: usize) -> Site {
+fn start_site(machines: &[u8], tolerance: usize) -> Site {
     let mut site = Site::empty(SEEDS, Timing::new(CATCH_UP, tolerance + 1));
     for machine in machines {
         site.add_first(member(*machine, 1));
@@ -23,10 +23,10 @@
     site.network.nodes.values().any(|agreement| agreement.view().is_some())
 }
 
-/// As many voters as the tolerance asks for, all of them in the chain.
-fn is_grown(site: &Site, voters: usize) -> bool {
-    let newest = site.network.nodes.values().filter_map(Agreement::view).max();
-    newest.is_some_and(|view| view.voters.len() == voters && view.chain.len() == voters)
+/// Returns whether the view has as many voters as the tolerance requires, all of them in the chain.
+fn has_grown(site: &Site, voters: usize) -> bool {
+    let latest = site.network.nodes.values().filter_map(Agreement::view).max();
+    latest.is_some_and(|view| view.voters.len() == voters && view.chain.len() == voters)
 }
 
 #[rstest]
@@ -35,11 +35,11 @@
 #[case::the_first_seed_never_starts(&[2, 3, 4, 5, 6, 7, 8])]
 #[case::seeds_last(&[8, 7, 6, 5, 4, 3, 2])]
 fn a_system_grows_beyond_its_seeds(#[case] machines: &[u8], #[values(1, 2)] tolerance: usize) {
-    let mut site = start(machines, tolerance);
+    let mut site = start_site(machines, tolerance);
     let voters = 2 * tolerance + 1;
-    site.run_until(CATCH_UP, |site| is_grown(site, voters));
+    site.run_until(CATCH_UP, |site| has_grown(site, voters));
     site.run(10_000);
-    assert!(is_grown(&site, voters), "{:?}", site.views());
+    assert!(has_grown(&site, voters), "{:?}", site.views());
     assert!(site.network.nodes.values().all(|agreement| agreement.view() == Some(&site.view())));
 }
 
@@ -47,19 +47,19 @@
 #[case::one_of_three(&[3, 4, 5, 6, 7, 8])]
 #[case::none(&[4, 5, 6, 7, 8])]
 fn without_a_majority_of_the_seeds_there_is_no_first_view(#[case] machines: &[u8]) {
-    let mut site = start(machines, 2);
+    let mut site = start_site(machines, 2);
     site.run(20_000);
     assert!(!has_view(&site), "{:?}", site.views());
     for seed in (1..=SEEDS).filter(|seed| !machines.contains(seed)) {
         site.add_first(member(seed, 1));
     }
-    site.run_until(CATCH_UP, |site| is_grown(site, 5));
+    site.run_until(CATCH_UP, |site| has_grown(site, 5));
 }
 
-/// The system has grown without it; it stands by and is taken in when others are lost.
+/// The system has grown without the seed; it becomes a learner and replaces a voter when others are lost.
 #[test]
-fn a_seed_that_comes_late_decides_no_view_of_its_own() {
-    let mut site = start(&[1, 2, 4, 5], 1);
+fn late_seed_decides_no_second_first_view() {
+    let mut site = start_site(&[1, 2, 4, 5], 1);
     site.run(10_000);
     let before = site.view();
     site.add_first(member(3, 1));
@@ -74,13 +74,13 @@
     assert_eq!(after.epoch, site.network.nodes[&member(3, 1)].epoch());
 }
 
-/// The seeds named here have no disk. They say so to each machine at another moment, and don't run.
+/// The listed seeds have no disk and don't run. The other machines are notified of that at different times.
 #[rstest]
 #[case::one_of_three(&[2])]
 #[case::two_of_three(&[1, 3])]
-fn seeds_without_a_disk_take_no_part(#[case] without_disk: &[u8], #[values(1, 2)] tolerance: usize) {
+fn seeds_without_a_disk_are_excluded(#[case] without_disk: &[u8], #[values(1, 2)] tolerance: usize) {
     let machines: Vec<u8> = (1..=8).filter(|machine| !without_disk.contains(machine)).collect();
-    let mut site = start(&machines, tolerance);
+    let mut site = start_site(&machines, tolerance);
     for machine in machines.iter().rev() {
         site.run(100);
         for seed in without_disk {
@@ -88,18 +88,18 @@
         }
     }
     let voters = 2 * tolerance + 1;
-    site.run_until(CATCH_UP, |site| has_view(site) && is_grown(site, voters));
+    site.run_until(CATCH_UP, |site| has_view(site) && has_grown(site, voters));
     site.run(10_000);
-    let newest = site.view();
-    assert!(site.network.nodes.values().all(|agreement| agreement.view() == Some(&newest)));
+    let latest = site.view();
+    assert!(site.network.nodes.values().all(|agreement| agreement.view() == Some(&latest)));
     let first = site.views().into_iter().find(|view| view.epoch == 1).expect("a first view");
     assert!(first.voters.iter().all(|voter| voter.address <= address(SEEDS)), "{first:?}");
 }
 
-/// Seeds 1 and 2 have decided the first view, seed 3 hasn't risen yet. Seed 1 loses its disk, seed 2 is cut off, and seed
-/// 3 starts: two of three seeds that know of no view.
+/// Seeds 1 and 2 decide the first view before seed 3 starts. Then seed 1 loses its disk, seed 2 is partitioned, and
+/// seed 3 starts: two of three seeds do not know any view.
 fn with_a_wiped_seed(bootstrap: bool) -> Site {
-    let mut site = start(&[1, 2], 1);
+    let mut site = start_site(&[1, 2], 1);
     site.run(3_000);
     assert_eq!(site.view().epoch, 1);
     site.lose(member(1, 1));
@@ -114,24 +114,24 @@
     site
 }
 
-/// Votes on the first view are counted by address, but only a machine that starts with the system may give one, and one
-/// that has lost its disk doesn't.
+/// Votes on the first view are counted by address, but only a process started with `bootstrap=true` may give one. A
+/// machine that has lost its disk is not started with it.
 #[test]
-fn a_seed_without_its_disk_helps_to_no_second_first_view() {
+fn wiped_seed_does_not_vote_on_a_second_first_view() {
     let mut site = with_a_wiped_seed(false);
     for machine in [member(1, 2), member(3, 1)] {
         assert_eq!(site.agreement(machine).view(), None, "{machine}");
     }
     site.network.heal();
     site.run(10_000);
-    let newest = site.view();
-    assert!(newest.voters.contains(&member(2, 1)), "the first view goes on: {newest:?}");
-    assert!(site.network.nodes.values().all(|agreement| agreement.view() == Some(&newest)));
+    let latest = site.view();
+    assert!(latest.voters.contains(&member(2, 1)), "the first view goes on: {latest:?}");
+    assert!(site.network.nodes.values().all(|agreement| agreement.view() == Some(&latest)));
 }
 
-/// What the rule prevents: were the wiped seed told that the system begins, it would decide another first view.
+/// Shows what the rule prevents: a wiped seed that starts with `bootstrap=true` decides another first view.
 #[test]
-fn the_simulation_finds_a_second_first_view_where_a_wiped_seed_votes() {
+fn simulation_detects_a_second_first_view_if_a_wiped_seed_votes() {
     let mut site = with_a_wiped_seed(true);
     let second = site.agreement(member(3, 1)).view().cloned().expect("a view");
     assert_eq!(second.epoch, 1);
--- a/crates/consensus/tests/golden_agreement.rs
+++ b/crates/consensus/tests/golden_agreement.rs
@@ -1,4 +1,4 @@
-//! The agreement puts out, byte for byte and at the same time, what it put out when the golden files were recorded.
+//! The outputs of the agreement equal the recorded ones, byte for byte and at the same times.
 
 mod support;
 
@@ -19,12 +19,12 @@
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name].iter().collect()
 }
 
-/// A storm whose faults differ from run to run.
+/// A run under faults whose rates depend on the number of the run.
 fn plan(run: u64, machines: u8, seeds: u8) -> Plan {
     Plan {
         machines,
         seeds,
-        storm_ends_at: 10_000,
+        faults_end_at: 10_000,
         ends_at: 50_000,
         fault_interval: 150 + 137 * run,
         loss: if run.is_multiple_of(2) { 0.0 } else { 0.02 * run as f64 },
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn simulated_runs_put_out_the_recorded_bytes() {
+fn simulated_runs_produce_the_recorded_bytes() {
     let deployments = [(1, 1), (2, 2), (3, 3), (4, 3), (5, 3), (3, 1)];
     let mut hashes = Vec::new();
     for (machines, seeds) in deployments {
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn messages_have_the_recorded_bytes_and_are_read_back() {
+fn messages_have_the_recorded_bytes_and_decode_to_the_same_values() {
     let encode = |(name, message): &(&'static str, Message)| {
         let mut bytes = Vec::new();
         message.encode(&mut bytes).expect("a message can be encoded");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn durable_states_and_their_parts_have_the_recorded_bytes_and_are_read_back() {
+fn durable_states_and_their_parts_have_the_recorded_bytes_and_decode_to_the_same_values() {
     check_parts("durable_states.txt", &states());
     check_parts(
         "views.txt",
--- a/crates/consensus/tests/model.rs
+++ b/crates/consensus/tests/model.rs
@@ -1,6 +1,6 @@
 //! Model check of the decision of views: three voters, two proposers, two epochs, a member that loses its disk and
 //! a proposer that restarts. Messages are delivered in any order, any number of times or never. The acceptor, the
-//! proposer and the rules for views are those of the crate.
+//! proposer and the rules for views are the ones of the crate.
 
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,29 +21,29 @@
 
 use support::{member, members, view};
 
-/// The members that propose, and the one that may lose its disk, by position.
+/// Positions of the members that propose, and of the one that may lose its disk.
 const PROPOSERS: [usize; 2] = [0, 2];
 const WIPED: usize = 1;
 
 const THREADS: usize = 3;
 
-/// A fault planted into the model to see that the check finds it.
+/// A fault injected into the model, to verify that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Planted {
+enum InjectedFault {
     Nothing,
-    /// Acceptors don't keep what they promise.
+    /// Acceptors don't remember their promises.
     ForgetsPromise,
-    /// The member without its disk comes back under its old identity.
+    /// The member that lost its disk returns under its old identity.
     KeepsIdentity,
-    /// Answers leave before they are durable, and a restart loses what they say.
+    /// Replies are sent before the state is durable, and a restart loses that state.
     ForgetsAtRestart,
-    /// A proposer doesn't take over the accepted view that a promise reports.
+    /// A proposer ignores the accepted view that a promise reports.
     IgnoresAccepted,
 }
 
 struct Decisions {
-    planted: Planted,
-    /// Ballots that each proposer may start per epoch.
+    fault: InjectedFault,
+    /// The number of ballots that each proposer may start per epoch.
     ballots: [u8; 2],
     may_restart: bool,
 }
@@ -55,28 +55,28 @@
     message: Message,
 }
 
-/// A value that is cheap to copy and to hash, as each state holds many that other states hold, too.
+/// A shared value with a precomputed hash: states have many of them in common, so copies and hashes must be cheap.
 #[derive(Debug)]
-struct Sealed<T> {
+struct Prehashed<T> {
     hash: u64,
     value: Arc<T>,
 }
 
-impl<T: Hash> Sealed<T> {
-    fn new(value: T) -> Sealed<T> {
+impl<T: Hash> Prehashed<T> {
+    fn new(value: T) -> Prehashed<T> {
         let mut hasher = DefaultHasher::new();
         value.hash(&mut hasher);
-        Sealed { hash: hasher.finish(), value: Arc::new(value) }
+        Prehashed { hash: hasher.finish(), value: Arc::new(value) }
     }
 }
 
-impl<T> Clone for Sealed<T> {
-    fn clone(&self) -> Sealed<T> {
-        Sealed { hash: self.hash, value: Arc::clone(&self.value) }
+impl<T> Clone for Prehashed<T> {
+    fn clone(&self) -> Prehashed<T> {
+        Prehashed { hash: self.hash, value: Arc::clone(&self.value) }
     }
 }
 
-impl<T> Deref for Sealed<T> {
+impl<T> Deref for Prehashed<T> {
     type Target = T;
 
     fn deref(&self) -> &T {
@@ -84,27 +84,27 @@
     }
 }
 
-impl<T: PartialEq> PartialEq for Sealed<T> {
-    fn eq(&self, other: &Sealed<T>) -> bool {
+impl<T: PartialEq> PartialEq for Prehashed<T> {
+    fn eq(&self, other: &Prehashed<T>) -> bool {
         self.hash == other.hash && (Arc::ptr_eq(&self.value, &other.value) || self.value == other.value)
     }
 }
 
-impl<T: Eq> Eq for Sealed<T> {}
+impl<T: Eq> Eq for Prehashed<T> {}
 
-impl<T: Ord> PartialOrd for Sealed<T> {
-    fn partial_cmp(&self, other: &Sealed<T>) -> Option<Ordering> {
+impl<T: Ord> PartialOrd for Prehashed<T> {
+    fn partial_cmp(&self, other: &Prehashed<T>) -> Option<Ordering> {
         Some(self.cmp(other))
     }
 }
 
-impl<T: Ord> Ord for Sealed<T> {
-    fn cmp(&self, other: &Sealed<T>) -> Ordering {
+impl<T: Ord> Ord for Prehashed<T> {
+    fn cmp(&self, other: &Prehashed<T>) -> Ordering {
         self.hash.cmp(&other.hash).then_with(|| self.value.cmp(&other.value))
     }
 }
 
-impl<T> Hash for Sealed<T> {
+impl<T> Hash for Prehashed<T> {
     fn hash<H: Hasher>(&self, state: &mut H) {
         self.hash.hash(state);
     }
@@ -116,26 +116,26 @@
     view: View,
     acceptor: Acceptor,
     proposal: Option<Proposal>,
-    /// The proposer's count of phase 2.
+    /// The proposer's count of phase 2 acceptances.
     acceptances: Option<Acceptances>,
     started: u8,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    nodes: Vec<Sealed<Node>>,
-    network: BTreeSet<Sealed<Envelope>>,
+    nodes: Vec<Prehashed<Node>>,
+    network: BTreeSet<Prehashed<Envelope>>,
     wiped: bool,
     restarted: bool,
     decided: BTreeMap<u64, BTreeSet<View>>,
-    /// The member with the new disk has voted.
+    /// Set once the member with the new disk has voted.
     newcomer_voted: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Action {
     Propose(usize),
-    Deliver(Sealed<Envelope>),
+    Deliver(Prehashed<Envelope>),
     Wipe,
     Restart(usize),
 }
@@ -146,7 +146,7 @@
 
     fn init_states(&self) -> Vec<State> {
         vec![State {
-            nodes: members(3).into_iter().map(Node::new).map(Sealed::new).collect(),
+            nodes: members(3).into_iter().map(Node::new).map(Prehashed::new).collect(),
             network: BTreeSet::new(),
             wiped: false,
             restarted: false,
@@ -165,7 +165,7 @@
                 actions.push(Action::Restart(proposer));
             }
         }
-        if self.planted == Planted::ForgetsAtRestart && !state.restarted {
+        if self.fault == InjectedFault::ForgetsAtRestart && !state.restarted {
             actions.push(Action::Restart(WIPED));
         }
         if !state.wiped {
@@ -178,12 +178,12 @@
         let mut state = last.clone();
         match action {
             Action::Propose(proposer) => self.propose(&mut state, proposer),
-            Action::Deliver(sealed) => self.deliver(&mut state, &sealed),
+            Action::Deliver(prehashed) => self.deliver(&mut state, &prehashed),
             Action::Wipe => self.wipe(&mut state),
             Action::Restart(index) => self.restart(&mut state, index),
         }
-        if self.planted == Planted::Nothing {
-            drop_useless_messages(&mut state);
+        if self.fault == InjectedFault::Nothing {
+            drop_ineffective_messages(&mut state);
         }
         (state != *last).then_some(state)
     }
@@ -212,16 +212,16 @@
 
 impl Decisions {
     fn propose(&self, state: &mut State, proposer: usize) {
-        let wish = wish(state, proposer);
+        let next_view = next_view(state, proposer);
         let mut node = Node::clone(&state.nodes[proposer]);
         let round = node.acceptor.promised.map_or(0, |ballot| ballot.round) + 1;
         let ballot = Ballot { round, proposer: node.me };
-        let epoch = wish.epoch;
+        let epoch = next_view.epoch;
         node.started += 1;
-        node.proposal = Some(Proposal::new(ballot, VoterSet::after(&node.view), wish));
+        node.proposal = Some(Proposal::new(ballot, VoterSet::after(&node.view), next_view));
         let (me, voters) = (node.me, node.view.voters.clone());
-        state.nodes[proposer] = Sealed::new(node);
-        // The own promise is durable before `Prepare` leaves.
+        state.nodes[proposer] = Prehashed::new(node);
+        // The proposer's own promise is durable before `Prepare` is sent.
         for to in voters {
             self.send(state, me, to, Message::Prepare { epoch, ballot });
         }
@@ -229,8 +229,8 @@
 
     fn wipe(&self, state: &mut State) {
         state.wiped = true;
-        let me = if self.planted == Planted::KeepsIdentity { member(2, 1) } else { member(2, 2) };
-        state.nodes[WIPED] = Sealed::new(Node::new(me));
+        let me = if self.fault == InjectedFault::KeepsIdentity { member(2, 1) } else { member(2, 2) };
+        state.nodes[WIPED] = Prehashed::new(Node::new(me));
     }
 
     fn restart(&self, state: &mut State, restarted: usize) {
@@ -238,36 +238,36 @@
         let mut node = Node::clone(&state.nodes[restarted]);
         node.proposal = None;
         node.acceptances = None;
-        if self.planted == Planted::ForgetsAtRestart {
+        if self.fault == InjectedFault::ForgetsAtRestart {
             node.acceptor = Acceptor::default();
         }
-        state.nodes[restarted] = Sealed::new(node);
+        state.nodes[restarted] = Prehashed::new(node);
     }
 
     fn deliver(&self, state: &mut State, envelope: &Envelope) {
         let Some(index) = state.nodes.iter().position(|node| node.me == envelope.to) else { return };
         let mut node = Node::clone(&state.nodes[index]);
-        let mut answers = Vec::new();
-        let decided = node.receive(self.planted, envelope.from, &envelope.message, &mut answers);
+        let mut replies = Vec::new();
+        let decided = node.receive(self.fault, envelope.from, &envelope.message, &mut replies);
         if node != *state.nodes[index] {
-            state.nodes[index] = Sealed::new(node);
+            state.nodes[index] = Prehashed::new(node);
         }
         if let Some(view) = decided {
             state.decided.entry(view.epoch).or_default().insert(view);
         }
-        for (to, message) in answers {
+        for (to, message) in replies {
             state.newcomer_voted |= envelope.to == member(2, 2) && matches!(message, Message::Promise { .. });
             self.send(state, envelope.to, to, message);
         }
     }
 
-    /// Messages to oneself arrive at once.
+    /// Sends a message. Messages from a node to itself are delivered at once.
     fn send(&self, state: &mut State, from: MemberId, to: MemberId, message: Message) {
         let envelope = Envelope { from, to, message };
         if from == to {
             self.deliver(state, &envelope);
         } else {
-            state.network.insert(Sealed::new(envelope));
+            state.network.insert(Prehashed::new(envelope));
         }
     }
 }
@@ -278,37 +278,37 @@
         Node { me, view, acceptor: Acceptor::default(), proposal: None, acceptances: None, started: 0 }
     }
 
-    /// Takes a message; returns a view that is decided by it.
+    /// Handles a message; returns the view that it decides, if any.
     fn receive(
         &mut self,
-        planted: Planted,
+        fault: InjectedFault,
         from: MemberId,
         message: &Message,
-        answers: &mut Vec<(MemberId, Message)>,
+        replies: &mut Vec<(MemberId, Message)>,
     ) -> Option<View> {
         match message {
             Message::Prepare { epoch, ballot } if self.votes(*epoch) => {
                 let (epoch, ballot, before) = (*epoch, *ballot, self.acceptor.promised);
                 if self.acceptor.prepare(ballot).is_ok() {
-                    if planted == Planted::ForgetsPromise {
+                    if fault == InjectedFault::ForgetsPromise {
                         self.acceptor.promised = before;
                     }
                     let accepted = self.acceptor.accepted.clone();
-                    answers.push((from, Message::Promise { epoch, ballot, accepted }));
+                    replies.push((from, Message::Promise { epoch, ballot, accepted }));
                 }
             }
             Message::Accept { ballot, view } if self.votes(view.epoch) && view.follows(&self.view) => {
                 let accepted = Message::Accepted { epoch: view.epoch, ballot: *ballot };
-                answers.extend(self.acceptor.accept(*ballot, view).ok().map(|()| (from, accepted)));
+                replies.extend(self.acceptor.accept(*ballot, view).ok().map(|()| (from, accepted)));
             }
             Message::Promise { epoch, ballot, accepted } => {
-                let accepted = accepted.clone().filter(|_| planted != Planted::IgnoresAccepted);
+                let accepted = accepted.clone().filter(|_| fault != InjectedFault::IgnoresAccepted);
                 let proposal = self.proposal.as_mut().filter(|proposal| proposal.epoch() == *epoch)?;
                 let view = proposal.promise(from, *ballot, accepted)?.clone();
                 let voter_set = VoterSet::after(&self.view);
                 self.acceptances = Some(Acceptances::new(*ballot, view.clone(), voter_set));
                 let accept = Message::Accept { ballot: *ballot, view };
-                answers.extend(self.view.voters.iter().map(|voter| (*voter, accept.clone())));
+                replies.extend(self.view.voters.iter().map(|voter| (*voter, accept.clone())));
             }
             Message::Accepted { epoch, ballot } => {
                 let counts = |acceptances: &&mut Acceptances| {
@@ -316,7 +316,7 @@
                 };
                 let view = self.acceptances.as_mut().filter(counts)?.accepted(from)?.clone();
                 let receivers = members(3).into_iter().chain([member(2, 2)]);
-                answers.extend(receivers.map(|to| (to, Message::Decided { view: view.clone() })));
+                replies.extend(receivers.map(|to| (to, Message::Decided { view: view.clone() })));
                 return Some(view);
             }
             Message::Decided { view } if view.epoch > self.view.epoch => {
@@ -327,14 +327,14 @@
         None
     }
 
-    /// True if it votes on the view of `epoch`.
+    /// Returns whether this node votes on the view of `epoch`.
     fn votes(&self, epoch: u64) -> bool {
         epoch == self.view.epoch + 1 && self.view.is_voter(self.me)
     }
 }
 
-/// What a proposer wants, which differs between the two: the first takes the member with the new disk in.
-fn wish(state: &State, proposer: usize) -> View {
+/// The view that a proposer proposes. It differs between the two: the first one adds the member with the new disk.
+fn next_view(state: &State, proposer: usize) -> View {
     let current = &state.nodes[proposer].view;
     let epoch = current.epoch + 1;
     let first = proposer == PROPOSERS[0];
@@ -346,12 +346,12 @@
     view(epoch, &current.voters, &[end.expect("not empty")])
 }
 
-/// Removes messages that can't have an effect any more, which keeps the number of states down: those to nobody,
-/// those for epochs that the receiver has left, and those whose ballot is below the receiver's.
-fn drop_useless_messages(state: &mut State) {
+/// Removes messages that can no longer have an effect, which reduces the number of states: messages to absent nodes,
+/// messages for epochs that the receiver has left, and messages whose ballot is below the receiver's.
+fn drop_ineffective_messages(state: &mut State) {
     let nodes = &state.nodes;
-    state.network.retain(|sealed| {
-        let envelope: &Envelope = sealed;
+    state.network.retain(|prehashed| {
+        let envelope: &Envelope = prehashed;
         let Some(node) = nodes.iter().find(|node| node.me == envelope.to) else {
             return envelope.to == member(2, 2) && matches!(envelope.message, Message::Decided { .. });
         };
@@ -371,7 +371,7 @@
     });
 }
 
-/// Ballots of the two proposers per epoch. Two and one take minutes; INTERLOCKING_BALLOTS=21 asks for them.
+/// Ballots of the two proposers per epoch. Two and one take minutes; INTERLOCKING_BALLOTS=21 selects them.
 fn ballots() -> [u8; 2] {
     match std::env::var("INTERLOCKING_BALLOTS").as_deref() {
         Ok("21") => [2, 1],
@@ -381,7 +381,7 @@
 
 #[test]
 fn one_view_per_epoch() {
-    let model = Decisions { planted: Planted::Nothing, ballots: ballots(), may_restart: true };
+    let model = Decisions { fault: InjectedFault::Nothing, ballots: ballots(), may_restart: true };
     let checker = model.checker().threads(THREADS).spawn_bfs().join();
     println!(
         "ballots {:?}: {} states, {} of them different, depth {}",
@@ -394,22 +394,22 @@
 }
 
 #[rstest]
-#[case::forgets_promise(Planted::ForgetsPromise, false)]
-#[case::keeps_identity(Planted::KeepsIdentity, false)]
-#[case::forgets_at_restart(Planted::ForgetsAtRestart, true)]
-#[case::ignores_accepted(Planted::IgnoresAccepted, false)]
-fn a_planted_fault_is_found(#[case] planted: Planted, #[case] may_restart: bool) {
-    let model = Decisions { planted, ballots: [1, 1], may_restart };
+#[case::forgets_promise(InjectedFault::ForgetsPromise, false)]
+#[case::keeps_identity(InjectedFault::KeepsIdentity, false)]
+#[case::forgets_at_restart(InjectedFault::ForgetsAtRestart, true)]
+#[case::ignores_accepted(InjectedFault::IgnoresAccepted, false)]
+fn injected_fault_is_detected(#[case] fault: InjectedFault, #[case] may_restart: bool) {
+    let model = Decisions { fault, ballots: [1, 1], may_restart };
     let finish = stateright::HasDiscoveries::AnyOf(["one view per epoch"].into());
-    // Far above what each takes: a fault that isn't found fails the test instead of filling the memory.
+    // Far above the number that each case needs: a fault that isn't detected fails the test before memory runs out.
     let limit = 2_000_000;
     let checker =
         model.checker().threads(THREADS).finish_when(finish).target_state_count(limit).spawn_bfs().join();
     println!(
-        "{planted:?}: {} states, {} of them different, depth {}",
+        "{fault:?}: {} states, {} of them different, depth {}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth()
     );
-    assert!(checker.discovery("one view per epoch").is_some(), "{planted:?} wasn't found");
+    assert!(checker.discovery("one view per epoch").is_some(), "{fault:?} was not detected");
 }
--- a/crates/consensus/tests/mutations.rs
+++ b/crates/consensus/tests/mutations.rs
@@ -1,5 +1,5 @@
-//! One message at a time is lost, doubled, delayed past its epoch, replayed or damaged: agreement must hold and
-//! the system must come together all the same.
+//! One message at a time is lost, duplicated, delayed past its epoch, replayed or damaged. Agreement must hold, and all
+//! members must still reach the same view.
 
 use std::cell::Cell;
 use std::collections::BTreeMap;
@@ -14,14 +14,14 @@
 use support::network::Network;
 use support::{addresses, ballot, member, members, ready, view};
 
-/// Longer than any epoch of the scenario but the last.
+/// Delay in milliseconds, longer than any epoch of the scenario except the last.
 const PAST_EPOCH: u64 = 4_500;
 
-/// Most messages of one variant that are changed, spread over the scenario.
+/// The maximum number of mutated messages per variant, spread over the scenario.
 const SAMPLES: usize = 12;
 
-/// Every variant of `Message`. A new one doesn't compile until it has a name in `variant` and then fails until it
-/// stands here and occurs in the scenario.
+/// Every variant of `Message`. A new variant doesn't compile until `variant` names it, and then fails the test until it
+/// is listed here and occurs in the scenario.
 const VARIANTS: [&str; 9] =
     ["Hello", "Ping", "Pong", "Prepare", "Promise", "Accept", "Accepted", "Nack", "Decided"];
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 enum Mutation {
     Drop,
-    Double,
+    Duplicate,
     DelayPastEpoch,
     Replay,
     Truncate,
@@ -50,11 +50,11 @@
 }
 
 impl Mutation {
-    /// Delays of the copies that arrive.
+    /// Returns the delays of the copies that arrive, in milliseconds.
     fn apply(self, message: &Message) -> Vec<u64> {
         match self {
             Mutation::Drop => vec![],
-            Mutation::Double => vec![1, 1],
+            Mutation::Duplicate => vec![1, 1],
             Mutation::DelayPastEpoch => vec![PAST_EPOCH],
             Mutation::Replay => vec![1, PAST_EPOCH],
             Mutation::Truncate => {
@@ -79,7 +79,7 @@
     bytes
 }
 
-/// Tells all members that they are ready and who the learners are, and lets time pass.
+/// Reports to all members that they have caught up and who the learners are, while time passes.
 fn run_with_readiness(network: &mut Network, duration: u64) {
     for _ in 0..duration / 100 {
         for me in members(3) {
@@ -93,16 +93,16 @@
     }
 }
 
-/// Three seeds decide the first view; a cut between head and middle makes both propose; then all is well again.
-fn scenario(fate: impl FnMut(&Message) -> Vec<u64> + 'static) -> Network {
+/// Three seeds decide the first view; a partition between head and middle makes both propose; then the partition heals.
+fn scenario(delivery: impl FnMut(&Message) -> Vec<u64> + 'static) -> Network {
     let mut network = Network::new();
-    network.set_fate(Box::new(fate));
+    network.set_delivery(Box::new(delivery));
     for me in members(3) {
         network.add(me, Agreement::new(me, true, addresses(3), None));
     }
     network.run(2_000);
-    network.cut(member(1, 1), member(2, 1));
-    network.cut(member(2, 1), member(1, 1));
+    network.partition(member(1, 1), member(2, 1));
+    network.partition(member(2, 1), member(1, 1));
     network.run(2_000);
     network.heal();
     run_with_readiness(&mut network, 8_000);
@@ -126,7 +126,7 @@
     }
 }
 
-/// How often each variant is sent without a mutation.
+/// Returns how often each variant is sent without a mutation.
 fn counts() -> BTreeMap<&'static str, usize> {
     let counts: Rc<Cell<BTreeMap<&'static str, usize>>> = Rc::default();
     let counter = Rc::clone(&counts);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn the_scenario_has_every_variant_and_the_table_too() {
+fn scenario_and_table_contain_every_variant() {
     let counts = counts();
     println!("{counts:?}");
     for name in VARIANTS {
@@ -152,7 +152,7 @@
 
 #[rstest]
 #[case::drop(Mutation::Drop)]
-#[case::double(Mutation::Double)]
+#[case::duplicate(Mutation::Duplicate)]
 #[case::delay(Mutation::DelayPastEpoch)]
 #[case::replay(Mutation::Replay)]
 #[case::truncate(Mutation::Truncate)]
@@ -208,11 +208,11 @@
 }
 
 #[test]
-fn every_truncation_and_every_flipped_bit_is_refused() {
+fn every_truncation_and_every_flipped_bit_is_rejected() {
     for message in samples() {
         let bytes = encoded(&message);
         for length in 0..bytes.len() {
-            assert!(Message::decode(&bytes[..length]).is_err(), "{message:?} cut to {length}");
+            assert!(Message::decode(&bytes[..length]).is_err(), "{message:?} truncated to {length}");
         }
         for bit in 0..bytes.len() * 8 {
             let mut damaged = bytes.clone();
@@ -223,10 +223,10 @@
 }
 
 #[test]
-fn refused_bytes_name_the_reason() {
+fn decode_errors_name_the_reason() {
     let too_long = vec![0; MAX_MESSAGE_BYTES + 1];
     assert!(matches!(Message::decode(&too_long), Err(DecodeError::TooLong { .. })));
     assert!(matches!(Message::decode(&[]), Err(DecodeError::Checksum)));
-    let stranger = Message::Decided { view: view(2, &members(2), &members(3)) };
-    assert!(matches!(Message::decode(&encoded(&stranger)), Err(DecodeError::View)));
+    let malformed = Message::Decided { view: view(2, &members(2), &members(3)) };
+    assert!(matches!(Message::decode(&encoded(&malformed)), Err(DecodeError::View)));
 }
--- a/crates/consensus/tests/reconfiguration_model/mod.rs
+++ b/crates/consensus/tests/reconfiguration_model/mod.rs
@@ -1,4 +1,4 @@
-//! The model: machines, messages in flight, losses, and what must hold.
+//! The model: machines, messages in flight, losses, and the properties that must hold.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -20,57 +20,57 @@
 
 pub const THREADS: usize = 3;
 
-/// A check that needs more states than this fails, long before the memory is full.
+/// A check that needs more states than this fails, long before memory runs out.
 pub const STATE_LIMIT: usize = 4_000_000;
 
 pub const ONE_VIEW: &str = "one view per epoch";
-pub const ACCEPTED_BY_OWN: &str = "a decided view is on the disks of a majority of its voters";
-pub const SURVIVORS_DECIDE: &str = "those that are left can decide a further view";
-pub const COPY_SURVIVES: &str = "a complete copy is left";
+pub const ACCEPTED_BY_OWN_VOTERS: &str = "a decided view is on the disks of a majority of its voters";
+pub const SURVIVORS_DECIDE: &str = "the remaining machines can decide another view";
+pub const COPY_SURVIVES: &str = "a complete copy remains";
 
-/// A fault planted into the model to see that the check finds it.
+/// A fault injected into the model, to verify that the check detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Planted {
+pub enum InjectedFault {
     Nothing,
-    /// A repair counts as done once anybody knows that the view is decided.
+    /// A repair counts as complete once any machine knows that the view is decided.
     RepairedWhenDecided,
-    /// Only the proposer counts acceptances, and others know a decision by its word alone.
+    /// Only the proposer counts acceptances, and the others learn a decision only from its message.
     OnlyProposerLearns,
     /// A view is decided by the voters before it alone.
     PreviousVotersOnly,
     /// A leaving member ends as soon as it knows a view without itself.
     LeavesWhenDecided,
-    /// A leaving voter outside the chain ends although the others aren't a majority.
+    /// A leaving voter outside the chain ends although the other voters are no majority.
     LeavesMinority,
-    /// Members tell the epoch of a view that isn't on their disk yet.
-    TellsMemory,
-    /// A member that was just appended says that it is complete.
+    /// Members report the epoch of a view that isn't on their disk yet.
+    ReportsBeforeDurable,
+    /// A member that was just appended reports that it is complete.
     ClaimsCopy,
     /// Two proposers use the same ballot.
     SharesBallot,
 }
 
-/// What the check starts from. Machines 1 to 3 are the voters of the first view.
+/// The initial state of a check. Machines 1 to 3 are the voters of the first view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Scenario {
-    /// Machine 3 is lost, 1 and 2 are the chain and 4 stands by.
+    /// Machine 3 is lost, 1 and 2 are the chain and 4 is a standby.
     Replacement,
-    /// As before, with 4 and 5 standing by; the proposers prefer different ones.
+    /// Like `Replacement`, but 4 and 5 are standbys, and the proposers prefer different ones.
     TwoRepairs,
-    /// Machine 3 leaves and 4 stands by.
+    /// Machine 3 leaves and 4 is a standby.
     Handover,
-    /// The second step of a handover: 4 is a voter and has its copy, 3 goes.
+    /// The second step of a handover: 4 is a voter and has its copy, 3 is removed.
     HandoverEnd,
-    /// Machine 2 is lost, 1 and 3 are the chain, 3 leaves and 4 stands by.
+    /// Machine 2 is lost, 1 and 3 are the chain, 3 leaves and 4 is a standby.
     LeavingWithCopy,
-    /// Machines 4 and 5 stand by where five voters are wanted.
+    /// Machines 4 and 5 are standbys and five voters are required.
     Growth,
 }
 
 pub struct Reconfiguration {
     pub scenario: Scenario,
-    pub planted: Planted,
-    /// Proposals per epoch, by as many members.
+    pub fault: InjectedFault,
+    /// The number of proposals per epoch, each by another member.
     pub ballots: u8,
     /// No view after this epoch is proposed.
     pub last_epoch: u64,
@@ -86,17 +86,18 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Node {
     me: MemberId,
-    /// On disk. An acceptor answers only after its state is there, so that is always the case in the model.
+    /// The view on disk. An acceptor replies only after its state is durable, so the model keeps no state that is not.
     stored: View,
     acceptor: Acceptor,
     /// A later view that isn't on disk yet. Until it is, the node takes no part in the next instance.
     adopted: Option<View>,
     proposal: Option<Proposal>,
     acceptances: Option<Acceptances>,
-    /// Members that told that they have the view of this node on disk; kept where it is asked for, by the leaving one.
-    heard: BTreeSet<MemberId>,
-    /// It has found out as the proposer that its view is decided, by three voters. The one other voter that is left
-    /// then knows it, too; with more voters, that takes until the view is effective.
+    /// Members that reported that they have the view of this node on disk. Kept only at the leaving member, which
+    /// needs it.
+    durable_reports: BTreeSet<MemberId>,
+    /// Set if this node, as the proposer, has learnt that its view is decided, by three voters. The one remaining other
+    /// voter then knows it, too; with more voters, that is so only once the view is effective.
     has_decided: bool,
 }
 
@@ -112,9 +113,9 @@
     gone: BTreeMap<MemberId, Gone>,
     network: BTreeSet<Envelope>,
     decided: BTreeMap<u64, BTreeSet<View>>,
-    /// Members that hold everything acknowledged.
+    /// Members that hold every acknowledged entry.
     copies: BTreeSet<MemberId>,
-    /// Proposals that were started per epoch.
+    /// The number of proposals started per epoch.
     started: BTreeMap<u64, u8>,
     may_lose: bool,
 }
@@ -123,16 +124,16 @@
 pub enum Action {
     Propose(MemberId),
     Deliver(Envelope),
-    /// The adopted view gets to the disk.
+    /// The adopted view becomes durable.
     Store(MemberId),
-    /// The first tells the second which view it has on disk, and the second learns a later one from that.
-    Tell(MemberId, MemberId),
+    /// The first member reports to the second which view it has on disk; the second learns a later view from that.
+    Report(MemberId, MemberId),
     /// A member of the chain catches up with the others.
     Copy(MemberId),
     /// A leaving member ends.
     Leave(MemberId),
     Lose(MemberId),
-    /// All lose power and one its disk, too.
+    /// All machines lose power, and one of them loses its disk, too.
     Blackout(MemberId),
 }
 
@@ -157,7 +158,7 @@
         }
     }
 
-    pub fn standing_by(self) -> Vec<MemberId> {
+    pub fn standbys(self) -> Vec<MemberId> {
         match self {
             Scenario::TwoRepairs | Scenario::Growth => vec![member(4, 1), member(5, 1)],
             Scenario::HandoverEnd => vec![],
@@ -173,13 +174,13 @@
         }
     }
 
-    /// Who proposes. The others would propose the same.
+    /// The members that propose. The others would propose the same views.
     pub fn proposers(self) -> [MemberId; 2] {
         let second = if self.leaving().is_some() { 3 } else { 2 };
         [member(1, 1), member(second, 1)]
     }
 
-    /// The view that ends the scenario without further losses.
+    /// Returns whether `view` completes the scenario if there are no further losses.
     pub fn is_end(self, view: &View) -> bool {
         match self {
             Scenario::Growth => view.voters.len() == 5,
@@ -197,7 +198,7 @@
         let first = self.scenario.first_view();
         let lost = self.scenario.lost();
         let mut nodes = BTreeMap::new();
-        for me in first.voters.iter().copied().chain(self.scenario.standing_by()) {
+        for me in first.voters.iter().copied().chain(self.scenario.standbys()) {
             if Some(me) != lost {
                 nodes.insert(me, Node::new(me, first.clone()));
             }
@@ -228,7 +229,7 @@
             if state.may_copy(*me) {
                 actions.push(Action::Copy(*me));
             }
-            actions.extend(state.nodes.keys().filter(|to| *to != me).map(|to| Action::Tell(*me, *to)));
+            actions.extend(state.nodes.keys().filter(|to| *to != me).map(|to| Action::Report(*me, *to)));
         }
         actions.extend(state.network.iter().cloned().map(Action::Deliver));
         let is_repaired = self.is_repaired(state);
@@ -251,7 +252,7 @@
                 self.deliver(&mut state, &envelope);
             }
             Action::Store(me) => state.node(me).store(),
-            Action::Tell(from, to) => self.tell(&mut state, from, to),
+            Action::Report(from, to) => self.report(&mut state, from, to),
             Action::Copy(me) => {
                 state.copies.insert(me);
             }
@@ -268,7 +269,7 @@
                 }
             }
         }
-        state.drop_useless_messages();
+        state.drop_ineffective_messages();
         (state != *last).then_some(state)
     }
 
@@ -277,13 +278,13 @@
             Property::always(ONE_VIEW, |_, state: &State| {
                 state.decided.values().all(|views| views.len() <= 1)
             }),
-            Property::always(ACCEPTED_BY_OWN, |_, state: &State| state.is_accepted_by_own_voters()),
+            Property::always(ACCEPTED_BY_OWN_VOTERS, |_, state: &State| state.is_accepted_by_own_voters()),
             Property::always(SURVIVORS_DECIDE, |model: &Reconfiguration, state: &State| {
                 model.survivors_decide(state)
             }),
             Property::always(COPY_SURVIVES, |_, state: &State| !state.copies.is_empty()),
             Property::sometimes(
-                "the change comes to its end and the leaving member goes",
+                "the change completes and the leaving member ends",
                 |model: &Reconfiguration, state: &State| {
                     let left =
                         model.scenario.leaving().is_none_or(|me| state.gone.get(&me) == Some(&Gone::Left));
@@ -294,7 +295,9 @@
                 "a machine is lost after the change",
                 |model: &Reconfiguration, state: &State| {
                     let is_end = state.latest().is_some_and(|view| model.scenario.is_end(view));
-                    is_end && !state.may_lose && state.latest().is_some_and(|view| !state.is_whole(view))
+                    is_end
+                        && !state.may_lose
+                        && state.latest().is_some_and(|view| !state.has_no_gone_voter(view))
                 },
             ),
         ]
@@ -309,12 +312,12 @@
             && node.proposal.is_none()
             && node.stored.is_voter(node.me)
             && state.started.get(&epoch).is_none_or(|started| *started < self.ballots)
-            && self.wish(state, node).is_some()
+            && self.next_view(state, node).is_some()
     }
 
-    /// What the policy wants, with all that is so known to the proposer.
-    fn wish(&self, state: &State, node: &Node) -> Option<View> {
-        let mut learners = self.scenario.standing_by();
+    /// Returns the next view by the membership policy, with the information that the proposer has.
+    fn next_view(&self, state: &State, node: &Node) -> Option<View> {
+        let mut learners = self.scenario.standbys();
         if node.me == member(2, 1) {
             learners.reverse();
         }
@@ -333,7 +336,7 @@
             return Health::Dead { duration: 60_000 };
         }
         let is_learner = !node.stored.in_chain(member);
-        let claims = self.planted == Planted::ClaimsCopy;
+        let claims = self.fault == InjectedFault::ClaimsCopy;
         Health::Alive(MemberStatus {
             caught_up: is_learner || claims || state.copies.contains(&member),
             reaches_chain: true,
@@ -342,72 +345,72 @@
         })
     }
 
-    /// As `Agreement::may_leave`, for the part that lets a member go that is no longer needed.
+    /// Like `Agreement::may_leave`, for the case of a member that is no longer needed.
     fn may_leave(&self, state: &State, node: &Node) -> bool {
         let view = node.adopted.as_ref().unwrap_or(&node.stored);
         if self.scenario.leaving() != Some(node.me) || view.in_chain(node.me) {
             return false;
         }
-        let successors = self.scenario.standing_by();
+        let successors = self.scenario.standbys();
         let has_successor =
             successors.iter().any(|member| !view.is_voter(*member) && state.nodes.contains_key(member));
         let own = node.adopted.is_none() && view.is_voter(node.me);
-        let is_effective = node.heard.len() + usize::from(own) >= majority(view.voters.len());
+        let is_effective = node.durable_reports.len() + usize::from(own) >= majority(view.voters.len());
         let others = view.voters.iter().filter(|voter| **voter != node.me && state.nodes.contains_key(voter));
-        let may_stay_voter = self.planted == Planted::LeavesMinority
+        let may_stay_voter = self.fault == InjectedFault::LeavesMinority
             || (!has_successor && others.count() >= majority(view.voters.len()));
-        (is_effective || self.planted == Planted::LeavesWhenDecided)
+        (is_effective || self.fault == InjectedFault::LeavesWhenDecided)
             && (!view.is_voter(node.me) || may_stay_voter)
     }
 
-    /// No voter is missing, so the next loss may come: the latest view that is effective has no lost voter, and none
-    /// that left is a voter still.
+    /// Returns whether no voter is missing, so that the next loss must be tolerated: the latest effective view has no
+    /// lost voter, and no member that has left is still a voter.
     fn is_repaired(&self, state: &State) -> bool {
         let repaired =
-            if self.planted == Planted::RepairedWhenDecided { state.latest() } else { state.effective() };
+            if self.fault == InjectedFault::RepairedWhenDecided { state.latest() } else { state.effective() };
         let is_gone = |voter: &MemberId, how: Gone| state.gone.get(voter) == Some(&how);
         repaired.is_some_and(|view| !view.voters.iter().any(|voter| is_gone(voter, Gone::Lost)))
             && state.latest().is_some_and(|view| !view.voters.iter().any(|voter| is_gone(voter, Gone::Left)))
     }
 
     fn propose(&self, state: &mut State, me: MemberId) {
-        let Some(wish) = self.wish(state, &state.nodes[&me]) else { return };
+        let Some(next_view) = self.next_view(state, &state.nodes[&me]) else { return };
         let node = state.node(me);
         let round = node.acceptor.promised.map_or(0, |ballot| ballot.round) + 1;
-        let shared = self.planted == Planted::SharesBallot;
+        let shared = self.fault == InjectedFault::SharesBallot;
         let ballot =
             if shared { Ballot { round: 1, proposer: member(1, 1) } } else { Ballot { round, proposer: me } };
-        let epoch = wish.epoch;
+        let epoch = next_view.epoch;
         let voters = node.stored.voters.clone();
-        node.proposal = Some(Proposal::new(ballot, VoterSet::after(&node.stored), wish));
+        node.proposal = Some(Proposal::new(ballot, VoterSet::after(&node.stored), next_view));
         *state.started.entry(epoch).or_default() += 1;
         self.send_all(state, me, &voters, &Message::Prepare { epoch, ballot });
     }
 
-    fn tell(&self, state: &mut State, from: MemberId, to: MemberId) {
-        let teller = state.nodes[&from].clone();
+    fn report(&self, state: &mut State, from: MemberId, to: MemberId) {
+        let sender = state.nodes[&from].clone();
         let receiver = state.node(to);
         let known = receiver.epoch();
         let is_waiting = self.scenario.leaving() == Some(to);
-        let tells_memory = self.planted == Planted::TellsMemory;
-        let told = if tells_memory { teller.epoch() } else { teller.stored.epoch };
-        if is_waiting && told == known && receiver.view().is_voter(from) {
-            receiver.heard.insert(from);
+        let reports_before_durable = self.fault == InjectedFault::ReportsBeforeDurable;
+        let reported = if reports_before_durable { sender.epoch() } else { sender.stored.epoch };
+        if is_waiting && reported == known && receiver.view().is_voter(from) {
+            receiver.durable_reports.insert(from);
         }
-        if teller.epoch() > known {
-            receiver.adopt(teller.view().clone());
+        if sender.epoch() > known {
+            receiver.adopt(sender.view().clone());
         }
     }
 
     fn deliver(&self, state: &mut State, envelope: &Envelope) {
         let Some(node) = state.nodes.get_mut(&envelope.to) else { return };
-        let mut answers = Vec::new();
-        let decided = node.receive(self.planted, envelope.from, &envelope.message, &mut answers);
-        for (to, message) in answers {
+        let mut replies = Vec::new();
+        let decided = node.receive(self.fault, envelope.from, &envelope.message, &mut replies);
+        for (to, message) in replies {
             self.send_all(state, envelope.to, &[to], &message);
         }
         if let Some(view) = decided {
-            state.note_decided(&view);
+            state.record_decided(&view);
             if let Some(node) = state.nodes.get_mut(&envelope.to) {
                 let is_own = node.acceptances.as_ref().is_some_and(|own| own.ballot().proposer == node.me);
                 node.adopt(view);
@@ -416,8 +419,9 @@
         }
     }
 
-    /// Messages to oneself arrive at once. Where there is one ballot only, so do those of phase 1, as there is nothing
-    /// they could race with, and acceptors are heard by the proposer only, which is the worst for the others.
+    /// Sends a message. Messages from a node to itself are delivered at once. With a single ballot, messages of phase 1
+    /// are delivered at once, too, because there is nothing they could race with, and acceptances reach only the
+    /// proposer, which is the worst case for the other nodes.
     fn send_all(&self, state: &mut State, from: MemberId, receivers: &[MemberId], message: &Message) {
         for to in receivers {
             let envelope = Envelope { from, to: *to, message: message.clone() };
@@ -437,8 +441,8 @@
         }
     }
 
-    /// Lets those that are left talk to each other without further faults, and see whether they decide a view.
-    /// Messages under way are lost.
+    /// Lets the remaining machines exchange messages without further faults, and returns whether they decide a view.
+    /// Messages in flight are lost.
     fn survivors_decide(&self, state: &State) -> bool {
         let Some(latest) = state.nodes.values().map(|node| node.view().clone()).max() else { return false };
         let mut nodes = state.nodes.clone();
@@ -455,8 +459,8 @@
         };
         let voter_set = VoterSet::after(&latest);
         let ballot = Ballot { round: 1_000, proposer };
-        let wish = View { epoch: latest.epoch + 1, ..latest.clone() };
-        let mut proposal = Proposal::new(ballot, voter_set.clone(), wish);
+        let next_view = View { epoch: latest.epoch + 1, ..latest.clone() };
+        let mut proposal = Proposal::new(ballot, voter_set.clone(), next_view);
         let mut chosen = None;
         for node in nodes.values_mut().filter(|node| latest.is_voter(node.me)) {
             node.acceptor.prepare(ballot).expect("highest ballot");
--- a/crates/consensus/tests/reconfiguration_model/node.rs
+++ b/crates/consensus/tests/reconfiguration_model/node.rs
@@ -1,4 +1,4 @@
-//! One machine: its part in Paxos, and what it knows of the others.
+//! One machine: its roles in Paxos, and its knowledge of the others.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use orchidvalve_consensus::{Ballot, Message, View};
 use orchidvalve_protocol::identity::MemberId;
 
-use super::{Node, Planted, State};
+use super::{InjectedFault, Node, State};
 
 impl Node {
     pub fn new(me: MemberId, stored: View) -> Node {
@@ -19,7 +19,7 @@
             adopted: None,
             proposal: None,
             acceptances: None,
-            heard: BTreeSet::new(),
+            durable_reports: BTreeSet::new(),
             has_decided: false,
         }
     }
@@ -32,9 +32,9 @@
         self.view().epoch
     }
 
-    /// The proposer of a view that replaces all lost voters, and knows that it is decided.
+    /// Returns whether this node proposed a view that replaces all lost voters, and knows that it is decided.
     pub fn has_replaced(&self, state: &State) -> bool {
-        self.has_decided && state.is_whole(self.view())
+        self.has_decided && state.has_no_gone_voter(self.view())
     }
 
     pub fn adopt(&mut self, view: View) {
@@ -42,7 +42,7 @@
         self.adopted = Some(view);
         self.proposal = None;
         self.acceptances = None;
-        self.heard.clear();
+        self.durable_reports.clear();
     }
 
     pub fn store(&mut self) {
@@ -56,16 +56,16 @@
         self.adopted = None;
         self.proposal = None;
         self.acceptances = None;
-        self.heard.clear();
+        self.durable_reports.clear();
     }
 
-    /// Takes a message; returns a view that is decided by it. A node with a view on the way to its disk waits.
+    /// Handles a message; returns the view that it decides, if any. A node whose view is not durable yet does nothing.
     pub fn receive(
         &mut self,
-        planted: Planted,
+        fault: InjectedFault,
         from: MemberId,
         message: &Message,
-        answers: &mut Vec<(MemberId, Message)>,
+        replies: &mut Vec<(MemberId, Message)>,
     ) -> Option<View> {
         let next = self.stored.epoch + 1;
         if self.adopted.is_some() {
@@ -76,59 +76,59 @@
                 let (epoch, ballot) = (*epoch, *ballot);
                 if self.acceptor.prepare(ballot).is_ok() {
                     let accepted = self.acceptor.accepted.clone();
-                    answers.push((from, Message::Promise { epoch, ballot, accepted }));
+                    replies.push((from, Message::Promise { epoch, ballot, accepted }));
                 }
                 None
             }
             Message::Promise { epoch, ballot, accepted } => {
                 let proposal = self.proposal.as_mut().filter(|proposal| proposal.epoch() == *epoch)?;
                 let view = proposal.promise(from, *ballot, accepted.clone())?.clone();
-                self.accept(planted, *ballot, &view, answers)?;
+                self.accept(fault, *ballot, &view, replies)?;
                 let accept = Message::Accept { ballot: *ballot, view: view.clone() };
-                answers.extend(self.others_involved(&view).map(|to| (to, accept.clone())));
+                replies.extend(self.others_involved(&view).map(|to| (to, accept.clone())));
                 None
             }
             Message::Accept { ballot, view } if view.epoch == next && view.follows(&self.stored) => {
                 let concerned = self.stored.is_voter(self.me) || view.is_voter(self.me);
-                concerned.then(|| self.accept(planted, *ballot, view, answers))??;
-                self.count(planted, ballot.proposer, *ballot)
+                concerned.then(|| self.accept(fault, *ballot, view, replies))??;
+                self.count(fault, ballot.proposer, *ballot)
             }
-            Message::Accepted { epoch, ballot } if *epoch == next => self.count(planted, from, *ballot),
+            Message::Accepted { epoch, ballot } if *epoch == next => self.count(fault, from, *ballot),
             _ => None,
         }
     }
 
-    /// Accepts, and tells itself and the others; `None` if a higher ballot was promised.
+    /// Accepts a view and notifies itself and the others; returns `None` if a higher ballot was promised.
     pub fn accept(
         &mut self,
-        planted: Planted,
+        fault: InjectedFault,
         ballot: Ballot,
         view: &View,
-        answers: &mut Vec<(MemberId, Message)>,
+        replies: &mut Vec<(MemberId, Message)>,
     ) -> Option<()> {
         self.acceptor.accept(ballot, view).ok()?;
         if self.acceptances.as_ref().is_none_or(|acceptances| acceptances.ballot() != ballot) {
             self.acceptances = Some(Acceptances::new(ballot, view.clone(), VoterSet::after(&self.stored)));
         }
         let accepted = Message::Accepted { epoch: view.epoch, ballot };
-        let told = self.others_involved(view).chain([self.me]);
-        let only_proposer = planted == Planted::OnlyProposerLearns;
-        answers.extend(
-            told.filter(|to| !only_proposer || *to == ballot.proposer).map(|to| (to, accepted.clone())),
+        let receivers = self.others_involved(view).chain([self.me]);
+        let only_proposer = fault == InjectedFault::OnlyProposerLearns;
+        replies.extend(
+            receivers.filter(|to| !only_proposer || *to == ballot.proposer).map(|to| (to, accepted.clone())),
         );
         Some(())
     }
 
-    /// Counts an acceptance; returns the view if it is decided by that.
-    pub fn count(&mut self, planted: Planted, from: MemberId, ballot: Ballot) -> Option<View> {
+    /// Counts an acceptance; returns the view if this acceptance decides it.
+    pub fn count(&mut self, fault: InjectedFault, from: MemberId, ballot: Ballot) -> Option<View> {
         let acceptances = self.acceptances.as_mut().filter(|acceptances| acceptances.ballot() == ballot)?;
-        if planted == Planted::OnlyProposerLearns && ballot.proposer != self.me {
+        if fault == InjectedFault::OnlyProposerLearns && ballot.proposer != self.me {
             return None;
         }
         if let Some(view) = acceptances.accepted(from) {
             return Some(view.clone());
         }
-        if planted == Planted::PreviousVotersOnly && from != self.me {
+        if fault == InjectedFault::PreviousVotersOnly && from != self.me {
             let view = &self.acceptor.accepted.as_ref()?.view;
             let voters = [self.me, from];
             let votes = voters.iter().filter(|voter| self.stored.is_voter(**voter)).count();
@@ -137,7 +137,7 @@
         None
     }
 
-    /// The voters before and after a decision for `view`, without this one.
+    /// The voters before and after a decision for `view`, except this node.
     pub fn others_involved(&self, view: &View) -> impl Iterator<Item = MemberId> + use<> {
         let members: BTreeSet<MemberId> = self.stored.voters.iter().chain(&view.voters).copied().collect();
         let me = self.me;
--- a/crates/consensus/tests/reconfiguration_model/state.rs
+++ b/crates/consensus/tests/reconfiguration_model/state.rs
@@ -1,4 +1,4 @@
-//! What can be said of a state as a whole: what is decided, who is left and what they hold.
+//! Queries over a whole state: which views are decided, which machines remain and what they hold.
 
 use std::collections::BTreeSet;
 
@@ -19,9 +19,9 @@
         self.gone.insert(me, how);
     }
 
-    /// Those that join the chain may lack what was acknowledged since they were ready, and those outside miss what is
-    /// acknowledged from now on.
-    pub fn note_decided(&mut self, view: &View) {
+    /// Records a decided view. Members that join the chain may lack entries acknowledged since they caught up, and
+    /// members outside miss the entries acknowledged from now on.
+    pub fn record_decided(&mut self, view: &View) {
         let views = self.decided.entry(view.epoch).or_default();
         if views.insert(view.clone()) && views.len() == 1 {
             let previous = self.decided[&(view.epoch - 1)].first().expect("decided in order").clone();
@@ -33,7 +33,7 @@
         self.decided.last_key_value()?.1.first()
     }
 
-    /// The latest view that a majority of its voters has on disk.
+    /// Returns the latest view that a majority of its voters has on disk.
     pub fn effective(&self) -> Option<&View> {
         let is_effective = |view: &&View| {
             let stores = |voter: &&MemberId| {
@@ -44,12 +44,12 @@
         self.decided.values().rev().filter_map(BTreeSet::first).find(is_effective)
     }
 
-    /// No voter of `view` is gone.
-    pub fn is_whole(&self, view: &View) -> bool {
+    /// Returns whether no voter of `view` is gone.
+    pub fn has_no_gone_voter(&self, view: &View) -> bool {
         !view.voters.iter().any(|voter| self.gone.contains_key(voter))
     }
 
-    /// A member of the chain of the latest view copies from one that is complete.
+    /// Returns whether `me` may copy the log: it is a member of the chain of the latest view and lacks entries.
     pub fn may_copy(&self, me: MemberId) -> bool {
         !self.copies.contains(&me)
             && self.nodes[&me].view().in_chain(me)
@@ -59,7 +59,7 @@
     pub fn is_accepted_by_own_voters(&self) -> bool {
         let Some(view) = self.latest().filter(|view| view.epoch > 1) else { return true };
         let has = |voter: &&MemberId| {
-            // One that is gone may have had it.
+            // A member that is gone may have had it.
             self.nodes.get(*voter).is_none_or(|node| {
                 let accepted = node.acceptor.accepted.as_ref().is_some_and(|accepted| accepted.view == *view);
                 accepted || node.epoch() >= view.epoch
@@ -68,9 +68,9 @@
         view.voters.iter().filter(has).count() >= majority(view.voters.len())
     }
 
-    /// Removes messages that can't have an effect any more, which keeps the number of states down; also those of a
+    /// Removes messages that can no longer have an effect, which reduces the number of states; also the messages of a
     /// phase that the proposer has left.
-    pub fn drop_useless_messages(&mut self) {
+    pub fn drop_ineffective_messages(&mut self) {
         let nodes = &self.nodes;
         self.network.retain(|envelope| {
             let Some(node) = nodes.get(&envelope.to) else { return false };
--- a/crates/consensus/tests/repair.rs
+++ b/crates/consensus/tests/repair.rs
@@ -1,5 +1,5 @@
-//! Repairs in virtual time: planned ends, hanging disks, standbys, and how long it takes until a loss can be borne
-//! again.
+//! Repairs in virtual time: planned shutdowns, hanging disks, standbys, and the time until the next loss can be
+//! tolerated.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -22,7 +22,7 @@
     Timing::new(CATCH_UP[0], losses + 1)
 }
 
-fn is_whole(site: &Site, members: usize) -> bool {
+fn has_all_voters_running(site: &Site, members: usize) -> bool {
     let view = site.view();
     let runs = |voter: &MemberId| site.network.nodes.contains_key(voter);
     view.chain.len() == members && view.voters.len() == members && view.voters.iter().all(runs)
@@ -32,7 +32,7 @@
 #[case::head(1)]
 #[case::middle(2)]
 #[case::tail(3)]
-fn a_leaving_member_is_replaced_before_it_goes(#[case] leaving: u8) {
+fn leaving_member_is_replaced_before_it_ends(#[case] leaving: u8) {
     let mut site = Site::start(4, tolerate(1));
     let leaving = member(leaving, 1);
     assert!(!site.agreement(leaving).may_leave());
@@ -54,21 +54,21 @@
 }
 
 #[test]
-fn a_leaving_member_that_waits_is_not_taken_back() {
+fn leaving_member_that_waits_does_not_become_a_voter_again() {
     let mut site = Site::start(4, tolerate(1));
     site.agreement(member(1, 1)).set_leaving();
     site.run(20_000);
-    assert!(!site.view().is_voter(member(1, 1)) && is_whole(&site, 3), "{:?}", site.view());
+    assert!(!site.view().is_voter(member(1, 1)) && has_all_voters_running(&site, 3), "{:?}", site.view());
     site.lose(member(2, 1));
     site.run(20_000);
     assert!(!site.view().is_voter(member(1, 1)), "{:?}", site.view());
 }
 
 #[test]
-fn a_leaving_member_waits_until_a_majority_of_the_voters_has_told_that_the_view_is_on_disk() {
+fn leaving_member_waits_until_a_majority_reports_the_view_as_durable() {
     let mut site = Site::start(4, tolerate(1));
-    let silent = |message: &Message| matches!(message, Message::Pong { epoch: 3.., .. });
-    site.network.set_fate(Box::new(move |message| if silent(message) { vec![] } else { vec![1] }));
+    let is_later_pong = |message: &Message| matches!(message, Message::Pong { epoch: 3.., .. });
+    site.network.set_delivery(Box::new(move |message| if is_later_pong(message) { vec![] } else { vec![1] }));
     site.agreement(member(1, 1)).set_leaving();
     let knows =
         |site: &Site| !site.network.nodes[&member(1, 1)].view().expect("a view").is_voter(member(1, 1));
@@ -76,12 +76,12 @@
     assert!(!site.agreement(member(1, 1)).may_leave());
     site.run(300);
     assert!(!site.agreement(member(1, 1)).may_leave());
-    site.network.set_fate(Box::new(|_| vec![1]));
+    site.network.set_delivery(Box::new(|_| vec![1]));
     site.run_until(1_000, |site| site.network.nodes[&member(1, 1)].may_leave());
 }
 
 #[test]
-fn a_leaving_member_lost_between_the_two_steps_is_no_voter_any_more() {
+fn leaving_member_lost_between_the_two_steps_is_removed_from_the_voters() {
     let mut site = Site::start(4, tolerate(1));
     site.agreement(member(1, 1)).set_leaving();
     for _ in 0..1_000 {
@@ -91,15 +91,15 @@
     }
     assert_eq!(site.view().voters.len(), 4);
     site.lose(member(1, 1));
-    let time = site.run_until(CATCH_UP[0], |site| is_whole(site, 3));
+    let time = site.run_until(CATCH_UP[0], |site| has_all_voters_running(site, 3));
     println!("three voters after {time} ms");
 }
 
-/// It was one voter more than wanted for good, whose disk every acknowledgement waited for.
+/// Guards against a surplus voter that stayed forever, so that every acknowledgement waited for its disk.
 #[rstest]
 #[case::three(4, 1)]
 #[case::five(6, 2)]
-fn a_leaving_member_that_starts_again_between_the_two_steps_makes_no_surplus_voter(
+fn leaving_member_that_restarts_between_the_two_steps_leaves_no_surplus_voter(
     #[case] machines: u8,
     #[case] losses: usize,
 ) {
@@ -113,7 +113,7 @@
     }
     assert_eq!(site.view().voters.len(), surplus);
     site.restart(member(1, 1));
-    let time = site.run_until(CATCH_UP[0], |site| is_whole(site, surplus - 1));
+    let time = site.run_until(CATCH_UP[0], |site| has_all_voters_running(site, surplus - 1));
     println!("{} voters after {time} ms", surplus - 1);
     let settled = site.view();
     site.run(20_000);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_leaving_voter_stays_while_the_others_are_no_majority() {
+fn leaving_voter_waits_while_the_others_are_no_majority() {
     let mut site = Site::start(3, tolerate(1));
     site.agreement(member(1, 1)).set_leaving();
     site.run_until(2_000, |site| site.network.nodes[&member(1, 1)].may_leave());
@@ -131,9 +131,9 @@
     assert!(!site.agreement(member(1, 1)).may_leave());
 }
 
-/// Nobody knows yet that the third machine is gone: it counts as alive for 700 ms after its last answer.
+/// The other members don't know yet that the third machine is lost: it counts as alive for 700 ms after its last reply.
 #[rstest]
-fn a_leaving_voter_does_not_count_on_one_that_has_just_been_lost(#[values(0, 100, 300, 600)] before: u64) {
+fn leaving_voter_does_not_rely_on_a_voter_that_was_just_lost(#[values(0, 100, 300, 600)] before: u64) {
     let mut site = Site::start(3, tolerate(1));
     site.lose(member(3, 1));
     site.run(before);
@@ -144,9 +144,10 @@
     }
 }
 
-/// It has left the chain when another member is lost: without it nothing could be acknowledged until that one is back.
+/// The leaving member has left the chain when another member is lost: without the leaving one nothing could be
+/// acknowledged until the lost member returns.
 #[rstest]
-fn a_leaving_member_is_taken_back_while_the_chain_is_too_short(#[values(0, 100, 300, 600)] before: u64) {
+fn leaving_member_rejoins_the_chain_while_it_is_too_short(#[values(0, 100, 300, 600)] before: u64) {
     let mut site = Site::start(3, tolerate(1));
     site.lose(member(3, 1));
     site.run(before);
@@ -161,20 +162,20 @@
 }
 
 #[test]
-fn without_a_learner_the_chain_goes_on_without_the_leaving_head_and_it_stays_a_voter() {
+fn without_a_learner_the_leaving_head_leaves_the_chain_and_stays_a_voter() {
     let mut site = Site::start(3, tolerate(1));
     site.agreement(member(1, 1)).set_leaving();
     site.run_until(2_000, |site| site.network.nodes[&member(1, 1)].may_leave());
     assert_eq!(site.view(), view(2, &members(3), &members(3)[1..]));
     site.run(10_000);
-    assert_eq!(site.view().epoch, 2, "it isn't taken back");
+    assert_eq!(site.view().epoch, 2, "the leaving member does not rejoin the chain");
     site.lose(member(1, 1));
     site.run(5_000);
     assert!(site.agreement(member(2, 1)).quorum_confirmed_at().is_some());
 }
 
 #[test]
-fn a_chain_without_a_copy_to_spare_keeps_its_leaving_member() {
+fn chain_without_a_surplus_copy_keeps_its_leaving_member() {
     let mut site = Site::start(3, tolerate(1));
     site.lose(member(3, 1));
     site.run(2_000);
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn when_all_leave_nobody_waits() {
+fn no_member_waits_if_all_are_leaving() {
     let mut site = Site::start(3, tolerate(1));
     for me in members(3) {
         site.agreement(me).set_leaving();
@@ -203,7 +204,7 @@
 #[rstest]
 #[case::head(1)]
 #[case::tail(3)]
-fn a_member_whose_disk_hangs_leaves_the_chain_and_comes_back_when_it_is_well(#[case] impaired: u8) {
+fn member_with_a_hanging_disk_leaves_the_chain_and_returns_when_it_recovers(#[case] impaired: u8) {
     let mut site = Site::start(3, tolerate(1));
     let impaired = member(impaired, 1);
     site.agreement(impaired).set_impaired(true);
@@ -231,7 +232,7 @@
     site.lose(member(3, 1));
     let proposers: Rc<RefCell<BTreeSet<MemberId>>> = Rc::default();
     let seen = Rc::clone(&proposers);
-    site.network.set_fate(Box::new(move |message| {
+    site.network.set_delivery(Box::new(move |message| {
         if let Message::Prepare { ballot, .. } = message {
             seen.borrow_mut().insert(ballot.proposer);
         }
@@ -242,17 +243,17 @@
 }
 
 #[test]
-fn a_member_tells_the_epoch_that_is_on_its_disk() {
+fn member_reports_the_epoch_that_is_on_its_disk() {
     let mut agreement = started(member(1, 1), &view(1, &members(3), &members(3)));
     let mut outputs = Vec::new();
     let next = view(2, &members(3), &members(2));
     agreement.message_received(1_000, member(2, 1), Message::Decided { view: next }, &mut outputs);
     assert_eq!(agreement.epoch(), 2);
     let pong = |agreement: &mut Agreement| {
-        let mut answers = Vec::new();
+        let mut replies = Vec::new();
         let ping = Message::Ping { number: 7, epoch: 2 };
-        agreement.message_received(1_001, member(2, 1), ping, &mut answers);
-        let status = sent_to(&answers, member(2, 1)).into_iter().find_map(|message| match message {
+        agreement.message_received(1_001, member(2, 1), ping, &mut replies);
+        let status = sent_to(&replies, member(2, 1)).into_iter().find_map(|message| match message {
             Message::Pong { epoch, status, .. } => Some((epoch, status.unsettled, status.caught_up)),
             _ => None,
         });
@@ -264,7 +265,7 @@
 }
 
 #[test]
-fn a_view_is_effective_once_a_majority_of_its_voters_has_told_that_it_is_on_disk() {
+fn view_is_effective_once_a_majority_of_its_voters_reports_it_as_durable() {
     let mut site = Site::start(3, tolerate(1));
     assert!(site.agreement(member(1, 1)).is_effective());
     let next = view(2, &members(3), &members(2));
@@ -280,9 +281,9 @@
     assert!(site.agreement(member(1, 1)).is_effective());
 }
 
-/// A member leaves the chain `removals` times within a minute; then it comes back for good.
+/// A member leaves the chain `removals` times within a minute, then returns for good.
 #[rstest]
-fn a_member_that_comes_back_is_in_the_chain_in_time(
+fn returning_member_is_in_the_chain_within_the_catch_up_time(
     #[values(0, 1, 2, 4, 7)] removals: u64,
     #[values(CATCH_UP[0], CATCH_UP[1])] catch_up: u64,
 ) {
@@ -302,9 +303,9 @@
     assert!(time < catch_up);
 }
 
-/// A machine is lost and its successor starts at the same moment: at its address, or at another one.
+/// A machine is lost and its successor starts at the same time, at the same or at another address.
 #[rstest]
-fn a_successor_is_a_voter_in_time(
+fn successor_is_a_voter_within_the_catch_up_time(
     #[values(CATCH_UP[0], CATCH_UP[1])] catch_up: u64,
     #[values(member(2, 2), member(4, 1))] successor: MemberId,
     #[values(0, 1_500)] copy_time: u64,
@@ -313,14 +314,14 @@
     site.set_copy_time(copy_time);
     site.lose(member(2, 1));
     site.add_empty(successor);
-    let time = site.run_until(catch_up, |site| is_whole(site, 3));
+    let time = site.run_until(catch_up, |site| has_all_voters_running(site, 3));
     println!("catch-up {catch_up}, copy {copy_time}: {successor} is in after {time} ms");
     site.run(2 * PING_INTERVAL);
     assert!(site.agreement(successor).is_effective());
 }
 
 #[test]
-fn nobody_is_held_back_from_a_chain_that_is_too_short() {
+fn flap_damping_does_not_apply_to_a_chain_that_is_too_short() {
     let timing = Timing::new(CATCH_UP[1], 2);
     let mut site = Site::start(3, timing);
     let victim = member(3, 1);
@@ -353,14 +354,14 @@
                 continue;
             }
             let mut site = Site::start(machines, tolerate(losses));
-            assert!(is_whole(&site, voters), "{:?}", site.view());
+            assert!(has_all_voters_running(&site, voters), "{:?}", site.view());
             let lost = [first, second];
             for machine in &lost[..losses] {
                 site.lose(member(*machine, 1));
             }
             let has_standbys = usize::from(machines) >= voters + losses;
             if has_standbys {
-                site.run_until(CATCH_UP[0], |site| is_whole(site, voters));
+                site.run_until(CATCH_UP[0], |site| has_all_voters_running(site, voters));
             } else {
                 site.run(CATCH_UP[0]);
                 assert!(site.network.nodes.values().all(|node| node.quorum_confirmed_at().is_some()));
@@ -368,26 +369,26 @@
             for machine in &lost[..losses] {
                 site.add_empty(member(*machine, 2));
             }
-            site.run_until(CATCH_UP[0], |site| is_whole(site, voters));
+            site.run_until(CATCH_UP[0], |site| has_all_voters_running(site, voters));
         }
     }
 }
 
-/// Seeds that missed the first view become voters, two at a time, where more are wanted.
+/// Seeds that missed the first view become voters, two at a time, if more voters are required.
 #[test]
-fn two_standbys_become_voters_where_five_are_wanted() {
+fn two_standbys_become_voters_if_five_are_required() {
     let mut site = Site::start(3, tolerate(2));
-    assert!(is_whole(&site, 3));
+    assert!(has_all_voters_running(&site, 3));
     site.add_empty(member(4, 1));
     site.run(5_000);
-    assert!(is_whole(&site, 3), "four voters bear no more losses than three");
+    assert!(has_all_voters_running(&site, 3), "four voters tolerate no more losses than three");
     site.add_empty(member(5, 1));
-    site.run_until(2_000, |site| is_whole(site, 5));
+    site.run_until(2_000, |site| has_all_voters_running(site, 5));
 }
 
 /// The parts of a repair that the doc comment of `Timing` adds up.
 #[rstest]
-fn the_parts_of_a_repair_leave_room_for_the_copy(#[values(CATCH_UP[0], CATCH_UP[1])] catch_up: u64) {
+fn repair_steps_leave_time_for_the_copy(#[values(CATCH_UP[0], CATCH_UP[1])] catch_up: u64) {
     use orchidvalve_consensus::timing::{PROPOSER_STAGGER, RETRY_STAGGER, RETRY_TIMEOUT};
     let timing = Timing::new(catch_up, 2);
     assert!(timing.replacement_delay.max(timing.damping_limit) <= catch_up / 3);
--- a/crates/consensus/tests/simulation.rs
+++ b/crates/consensus/tests/simulation.rs
@@ -15,7 +15,7 @@
     Plan {
         machines,
         seeds,
-        storm_ends_at: 10_000,
+        faults_end_at: 10_000,
         ends_at: 50_000,
         fault_interval: random.random_range(150..1_500),
         loss: if random.random_bool(0.5) { 0.0 } else { random.random_range(0.0..0.2) },
@@ -49,7 +49,7 @@
     })
 }
 
-/// Runs per deployment; INTERLOCKING_RUNS asks for longer hunts.
+/// Runs per deployment; INTERLOCKING_RUNS sets a larger number.
 fn runs() -> u64 {
     let usual = if cfg!(debug_assertions) { 100 } else { 1_000 };
     std::env::var("INTERLOCKING_RUNS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(usual)
@@ -62,7 +62,7 @@
 #[case::one_learner(4, 3)]
 #[case::two_learners(5, 3)]
 #[case::grown_from_one(3, 1)]
-fn invariants_hold_and_calm_brings_progress(#[case] machines: u8, #[case] seeds: u8) {
+fn invariants_hold_and_the_system_progresses_after_the_faults(#[case] machines: u8, #[case] seeds: u8) {
     let first = u64::from(machines) * 1_000_000 + u64::from(seeds) * 100_000;
     let summary = run_range(first, runs(), machines, seeds);
     println!("{machines} machines, {seeds} seeds, {} runs: {summary:?}", runs());
--- a/crates/consensus/tests/support/mod.rs
+++ b/crates/consensus/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: members, and a host that drives one `Agreement` without time of its own.
+//! Shared test helpers: members, and a host that drives one `Agreement` and makes its writes durable at once.
 #![allow(dead_code, reason = "each test file uses its own part")]
 
 use std::net::Ipv4Addr;
@@ -14,12 +14,12 @@
     NodeAddress::new(Ipv4Addr::new(10, 0, 0, machine), 7000)
 }
 
-/// The member at `machine` with its `disk`-th disk.
+/// The member at `machine` with the disk number `disk`.
 pub fn member(machine: u8, disk: u64) -> MemberId {
     MemberId { address: address(machine), disk }
 }
 
-/// The members of machines 1, 2, ... with their first disk.
+/// The members at machines 1, 2, ... with their first disk.
 pub fn members(count: u8) -> Vec<MemberId> {
     (1..=count).map(|machine| member(machine, 1)).collect()
 }
@@ -47,7 +47,7 @@
     MemberStatus { caught_up: true, reaches_chain: true, ..MemberStatus::default() }
 }
 
-/// Makes all writes in `outputs` durable, and those that follow from them; returns what was sent or changed.
+/// Makes all writes in `outputs` durable, and all writes that follow from them; returns the other outputs.
 pub fn settle(agreement: &mut Agreement, outputs: Vec<Output>) -> Vec<Output> {
     let mut rest = Vec::new();
     let mut pending = outputs;
@@ -64,7 +64,7 @@
     rest
 }
 
-/// Messages to `to` among `outputs`.
+/// Returns the messages to `to` among `outputs`.
 pub fn sent_to(outputs: &[Output], to: MemberId) -> Vec<Message> {
     let message = |output: &Output| match output {
         Output::Send { to: receiver, message } if *receiver == to => Some(message.clone()),
--- a/crates/consensus/tests/support/network.rs
+++ b/crates/consensus/tests/support/network.rs
@@ -1,4 +1,5 @@
-//! A few `Agreement`s joined by a network, one millisecond per message, with cuts and a fate per message.
+//! A few `Agreement`s connected by a network with one millisecond per message, one-way partitions and a configurable
+//! delivery of each message.
 
 use std::collections::BTreeMap;
 
@@ -7,18 +8,18 @@
 
 use super::settle;
 
-/// Decides what happens to each message that is sent: the delays after which copies of it arrive.
-pub type Fate = Box<dyn FnMut(&Message) -> Vec<u64>>;
+/// Decides how a message is delivered: returns the delays after which its copies arrive, in milliseconds.
+pub type Delivery = Box<dyn FnMut(&Message) -> Vec<u64>>;
 
 pub struct Network {
     pub now: u64,
     pub nodes: BTreeMap<MemberId, Agreement>,
     pub changes: Vec<(MemberId, View)>,
-    /// By time of arrival and order of sending.
+    /// Keyed by time of arrival and order of sending.
     in_flight: BTreeMap<(u64, u64), (MemberId, MemberId, Message)>,
     sent: u64,
-    fate: Fate,
-    cuts: Vec<(MemberId, MemberId)>,
+    delivery: Delivery,
+    partitions: Vec<(MemberId, MemberId)>,
 }
 
 impl Network {
@@ -29,12 +30,12 @@
             changes: Vec::new(),
             in_flight: BTreeMap::new(),
             sent: 0,
-            fate: Box::new(|_| vec![1]),
-            cuts: Vec::new(),
+            delivery: Box::new(|_| vec![1]),
+            partitions: Vec::new(),
         }
     }
 
-    /// Adds a running member; it greets all others and they greet it.
+    /// Adds a running member; it and all others exchange `Hello` messages.
     pub fn add(&mut self, me: MemberId, agreement: Agreement) {
         let hello = agreement.hello();
         let greetings: Vec<_> = self.nodes.iter().map(|(other, node)| (*other, node.hello())).collect();
@@ -45,13 +46,13 @@
         self.nodes.insert(me, agreement);
     }
 
-    /// Sets what happens to messages from now on.
-    pub fn set_fate(&mut self, fate: Fate) {
-        self.fate = fate;
+    /// Sets how messages are delivered from now on.
+    pub fn set_delivery(&mut self, delivery: Delivery) {
+        self.delivery = delivery;
     }
 
     fn send(&mut self, from: MemberId, to: MemberId, message: Message) {
-        for delay in (self.fate)(&message) {
+        for delay in (self.delivery)(&message) {
             self.sent += 1;
             self.in_flight.insert((self.now + delay, self.sent), (from, to, message.clone()));
         }
@@ -61,13 +62,13 @@
         self.nodes.remove(&member);
     }
 
-    /// Cuts the direction from `from` to `to`.
-    pub fn cut(&mut self, from: MemberId, to: MemberId) {
-        self.cuts.push((from, to));
+    /// Blocks messages from `from` to `to`.
+    pub fn partition(&mut self, from: MemberId, to: MemberId) {
+        self.partitions.push((from, to));
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.partitions.clear();
     }
 
     pub fn epoch(&self, member: MemberId) -> u64 {
@@ -78,7 +79,7 @@
         self.nodes[&member].view().cloned().expect("no view")
     }
 
-    /// Calls `input` on a member and carries out what it asks for.
+    /// Calls `input` on a member and executes its outputs.
     pub fn drive(&mut self, me: MemberId, input: impl FnOnce(&mut Agreement, u64, &mut Vec<Output>)) {
         let now = self.now;
         let Some(agreement) = self.nodes.get_mut(&me) else { return };
@@ -100,7 +101,7 @@
             self.now += 1;
             while let Some(entry) = self.in_flight.first_entry().filter(|entry| entry.key().0 <= self.now) {
                 let (from, to, message) = entry.remove();
-                if !self.cuts.contains(&(from, to)) {
+                if !self.partitions.contains(&(from, to)) {
                     self.drive(to, |agreement, now, outputs| {
                         agreement.message_received(now, from, message, outputs);
                     });
--- a/crates/consensus/tests/support/simulation.rs
+++ b/crates/consensus/tests/support/simulation.rs
@@ -1,5 +1,5 @@
 //! Seeded simulation in virtual time: agreements with a small model of the replicated chain on top, under loss,
-//! doubling, reordering, cuts, freezes, restarts, losses of power and of disks.
+//! duplication and reordering of messages, partitions, freezes, restarts, losses of power and of disks.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -17,27 +17,27 @@
 mod faults;
 mod trace;
 
-/// Time between two looks of a host at its chain.
+/// Time between two steps of a host, in milliseconds.
 const HOST_INTERVAL: u64 = 50;
 
-/// What may happen in a run.
+/// The parameters of a run. Times are milliseconds of virtual time.
 #[derive(Clone, Copy, Debug)]
 pub struct Plan {
     pub machines: u8,
     pub seeds: u8,
-    /// Faults happen until this time.
-    pub storm_ends_at: u64,
-    /// Then everything is well until this time.
+    /// Faults are injected until this time.
+    pub faults_end_at: u64,
+    /// End of the run; no fault occurs between `faults_end_at` and this time.
     pub ends_at: u64,
     /// Mean time between faults.
     pub fault_interval: u64,
-    /// Share of the messages that get lost during the storm.
+    /// Fraction of the messages that are lost while faults are injected.
     pub loss: f64,
-    /// Longest delay of a message during the storm.
+    /// Longest delay of a message while faults are injected.
     pub delay: u64,
 }
 
-/// What a run has seen, for checks that the faults did happen.
+/// Counts of the events of a run, to check that the faults did occur.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
     pub views: u64,
@@ -56,12 +56,12 @@
     Start { machine: usize },
     Thaw { machine: usize },
     Fault,
-    Calm,
+    FaultsEnd,
 }
 
 struct Machine {
     me: MemberId,
-    /// Number of the process at this machine.
+    /// Number of the current process on this machine; changes with each start and stop.
     start: u32,
     agreement: Option<Agreement>,
     bootstrap: bool,
@@ -70,7 +70,7 @@
     frozen: bool,
     inbox: Vec<(MemberId, Message)>,
     known: BTreeMap<u8, MemberId>,
-    /// The chain's view: durable and told by `ViewChanged`.
+    /// The view that the chain uses: durable and reported by `ViewChanged`.
     view: Option<View>,
     synced_in: u64,
     log: Vec<u32>,
@@ -87,13 +87,13 @@
     events: Vec<Option<Event>>,
     free: Vec<usize>,
     machines: Vec<Machine>,
-    cuts: Vec<(usize, usize)>,
-    calm: bool,
+    partitions: Vec<(usize, usize)>,
+    faults_ended: bool,
     decided: BTreeMap<u64, (View, u64)>,
     /// Epoch in which each entry was acknowledged.
     acknowledged: Vec<u64>,
     pub summary: Summary,
-    /// Of all outputs, if they are recorded.
+    /// Trace of all outputs, if they are recorded.
     trace: Option<Trace>,
 }
 
@@ -124,8 +124,8 @@
             events: Vec::new(),
             free: Vec::new(),
             machines: machines.collect(),
-            cuts: Vec::new(),
-            calm: false,
+            partitions: Vec::new(),
+            faults_ended: false,
             decided: BTreeMap::new(),
             acknowledged: Vec::new(),
             summary: Summary::default(),
@@ -133,16 +133,16 @@
         };
         for machine in 0..simulation.machines.len() {
             let late = machine >= usize::from(plan.seeds);
-            let latest = if late { plan.storm_ends_at / 2 } else { 300 };
+            let latest = if late { plan.faults_end_at / 2 } else { 300 };
             let at = simulation.random.random_range(1..latest);
             simulation.schedule(at, Event::Start { machine });
         }
         simulation.schedule(plan.fault_interval, Event::Fault);
-        simulation.schedule(plan.storm_ends_at, Event::Calm);
+        simulation.schedule(plan.faults_end_at, Event::FaultsEnd);
         simulation
     }
 
-    /// Runs to the end and checks that the calm system has come together.
+    /// Runs to the end and checks that all machines have reached the same view after the faults.
     pub fn run(&mut self) {
         while let Some(Reverse((at, _, slot))) = self.queue.pop() {
             if at > self.plan.ends_at {
@@ -184,7 +184,7 @@
             Event::Start { machine } => self.start(machine),
             Event::Thaw { machine } => self.thaw(machine),
             Event::Fault => self.fault(),
-            Event::Calm => self.end_storm(),
+            Event::FaultsEnd => self.end_faults(),
         }
     }
 
@@ -204,7 +204,7 @@
         self.drive(machine, Agreement::tick);
     }
 
-    /// Ends the process at a machine. Writes that aren't durable get lost.
+    /// Ends the process on a machine. Writes that aren't durable are lost.
     fn stop(&mut self, machine: usize) {
         let node = &mut self.machines[machine];
         node.agreement = None;
@@ -217,7 +217,7 @@
     fn deliver(&mut self, from: MemberId, to: MemberId, message: Message) {
         let Some(machine) = self.machines.iter().position(|node| node.me == to) else { return };
         let sender = self.machines.iter().position(|node| node.me.address == from.address).expect("machine");
-        if self.cuts.contains(&(sender, machine)) || self.machines[machine].agreement.is_none() {
+        if self.partitions.contains(&(sender, machine)) || self.machines[machine].agreement.is_none() {
             return;
         }
         if self.machines[machine].frozen {
@@ -240,7 +240,7 @@
             node.disk = node.writes.pop_front().map(|(_, state)| state);
         }
         if node.frozen {
-            // The disk has finished; the process is told after the thaw.
+            // The disk has finished; the process is notified after the thaw.
             self.schedule(self.now + 100, Event::WriteDone { machine, start, write_number });
             return;
         }
@@ -263,16 +263,16 @@
         }
         self.check_confirmation(machine);
         for output in outputs {
-            self.carry_out(machine, output);
+            self.execute(machine, output);
         }
     }
 
-    fn carry_out(&mut self, machine: usize, output: Output) {
+    fn execute(&mut self, machine: usize, output: Output) {
         self.record(machine, &output);
         match output {
             Output::Send { to, message } => self.send(machine, to, message),
             Output::Persist { write_number, state } => {
-                let hangs = !self.calm && self.random.random_bool(0.005);
+                let hangs = !self.faults_ended && self.random.random_bool(0.005);
                 let delay = if hangs { 3_000 } else { self.random.random_range(1..15) };
                 let start = self.machines[machine].start;
                 self.machines[machine].writes.push_back((write_number, state));
@@ -280,7 +280,7 @@
             }
             Output::ViewChanged(view) => {
                 let durable = self.machines[machine].disk.as_ref().map_or(0, DurableState::epoch);
-                assert!(durable >= view.epoch, "{}: view told before it was durable", self.context());
+                assert!(durable >= view.epoch, "{}: view reported before it was durable", self.context());
                 self.machines[machine].view = Some(view);
             }
         }
@@ -288,7 +288,7 @@
 
     fn send(&mut self, machine: usize, to: MemberId, message: Message) {
         let from = self.machines[machine].me;
-        let copies = if self.calm {
+        let copies = if self.faults_ended {
             1
         } else if self.random.random_bool(self.plan.loss) {
             0
@@ -296,8 +296,8 @@
             1 + usize::from(self.random.random_bool(0.05))
         };
         for _ in 0..copies {
-            let longest = if self.calm { 5 } else { self.plan.delay };
-            let straggles = !self.calm && self.random.random_bool(0.01);
+            let longest = if self.faults_ended { 5 } else { self.plan.delay };
+            let straggles = !self.faults_ended && self.random.random_bool(0.01);
             let delay = if straggles {
                 self.random.random_range(1..5_000)
             } else {
@@ -307,7 +307,7 @@
         }
     }
 
-    /// The host's part: greetings, learners, and the model of the chain.
+    /// One step of the host: sends `Hello`s, updates the learners, and advances the model of the chain.
     fn host(&mut self, machine: usize, start: u32) {
         if self.machines[machine].start != start || self.machines[machine].agreement.is_none() {
             return;
@@ -317,7 +317,7 @@
             return;
         }
         if self.now.is_multiple_of(10) || self.machines[machine].known.len() + 1 < self.machines.len() {
-            self.greet(machine);
+            self.send_hellos(machine);
         }
         let node = &mut self.machines[machine];
         let in_chain = |member: &MemberId| node.view.as_ref().is_some_and(|view| view.in_chain(*member));
@@ -330,7 +330,7 @@
         self.acknowledge(machine);
     }
 
-    fn greet(&mut self, machine: usize) {
+    fn send_hellos(&mut self, machine: usize) {
         let Some(hello) = self.machines[machine].agreement.as_ref().map(Agreement::hello) else { return };
         for other in 0..self.machines.len() {
             if other != machine && self.machines[other].agreement.is_some() {
--- a/crates/consensus/tests/support/simulation/chain.rs
+++ b/crates/consensus/tests/support/simulation/chain.rs
@@ -1,4 +1,4 @@
-//! The model of the replicated chain: who is in sync, and what is acknowledged.
+//! The model of the replicated chain: which machines are in sync, and which entries are acknowledged.
 
 use orchidvalve_consensus::View;
 use orchidvalve_protocol::identity::MemberId;
@@ -7,7 +7,7 @@
 use super::{Machine, Simulation};
 
 impl Simulation {
-    /// A member of the chain takes over what its predecessor holds in this epoch, a learner what the tail holds.
+    /// A member of the chain copies what its predecessor holds in this epoch, a learner copies what the tail holds.
     pub(super) fn synchronise(&mut self, machine: usize) {
         let Some(view) = self.machines[machine].view.clone() else { return };
         let me = self.machines[machine].me;
@@ -16,16 +16,16 @@
         }
         if self.machines[machine].synced_in == view.epoch {
             if self.random.random_bool(0.05) {
-                self.tell_ready(machine, &view);
+                self.report_caught_up(machine, &view);
             }
             return;
         }
-        let place = view.chain.iter().position(|entry| *entry == me);
-        if place == Some(0) {
+        let position = view.chain.iter().position(|entry| *entry == me);
+        if position == Some(0) {
             let complete = self.holds_acknowledged(&self.machines[machine], view.epoch);
             assert!(complete, "{}: the head of {view:?} lacks acknowledged entries", self.context());
         } else {
-            let source = place.map_or(view.chain.len(), |place| place) - 1;
+            let source = position.map_or(view.chain.len(), |position| position) - 1;
             let Some(log) = self.synced_log(view.chain[source], machine, view.epoch) else { return };
             if self.random.random_bool(0.5) {
                 return;
@@ -33,19 +33,20 @@
             self.machines[machine].log = log;
         }
         self.machines[machine].synced_in = view.epoch;
-        self.tell_ready(machine, &view);
+        self.report_caught_up(machine, &view);
     }
 
-    /// A member of the chain knows itself that it is in sync; of a learner either it or the tail knows.
-    pub(super) fn tell_ready(&mut self, machine: usize, view: &View) {
+    /// Reports that a machine is in sync: a member of the chain reports itself, a learner is reported by itself or by
+    /// the tail.
+    pub(super) fn report_caught_up(&mut self, machine: usize, view: &View) {
         let me = self.machines[machine].me;
         let by_tail = !view.in_chain(me) && self.random.random_bool(0.5);
         let tail = self.machines.iter().position(|node| Some(node.me) == view.tail() && node.is_running());
-        let teller = if by_tail { tail.unwrap_or(machine) } else { machine };
-        self.drive(teller, |agreement, _, outputs| agreement.member_caught_up(me, view.epoch, outputs));
+        let reporter = if by_tail { tail.unwrap_or(machine) } else { machine };
+        self.drive(reporter, |agreement, _, outputs| agreement.member_caught_up(me, view.epoch, outputs));
     }
 
-    /// True if a machine holds every entry that was acknowledged up to `epoch`.
+    /// Returns true if a machine holds every entry that was acknowledged up to `epoch`.
     pub(super) fn holds_acknowledged(&self, node: &Machine, epoch: u64) -> bool {
         let mut entries = self.acknowledged.iter().enumerate();
         entries.all(|(entry, acknowledged_in)| {
@@ -57,10 +58,10 @@
         let index = self.machines.iter().position(|node| node.me == source)?;
         let node = &self.machines[index];
         let synced = node.is_running() && node.synced_in == epoch && node.chain_epoch() == epoch;
-        (synced && !self.cuts.contains(&(index, reader))).then(|| node.log.clone())
+        (synced && !self.partitions.contains(&(index, reader))).then(|| node.log.clone())
     }
 
-    /// The head acknowledges an entry if all members of the chain are synchronised in its epoch.
+    /// The head acknowledges an entry if all members of the chain are in sync in its epoch.
     pub(super) fn acknowledge(&mut self, machine: usize) {
         let Some(view) = self.machines[machine].view.clone() else { return };
         if view.head() != Some(self.machines[machine].me) || self.random.random_bool(0.5) {
--- a/crates/consensus/tests/support/simulation/checks.rs
+++ b/crates/consensus/tests/support/simulation/checks.rs
@@ -1,4 +1,4 @@
-//! What must hold at every step, and at the end of the calm.
+//! The invariants that must hold at every step, and those at the end of the run.
 
 use orchidvalve_consensus::View;
 use orchidvalve_consensus::quorum::majority;
@@ -29,7 +29,7 @@
         }
     }
 
-    /// No later view was known to anybody before the time that a majority has confirmed.
+    /// Checks that no machine knew a later view before the time that a majority has confirmed.
     pub(super) fn check_confirmation(&self, machine: usize) {
         let Some(agreement) = &self.machines[machine].agreement else { return };
         let (Some(confirmed_at), Some((_, decided_at))) =
@@ -50,7 +50,7 @@
             self.decided.last_key_value().unwrap_or_else(|| panic!("{}: no view", self.context()));
         let context = self.context();
         for node in &self.machines {
-            let agreement = node.agreement.as_ref().expect("all run when calm");
+            let agreement = node.agreement.as_ref().expect("all machines run after the faults");
             assert_eq!(agreement.epoch(), *epoch, "{context}: {} is behind", node.me);
             let confirmed_at = agreement.quorum_confirmed_at().unwrap_or(0);
             assert!(confirmed_at + 1_000 > self.now, "{context}: {} has no confirmation", node.me);
--- a/crates/consensus/tests/support/simulation/faults.rs
+++ b/crates/consensus/tests/support/simulation/faults.rs
@@ -1,4 +1,4 @@
-//! The faults of the storm, and its end.
+//! Injection of faults, and its end.
 
 use orchidvalve_consensus::Agreement;
 use orchidvalve_protocol::identity::MemberId;
@@ -8,7 +8,7 @@
 
 impl Simulation {
     pub(super) fn fault(&mut self) {
-        if self.calm {
+        if self.faults_ended {
             return;
         }
         let next = self.now + self.random.random_range(1..self.plan.fault_interval * 2);
@@ -16,8 +16,8 @@
         let machine = self.random.random_range(0..self.machines.len());
         let down = self.now + self.random.random_range(50..4_000);
         match self.random.random_range(0..10) {
-            0..3 => self.cut(),
-            3..5 => self.cuts.clear(),
+            0..3 => self.partition(),
+            3..5 => self.partitions.clear(),
             5..7 => self.freeze(machine, down),
             7 => self.wipe(machine, down),
             8 => {
@@ -38,12 +38,12 @@
         }
     }
 
-    pub(super) fn cut(&mut self) {
+    pub(super) fn partition(&mut self) {
         let from = self.random.random_range(0..self.machines.len());
         let to = self.random.random_range(0..self.machines.len());
-        self.cuts.push((from, to));
+        self.partitions.push((from, to));
         if self.random.random_bool(0.5) {
-            self.cuts.push((to, from));
+            self.partitions.push((to, from));
         }
     }
 
@@ -75,8 +75,8 @@
         }
     }
 
-    /// A machine loses its disk, if the others can bear it: a chain of three or more is complete and nothing is
-    /// under way, and all voters but this one have their disks.
+    /// A machine loses its disk if the others can tolerate that: a chain of three or more is complete, no write or
+    /// instance is pending, and all voters except this one have their disks.
     pub(super) fn wipe(&mut self, machine: usize, until: u64) {
         let Some((_, (view, _))) = self.decided.last_key_value() else { return };
         let has_disk = |voter: &MemberId| self.machines.iter().any(|node| node.me == *voter);
@@ -85,11 +85,11 @@
         let synced = |entry: &MemberId| {
             self.machines.iter().any(|node| node.me == *entry && node.synced_in == view.epoch)
         };
-        let bearable = view.chain.len() >= 3
+        let tolerable = view.chain.len() >= 3
             && view.voters.iter().all(has_disk)
             && self.machines.iter().all(idle)
             && view.chain.iter().all(synced);
-        if !bearable {
+        if !tolerable {
             return;
         }
         self.summary.wipes += 1;
@@ -104,9 +104,9 @@
         self.schedule(until, Event::Start { machine });
     }
 
-    pub(super) fn end_storm(&mut self) {
-        self.calm = true;
-        self.cuts.clear();
+    pub(super) fn end_faults(&mut self) {
+        self.faults_ended = true;
+        self.partitions.clear();
         for machine in 0..self.machines.len() {
             if self.machines[machine].frozen {
                 self.thaw(machine);
--- a/crates/consensus/tests/support/simulation/trace.rs
+++ b/crates/consensus/tests/support/simulation/trace.rs
@@ -8,7 +8,7 @@
 use super::Simulation;
 
 impl Simulation {
-    /// Runs to the end as `run` does; returns the hash of all outputs.
+    /// Runs to the end like `run`; returns the hash of all outputs.
     pub fn run_traced(&mut self) -> u64 {
         self.trace = Some(Trace::new());
         self.run();
--- a/crates/consensus/tests/support/site.rs
+++ b/crates/consensus/tests/support/site.rs
@@ -1,5 +1,5 @@
-//! Machines with a host each, in virtual time: every host knows all running machines, and its machine holds
-//! everything that was acknowledged a while after its start.
+//! Machines with one host each, in virtual time. Every host knows all running machines, and its machine has copied
+//! every acknowledged entry a fixed time after its start.
 
 use std::collections::BTreeMap;
 
@@ -9,21 +9,21 @@
 use super::network::Network;
 use super::{addresses, member, started};
 
-/// Time between two looks of a host, in milliseconds.
+/// Time between two steps of a host, in milliseconds.
 const HOST_INTERVAL: u64 = 50;
 
 pub struct Site {
     pub network: Network,
     pub timing: Timing,
     seeds: u8,
-    /// How long a machine copies the journal after a start without its disk, in milliseconds.
+    /// How long a machine that starts with an empty disk takes to copy the log, in milliseconds.
     copy_time: u64,
-    /// When each running machine has its copy.
+    /// Time at which each running machine has copied the log.
     copied_at: BTreeMap<MemberId, u64>,
 }
 
 impl Site {
-    /// Machines 1 to `machines` with empty disks, all of them seeds, run until the first view has settled.
+    /// Starts machines 1 to `machines` with empty disks, all of them seeds, and runs until the first view is settled.
     pub fn start(machines: u8, timing: Timing) -> Site {
         let mut site = Site::empty(machines, timing);
         for machine in 1..=machines {
@@ -33,12 +33,12 @@
         site
     }
 
-    /// No machine runs yet; machines 1 to `seeds` are the seeds.
+    /// Creates a site without running machines; machines 1 to `seeds` are the seeds.
     pub fn empty(seeds: u8, timing: Timing) -> Site {
         Site { network: Network::new(), timing, seeds, copy_time: 0, copied_at: BTreeMap::new() }
     }
 
-    /// Starts a machine with an empty disk as one of those that a new system begins with.
+    /// Starts a machine with an empty disk and `bootstrap=true`, as one of those that begin a new system.
     pub fn add_first(&mut self, me: MemberId) {
         self.add(me, true);
     }
@@ -63,7 +63,7 @@
         self.copied_at.remove(&me);
     }
 
-    /// The process of a machine starts again with the view that it knows, before anybody takes it for dead.
+    /// Restarts the process of a machine with the view that it knows, before another member counts it as dead.
     pub fn restart(&mut self, me: MemberId) {
         let view = self.network.view(me);
         self.network.remove(me);
@@ -71,12 +71,12 @@
         self.network.add(me, agreement);
     }
 
-    /// Cuts a machine off from all others, both ways.
+    /// Partitions a machine from all others, in both directions.
     pub fn isolate(&mut self, me: MemberId) {
         let others: Vec<MemberId> = self.copied_at.keys().copied().filter(|other| *other != me).collect();
         for other in others {
-            self.network.cut(me, other);
-            self.network.cut(other, me);
+            self.network.partition(me, other);
+            self.network.partition(other, me);
         }
     }
 
@@ -84,12 +84,12 @@
         self.network.nodes.get_mut(&me).expect("runs")
     }
 
-    /// The latest view that a running machine knows.
+    /// Returns the latest view that a running machine knows.
     pub fn view(&self) -> View {
         self.network.nodes.values().filter_map(Agreement::view).max().expect("a view").clone()
     }
 
-    /// Views in the order in which they became known.
+    /// Returns the views ordered by epoch.
     pub fn views(&self) -> Vec<View> {
         let views: BTreeMap<u64, &View> =
             self.network.changes.iter().map(|(_, view)| (view.epoch, view)).collect();
@@ -99,12 +99,12 @@
     pub fn run(&mut self, duration: u64) {
         let end = self.network.now + duration;
         while self.network.now < end {
-            self.look();
+            self.run_hosts();
             self.network.run(HOST_INTERVAL);
         }
     }
 
-    /// Runs until `done`; returns the time that took. Fails after `limit` milliseconds.
+    /// Runs until `done`; returns the time it took. Fails after `limit` milliseconds.
     pub fn run_until(&mut self, limit: u64, done: impl Fn(&Site) -> bool) -> u64 {
         let start = self.network.now;
         while !done(self) {
@@ -115,7 +115,7 @@
         self.network.now - start
     }
 
-    fn look(&mut self) {
+    fn run_hosts(&mut self) {
         let running: Vec<(MemberId, u64)> = self.copied_at.iter().map(|(me, at)| (*me, *at)).collect();
         for (me, copied_at) in &running {
             let is_copied = *copied_at <= self.network.now;
