--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -67,8 +67,8 @@
         platform: settings.cloud_api.address,
         lease_ms: settings.bounds.lease_ms,
         catch_up_ms: (settings.bounds.catch_up_s * 1_000.0) as u64,
-        duties: settings.cloud_api.duties.clone(),
-        duty_per_s: settings.cloud_api.duty_per_s,
+        duties: settings.cloud_api.platform_roles.clone(),
+        duty_per_s: settings.cloud_api.platform_calls_per_second,
         usage_window_ms: usage_window_ms(settings),
         usage_late_ms: (settings.bounds.usage_late_s * 1_000.0) as u64,
     })
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -161,11 +161,11 @@
     /// Requests a second that all processes together may make.
     pub rate_per_s: f64,
     /// What the system may do through it (`duties`).
-    pub duties: Vec<String>,
+    pub platform_roles: Vec<String>,
     /// How long it may take until a change shows in its answers, in milliseconds.
     pub lag_ms: u64,
     /// Calls of singleton duties a second that all processes together may make.
-    pub duty_per_s: f64,
+    pub platform_calls_per_second: f64,
 }
 
 /// Ports from the first to the last one.
@@ -346,8 +346,8 @@
     Ok(CloudApi {
         address: lines.optional("cloud-api.address", ADDRESS)?,
         rate_per_s: lines.or("cloud-api.rate-per-s", "a number", 10.0)?,
-        duties: lines.list("cloud-api.duties", "names")?,
+        platform_roles: lines.list("cloud-api.duties", "names")?,
         lag_ms: lines.milliseconds("cloud-api.lag-ms", 1_000)?,
-        duty_per_s: lines.positive("cloud-api.duty-per-s", 10.0)?,
+        platform_calls_per_second: lines.positive("cloud-api.duty-per-s", 10.0)?,
     })
 }
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -160,9 +160,9 @@
     add("bounds.usage-late-s", float(bounds.usage_late_s));
     add("cloud-api.address", address(settings.cloud_api.address));
     add("cloud-api.rate-per-s", float(settings.cloud_api.rate_per_s));
-    add("cloud-api.duties", list(&settings.cloud_api.duties));
+    add("cloud-api.duties", list(&settings.cloud_api.platform_roles));
     add("cloud-api.lag-ms", whole(settings.cloud_api.lag_ms));
-    add("cloud-api.duty-per-s", float(settings.cloud_api.duty_per_s));
+    add("cloud-api.duty-per-s", float(settings.cloud_api.platform_calls_per_second));
     samples
 }
 
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -114,7 +114,7 @@
     assert_eq!(settings.fault_tolerance, FaultTolerance { machines: 1, zones: 0, regions: 0 });
     assert_eq!(settings.cloud_api.address.unwrap().to_string(), "10.200.0.4:8142");
     assert_eq!((settings.cloud_api.rate_per_s, settings.cloud_api.lag_ms), (40.0, 800));
-    assert!(settings.cloud_api.duties.is_empty());
+    assert!(settings.cloud_api.platform_roles.is_empty());
 }
 
 #[test]
