--- a/crates/aggregator-settings/src/error.rs
+++ b/crates/aggregator-settings/src/error.rs
@@ -1,39 +1,39 @@
-//! What is wrong with a setting.
+//! Errors in settings.
 
 use derive_more::{Display, Error};
 use serde_json::Value;
 
-/// A setting that cannot be used. Its text names the key in full and says what the key should be.
+/// A setting that cannot be used. The text names the full path of the key and the expected value.
 #[derive(Clone, Debug, PartialEq, Display, Error)]
 #[display("{key}: {problem}")]
 pub struct SettingsError {
-    /// The path of the key, such as `settings.classes[0].effect`.
+    /// Path of the key, such as `settings.classes[0].effect`.
     pub key: String,
-    /// What is wrong there.
+    /// Why the value cannot be used.
     pub problem: Problem,
 }
 
-/// What is wrong with the value of a setting.
+/// Why the value of a setting cannot be used.
 #[derive(Clone, Debug, PartialEq, Display)]
 pub enum Problem {
-    /// A key that is needed is absent.
+    /// A required key is missing.
     #[display("missing")]
     Missing,
-    /// A value of another form than expected.
+    /// The value has the wrong type or range.
     #[display("should be {expected}, not {found}")]
     Unexpected {
-        /// The form that it should have.
+        /// The expected type or range.
         expected: &'static str,
-        /// What stands there.
+        /// The value found.
         found: Value,
     },
-    /// A value of the right form that cannot be used, in words.
+    /// The value has the right type but cannot be used, for the given reason.
     #[display("{_0}")]
     Unusable(String),
 }
 
 impl From<SettingsError> for String {
-    /// The text of the error, for callers that report texts.
+    /// Returns the text of the error, for callers that report texts.
     fn from(error: SettingsError) -> String {
         error.to_string()
     }
--- a/crates/aggregator-settings/src/lib.rs
+++ b/crates/aggregator-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings of an aggregator: reads and checks them once, before the first query. The simulator's adapter and the front
-//! node both get them as the same JSON object.
+//! Settings of an aggregator, read and validated once before the first query. The simulator adapter and the front node
+//! both receive them as the same JSON object.
 //!
 //! ```
 //! use orchidvalve_aggregator_settings::{Section, read};
@@ -19,11 +19,11 @@
 pub use error::{Problem, SettingsError};
 pub use section::{Fields, Section};
 
-/// The settings of an aggregator.
+/// Reads the settings of an aggregator.
 ///
 /// # Errors
 ///
-/// If a key that is needed is absent, or the value of one can't be used.
+/// If a required key is missing, or a value cannot be used.
 pub fn read(settings: &Section) -> Result<AggregatorSettings, SettingsError> {
     let (extra, limits, rules) =
         (settings.section("extra")?, settings.section("limits")?, settings.section("rules")?);
--- a/crates/aggregator-settings/src/section.rs
+++ b/crates/aggregator-settings/src/section.rs
@@ -1,5 +1,4 @@
-//! Reading of single fields of an object. A field that is absent or of another type is an error that names its full
-//! path.
+//! Typed access to the fields of a JSON object. Errors name the full path of the field.
 
 use std::borrow::Cow;
 
@@ -10,25 +9,25 @@
 /// The fields of an object.
 pub type Fields = Map<String, Value>;
 
-/// An object and the path that leads to it.
+/// A JSON object with its path in the document.
 #[derive(Clone, Debug)]
 pub struct Section<'a> {
     path: Cow<'a, str>,
-    /// None where a section that may be left out is.
+    /// `None` for an optional section that is absent.
     fields: Option<&'a Fields>,
 }
 
 impl<'a> Section<'a> {
-    /// The section of these fields.
+    /// Returns the section for the given fields.
     pub fn new(path: impl Into<Cow<'a, str>>, fields: &'a Fields) -> Self {
         Section { path: path.into(), fields: Some(fields) }
     }
 
-    /// The section of an object.
+    /// Returns the section for a JSON object.
     ///
     /// # Errors
     ///
-    /// If the value isn't an object.
+    /// If the value is not an object.
     pub fn of(path: impl Into<Cow<'a, str>>, value: &'a Value) -> Result<Self, SettingsError> {
         let path = path.into();
         match value.as_object() {
@@ -40,22 +39,22 @@
         }
     }
 
-    /// The value of a field, of whatever type.
+    /// Returns the value of a field, of any type.
     pub fn get(&self, name: &str) -> Option<&'a Value> {
         self.fields.and_then(|fields| fields.get(name))
     }
 
-    /// Whether the field is there.
+    /// Whether the field is present.
     pub fn has(&self, name: &str) -> bool {
         self.get(name).is_some()
     }
 
-    /// An error about a field of this section.
+    /// Returns an error for a field of this section.
     pub fn error(&self, name: &str, problem: impl Into<String>) -> SettingsError {
         SettingsError { key: self.path_of(name), problem: Problem::Unusable(problem.into()) }
     }
 
-    /// The error that a field is absent.
+    /// Returns the error for a missing field.
     pub fn missing(&self, name: &str) -> SettingsError {
         SettingsError { key: self.path_of(name), problem: Problem::Missing }
     }
@@ -73,16 +72,16 @@
         })
     }
 
-    /// A text.
+    /// Reads a string.
     ///
     /// # Errors
     ///
-    /// If the field is absent or of another type; so for all that read one field.
+    /// If the field is missing or has another type. The same holds for the other methods that read one field.
     pub fn text(&self, name: &str) -> Result<&'a str, SettingsError> {
         self.field(name, "text", Value::as_str)
     }
 
-    /// A whole number.
+    /// Reads an integer.
     ///
     /// # Errors
     ///
@@ -91,7 +90,7 @@
         self.field(name, "a whole number", Value::as_i64)
     }
 
-    /// A length of time in nanoseconds, 0 or more.
+    /// Reads a duration in nanoseconds, 0 or more.
     ///
     /// # Errors
     ///
@@ -101,7 +100,7 @@
         self.field(name, expected, |value| value.as_i64().filter(|&number| number >= 0))
     }
 
-    /// A share, a multiple or a rate: 0 or more.
+    /// Reads a fraction, multiple or rate: a number of 0 or more.
     ///
     /// # Errors
     ///
@@ -110,7 +109,7 @@
         self.field(name, "a number, 0 or more", |value| value.as_f64().filter(|&number| number >= 0.0))
     }
 
-    /// A count or an index.
+    /// Reads a count or an index.
     ///
     /// # Errors
     ///
@@ -119,7 +118,7 @@
         self.field(name, "an index", |value| value.as_u64().and_then(|number| usize::try_from(number).ok()))
     }
 
-    /// A number.
+    /// Reads a number.
     ///
     /// # Errors
     ///
@@ -128,7 +127,7 @@
         self.field(name, "a number", Value::as_f64)
     }
 
-    /// True or false.
+    /// Reads a Boolean.
     ///
     /// # Errors
     ///
@@ -137,11 +136,11 @@
         self.field(name, "true or false", Value::as_bool)
     }
 
-    /// A field that may be left out, with its value where it is.
+    /// Reads an optional field. Returns `default` if it is absent.
     ///
     /// # Errors
     ///
-    /// Those of `read`.
+    /// The errors of `read`.
     pub fn or<T>(
         &self,
         name: &str,
@@ -151,11 +150,11 @@
         if self.has(name) { read(self, name) } else { Ok(default) }
     }
 
-    /// A section inside this one; one that is absent reads as empty.
+    /// Returns a nested section. An absent one reads as empty.
     ///
     /// # Errors
     ///
-    /// If the field isn't an object.
+    /// If the field is not an object.
     pub fn section(&self, name: &str) -> Result<Section<'a>, SettingsError> {
         let path = self.path_of(name);
         match self.get(name) {
@@ -164,11 +163,11 @@
         }
     }
 
-    /// The objects of a list, where there is one.
+    /// Returns the objects of a list, or `None` if the field is absent.
     ///
     /// # Errors
     ///
-    /// If the field isn't a list of objects.
+    /// If the field is not a list of objects.
     pub fn list(&self, name: &str) -> Result<Option<Vec<Section<'a>>>, SettingsError> {
         if !self.has(name) {
             return Ok(None);
@@ -180,11 +179,11 @@
         sections.collect::<Result<_, _>>().map(Some)
     }
 
-    /// The texts of a list that may be left out.
+    /// Returns the strings of an optional list.
     ///
     /// # Errors
     ///
-    /// If the field isn't a list of texts.
+    /// If the field is not a list of strings.
     pub fn texts(&self, name: &str) -> Result<Vec<&'a str>, SettingsError> {
         let read = |value: &'a Value| value.as_array()?.iter().map(Value::as_str).collect();
         if self.has(name) { self.field(name, "a list of texts", read) } else { Ok(Vec::new()) }
--- a/crates/aggregator-settings/tests/golden_settings.rs
+++ b/crates/aggregator-settings/tests/golden_settings.rs
@@ -1,5 +1,5 @@
-//! What the reader of the settings makes of fixed documents, and the text of each fault, as recorded before names in
-//! the code changed. A fault names its key in full.
+//! The settings read from fixed documents, and the text of each error, compared with recorded ones. An error names the
+//! full path of its key.
 
 use std::path::PathBuf;
 
@@ -12,7 +12,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Every key that the reader knows.
+/// A document with every key.
 fn full() -> Value {
     json!({
         "balancers": 3,
@@ -36,38 +36,38 @@
     })
 }
 
-/// The least that is accepted.
-fn least() -> Value {
+/// The smallest document that is accepted.
+fn minimal() -> Value {
     json!({"classes": [{"objectiveNs": 1, "deadlineNs": 2, "effect": "pure"}], "extra": {"positions": 2, "reach": 1}})
 }
 
 fn read_text(settings: &Value) -> Result<AggregatorSettings, String> {
-    Section::of("settings", settings).and_then(|settings| read(&settings)).map_err(|fault| fault.to_string())
+    Section::of("settings", settings).and_then(|settings| read(&settings)).map_err(|error| error.to_string())
 }
 
-/// The settings that were read, in words of this test.
-fn in_words(settings: &Value) -> String {
+/// Formats the settings for the golden file.
+fn format_settings(settings: &Value) -> String {
     let read = read_text(settings).unwrap();
     let mut words = Vec::new();
-    for grade in &read.classes {
-        let effect = match grade.idempotence {
+    for class in &read.classes {
+        let effect = match class.idempotence {
             Idempotence::Idempotent => "pure".to_owned(),
             Idempotence::Deduplicated(window) => format!("receipted within {window}"),
             Idempotence::NotIdempotent => "effectful".to_owned(),
         };
         words.push(format!(
             "class {} {} {} {} {effect} {} {} {} {}",
-            grade.latency_target,
-            grade.latency_target_stretch,
-            grade.deadline,
-            grade.late_value,
-            grade.min_completeness,
-            grade.full_completeness,
-            grade.partial_value,
-            grade.second_step_requests
+            class.latency_target,
+            class.latency_target_stretch,
+            class.deadline,
+            class.late_value,
+            class.min_completeness,
+            class.full_completeness,
+            class.partial_value,
+            class.second_step_requests
         ));
     }
-    let ration =
+    let retry_budget =
         read.retry_budget.map(|r| format!("{} {} {}", r.reserve, r.ratio, r.window)).unwrap_or_default();
     words.push(format!("tenants {:?}", read.tenant_rates));
     words.push(format!("nodes {} cells {} reach {}", read.front_nodes, read.cells, read.cells_per_shard));
@@ -75,18 +75,21 @@
     words.push(format!("may {} {} {}", read.may_cancel, read.may_hedge, read.may_check_health));
     words.push(format!("load {} retry after {}", read.queues_reported, read.max_retry_after));
     words.push(format!("list {} {}", read.membership_on_request, read.membership_request_interval));
-    words.push(format!("budget {ration}"));
-    let cold = read.slow_start;
+    words.push(format!("budget {retry_budget}"));
+    let slow_start = read.slow_start;
     words.push(format!(
         "cold {} {} {} {}",
-        cold.initial_share, cold.duration, cold.overload_multiple, cold.overload_window
+        slow_start.initial_share,
+        slow_start.duration,
+        slow_start.overload_multiple,
+        slow_start.overload_window
     ));
     words.push(format!("tick {}", read.tick));
     words.join("; ")
 }
 
 #[test]
-fn settings_are_read_as_recorded() {
+fn settings_match_the_recorded_ones() {
     let mut other = full();
     other["limits"]["retryAfter"] = json!(false);
     other["feedback"]["names"] = json!(["waiting"]);
@@ -95,16 +98,19 @@
     other["balancers"] = json!(0);
     other["resolutionNs"] = json!(0);
     other["extra"]["bundleMax"] = json!(0);
-    let samples =
-        [("every-key", in_words(&full())), ("least", in_words(&least())), ("other-values", in_words(&other))];
+    let samples = [
+        ("every-key", format_settings(&full())),
+        ("least", format_settings(&minimal())),
+        ("other-values", format_settings(&other)),
+    ];
     check_samples(&golden("settings.txt"), &samples);
 }
 
-/// Each key of a document in turn: left out, and of every other type, below 0 and 0.
+/// Each key of a document in turn is left out and replaced by values of other types, a negative value and 0.
 #[test]
-fn faults_name_their_key_as_recorded() {
+fn errors_match_the_recorded_ones() {
     let mut samples = Vec::new();
-    let mut note = |name: String, settings: &Value| {
+    let mut add_sample = |name: String, settings: &Value| {
         let text = match read_text(settings) {
             Ok(_) => "accepted".to_owned(),
             Err(text) => text,
@@ -112,41 +118,41 @@
         samples.push((name, text));
     };
     for bad in [json!(null), json!(3), json!("text"), json!([])] {
-        note(format!("all={bad}"), &bad);
+        add_sample(format!("all={bad}"), &bad);
     }
     let mut pointers = Vec::new();
     pointers_of(&full(), String::new(), &mut pointers);
     for pointer in pointers {
         let mut left_out = full();
         if remove(&mut left_out, &pointer) {
-            note(format!("{pointer}=left-out"), &left_out);
+            add_sample(format!("{pointer}=left-out"), &left_out);
         }
         for bad in
             [json!(null), json!("text"), json!(-1), json!(0), json!(0.5), json!(true), json!([]), json!({})]
         {
             let mut settings = full();
             *settings.pointer_mut(&pointer).unwrap() = bad.clone();
-            note(format!("{pointer}={bad}"), &settings);
+            add_sample(format!("{pointer}={bad}"), &settings);
         }
     }
     check_samples(&golden("settings_faults.txt"), &samples);
 }
 
-/// Paths to all values of a document, in the order of its keys.
-fn pointers_of(value: &Value, at: String, pointers: &mut Vec<String>) {
+/// Collects the paths to all values of a document, in alphabetical order of the keys.
+fn pointers_of(value: &Value, path: String, pointers: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
             let mut keys: Vec<&String> = fields.keys().collect();
             keys.sort();
             for key in keys {
-                let pointer = format!("{at}/{key}");
+                let pointer = format!("{path}/{key}");
                 pointers.push(pointer.clone());
                 pointers_of(&fields[key], pointer, pointers);
             }
         }
         Value::Array(items) => {
-            for (place, item) in items.iter().enumerate() {
-                let pointer = format!("{at}/{place}");
+            for (position, item) in items.iter().enumerate() {
+                let pointer = format!("{path}/{position}");
                 pointers.push(pointer.clone());
                 pointers_of(item, pointer, pointers);
             }
@@ -155,18 +161,18 @@
     }
 }
 
-/// False where the value is an item of a list.
+/// Removes the value of an object key. Returns false if the value is an item of a list instead.
 fn remove(settings: &mut Value, pointer: &str) -> bool {
-    let (above, key) = pointer.rsplit_once('/').unwrap();
-    match settings.pointer_mut(above).unwrap() {
+    let (parent, key) = pointer.rsplit_once('/').unwrap();
+    match settings.pointer_mut(parent).unwrap() {
         Value::Object(fields) => fields.remove(key).is_some(),
         _ => false,
     }
 }
 
-/// Each way to read a field, on each kind of value and on one that is absent.
+/// Each method that reads a field, on each type of value and on an absent field.
 #[test]
-fn single_fields_are_read_as_recorded() {
+fn single_fields_match_the_recorded_ones() {
     let document = json!({"null": null, "flag": true, "text": "t", "whole": 7, "below": -7, "share": 0.25,
         "large": u64::MAX, "list": [{"a": 1}, {}], "texts": ["a", "b"], "mixed": [1, "b"], "object": {"a": 1}});
     let mut samples = Vec::new();
@@ -176,26 +182,26 @@
             "null", "flag", "text", "whole", "below", "share", "large", "list", "texts", "mixed", "object",
             "none",
         ] {
-            macro_rules! note {
+            macro_rules! add_sample {
                 ($what:literal, $read:expr) => {
                     let found = match $read {
                         Ok(found) => format!("found {found:?}"),
-                        Err(fault) => format!("fault {fault}"),
+                        Err(error) => format!("fault {error}"),
                     };
                     samples.push((format!("{path}/{name}/{}", $what), found));
                 };
             }
-            note!("text", section.text(name));
-            note!("whole-number", section.integer(name));
-            note!("length-of-time", section.duration(name));
-            note!("amount", section.non_negative(name));
-            note!("index", section.index(name));
-            note!("number", section.number(name));
-            note!("flag", section.flag(name));
-            note!("list-of-text", section.texts(name));
-            note!("number-or-default", section.or(name, 1.5, Section::number));
-            note!("section-inside", section.section(name).and_then(|inside| inside.integer("a")));
-            note!(
+            add_sample!("text", section.text(name));
+            add_sample!("whole-number", section.integer(name));
+            add_sample!("length-of-time", section.duration(name));
+            add_sample!("amount", section.non_negative(name));
+            add_sample!("index", section.index(name));
+            add_sample!("number", section.number(name));
+            add_sample!("flag", section.flag(name));
+            add_sample!("list-of-text", section.texts(name));
+            add_sample!("number-or-default", section.or(name, 1.5, Section::number));
+            add_sample!("section-inside", section.section(name).and_then(|inside| inside.integer("a")));
+            add_sample!(
                 "objects-of-list",
                 section.list(name).and_then(|list| {
                     list.unwrap_or_default()
--- a/crates/aggregator-settings/tests/settings.rs
+++ b/crates/aggregator-settings/tests/settings.rs
@@ -1,16 +1,16 @@
-//! Settings that no deployment can have.
+//! Invalid settings.
 
 use orchidvalve_aggregator_settings::{Section, read};
 use serde_json::json;
 
 #[test]
-fn settings_that_no_deployment_can_have_are_refused_by_key() {
+fn invalid_settings_are_rejected_with_their_key() {
     let good = json!({"classes": [{"objectiveNs": 1, "deadlineNs": 2, "effect": "pure"}], "balancers": 300,
         "extra": {"positions": 2, "reach": 2, "classFloor": [0.5]},
         "rules": {"budgetFree": 5.0, "repeatRatio": 0.1, "ratioSpanNs": 2_000_000_000, "fallMultiple": 2.0}});
-    let orders = read(&Section::of("settings", &good).unwrap()).unwrap();
-    assert_eq!((orders.front_nodes, orders.retry_budget.unwrap().window), (300, 2_000_000_000));
-    for (pointer, bad, said) in [
+    let parsed = read(&Section::of("settings", &good).unwrap()).unwrap();
+    assert_eq!((parsed.front_nodes, parsed.retry_budget.unwrap().window), (300, 2_000_000_000));
+    for (pointer, bad, message) in [
         ("/classes", json!([]), "settings.classes: names no class"),
         ("/classes/0/effect", json!("unsafe"), "settings.classes[0].effect: unknown effect 'unsafe'"),
         (
@@ -38,10 +38,10 @@
     ] {
         let mut settings = good.clone();
         *settings.pointer_mut(pointer).unwrap() = bad;
-        assert_eq!(read(&Section::of("settings", &settings).unwrap()).unwrap_err().to_string(), said);
+        assert_eq!(read(&Section::of("settings", &settings).unwrap()).unwrap_err().to_string(), message);
     }
     let mut settings = good.clone();
     settings["rules"].as_object_mut().unwrap().remove("ratioSpanNs");
-    let said = read(&Section::of("settings", &settings).unwrap()).unwrap_err();
-    assert_eq!(said.to_string(), "settings.rules.ratioSpanNs: missing");
+    let message = read(&Section::of("settings", &settings).unwrap()).unwrap_err();
+    assert_eq!(message.to_string(), "settings.rules.ratioSpanNs: missing");
 }
--- a/crates/simulator-adapter/src/bin/orchidvalve-benchlink.rs
+++ b/crates/simulator-adapter/src/bin/orchidvalve-benchlink.rs
@@ -1,4 +1,4 @@
-//! The adapter under its earlier name.
+//! The simulator adapter under its former name.
 
 use std::process::ExitCode;
 
--- a/crates/simulator-adapter/src/error.rs
+++ b/crates/simulator-adapter/src/error.rs
@@ -1,82 +1,82 @@
-//! What can be wrong with the simulator's lines.
+//! Errors in the simulator's lines.
 
 use derive_more::{Display, Error};
 
-/// Why a line, or an instance's news in it, can't be used.
+/// Why a line, or one instance's events in it, cannot be processed.
 #[derive(Debug, Display, Error)]
 pub enum AdapterError {
-    /// The line isn't JSON.
+    /// The line is not valid JSON.
     #[display("malformed line: {source}")]
     Malformed {
-        /// Where and why.
+        /// Position and cause of the syntax error.
         source: serde_json::Error,
     },
-    /// The line has no list of news.
+    /// The line has no array of events.
     #[display("malformed line: no array 'news'")]
-    NoNews,
-    /// A field is missing or of another type; the text names its path.
-    #[display("{fault}")]
+    NoEvents,
+    /// A field is missing or has the wrong type.
+    #[display("{error}")]
     Field {
-        /// The path, and what should be there.
+        /// Path of the field, and the expected type.
         #[error(not(source))]
-        fault: String,
+        error: String,
     },
-    /// News of that verb aren't known.
+    /// An event has an unknown verb.
     #[display("unknown verb '{verb}'")]
     UnknownVerb {
         /// The verb.
         verb: String,
     },
-    /// A value isn't among those that the verb knows.
+    /// A field of an event has a value that its verb does not define.
     #[display("'{verb}': unknown {field} '{value}'")]
     UnknownValue {
-        /// The verb.
+        /// The verb of the event.
         verb: &'static str,
-        /// The field of the news.
+        /// The field of the event.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         value: String,
     },
-    /// A query's class isn't among those of the settings.
+    /// A query's service class is not among those of the settings.
     #[display("'knock': grade {class} is not among the {classes} classes")]
     UnknownClass {
         /// The class of the query.
         class: usize,
-        /// How many there are.
+        /// The number of classes in the settings.
         classes: usize,
     },
-    /// A server was never listed.
+    /// A server that is in no list so far.
     #[display("index server '{server}' is in no list so far")]
     UnknownServer {
-        /// Its name.
+        /// Name of the server.
         server: String,
     },
-    /// A membership refers to a list that was never declared.
+    /// A membership event refers to a list that was never declared.
     #[display("'topology': its list was never declared")]
     UndeclaredList,
-    /// News came before the instance started.
+    /// An event is for an instance that has not started.
     #[display("instance {instance} has news but no 'boot'")]
     NotStarted {
-        /// The instance's number.
+        /// Number of the instance.
         instance: i64,
     },
-    /// Standard input can't be read.
+    /// Standard input cannot be read.
     #[display("cannot read the input: {source}")]
     Read {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// Standard output can't be written.
+    /// Standard output cannot be written.
     #[display("cannot write the reply: {source}")]
     Write {
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
 impl AdapterError {
-    /// A field that can't be used, as whoever reads fields says it.
-    pub(crate) fn field(fault: impl std::fmt::Display) -> AdapterError {
-        AdapterError::Field { fault: fault.to_string() }
+    /// Returns the error for a field, from the text of the reader's error.
+    pub(crate) fn field(error: impl std::fmt::Display) -> AdapterError {
+        AdapterError::Field { error: error.to_string() }
     }
 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One instance: its aggregator, what the simulator's news tell it, and its decisions in the simulator's words.
+//! One instance: its aggregator, the translation of the simulator's events to facts, and of decisions to actions.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -13,13 +13,13 @@
 use crate::names::{Named, Names};
 use crate::server_list::ListedServer;
 
-/// One item of news, with the server list that it refers to.
-pub struct News<'a> {
+/// An event for an instance, with the server list that it refers to.
+pub struct InstanceEvent<'a> {
     pub item: Section<'a>,
     pub list: Option<Rc<Vec<ListedServer>>>,
 }
 
-/// One aggregator under the number that the simulator knows it by.
+/// One aggregator, under its number in the simulator.
 pub struct Instance {
     number: i64,
     classes: usize,
@@ -28,7 +28,7 @@
 }
 
 impl Instance {
-    /// Starts an instance as its `boot` says.
+    /// Starts an instance with the settings and the seed of its `boot` event.
     pub fn start(number: i64, boot: &Section) -> Result<Instance, AdapterError> {
         if !boot.has("conf") {
             return Err(AdapterError::field(boot.error("conf", "missing")));
@@ -47,14 +47,15 @@
         })
     }
 
-    /// Nothing is put out when the news hold a fault: the instance ends with its report.
-    pub fn round(&mut self, now: Nanos, news: &[News]) -> Result<Vec<Value>, AdapterError> {
+    /// Runs one round and returns its actions. If an event is invalid, no action is returned and the error ends the
+    /// instance.
+    pub fn round(&mut self, now: Nanos, events: &[InstanceEvent]) -> Result<Vec<Value>, AdapterError> {
         let (names, classes) = (&self.names, self.classes);
         let mut actions = Actions { instance: self.number, names, output: Vec::new() };
         let mut recorded = Ok(());
         let receive = |state: &mut AggregatorState| {
             let mut recorder = Recorder { names: &mut names.borrow_mut(), classes, state };
-            recorded = news.iter().try_for_each(|news| recorder.record(news));
+            recorded = events.iter().try_for_each(|event| recorder.record(event));
         };
         self.aggregator.round(now, receive, &mut actions);
         let output = actions.output;
@@ -63,7 +64,7 @@
     }
 }
 
-/// Records the news of a round.
+/// Records the events of a round in the aggregator's state.
 struct Recorder<'a> {
     names: &'a mut Names,
     classes: usize,
@@ -71,7 +72,7 @@
 }
 
 impl Recorder<'_> {
-    fn record(&mut self, News { item, list }: &News) -> Result<(), AdapterError> {
+    fn record(&mut self, InstanceEvent { item, list }: &InstanceEvent) -> Result<(), AdapterError> {
         match text(item, "verb")? {
             "knock" => self.received(item),
             "finished" => self.attempt_ended(item),
@@ -83,13 +84,13 @@
             }
             "topology" => self.membership(item, list.as_deref()),
             "statusBack" => self.health_check_ended(item),
-            // A timer only wakes the instance; neither peers nor streamed answers are used by any class here.
+            // A timer only starts a round. Peers and streamed responses are not used by any service class here.
             "ring" | "peerData" | "established" => Ok(()),
             verb => Err(AdapterError::UnknownVerb { verb: verb.to_owned() }),
         }
     }
 
-    /// A query or one of its shard requests came in.
+    /// A query or one of its shard requests was received.
     fn received(&mut self, item: &Section) -> Result<(), AdapterError> {
         let name = text(item, "xid")?.to_owned();
         let number = item.number("query").map_err(AdapterError::field)? as u64;
@@ -128,13 +129,13 @@
             "no_answer" => AttemptOutcome::TimedOut,
             "called_off" => AttemptOutcome::Cancelled,
             "not_sent" => AttemptOutcome::NotSent,
-            other => return Err(unknown("finished", "status", other)),
+            other => return Err(unknown_value("finished", "status", other)),
         };
         let attempt = item.or("copy", 0, Section::index).map_err(AdapterError::field)?;
         let took = item.or("lagNs", 0, Section::integer).map_err(AdapterError::field)?;
-        let over = item.or("finished", false, Section::flag).map_err(AdapterError::field)?;
+        let request_over = item.or("finished", false, Section::flag).map_err(AdapterError::field)?;
         if let Some(Named::ShardRequest(request)) = self.names.named(text(item, "xid")?) {
-            self.state.attempt_ended(request, attempt, outcome, took, over);
+            self.state.attempt_ended(request, attempt, outcome, took, request_over);
         }
         Ok(())
     }
@@ -160,7 +161,7 @@
                 self.state.membership_lost();
                 return Ok(());
             }
-            other => return Err(unknown("topology", "form", other)),
+            other => return Err(unknown_value("topology", "form", other)),
         };
         let list = list.ok_or(AdapterError::UndeclaredList)?;
         self.state.membership_update_begins(complete);
@@ -181,11 +182,11 @@
     item.text(name).map_err(AdapterError::field)
 }
 
-fn unknown(verb: &'static str, field: &'static str, value: &str) -> AdapterError {
+fn unknown_value(verb: &'static str, field: &'static str, value: &str) -> AdapterError {
     AdapterError::UnknownValue { verb, field, value: value.to_owned() }
 }
 
-/// The decisions of a round in the simulator's words.
+/// Collects the decisions of a round as actions of the simulator.
 struct Actions<'a> {
     instance: i64,
     names: &'a RefCell<Names>,
@@ -207,10 +208,10 @@
         self.output.push(json!({"verb": "retract", "who": self.instance, "xid": xid, "copy": attempt}));
     }
 
-    fn answer(&mut self, query: QueryIndex, whole: bool) {
+    fn answer(&mut self, query: QueryIndex, complete: bool) {
         let names = self.names.borrow();
         let xid = names.query(query);
-        self.output.push(json!({"verb": "settleQuery", "who": self.instance, "xid": xid, "on": whole}));
+        self.output.push(json!({"verb": "settleQuery", "who": self.instance, "xid": xid, "on": complete}));
     }
 
     fn reject(&mut self, query: QueryIndex, retry_after: Nanos) {
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,4 @@
-//! The program of the simulator's adapter.
+//! The simulator adapter.
 
 use std::process::ExitCode;
 
--- a/crates/simulator-adapter/src/names.rs
+++ b/crates/simulator-adapter/src/names.rs
@@ -1,18 +1,18 @@
-//! The names that the wire uses for what the aggregator knows by index.
+//! Names in the simulator's protocol for the indices of the aggregator.
 
 use std::collections::{HashMap, VecDeque};
 
 use orchidvalve::interface::{QueryIndex, ReplicaIndex, ShardRequestIndex};
 use orchidvalve::state::AggregatorState;
 
-/// What a name of the wire stands for.
+/// The item that a name of the protocol refers to.
 #[derive(Clone, Copy)]
 pub enum Named {
     Query(QueryIndex),
     ShardRequest(ShardRequestIndex),
 }
 
-/// Names in the order of their indices; those that nothing refers to any more are dropped from the front.
+/// Names in the order of their indices. Names that are no longer needed are dropped from the front.
 #[derive(Default)]
 struct NameWindow {
     first: usize,
@@ -24,21 +24,21 @@
         &self.names[index - self.first]
     }
 
-    fn drop_before(&mut self, first: usize, mut forget: impl FnMut(String)) {
+    fn drop_before(&mut self, first: usize, mut on_drop: impl FnMut(String)) {
         while self.first < first {
-            self.names.pop_front().into_iter().for_each(&mut forget);
+            self.names.pop_front().into_iter().for_each(&mut on_drop);
             self.first += 1;
         }
     }
 }
 
-/// Names of one instance's queries, shard requests and servers, both ways.
+/// Names of one instance's queries, shard requests and servers, in both directions.
 #[derive(Default)]
 pub struct Names {
     named: HashMap<String, Named>,
-    /// Queries by the number that their shard requests name.
+    /// Queries by the number that their shard requests refer to.
     queries_by_number: HashMap<u64, QueryIndex>,
-    /// These numbers, in the order of the queries.
+    /// The same numbers, in the order of the queries.
     query_numbers: VecDeque<u64>,
     queries: NameWindow,
     requests: NameWindow,
@@ -88,7 +88,7 @@
         &self.servers[ix.0]
     }
 
-    /// Drops the names of what the aggregator has dropped.
+    /// Drops the names of queries and shard requests that the aggregator no longer keeps.
     pub fn prune(&mut self, state: &AggregatorState) {
         let named = &mut self.named;
         self.requests.drop_before(state.first_shard_request().0, |name| {
--- a/crates/simulator-adapter/src/server_list.rs
+++ b/crates/simulator-adapter/src/server_list.rs
@@ -1,11 +1,11 @@
-//! Reading the numbered lists of index servers.
+//! Parsing of the numbered lists of index servers.
 
 use orchidvalve_aggregator_settings::Section;
 use serde_json::Value;
 
 use crate::AdapterError;
 
-/// One index server in a numbered list.
+/// An index server in a numbered list.
 pub struct ListedServer {
     pub name: String,
     pub cell: usize,
@@ -13,14 +13,15 @@
     pub started_at: Option<i64>,
 }
 
-/// The servers of a `census`.
+/// Returns the servers of a `census` event.
 pub fn servers(census: &Section) -> Result<Vec<ListedServer>, AdapterError> {
     let hosts = census.get("hosts").and_then(Value::as_array);
     let hosts = hosts.ok_or_else(|| AdapterError::field(census.error("hosts", "should be a list")))?;
     hosts.iter().map(server).collect()
 }
 
-/// Without its number in the path: lists are long and come often, and a path is made for each read.
+/// Parses one server. The path in errors omits the server's position in the list: lists are long and frequent, and the
+/// path would be formatted for each of them.
 fn server(host: &Value) -> Result<ListedServer, AdapterError> {
     let host = Section::of("census.hosts", host).map_err(AdapterError::field)?;
     Ok(ListedServer {
--- a/crates/simulator-adapter/tests/faults.rs
+++ b/crates/simulator-adapter/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the simulator's lines, and news that come late.
+//! Invalid lines and events, and events for items that no longer exist.
 
 use orchidvalve_simulator_adapter::Adapter;
 use serde_json::json;
@@ -6,18 +6,18 @@
 const BOOT: &str = r#"{"timeNs":0,"news":[{"verb":"boot","who":1,"nonce64":7,"conf":{"classes":[{"objectiveNs":1,"deadlineNs":2,"effect":"pure"}],"extra":{"positions":2,"reach":2}}}]}"#;
 
 #[test]
-fn an_unreadable_line_is_refused_with_its_fault() {
-    let fault = Adapter::default().batch("{\"timeNs\":1,").unwrap_err().to_string();
-    assert!(fault.starts_with("malformed line"), "{fault}");
-    let fault = Adapter::default().batch(r#"{"timeNs":"soon","news":[]}"#).unwrap_err().to_string();
-    assert!(fault.contains("timeNs"), "{fault}");
+fn an_invalid_line_is_rejected_with_its_cause() {
+    let error = Adapter::default().batch("{\"timeNs\":1,").unwrap_err().to_string();
+    assert!(error.starts_with("malformed line"), "{error}");
+    let error = Adapter::default().batch(r#"{"timeNs":"soon","news":[]}"#).unwrap_err().to_string();
+    assert!(error.contains("timeNs"), "{error}");
 }
 
 #[test]
-fn what_concerns_one_instance_becomes_its_fault_report() {
+fn an_error_of_one_instance_is_reported_in_the_output() {
     let mut adapter = Adapter::default();
     adapter.batch(BOOT).unwrap();
-    for (news, named) in [
+    for (event, expected) in [
         (r#"{"verb":"ring","who":2,"nonce":"x"}"#, "boot"),
         (r#"{"verb":"sing","who":1}"#, "sing"),
         (r#"{"verb":"knock","who":1,"xid":"a","grade":9,"validUntilNs":5,"query":1,"slice":-1}"#, "grade"),
@@ -25,15 +25,15 @@
         (r#"{"verb":"statusBack","who":1,"server":"nobody:1","status":"served"}"#, "nobody:1"),
     ] {
         adapter.batch(BOOT).unwrap();
-        let reply = adapter.batch(&format!(r#"{{"timeNs":1,"news":[{news}]}}"#)).unwrap();
+        let reply = adapter.batch(&format!(r#"{{"timeNs":1,"news":[{event}]}}"#)).unwrap();
         let report = &reply["output"][0];
-        assert_eq!(report["verb"], "panic", "{news}");
-        assert!(report["bodyText"].as_str().unwrap().contains(named), "{report}");
+        assert_eq!(report["verb"], "panic", "{event}");
+        assert!(report["bodyText"].as_str().unwrap().contains(expected), "{report}");
     }
 }
 
 #[test]
-fn news_of_something_closed_is_normal() {
+fn events_for_closed_queries_are_ignored() {
     let mut adapter = Adapter::default();
     adapter.batch(BOOT).unwrap();
     let late = r#"{"timeNs":1,"news":[{"verb":"lapsed","who":1,"xid":"gone"}]}"#;
--- a/crates/simulator-adapter/tests/golden_conversations.rs
+++ b/crates/simulator-adapter/tests/golden_conversations.rs
@@ -1,6 +1,6 @@
-//! Conversations between a simulated bench and the adapter, in process: what the bench says depends on the replies, and the
-//! replies are compared with those recorded. Object keys are hashed in their alphabetical order, since `serde_json` keeps
-//! another order where some package of the build asks for it; the wording of fault reports is left out.
+//! Conversations between a simulated peer and the adapter in one process, whose replies are compared with recorded ones.
+//! The events depend on the replies. Object keys are hashed in alphabetical order, since `serde_json` preserves the order
+//! of insertion only if a package in the build enables that. The texts of fault reports are not compared.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,7 +35,7 @@
     }
 }
 
-struct Bench {
+struct Simulator {
     numbers: Numbers,
     now: i64,
     lines: usize,
@@ -44,17 +44,17 @@
     classes: u64,
     two_steps: bool,
     instances: BTreeSet<i64>,
-    /// What falls due, by time and number.
+    /// Events to send, by time and number.
     due: BTreeMap<(i64, u64), Value>,
     count: u64,
-    launches: BTreeMap<(i64, String), i64>,
+    attempts: BTreeMap<(i64, String), i64>,
     replies: Trace,
     verbs: BTreeSet<String>,
 }
 
-impl Bench {
-    fn new(seed: u64) -> Bench {
-        Bench {
+impl Simulator {
+    fn new(seed: u64) -> Simulator {
+        Simulator {
             numbers: Numbers(seed),
             now: 1_000_000 * MS,
             lines: 0,
@@ -65,15 +65,15 @@
             instances: BTreeSet::new(),
             due: BTreeMap::new(),
             count: 0,
-            launches: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             replies: Trace::new(),
             verbs: BTreeSet::new(),
         }
     }
 
-    fn at(&mut self, delay: i64, news: Value) {
+    fn schedule(&mut self, delay: i64, events: Value) {
         self.count += 1;
-        self.due.insert((self.now + delay, self.count), news);
+        self.due.insert((self.now + delay, self.count), events);
     }
 
     fn settings(&mut self) -> Value {
@@ -100,14 +100,14 @@
         if self.two_steps {
             extra["classFetch"] = json!(list(1.0, 0.0));
         }
-        let told = if self.numbers.happens(50) { json!(["waiting", "rps"]) } else { json!([]) };
+        let reported = if self.numbers.happens(50) { json!(["waiting", "rps"]) } else { json!([]) };
         json!({
             "balancers": 1 + self.numbers.below(4),
             "classes": classes,
             "projects": [{"allowancePerS": 20.0}, {}],
             "extra": extra,
             "discovery": if self.numbers.happens(30) { "on_request" } else { "pushed" },
-            "feedback": {"names": told},
+            "feedback": {"names": reported},
             "limits": {"attemptsCap": 2 + self.numbers.below(3), "cancel": self.numbers.happens(80),
                 "secondCopies": self.numbers.happens(80), "probes": self.numbers.happens(80), "retryAfter": true,
                 "maxRetryAfterNs": 100 * MS},
@@ -135,40 +135,40 @@
         json!({"verb": "census", "ref": self.lists, "hosts": hosts})
     }
 
-    /// The next line of the bench; none at its end.
+    /// Returns the next line of events, or `None` at the end.
     fn line(&mut self) -> Option<String> {
         if self.lines == LINES {
             return None;
         }
         self.lines += 1;
         self.now += MS * (1 + self.numbers.below(8) as i64);
-        let mut news = Vec::new();
+        let mut events = Vec::new();
         if self.lines == 1 || self.numbers.happens(3) {
-            news.push(self.census());
+            events.push(self.census());
         }
         for who in 0..3 {
             if !self.instances.contains(&who) && (self.lines < 3 || self.numbers.happens(20)) {
                 let conf = self.settings();
                 let nonce = self.numbers.draw();
-                news.push(json!({"verb": "boot", "who": who, "nonce64": nonce, "conf": conf}));
-                news.push(json!({"verb": "topology", "who": who, "form": "total", "ref": self.lists}));
+                events.push(json!({"verb": "boot", "who": who, "nonce64": nonce, "conf": conf}));
+                events.push(json!({"verb": "topology", "who": who, "form": "total", "ref": self.lists}));
                 self.instances.insert(who);
             }
         }
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= self.now) {
-            news.push(entry.remove());
+            events.push(entry.remove());
         }
         let instances: Vec<i64> = self.instances.iter().copied().collect();
         for who in instances {
-            self.instance_news(who, &mut news);
+            self.instance_events(who, &mut events);
         }
-        Some(json!({"timeNs": self.now, "news": news}).to_string())
+        Some(json!({"timeNs": self.now, "news": events}).to_string())
     }
 
-    fn instance_news(&mut self, who: i64, news: &mut Vec<Value>) {
+    fn instance_events(&mut self, who: i64, events: &mut Vec<Value>) {
         if self.numbers.happens(4) {
             let form = ["incr", "total", "warm_copy", "lost"][self.numbers.below(4) as usize];
-            news.push(json!({"verb": "topology", "who": who, "form": form, "ref": self.lists}));
+            events.push(json!({"verb": "topology", "who": who, "form": form, "ref": self.lists}));
         }
         if self.numbers.happens(1) && self.lines > 20 {
             let last = match self.numbers.below(3) {
@@ -176,7 +176,7 @@
                 1 => json!({"verb": "sing", "who": who}),
                 _ => json!({"verb": "finished", "who": who, "xid": "x", "status": "bored"}),
             };
-            news.push(last);
+            events.push(last);
             self.instances.remove(&who);
             return;
         }
@@ -192,45 +192,45 @@
             if self.numbers.happens(30) {
                 knock["weightHintNs"] = json!(self.numbers.below(100) as i64 * MS);
             }
-            news.push(knock);
-            let parts = 1 + self.numbers.below(4);
-            for slice in 0..parts {
-                news.push(
+            events.push(knock);
+            let requests = 1 + self.numbers.below(4);
+            for slice in 0..requests {
+                events.push(
                     json!({"verb": "knock", "who": who, "xid": format!("q{query}.{slice}"), "query": query,
-                    "slice": slice, "measure": 1.0 / parts as f64}),
+                    "slice": slice, "measure": 1.0 / requests as f64}),
                 );
             }
             if self.numbers.happens(5) {
-                self.at(100 * MS, json!({"verb": "lapsed", "who": who, "xid": format!("q{query}")}));
+                self.schedule(100 * MS, json!({"verb": "lapsed", "who": who, "xid": format!("q{query}")}));
             }
         }
         if self.numbers.happens(3) {
-            news.push(json!({"verb": "peerData", "who": who}));
+            events.push(json!({"verb": "peerData", "who": who}));
         }
     }
 
-    fn hear(&mut self, line: &[u8]) {
+    fn receive_reply(&mut self, line: &[u8]) {
         let mut reply: Value = serde_json::from_slice(line).expect("a reply is an object");
         for action in reply["output"].as_array_mut().expect("a reply has its output") {
-            self.carry_out(action);
+            self.execute(action);
             if action["verb"] == "panic" {
-                let told = action["bodyText"].as_str().is_some_and(|text| !text.is_empty());
-                action["bodyText"] = json!(told);
+                let reported = action["bodyText"].as_str().is_some_and(|text| !text.is_empty());
+                action["bodyText"] = json!(reported);
             }
         }
         hash(&reply, &mut self.replies);
     }
 
-    fn carry_out(&mut self, action: &Value) {
+    fn execute(&mut self, action: &Value) {
         let (verb, who) =
             (action["verb"].as_str().expect("a verb"), action["who"].as_i64().expect("an instance"));
         self.verbs.insert(verb.to_owned());
         match verb {
             "submitTo" => {
                 let xid = action["xid"].as_str().expect("a part").to_owned();
-                let copy = self.launches.entry((who, xid.clone())).or_insert(-1);
-                *copy += 1;
-                let copy = *copy;
+                let attempt = self.attempts.entry((who, xid.clone())).or_insert(-1);
+                *attempt += 1;
+                let attempt = *attempt;
                 let server = action["server"].as_str().expect("a server").as_bytes()[1] - b'0';
                 let limit = action["limitNs"].as_i64().expect("a limit");
                 let work = MS * (3 + self.numbers.below(25) as i64) * if server == 7 { 8 } else { 1 };
@@ -245,39 +245,42 @@
                     _ => ("served", work),
                 };
                 let over = status != "served" && self.numbers.happens(5);
-                let mut news = json!({"verb": "finished", "who": who, "xid": xid, "status": status, "copy": copy, "lagNs": lag});
+                let mut events = json!({"verb": "finished", "who": who, "xid": xid, "status": status, "copy": attempt, "lagNs": lag});
                 if over {
-                    news["finished"] = json!(true);
+                    events["finished"] = json!(true);
                 }
-                self.at(lag, news);
+                self.schedule(lag, events);
             }
             "retract" => {
-                let news = json!({"verb": "finished", "who": who, "xid": action["xid"], "status": "called_off",
+                let events = json!({"verb": "finished", "who": who, "xid": action["xid"], "status": "called_off",
                     "copy": action["copy"], "lagNs": 5 * MS});
-                self.at(MS, news);
+                self.schedule(MS, events);
             }
             "settleQuery" if self.two_steps => {
                 let xid = action["xid"].as_str().expect("a query").to_owned();
                 let query: u64 = xid[1..].parse().expect("its number");
                 let name = format!("{xid}.further");
-                self.at(MS, json!({"verb": "knock", "who": who, "xid": name, "query": query, "slice": 0, "measure": 1.0}));
+                self.schedule(MS, json!({"verb": "knock", "who": who, "xid": name, "query": query, "slice": 0, "measure": 1.0}));
             }
             "probe" => {
                 let status = if self.numbers.happens(80) { "served" } else { "no_answer" };
                 let pressure =
                     json!({"waiting": self.numbers.below(30), "rps": 40.0 + self.numbers.below(60) as f64});
-                let news = json!({"verb": "statusBack", "who": who, "server": action["server"], "status": status,
+                let events = json!({"verb": "statusBack", "who": who, "server": action["server"], "status": status,
                     "pressure": pressure});
-                self.at(2 * MS, news);
+                self.schedule(2 * MS, events);
             }
             "arm" => {
                 let moment = action["momentNs"].as_i64().expect("a moment");
-                let news = json!({"verb": "ring", "who": who, "nonce": action["nonce"]});
-                self.at(moment - self.now, news);
+                let events = json!({"verb": "ring", "who": who, "nonce": action["nonce"]});
+                self.schedule(moment - self.now, events);
             }
             "subscribe" => {
                 let form = if self.numbers.happens(50) { "total" } else { "lost" };
-                self.at(20 * MS, json!({"verb": "topology", "who": who, "form": form, "ref": self.lists}));
+                self.schedule(
+                    20 * MS,
+                    json!({"verb": "topology", "who": who, "form": form, "ref": self.lists}),
+                );
             }
             "panic" => {
                 self.instances.remove(&who);
@@ -287,7 +290,7 @@
     }
 }
 
-/// Adds a value with the keys of its objects in alphabetical order.
+/// Hashes a value with the keys of its objects in alphabetical order.
 fn hash(value: &Value, trace: &mut Trace) {
     match value {
         Value::Object(fields) => {
@@ -306,10 +309,10 @@
     }
 }
 
-/// The bench's end of standard input.
-struct Speaks(Rc<RefCell<Bench>>);
+/// Standard input of the adapter.
+struct SimulatorInput(Rc<RefCell<Simulator>>);
 
-impl Read for Speaks {
+impl Read for SimulatorInput {
     fn read(&mut self, buffer: &mut [u8]) -> io::Result<usize> {
         let Some(line) = self.0.borrow_mut().line() else { return Ok(0) };
         assert!(line.len() < buffer.len(), "a line fits the buffer, so that none is read ahead");
@@ -319,10 +322,10 @@
     }
 }
 
-/// The bench's end of standard output.
-struct Hears(Rc<RefCell<Bench>>, Vec<u8>);
+/// Standard output of the adapter.
+struct SimulatorOutput(Rc<RefCell<Simulator>>, Vec<u8>);
 
-impl Write for Hears {
+impl Write for SimulatorOutput {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         self.1.extend_from_slice(bytes);
         Ok(bytes.len())
@@ -330,22 +333,22 @@
 
     fn flush(&mut self) -> io::Result<()> {
         assert_eq!(self.1.iter().filter(|byte| **byte == b'\n').count(), 1, "one line is one reply");
-        self.0.borrow_mut().hear(&std::mem::take(&mut self.1));
+        self.0.borrow_mut().receive_reply(&std::mem::take(&mut self.1));
         Ok(())
     }
 }
 
 fn conversation(seed: u64) -> (u64, BTreeSet<String>) {
-    let bench = Rc::new(RefCell::new(Bench::new(seed)));
-    let input = BufReader::with_capacity(1 << 20, Speaks(bench.clone()));
-    orchidvalve_simulator_adapter::serve(input, Hears(bench.clone(), Vec::new()))
+    let simulator = Rc::new(RefCell::new(Simulator::new(seed)));
+    let input = BufReader::with_capacity(1 << 20, SimulatorInput(simulator.clone()));
+    orchidvalve_simulator_adapter::serve(input, SimulatorOutput(simulator.clone(), Vec::new()))
         .expect("the conversation ends in order");
-    let bench = bench.borrow();
-    (bench.replies.finish(), bench.verbs.clone())
+    let simulator = simulator.borrow();
+    (simulator.replies.finish(), simulator.verbs.clone())
 }
 
 #[test]
-fn the_replies_of_every_conversation_are_those_recorded() {
+fn replies_of_every_conversation_match_the_recorded_ones() {
     let runs: Vec<(String, (u64, BTreeSet<String>))> =
         (0..SEEDS).map(|seed| (format!("conversation-{seed}"), conversation(seed))).collect();
     let verbs: BTreeSet<&str> = runs.iter().flat_map(|(_, run)| run.1.iter().map(String::as_str)).collect();
@@ -360,7 +363,7 @@
         "subscribe",
         "turnAway",
     ];
-    assert_eq!(verbs, BTreeSet::from(all), "every verb was spoken in some run");
+    assert_eq!(verbs, BTreeSet::from(all), "every verb occurs in some run");
     let hashes: Vec<(String, u64)> = runs.into_iter().map(|(name, run)| (name, run.0)).collect();
     check_hashes(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/conversations.txt"), &hashes);
 }
