--- a/crates/cold-start/examples/measure.rs
+++ b/crates/cold-start/examples/measure.rs
@@ -2,7 +2,7 @@
 //! and without. `cargo run --release -p orchidvalve-cold-start --example measure -- DIR` prints a table and draws charts.
 
 use orchidvalve_cold_start::probe_schedule::probe_from;
-use orchidvalve_cold_start::start::{Offer, Source, Start, Writer};
+use orchidvalve_cold_start::start::{ActionSink, Offer, Source, Start};
 use orchidvalve_cold_start::{Nanos, StartSettings};
 use plotters::prelude::*;
 
@@ -13,9 +13,9 @@
 
 struct Fetched(bool);
 
-impl Writer for Fetched {
+impl ActionSink for Fetched {
     fn adopt(&mut self, _: &Offer, _: u32) {}
-    fn want_from_peers(&mut self, _: Option<Option<(i64, Nanos)>>) {}
+    fn request_from_peers(&mut self, _: Option<Option<(i64, Nanos)>>) {}
     fn fetch(&mut self, _: bool) {
         self.0 = true;
     }
--- a/crates/cold-start/src/probe_schedule.rs
+++ b/crates/cold-start/src/probe_schedule.rs
@@ -10,19 +10,19 @@
 /// probed. Where new connections are to be spread, a server that nobody doubts gets one step all the same: its
 /// connection opens with a probe at this node's moment, and parts follow once that was answered. The harm is that a
 /// node serves less until its moments have come, for `nodes / connects_a_second` seconds at most.
-pub fn begin_with(
+pub fn initial_verification(
     settings: &StartSettings,
     nodes: usize,
     (seed, subject): (u64, u64),
-    doubt: u32,
+    unverified_steps: u32,
     now: Nanos,
 ) -> (u32, Nanos) {
     match settings.connects_a_second {
         Some(rate) => {
             let slowest = StartSettings { probes_a_second: rate.min(settings.probes_a_second), ..*settings };
-            (doubt.max(1), probe_from(&slowest, nodes, seed, subject, now))
+            (unverified_steps.max(1), probe_from(&slowest, nodes, seed, subject, now))
         }
-        None => (doubt, probe_from(settings, nodes, seed, subject, now)),
+        None => (unverified_steps, probe_from(settings, nodes, seed, subject, now)),
     }
 }
 
--- a/crates/cold-start/src/start.rs
+++ b/crates/cold-start/src/start.rs
@@ -10,7 +10,7 @@
 use rand_pcg::Pcg64;
 
 use crate::fetch_schedule::FetchSchedule;
-use crate::trust::{MAX_DOUBT, doubt, is_too_old};
+use crate::trust::{MAX_UNVERIFIED_STEPS, is_too_old, unverified_steps};
 use crate::{Nanos, StartSettings};
 
 /// Where a list is from, the least trusted first where two were seen at the same moment.
@@ -88,12 +88,12 @@
 }
 
 /// Where the decisions go.
-pub trait Writer {
+pub trait ActionSink {
     /// That list is adopted from now on; the servers that it names and that discovery has not vouched for are doubted
     /// by so many steps.
-    fn adopt(&mut self, offer: &Offer, doubt: u32);
+    fn adopt(&mut self, offer: &Offer, unverified_steps: u32);
     /// Asks peers for a list newer than that revision and time; the inner `None`: for any list; the outer: no longer.
-    fn want_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>);
+    fn request_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>);
     /// Discovery is asked now: for the whole list, or for what changed since the revision of the one adopted.
     fn fetch(&mut self, full_list: bool);
     /// Nothing has answered within the discovery timeout: the node serves from what it has. Called once.
@@ -157,7 +157,7 @@
     }
 
     /// One round: weighs what came in, and hands what is decided to the writer.
-    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), writer: &mut dyn Writer) {
+    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn ActionSink) {
         let mut inbox = Inbox::default();
         inputs(&mut inbox);
         if let Some(FleetSize { counted, alive }) = inbox.fleet {
@@ -180,30 +180,30 @@
         // Of several offered at once, the best alone is adopted.
         inbox.offers.sort_by_key(|offer| (offer.seen, offer.source));
         for offer in inbox.offers.iter().rev() {
-            self.consider(offer, now, writer);
+            self.consider(offer, now, sink);
         }
         let timed_out = now - self.began >= self.settings.discovery_timeout;
         if timed_out
             && self.adopted.is_none()
             && let Some(old) = self.reserve.take()
         {
-            self.adopt(old, MAX_DOUBT, writer);
+            self.adopt(old, MAX_UNVERIFIED_STEPS, sink);
         }
         if timed_out && !self.has_answer && !self.discovery_timed_out {
             self.discovery_timed_out = true;
-            writer.discovery_timed_out();
+            sink.discovery_timed_out();
         }
-        self.request_list_from_peers(now, writer);
+        self.request_list_from_peers(now, sink);
         self.fetch_schedule.set_first(&self.settings, self.nodes, self.adopted.is_some(), self.starts);
         if !self.is_fetching && self.fetch_schedule.due().is_some_and(|due| due <= now) {
             self.is_fetching = true;
             self.fetch_schedule.started();
             self.counts.fetches += 1;
-            writer.fetch(!self.may_watch(now));
+            sink.fetch(!self.may_watch(now));
         }
     }
 
-    fn consider(&mut self, offer: &Offer, now: Nanos, writer: &mut dyn Writer) {
+    fn consider(&mut self, offer: &Offer, now: Nanos, sink: &mut dyn ActionSink) {
         if offer.source == Source::Discovery {
             (self.has_answer, self.is_fetching) = (true, true);
             self.fetch_schedule.answered();
@@ -225,32 +225,32 @@
         } else if is_too_old(now - offer.seen, &self.settings) {
             self.reserve = Some(offer);
         } else {
-            let doubt = doubt(now - offer.seen, &self.settings);
-            self.adopt(offer, doubt, writer);
+            let steps = unverified_steps(now - offer.seen, &self.settings);
+            self.adopt(offer, steps, sink);
         }
     }
 
-    fn adopt(&mut self, offer: Offer, doubt: u32, writer: &mut dyn Writer) {
+    fn adopt(&mut self, offer: Offer, unverified_steps: u32, sink: &mut dyn ActionSink) {
         self.counts.adopted += 1;
         (self.adopted, self.reserve) = (Some(offer), None);
-        writer.adopt(&offer, doubt);
+        sink.adopt(&offer, unverified_steps);
     }
 
     /// Peers are asked until discovery answered, while the adopted list is not as good as its answer.
-    fn request_list_from_peers(&mut self, now: Nanos, writer: &mut dyn Writer) {
+    fn request_list_from_peers(&mut self, now: Nanos, sink: &mut dyn ActionSink) {
         let best = self.adopted.or(self.reserve);
-        let is_fresh = best.is_some_and(|o| doubt(now - o.seen, &self.settings) == 0);
+        let is_fresh = best.is_some_and(|o| unverified_steps(now - o.seen, &self.settings) == 0);
         let newer_than = best.map(|o| (if o.comparable { o.revision } else { i64::MIN }, o.seen));
         let wanted = (!self.has_answer && !is_fresh && self.peers > 0).then_some(newer_than);
         if wanted != self.wanted {
             self.wanted = wanted;
-            writer.want_from_peers(wanted);
+            sink.request_from_peers(wanted);
         }
     }
 
     /// A watch from a revision answers nothing until something changes: for a list in doubt the whole one is asked for.
     fn may_watch(&self, now: Nanos) -> bool {
-        self.adopted.is_some_and(|o| o.comparable && doubt(now - o.seen, &self.settings) == 0)
+        self.adopted.is_some_and(|o| o.comparable && unverified_steps(now - o.seen, &self.settings) == 0)
     }
 
     /// When the next round is due at the latest.
--- a/crates/cold-start/tests/golden_start.rs
+++ b/crates/cold-start/tests/golden_start.rs
@@ -2,8 +2,8 @@
 
 use std::path::PathBuf;
 
-use orchidvalve_cold_start::probe_schedule::{begin_with, probe_from};
-use orchidvalve_cold_start::start::{Offer, Source, Start, Writer};
+use orchidvalve_cold_start::probe_schedule::{initial_verification, probe_from};
+use orchidvalve_cold_start::start::{ActionSink, Offer, Source, Start};
 use orchidvalve_cold_start::{Nanos, StartSettings};
 use orchidvalve_golden::{Trace, check_hashes};
 use rand::{Rng, SeedableRng};
@@ -26,13 +26,13 @@
     }
 }
 
-impl Writer for Decisions {
+impl ActionSink for Decisions {
     fn adopt(&mut self, offer: &Offer, doubt: u32) {
         let source = SOURCES.iter().position(|source| *source == offer.source).unwrap_or(9);
         self.add(&[1, source as i64, offer.revision, offer.seen, i64::from(doubt)]);
     }
 
-    fn want_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>) {
+    fn request_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>) {
         match wanted {
             Some(Some((revision, seen))) => self.add(&[2, revision, seen]),
             Some(None) => self.add(&[3]),
@@ -108,7 +108,8 @@
         decisions.add(&[start.next_due(), adopted, i64::from(start.has_answer()), start.nodes() as i64]);
     }
     for subject in 0..50 {
-        let (doubt, from) = begin_with(&settings, 300, (seed, subject), (subject % 4) as u32, BEGAN);
+        let (doubt, from) =
+            initial_verification(&settings, 300, (seed, subject), (subject % 4) as u32, BEGAN);
         decisions.add(&[i64::from(doubt), from, probe_from(&settings, 300, seed, subject, BEGAN)]);
     }
     let counts = start.counts();
--- a/crates/cold-start/tests/herd.rs
+++ b/crates/cold-start/tests/herd.rs
@@ -2,7 +2,7 @@
 
 use orchidvalve_cold_start::fetch_schedule::FetchSchedule;
 use orchidvalve_cold_start::probe_schedule::probe_from;
-use orchidvalve_cold_start::start::{Offer, Source, Start, Writer};
+use orchidvalve_cold_start::start::{ActionSink, Offer, Source, Start};
 use orchidvalve_cold_start::{Nanos, StartSettings};
 use proptest::prelude::*;
 
@@ -18,11 +18,11 @@
     discovery_timed_out: usize,
 }
 
-impl Writer for Told {
+impl ActionSink for Told {
     fn adopt(&mut self, offer: &Offer, doubt: u32) {
         self.adopted.push((offer.source, offer.seen, doubt));
     }
-    fn want_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>) {
+    fn request_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>) {
         self.wanted = wanted;
     }
     fn fetch(&mut self, whole: bool) {
--- a/crates/fleet/examples/measure.rs
+++ b/crates/fleet/examples/measure.rs
@@ -35,7 +35,7 @@
     let want = |i: usize| if i.is_multiple_of(10) { 5.0 * base } else { 0.1 * base };
     let step = if nodes > 100 { 20 * MS } else { 10 * MS };
     while net.now < 15 * S {
-        net.tick(step, |i, inbox| inbox.want(KEY, TOTAL, want(i)));
+        net.tick(step, |i, inbox| inbox.set_demand(KEY, TOTAL, want(i)));
     }
     let sent_before: u64 = net.alive().map(|f| f.counts().sent).sum();
     let (mut over, mut served, mut samples) = (f64::MIN, 0.0, 0);
@@ -45,7 +45,7 @@
         let key = VerdictKey { subject: verdict, service_class: 0, topic: Topic::Failing };
         let from = (verdict as usize * 7) % nodes;
         net.tick(step, |i, inbox| {
-            inbox.want(KEY, TOTAL, want(i));
+            inbox.set_demand(KEY, TOTAL, want(i));
             if i == from {
                 inbox.verdict(key, true, 60 * S);
             }
@@ -53,7 +53,7 @@
         let told = net.now;
         let mut known = None;
         while net.now < told + 4 * S {
-            net.tick(step, |i, inbox| inbox.want(KEY, TOTAL, want(i)));
+            net.tick(step, |i, inbox| inbox.set_demand(KEY, TOTAL, want(i)));
             let sum: f64 = net.alive().map(|f| f.allowance(KEY)).sum();
             over = over.max(sum - TOTAL);
             let heavy = net.alive().enumerate().filter(|(i, _)| i.is_multiple_of(10));
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -6,7 +6,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use crate::Nanos;
-use crate::inbox::{Inbox, OutgoingMessage, Writer};
+use crate::inbox::{DatagramSink, Inbox, OutgoingMessage};
 use crate::leases::{BudgetKey, LeaseGrant, LeaseMessages, LeaseRequest, LeaseTotals, Leases};
 use crate::lists::{ListCounts, ListMessage, ListVersion, Lists};
 use crate::membership::{Membership, MembershipOutput, SwimMessage};
@@ -88,7 +88,7 @@
     }
 
     /// One round: handles what came in and the timers that fell due, and writes what is to be sent.
-    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), writer: &mut dyn Writer) {
+    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn DatagramSink) {
         // The time never goes back here; a step forward ends leases that this node holds early, which is safe, and
         // those that it lent early, which is not: the design page bounds what that costs.
         self.now = self.now.max(now);
@@ -111,7 +111,7 @@
         if now >= self.next_gossip {
             self.gossip(&mut outgoing);
         }
-        self.carry_out(membership_output, outgoing, writer);
+        self.carry_out(membership_output, outgoing, sink);
     }
 
     /// Applies what the host itself asks for and reports.
@@ -125,7 +125,7 @@
         }
         inbox.offered_list.into_iter().for_each(|version| self.lists.publish(version));
         match inbox.list_wanted {
-            Some(Some(wanted)) => self.lists.want(wanted, now),
+            Some(Some(wanted)) => self.lists.request(wanted, now),
             Some(None) => self.lists.cancel(),
             None => {}
         }
@@ -203,7 +203,7 @@
         &mut self,
         mut membership_output: MembershipOutput,
         outgoing: OutgoingMessages,
-        writer: &mut dyn Writer,
+        sink: &mut dyn DatagramSink,
     ) {
         // Declared down while alive, membership goes on under a renewed identity: the messages must say so, or peers
         // take them for a stranger's.
@@ -219,7 +219,7 @@
         for OutgoingMessage { to, message } in swim.chain(outgoing.messages).chain(lists) {
             wire::encode(self.me, &message, &mut self.buffer);
             self.counts.sent += 1;
-            writer.send(to.address(), &self.buffer);
+            sink.send(to.address(), &self.buffer);
         }
     }
 
--- a/crates/fleet/src/inbox.rs
+++ b/crates/fleet/src/inbox.rs
@@ -9,7 +9,7 @@
 use crate::verdicts::VerdictKey;
 
 /// Where datagrams go.
-pub trait Writer {
+pub trait DatagramSink {
     /// Sends a datagram; it may get lost.
     fn send(&mut self, to: SocketAddrV4, datagram: &[u8]);
 }
@@ -30,7 +30,7 @@
     pub sent: Vec<(SocketAddrV4, Vec<u8>)>,
 }
 
-impl Writer for Outbox {
+impl DatagramSink for Outbox {
     fn send(&mut self, to: SocketAddrV4, datagram: &[u8]) {
         self.sent.push((to, datagram.to_vec()));
     }
@@ -68,7 +68,7 @@
     }
 
     /// This node would use `demand` units a second of a budget of `total` for the fleet.
-    pub fn want(&mut self, key: BudgetKey, total: f64, demand: f64) {
+    pub fn set_demand(&mut self, key: BudgetKey, total: f64, demand: f64) {
         self.demands.push(Demand { key, total, demand });
     }
 
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -29,7 +29,7 @@
 mod settings;
 
 pub use fleet::{Fleet, FleetCounts, MemberCounts};
-pub use inbox::{Inbox, Outbox, OutgoingMessage, Writer};
+pub use inbox::{DatagramSink, Inbox, Outbox, OutgoingMessage};
 pub use peer::Peer;
 pub use settings::FleetSettings;
 
--- a/crates/fleet/src/lists.rs
+++ b/crates/fleet/src/lists.rs
@@ -232,7 +232,7 @@
     }
 
     /// Asks peers for that list from now on.
-    pub fn want(&mut self, wanted: ListWanted, now: Nanos) {
+    pub fn request(&mut self, wanted: ListWanted, now: Nanos) {
         if self.wanted.is_none() {
             self.next_query_at = now;
         }
--- a/crates/fleet/src/verdicts.rs
+++ b/crates/fleet/src/verdicts.rs
@@ -11,7 +11,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Topic {
     /// The server has just started and bears only a share of its work.
-    Cold = 0,
+    SlowStart = 0,
     /// The server fails shard requests of a service class, though it answers others.
     Failing = 1,
     /// The server is being taken out.
@@ -22,7 +22,7 @@
     /// The topic with this number on the wire.
     pub fn from_byte(byte: u8) -> Option<Topic> {
         match byte {
-            0 => Some(Topic::Cold),
+            0 => Some(Topic::SlowStart),
             1 => Some(Topic::Failing),
             2 => Some(Topic::Draining),
             _ => None,
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -11,7 +11,7 @@
 
 /// Node 0 would use 60 of 100 a second, all others 1 each.
 fn demand(net: &mut Net, step: i64) {
-    net.tick(step, |i, inbox| inbox.want(KEY, TOTAL, if i == 0 { 60.0 } else { 1.0 }));
+    net.tick(step, |i, inbox| inbox.set_demand(KEY, TOTAL, if i == 0 { 60.0 } else { 1.0 }));
 }
 
 fn sum(net: &Net) -> f64 {
@@ -87,7 +87,7 @@
     assert!(lent_before > 10.0, "others lent to node 0: {lent_before:.1}");
     net.nodes[0].fleet = None;
     while net.now < 14 * S {
-        net.tick(10 * MS, |_, inbox| inbox.want(KEY, TOTAL, 1.0));
+        net.tick(10 * MS, |_, inbox| inbox.set_demand(KEY, TOTAL, 1.0));
     }
     let lent_after: f64 = net.alive().map(|f| f.leases().lent).sum();
     assert!(lent_after < 1e-9, "lent 4 s after the borrower died: {lent_after:.2}");
@@ -168,7 +168,7 @@
             if i == 0 {
                 (0..1000).for_each(|_| inbox.datagram(&flood));
             }
-            inbox.want(KEY, TOTAL, if i == 1 { 40.0 } else { 1.0 });
+            inbox.set_demand(KEY, TOTAL, if i == 1 { 40.0 } else { 1.0 });
         });
     }
     let counts = net.nodes[0].fleet.as_ref().unwrap().counts();
@@ -183,7 +183,7 @@
     let mut net = Net::new(300, 300, 9, |o| o);
     let mut most: f64 = 0.0;
     while net.now < 20 * S {
-        net.tick(20 * MS, |i, inbox| inbox.want(KEY, TOTAL, if i % 50 == 0 { 5.0 } else { 0.1 }));
+        net.tick(20 * MS, |i, inbox| inbox.set_demand(KEY, TOTAL, if i % 50 == 0 { 5.0 } else { 0.1 }));
         most = most.max(sum(&net));
     }
     assert!(most <= TOTAL + 1e-6, "{most:.3}");
--- a/crates/fleet/tests/golden_datagrams.rs
+++ b/crates/fleet/tests/golden_datagrams.rs
@@ -23,7 +23,7 @@
 fn messages() -> Vec<(&'static str, Message)> {
     let key = BudgetKey { family: 2, subject: 0x0123_4567_89ab_cdef };
     let verdicts = vec![
-        told(Topic::Cold, true, 1),
+        told(Topic::SlowStart, true, 1),
         told(Topic::Failing, false, u32::MAX),
         told(Topic::Draining, true, 9),
     ];
@@ -107,7 +107,7 @@
             }
             let now = net.now;
             net.tick(20 * MS, |node, inbox| {
-                inbox.want(key, 100.0, if node == 1 { 60.0 } else { 1.0 });
+                inbox.set_demand(key, 100.0, if node == 1 { 60.0 } else { 1.0 });
                 if node == 4 && now % (3 * S) == 0 {
                     let verdict = VerdictKey { subject: now as u64, service_class: 1, topic: Topic::Failing };
                     inbox.verdict(verdict, true, 5 * S);
--- a/crates/fleet/tests/lists.rs
+++ b/crates/fleet/tests/lists.rs
@@ -78,7 +78,7 @@
 /// One node that wants, with `offers` of peers that it hears at once; the peer that it pulls from.
 fn pulls(beats: Option<ListAge>, offers: &[(u8, ListVersion)]) -> (Lists, Option<orchidvalve_fleet::Peer>) {
     let (mut lists, mut post) = (Lists::new(ListSettings::default()), Vec::new());
-    lists.want(ListWanted { topic: TOPIC, newer_than: beats }, 100 * S);
+    lists.request(ListWanted { topic: TOPIC, newer_than: beats }, 100 * S);
     for (n, e) in offers {
         let mut source = Lists::new(ListSettings::default());
         source.publish(e.clone());
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 
-use orchidvalve_fleet::{Fleet, FleetSettings, Inbox, Nanos, Writer};
+use orchidvalve_fleet::{DatagramSink, Fleet, FleetSettings, Inbox, Nanos};
 use orchidvalve_golden::Trace;
 
 pub const MS: Nanos = 1_000_000;
@@ -48,7 +48,7 @@
     net: &'a mut Vec<(usize, SocketAddrV4, Vec<u8>)>,
 }
 
-impl Writer for Sent<'_> {
+impl DatagramSink for Sent<'_> {
     fn send(&mut self, to: SocketAddrV4, datagram: &[u8]) {
         self.net.push((self.from, to, datagram.to_vec()));
     }
--- a/crates/frontnode/src/cold_start.rs
+++ b/crates/frontnode/src/cold_start.rs
@@ -8,7 +8,7 @@
 use derive_more::{Display, Error, From};
 use orchidvalve::interface::Nanos;
 use orchidvalve::trace::MembershipSource;
-use orchidvalve_cold_start::start::{Inbox, Offer, Source, Start, Writer};
+use orchidvalve_cold_start::start::{ActionSink, Inbox, Offer, Source, Start};
 use orchidvalve_cold_start::{StartSettings, probe_schedule};
 use orchidvalve_fleet::MemberCounts;
 use orchidvalve_fleet::lists::{ListAge, ListVersion, ListWanted};
@@ -238,11 +238,11 @@
     pub wanted: Option<WantedFromPeers>,
 }
 
-impl Writer for Decisions {
+impl ActionSink for Decisions {
     fn adopt(&mut self, offer: &Offer, doubt: u32) {
         self.actions.push(Action::Adopt(*offer, doubt));
     }
-    fn want_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>) {
+    fn request_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>) {
         let age = |(revision, seen)| ListAge { revision, seen };
         self.wanted = Some(match wanted {
             None => WantedFromPeers::Nothing,
@@ -441,7 +441,7 @@
         let with_doubt = |endpoint: Endpoint| {
             let steps = doubt.max(self.doubts.get(&endpoint.id).copied().unwrap_or(0));
             let number = stable_hash(&endpoint.id);
-            let (steps, check_from) = probe_schedule::begin_with(
+            let (steps, check_from) = probe_schedule::initial_verification(
                 &self.settings.policy,
                 self.start.nodes(),
                 (self.seed, number),
--- a/crates/frontnode/src/fleet.rs
+++ b/crates/frontnode/src/fleet.rs
@@ -17,7 +17,7 @@
 use orchidvalve_fleet::lists::{ListVersion, ListWanted};
 use orchidvalve_fleet::token_bucket::TokenBucket;
 use orchidvalve_fleet::verdicts::{Topic, VerdictKey};
-use orchidvalve_fleet::{Fleet, FleetSettings as FleetProtocolSettings, Inbox, MemberCounts, Writer};
+use orchidvalve_fleet::{DatagramSink, Fleet, FleetSettings as FleetProtocolSettings, Inbox, MemberCounts};
 use serde::Deserialize;
 
 use crate::context::Context;
@@ -209,7 +209,7 @@
     unsent: &'a mut u64,
 }
 
-impl Writer for DatagramWriter<'_> {
+impl DatagramSink for DatagramWriter<'_> {
     fn send(&mut self, to: SocketAddrV4, datagram: &[u8]) {
         // A datagram that the system will not take now is lost, as one on the way would be.
         if self.socket.send_to(datagram, to).is_err() {
@@ -494,7 +494,7 @@
             offered_list.into_iter().for_each(|list| inbox.offer_list(list));
             wanted_list.into_iter().for_each(|wanted| inbox.list_wanted(wanted));
             for &BudgetDemand { key, total, wanted } in demands {
-                inbox.want(key, total, wanted);
+                inbox.set_demand(key, total, wanted);
             }
             datagrams.iter().for_each(|datagram| inbox.datagram(datagram));
             for &ReplicaVerdict { key, is_failing } in &verdicts {
--- a/crates/frontnode/src/maintenance.rs
+++ b/crates/frontnode/src/maintenance.rs
@@ -14,7 +14,7 @@
 use orchidvalve_log_store::Batch;
 use orchidvalve_log_store::background_writer::PendingWrite;
 use orchidvalve_maintenance::disruption_budget::{DisruptionBudget, Health, ObservedMachine};
-use orchidvalve_maintenance::node::{CommandCounts, Inbox, Node, NodeSettings, Writer};
+use orchidvalve_maintenance::node::{CommandCounts, Inbox, Node, NodeSettings, OutputSink};
 use orchidvalve_maintenance::queue::Timing;
 use orchidvalve_maintenance::raft_group::{Group, GroupSettings, LogUpdate, RecoveredLog};
 use serde::Deserialize;
@@ -234,7 +234,7 @@
     is_broken: bool,
 }
 
-impl Writer for GroupWriter<'_> {
+impl OutputSink for GroupWriter<'_> {
     fn send(&mut self, to: SocketAddrV4, datagram: Vec<u8>) {
         if self.is_broken {
             return;
@@ -303,7 +303,7 @@
     NodeSettings {
         me: settings.member.unwrap_or_else(|| stable_hash(identity.name) | 1 << 63),
         group: (1..).zip(settings.group.iter().copied()).collect(),
-        follow_every: settings.follow_interval,
+        follow_interval: settings.follow_interval,
         reached_at: settings.advertise,
         rule: DisruptionBudget {
             cells: ring.cells as u32,
@@ -518,7 +518,7 @@
 
     /// Publishes the gauges, and the order as operators read it where it changed.
     fn publish(&mut self, context: &mut Context) {
-        let (order, leads) = (self.node.order(), self.node.leads());
+        let (order, leads) = (self.node.queue(), self.node.leads());
         let last_contact_ms = self.node.last_contact().map(|at| (context.now - at).max(0) / 1_000_000);
         let CommandCounts { pending, expired } = self.node.commands();
         let closed = order.closed().count();
--- a/crates/frontnode/src/persistence.rs
+++ b/crates/frontnode/src/persistence.rs
@@ -251,7 +251,7 @@
 fn read_maintenance_log(snapshot: &Snapshot, unreadable: &mut usize) -> RecoveredLog {
     let mut log = RecoveredLog::default();
     for (key, value) in snapshot.scan(MAINTENANCE_KEYSPACE) {
-        let read = value.is_ok_and(|value| log.read(&key, value));
+        let read = value.is_ok_and(|value| log.insert_record(&key, value));
         *unreadable += usize::from(!read);
     }
     log
--- a/crates/maintenance/src/log_records.rs
+++ b/crates/maintenance/src/log_records.rs
@@ -17,7 +17,7 @@
 
 impl LogUpdate {
     /// Keys and their values, `None` for one that is no more, in the order in which they are to be written. Hosts with
-    /// a store of keys keep them as they are; [`RecoveredLog::read`] takes them back.
+    /// a store of keys keep them as they are; [`RecoveredLog::insert_record`] takes them back.
     pub fn records(&self) -> impl Iterator<Item = (Vec<u8>, Option<&[u8]>)> {
         let state = [(HARD, &self.hard), (SNAPSHOT, &self.snapshot)].into_iter();
         let state = state.filter_map(|(key, value)| value.as_deref().map(|value| (vec![key], Some(value))));
@@ -49,7 +49,7 @@
 
 impl RecoveredLog {
     /// A record that was kept; false for one that is none of the log's.
-    pub fn read(&mut self, key: &[u8], value: Vec<u8>) -> bool {
+    pub fn insert_record(&mut self, key: &[u8], value: Vec<u8>) -> bool {
         match key {
             [HARD] => self.hard = Some(value),
             [SNAPSHOT] => self.snapshot = Some(value),
@@ -63,7 +63,7 @@
     }
 
     /// Takes in what was saved, as a disk does.
-    pub fn take(&mut self, saved: &LogUpdate) {
+    pub fn apply(&mut self, saved: &LogUpdate) {
         if saved.hard.is_some() {
             self.hard.clone_from(&saved.hard);
         }
--- a/crates/maintenance/src/node.rs
+++ b/crates/maintenance/src/node.rs
@@ -45,7 +45,7 @@
     /// Members of the group by their numbers.
     pub group: BTreeMap<u64, SocketAddrV4>,
     /// Time between two questions of a node that follows.
-    pub follow_every: Nanos,
+    pub follow_interval: Nanos,
     /// Where others reach this node, where that is not whence its datagrams come.
     pub reached_at: Option<SocketAddrV4>,
     /// The disruption budget, where this node leads.
@@ -92,7 +92,7 @@
 }
 
 /// Where the output of a round goes.
-pub trait Writer {
+pub trait OutputSink {
     /// Sends a datagram; it may get lost.
     fn send(&mut self, to: SocketAddrV4, datagram: Vec<u8>);
     /// To be made durable; the host says so with the number once it is.
@@ -136,19 +136,19 @@
     me: u64,
     last_message: &'a mut u32,
     group: &'a BTreeMap<u64, SocketAddrV4>,
-    writer: &'a mut dyn Writer,
+    sink: &'a mut dyn OutputSink,
 }
 
 impl MessageSender<'_> {
     fn send_message(&mut self, to: SocketAddrV4, message: &NodeMessage) {
         *self.last_message = self.last_message.wrapping_add(1);
         for datagram in split(self.me, *self.last_message, message) {
-            self.writer.send(to, datagram);
+            self.sink.send(to, datagram);
         }
     }
 }
 
-impl raft_group::Writer for MessageSender<'_> {
+impl raft_group::OutputSink for MessageSender<'_> {
     fn send(&mut self, to: u64, message: Vec<u8>) {
         if let Some(&address) = self.group.get(&to) {
             self.send_message(address, &NodeMessage::Raft(message));
@@ -156,7 +156,7 @@
     }
 
     fn save(&mut self, number: u64, saved: LogUpdate) {
-        self.writer.save(number, saved);
+        self.sink.save(number, saved);
     }
 }
 
@@ -225,7 +225,7 @@
     }
 
     /// One round: handles what came in, and writes what is to be sent and saved.
-    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), writer: &mut dyn Writer) {
+    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn OutputSink) {
         let mut inbox = Inbox::default();
         inputs(&mut inbox);
         if let Some(seen) = inbox.seen {
@@ -237,7 +237,7 @@
         let proposals = self.route_commands(received.forwarded, now, &mut outgoing);
         self.follow(now, &mut outgoing);
         let Node { settings, group, last_message, .. } = self;
-        let mut sender = MessageSender { me: settings.me, last_message, group: &settings.group, writer };
+        let mut sender = MessageSender { me: settings.me, last_message, group: &settings.group, sink };
         for OutgoingMessage { to, message } in outgoing.0 {
             sender.send_message(to, &message);
         }
@@ -246,7 +246,7 @@
                 received.raft.into_iter().for_each(|message| inbox_of_group.message(message));
                 proposals.into_iter().for_each(|command| inbox_of_group.command(command));
                 inbox.durable.into_iter().for_each(|number| inbox_of_group.durable(number));
-                inbox_of_group.look(self.seen.clone(), settings.rule.clone(), settings.pace);
+                inbox_of_group.observation(self.seen.clone(), settings.rule.clone(), settings.pace);
             };
             group.round(now, inputs, &mut sender);
             self.last_contact = group.leader().map(|_| now).or(self.last_contact);
@@ -280,7 +280,7 @@
                     received.forwarded.push(ForwardedCommand { command, hops });
                 }
                 NodeMessage::Follow(known, reached_at) => {
-                    if let Some(queue) = self.group.as_ref().map(Group::order) {
+                    if let Some(queue) = self.group.as_ref().map(Group::queue) {
                         let is_newer = queue.version > known;
                         let fresh = NodeMessage::Fresh(queue.version);
                         let answer =
@@ -322,7 +322,7 @@
                 _ => {}
             }
         }
-        let queue = self.group.as_ref().map_or(&self.followed, Group::order);
+        let queue = self.group.as_ref().map_or(&self.followed, Group::queue);
         self.pending.retain(|pending| !queue.has_applied(nonce(&pending.command)));
         self.expired += self.pending.iter().filter(|pending| pending.until <= now).count() as u64;
         self.pending.retain(|pending| pending.until > now);
@@ -348,7 +348,7 @@
         if self.group.is_some() || now < self.next_follow || members.is_empty() {
             return;
         }
-        self.next_follow = now + self.settings.follow_every;
+        self.next_follow = now + self.settings.follow_interval;
         self.turn = self.turn.wrapping_add(1);
         let question = NodeMessage::Follow(self.followed.version, self.settings.reached_at);
         outgoing.push(members[self.turn % members.len()], question);
@@ -366,13 +366,13 @@
     }
 
     /// The queue as this node knows it.
-    pub fn order(&self) -> &MaintenanceQueue {
-        self.group.as_ref().map_or(&self.followed, Group::order)
+    pub fn queue(&self) -> &MaintenanceQueue {
+        self.group.as_ref().map_or(&self.followed, Group::queue)
     }
 
     /// Machines that get nothing new from here.
     pub fn closed(&self) -> BTreeSet<&str> {
-        self.order().closed().collect()
+        self.queue().closed().collect()
     }
 
     /// Whether this node leads the group.
--- a/crates/maintenance/src/raft_group.rs
+++ b/crates/maintenance/src/raft_group.rs
@@ -58,13 +58,18 @@
     }
 
     /// What this node sees of the machines, and the rule and pace of its file: told where it leads.
-    pub fn look(&mut self, seen: BTreeMap<String, ObservedMachine>, rule: DisruptionBudget, pace: Timing) {
+    pub fn observation(
+        &mut self,
+        seen: BTreeMap<String, ObservedMachine>,
+        rule: DisruptionBudget,
+        pace: Timing,
+    ) {
         self.observation = Some(Observation { seen, rule, pace });
     }
 }
 
 /// Where the output of a round goes.
-pub trait Writer {
+pub trait OutputSink {
     /// To another member of the group, by its number.
     fn send(&mut self, to: u64, message: Vec<u8>);
     /// To be made durable; the host says so with the number once it is.
@@ -81,13 +86,13 @@
     /// Raft's unit of time.
     pub tick: Nanos,
     /// Entries applied beyond a snapshot before the next one is made.
-    pub fold_every: u64,
+    pub snapshot_interval: u64,
 }
 
 impl GroupSettings {
     /// Settings with a snapshot every 256 entries.
     pub fn new(me: u64, voters: Vec<u64>, tick: Nanos) -> GroupSettings {
-        GroupSettings { me, voters, tick, fold_every: 256 }
+        GroupSettings { me, voters, tick, snapshot_interval: 256 }
     }
 }
 
@@ -138,7 +143,7 @@
     queue: MaintenanceQueue,
     applied: u64,
     tick: Nanos,
-    fold_every: u64,
+    snapshot_interval: u64,
     next_tick: Nanos,
     /// Elections that brought no leader since one was last known.
     elections_without_leader: u32,
@@ -184,7 +189,7 @@
             queue,
             applied,
             tick: settings.tick,
-            fold_every: settings.fold_every,
+            snapshot_interval: settings.snapshot_interval,
             next_tick: now + settings.tick,
             elections_without_leader: 0,
             term: raw.raft.term,
@@ -196,11 +201,11 @@
     }
 
     /// One round: handles what came in, and writes what is to be sent and saved.
-    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), writer: &mut dyn Writer) {
+    pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn OutputSink) {
         let mut inbox = Inbox::default();
         inputs(&mut inbox);
         if let Some(number) = inbox.durable {
-            self.saved_up_to(number, writer);
+            self.saved_up_to(number, sink);
         }
         for bytes in inbox.messages {
             let mut message = Message::default();
@@ -224,20 +229,20 @@
             }
         }
         while self.raw.has_ready() {
-            self.carry_out(writer);
+            self.carry_out(sink);
         }
-        self.snapshot(writer);
+        self.snapshot(sink);
     }
 
     /// All that was handed over up to that number is durable: what waited for it is sent.
-    fn saved_up_to(&mut self, number: u64, writer: &mut dyn Writer) {
+    fn saved_up_to(&mut self, number: u64, sink: &mut dyn OutputSink) {
         self.raw.on_persist_ready(number);
         if self.snapshot_awaits.is_some_and(|snapshot_awaits| snapshot_awaits <= number) {
             self.snapshot_awaits = None;
             self.raw.advance_apply_to(self.applied);
         }
         while let Some(deferred) = self.deferred.pop_front_if(|deferred| deferred.number <= number) {
-            deferred.messages.into_iter().for_each(|message| send(message, writer));
+            deferred.messages.into_iter().for_each(|message| send(message, sink));
         }
     }
 
@@ -287,10 +292,10 @@
         }
     }
 
-    fn carry_out(&mut self, writer: &mut dyn Writer) {
+    fn carry_out(&mut self, sink: &mut dyn OutputSink) {
         let mut ready = self.raw.ready();
         let mut saved = LogUpdate::default();
-        ready.take_messages().into_iter().for_each(|m| send(m, writer));
+        ready.take_messages().into_iter().for_each(|m| send(m, sink));
         if !ready.snapshot().is_empty() {
             let snapshot = ready.snapshot().clone();
             if let Ok(queue) = postcard::from_bytes(snapshot.get_data()) {
@@ -320,10 +325,10 @@
         let number = ready.number();
         let (at_once, after): (Vec<_>, Vec<_>) =
             ready.take_persisted_messages().into_iter().partition(says_nothing_kept);
-        at_once.into_iter().for_each(|m| send(m, writer));
+        at_once.into_iter().for_each(|m| send(m, sink));
         // A ready with nothing to save is numbered all the same, and its turn comes after those before it.
         self.deferred.push_back(DeferredMessages { number, messages: after });
-        writer.save(number, saved);
+        sink.save(number, saved);
         self.raw.advance_append_async(ready);
         if self.snapshot_awaits.is_none() {
             self.raw.advance_apply_to(self.applied);
@@ -341,10 +346,10 @@
     }
 
     /// Folds the log that was applied into a snapshot, now and then.
-    fn snapshot(&mut self, writer: &mut dyn Writer) {
+    fn snapshot(&mut self, sink: &mut dyn OutputSink) {
         let base = self.raw.store().base();
         let is_deferred = self.deferred.iter().any(|deferred| !deferred.messages.is_empty());
-        if self.applied < base + self.fold_every || is_deferred {
+        if self.applied < base + self.snapshot_interval || is_deferred {
             return;
         }
         let (Ok(term), Ok(data)) = (self.raw.store().term(self.applied), postcard::to_stdvec(&self.queue))
@@ -363,7 +368,7 @@
         let saved = LogUpdate { snapshot: snapshot.write_to_bytes().ok(), removed, ..LogUpdate::default() };
         storage.snapshot = snapshot;
         // Under the number handed over last: nothing waits for it.
-        writer.save(0, saved);
+        sink.save(0, saved);
     }
 
     /// Whether this member leads, and knows all that was agreed before it did.
@@ -377,7 +382,7 @@
     }
 
     /// The queue as this member has applied it.
-    pub fn order(&self) -> &MaintenanceQueue {
+    pub fn queue(&self) -> &MaintenanceQueue {
         &self.queue
     }
 
@@ -449,8 +454,8 @@
     matches!(message.get_msg_type(), MsgHeartbeatResponse | MsgRequestPreVote | MsgRequestPreVoteResponse)
 }
 
-fn send(message: Message, writer: &mut dyn Writer) {
+fn send(message: Message, sink: &mut dyn OutputSink) {
     if let Ok(bytes) = message.write_to_bytes() {
-        writer.send(message.to, bytes);
+        sink.send(message.to, bytes);
     }
 }
--- a/crates/maintenance/tests/golden_messages.rs
+++ b/crates/maintenance/tests/golden_messages.rs
@@ -147,7 +147,7 @@
     check_samples(&golden("records.txt"), &samples);
     let mut left = RecoveredLog::default();
     for (key, value) in saved.records() {
-        assert!(value.is_none_or(|value| left.read(&key, value.to_vec())));
+        assert!(value.is_none_or(|value| left.insert_record(&key, value.to_vec())));
     }
     assert_eq!(left.hard, Some(vec![1, 2]));
     assert_eq!(left.snapshot, Some(vec![3]));
--- a/crates/maintenance/tests/model.rs
+++ b/crates/maintenance/tests/model.rs
@@ -10,7 +10,7 @@
 use orchidvalve_maintenance::Nanos;
 use orchidvalve_maintenance::disruption_budget::{DisruptionBudget, Health, ObservedMachine};
 use orchidvalve_maintenance::queue::{Command, Event, MaintenanceQueue, Timing};
-use orchidvalve_maintenance::raft_group::{Group, GroupSettings, Inbox, LogUpdate, RecoveredLog, Writer};
+use orchidvalve_maintenance::raft_group::{Group, GroupSettings, Inbox, LogUpdate, OutputSink, RecoveredLog};
 use stateright::{Checker, Model, Property};
 
 const TICK: Nanos = 1_000_000;
@@ -46,7 +46,7 @@
     saving: &'a mut VecDeque<(u64, LogUpdate)>,
 }
 
-impl Writer for Out<'_> {
+impl OutputSink for Out<'_> {
     fn send(&mut self, to: u64, message: Vec<u8>) {
         self.sent.push((to as usize - 1, message));
     }
@@ -89,7 +89,7 @@
         group.round(
             self.now[n],
             |inbox| {
-                inbox.look(seen, rule, pace);
+                inbox.observation(seen, rule, pace);
                 inputs(inbox);
             },
             &mut out,
@@ -98,7 +98,7 @@
 
     fn durable(&mut self, n: usize) {
         let Some((number, saved)) = self.saving[n].pop_front() else { return };
-        self.disks[n].take(&saved);
+        self.disks[n].apply(&saved);
         self.round(n, |inbox| {
             if number > 0 {
                 inbox.durable(number);
@@ -151,7 +151,7 @@
     }
 
     fn orders(&self) -> impl Iterator<Item = &MaintenanceQueue> {
-        self.groups.iter().flatten().map(Group::order)
+        self.groups.iter().flatten().map(Group::queue)
     }
 
     fn print(&self) -> Vec<u8> {
@@ -165,8 +165,8 @@
                     g.progress(),
                     g.leader(),
                     g.leads(),
-                    g.order().events,
-                    g.order().version
+                    g.queue().events,
+                    g.queue().version
                 )
             })
             .collect();
--- a/crates/maintenance/tests/recovery.rs
+++ b/crates/maintenance/tests/recovery.rs
@@ -9,7 +9,7 @@
 use orchidvalve_maintenance::Nanos;
 use orchidvalve_maintenance::disruption_budget::{DisruptionBudget, Health, ObservedMachine};
 use orchidvalve_maintenance::queue::{Command, QueueEvent, Timing};
-use orchidvalve_maintenance::raft_group::{Group, GroupSettings, LogUpdate, RecoveredLog, Writer};
+use orchidvalve_maintenance::raft_group::{Group, GroupSettings, LogUpdate, OutputSink, RecoveredLog};
 
 const TICK: Nanos = 1_000_000;
 const SPACE: u16 = 5;
@@ -22,7 +22,7 @@
 fn left(store: &LogStore) -> RecoveredLog {
     let mut left = RecoveredLog::default();
     for (key, value) in store.snapshot().scan(SPACE) {
-        assert!(left.read(&key, value.expect("it can be read")));
+        assert!(left.insert_record(&key, value.expect("it can be read")));
     }
     left
 }
@@ -34,7 +34,7 @@
     dead: bool,
 }
 
-impl Writer for Disk<'_> {
+impl OutputSink for Disk<'_> {
     fn send(&mut self, _: u64, _: Vec<u8>) {}
     fn save(&mut self, number: u64, saved: LogUpdate) {
         let batch = saved.records().fold(Batch::new(), |batch, (key, value)| match value {
@@ -54,10 +54,10 @@
     let Ok((mut store, _)) = LogStore::open(Arc::new(disk.clone()), book()) else {
         return (Vec::new(), false);
     };
-    let orders = GroupSettings { fold_every: 5, ..GroupSettings::new(1, vec![1], TICK) };
+    let orders = GroupSettings { snapshot_interval: 5, ..GroupSettings::new(1, vec![1], TICK) };
     let mut group = Group::new(&orders, &left(&store), 0).expect("what is durable is whole");
     let (mut told, mut now, mut next, mut durable) = (Vec::new(), 0, 0, None);
-    while next < COMMANDS || group.order().recent_nonces().count() < COMMANDS as usize {
+    while next < COMMANDS || group.queue().recent_nonces().count() < COMMANDS as usize {
         now += 12 * TICK;
         assert!(now < 4_000 * TICK, "it stands still");
         let mut disk = Disk { store: &mut store, durable: None, dead: false };
@@ -74,7 +74,7 @@
                 let seen: BTreeMap<_, _> = (0..4).map(|n| (format!("m{n}"), seen(n / 2))).collect();
                 let rule =
                     DisruptionBudget { cells: 2, reach: 1, zone_share: 1.0, ..DisruptionBudget::default() };
-                inbox.look(seen, rule, Timing { drain: 30 * TICK, look_lasts: 1_000 * TICK });
+                inbox.observation(seen, rule, Timing { drain: 30 * TICK, look_lasts: 1_000 * TICK });
                 if next < COMMANDS {
                     let (machine, nonce) = (format!("m{}", next % 4), next + 1);
                     inbox.command(match next % 5 {
@@ -100,7 +100,7 @@
             next += 1;
         }
         // What it applied was agreed, which for a group of one means durable: it may have told anybody.
-        told = group.order().events.iter().cloned().collect();
+        told = group.queue().events.iter().cloned().collect();
     }
     (told, true)
 }
@@ -119,7 +119,7 @@
         for storage in [Persisted::Nothing, Persisted::All, Persisted::First(1), Persisted::Without(0)] {
             let disk = disk.after_crash(CrashLoss { files: storage, names: storage });
             let (mut store, _) = LogStore::open(Arc::new(disk.clone()), book()).expect("it opens");
-            let orders = GroupSettings { fold_every: 5, ..GroupSettings::new(1, vec![1], TICK) };
+            let orders = GroupSettings { snapshot_interval: 5, ..GroupSettings::new(1, vec![1], TICK) };
             let mut group = Group::new(&orders, &left(&store), 0).expect("what is durable is whole");
             // It leads again, and with that knows all that was agreed.
             let mut durable = None;
@@ -132,7 +132,7 @@
                 );
                 durable = disk.durable;
             }
-            let found: Vec<QueueEvent> = group.order().events.iter().cloned().collect();
+            let found: Vec<QueueEvent> = group.queue().events.iter().cloned().collect();
             assert!(
                 found.len() >= told.len() && found[..told.len()] == told[..],
                 "call {call}, {storage:?}: {found:?} after {told:?}"
--- a/crates/maintenance/tests/site.rs
+++ b/crates/maintenance/tests/site.rs
@@ -176,9 +176,9 @@
     assert_eq!(site.record_event("m1a", Event::Overdue), 1);
     assert_eq!(site.stage(3, "m1b"), Some(Stage::Requested));
     let node = site.nodes[3].node.as_ref().unwrap();
-    let why = node.order().explain("m1b").unwrap();
+    let why = node.queue().explain("m1b").unwrap();
     assert!(why.contains("shard 1"), "{why}");
-    assert!(node.order().explain("m1a").unwrap().contains("longer than it asked for"));
+    assert!(node.queue().explain("m1a").unwrap().contains("longer than it asked for"));
     // Discovery has replaced it: of three holders it still is one that is missing, though nobody names it.
     let mut new = site.seen["m1b"].clone();
     new.started_ms = 9;
@@ -218,12 +218,12 @@
         };
         site.run(60 * MS);
     }
-    let version = site.nodes[leader].node.as_ref().unwrap().order().version;
+    let version = site.nodes[leader].node.as_ref().unwrap().queue().version;
     assert!(version > 300, "{version}");
     assert!(site.nodes[leader].disk.entries.len() < 300, "the log was folded");
     site.start(away);
     site.until("it has caught up by a snapshot", 20 * S, |s| {
-        s.nodes[away].node.as_ref().unwrap().order().version >= version
+        s.nodes[away].node.as_ref().unwrap().queue().version >= version
     });
 }
 
--- a/crates/maintenance/tests/site/mod.rs
+++ b/crates/maintenance/tests/site/mod.rs
@@ -9,7 +9,7 @@
 use orchidvalve_golden::Trace;
 use orchidvalve_maintenance::Nanos;
 use orchidvalve_maintenance::disruption_budget::{DisruptionBudget, Health, ObservedMachine};
-use orchidvalve_maintenance::node::{Node, NodeSettings, Writer};
+use orchidvalve_maintenance::node::{Node, NodeSettings, OutputSink};
 use orchidvalve_maintenance::queue::{Command, Event, QueueEvent, Stage, Timing};
 use orchidvalve_maintenance::raft_group::{Group, GroupSettings, LogUpdate, RecoveredLog};
 
@@ -26,7 +26,7 @@
 pub struct Site {
     pub nodes: Vec<SimulatedNode>,
     pub members: usize,
-    follow_every: Nanos,
+    follow_interval: Nanos,
     pub now: Nanos,
     pub seen: BTreeMap<String, ObservedMachine>,
     pub rule: DisruptionBudget,
@@ -56,7 +56,7 @@
     trace: Option<&'a mut Trace>,
 }
 
-impl Writer for Sent<'_> {
+impl OutputSink for Sent<'_> {
     fn send(&mut self, to: SocketAddrV4, datagram: Vec<u8>) {
         if let Some(trace) = &mut self.trace {
             trace.add_number(self.at as u64);
@@ -97,13 +97,13 @@
         Site::following_every(200 * MS, members, followers, seed)
     }
 
-    pub fn following_every(follow_every: Nanos, members: usize, followers: usize, seed: u64) -> Site {
+    pub fn following_every(follow_interval: Nanos, members: usize, followers: usize, seed: u64) -> Site {
         let rule =
             DisruptionBudget { cells: 4, reach: 1, share: 0.5, least_sound: 1, zone_share: 1.0, most: 8 };
         let mut site = Site {
             nodes: Vec::new(),
             members,
-            follow_every,
+            follow_interval,
             now: 1_000 * S,
             seen: machines(4),
             rule,
@@ -147,7 +147,7 @@
         });
         let (rule, pace) = (self.rule.clone(), self.pace);
         let orders =
-            NodeSettings { me, group, follow_every: self.follow_every, reached_at: None, rule, pace };
+            NodeSettings { me, group, follow_interval: self.follow_interval, reached_at: None, rule, pace };
         self.nodes[n].node = Some(Node::new(orders, member, self.now));
     }
 
@@ -199,7 +199,7 @@
                 simulated.saving.drain(..).partition(|(at, ..)| *at <= now);
             simulated.saving = saving;
             for (_, number, saved) in done {
-                simulated.disk.take(&saved);
+                simulated.disk.apply(&saved);
                 durable = durable.max((number > 0).then_some(number));
             }
             let mut out = Vec::new();
@@ -255,7 +255,7 @@
     }
 
     pub fn stage(&self, node: usize, machine: &str) -> Option<Stage> {
-        let order = self.nodes[node].node.as_ref()?.order();
+        let order = self.nodes[node].node.as_ref()?.queue();
         order.entries.iter().find(|e| e.machine == machine).map(|e| e.stage)
     }
 
@@ -267,7 +267,7 @@
     fn check(&mut self) {
         for node in &self.nodes {
             let Some(node) = &node.node else { continue };
-            let order = node.order();
+            let order = node.queue();
             let mut versions: BTreeMap<u64, Vec<(String, Event)>> = BTreeMap::new();
             for e in &order.events {
                 versions.entry(e.version).or_default().push((e.machine.clone(), e.event));
