--- a/crates/chain-replication/src/barrier.rs
+++ b/crates/chain-replication/src/barrier.rs
@@ -1,5 +1,5 @@
-//! Barriers: proof that the view in force here is in force at every member, as ReadIndex gives it in Raft (Ongaro 2014,
-//! section 6.4). It is gathered in rounds, so that many reads share the messages of one round.
+//! Barriers: evidence that the current view of this member is still current at every member, like ReadIndex in Raft
+//! (Ongaro 2014, section 6.4). It is gathered in rounds, so that many reads share the messages of one round.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -10,36 +10,36 @@
 #[derive(Debug)]
 struct Round {
     barriers: Vec<BarrierId>,
-    /// Members that have not answered.
+    /// Members that have not confirmed yet.
     missing: Vec<MemberId>,
-    /// Highest committed sequence of any member that has answered.
+    /// Highest committed sequence of any member that has confirmed.
     read_index: Sequence,
-    /// When the members were last asked.
+    /// When the requests were last sent.
     sent_at: Milliseconds,
 }
 
-/// A barrier whose members have all answered.
+/// A barrier that every member has confirmed.
 #[derive(Debug)]
 struct ConfirmedBarrier {
     barrier: BarrierId,
-    /// What has to be committed here before a read.
+    /// The sequence that must be committed here before the read.
     read_index: Sequence,
 }
 
-/// Whom to ask for a confirmation.
+/// The members to which `Confirm` is sent, and the number of the round.
 #[derive(Debug)]
 pub(crate) struct ConfirmRequest {
     pub round: RoundNumber,
     pub members: Vec<MemberId>,
 }
 
-/// The barriers waiting at one replica.
+/// The pending barriers of one replica.
 #[derive(Debug)]
 pub(crate) struct Barriers {
-    /// Barriers that came after the round in progress began.
+    /// Barriers added after the current round began.
     queued: Vec<BarrierId>,
     round: Option<Round>,
-    /// Number of the current round.
+    /// Number of the latest round.
     number: RoundNumber,
     confirmed: Vec<ConfirmedBarrier>,
 }
@@ -53,7 +53,7 @@
         self.queued.push(barrier);
     }
 
-    /// Starts over with all barriers, since the view changed.
+    /// Queues all barriers again, because the view changed.
     pub fn restart(&mut self) {
         if let Some(round) = self.round.take() {
             self.queued.extend(round.barriers);
@@ -61,7 +61,7 @@
         self.queued.extend(self.confirmed.drain(..).map(|confirmed| confirmed.barrier));
     }
 
-    /// Begins a round if barriers wait and none is in progress. Returns whom to ask.
+    /// Begins a round if barriers are queued and no round is in progress. Returns the requests to send.
     pub fn begin_round(
         &mut self,
         others: Vec<MemberId>,
@@ -78,7 +78,7 @@
         Some(ConfirmRequest { round: self.number, members: others })
     }
 
-    /// Takes the answer of a member.
+    /// Records the confirmation of a member.
     pub fn confirmation_received(&mut self, from: MemberId, number: RoundNumber, committed: Sequence) {
         if number != self.number {
             return;
@@ -90,7 +90,7 @@
         self.finish_round();
     }
 
-    /// Whom to ask again.
+    /// Returns the requests to repeat, [`CONFIRM_RESEND_MS`] after they were last sent.
     pub fn overdue(&mut self, now: Milliseconds) -> Option<ConfirmRequest> {
         let round =
             self.round.as_mut().filter(|round| now.saturating_sub(round.sent_at) >= CONFIRM_RESEND_MS)?;
@@ -98,7 +98,7 @@
         Some(ConfirmRequest { round: self.number, members: round.missing.clone() })
     }
 
-    /// Takes out the barriers whose read index is committed here.
+    /// Removes and returns the barriers whose read index is committed here.
     pub fn complete(&mut self, committed: Sequence) -> Vec<BarrierId> {
         let completed = self.confirmed.extract_if(.., |confirmed| confirmed.read_index <= committed);
         completed.map(|confirmed| confirmed.barrier).collect()
--- a/crates/chain-replication/src/epoch_runs.rs
+++ b/crates/chain-replication/src/epoch_runs.rs
@@ -1,19 +1,19 @@
-//! Which epoch each entry of a log belongs to, kept as runs.
+//! The epoch of each entry of a log, stored as runs.
 
 use musli::{Decode, Encode};
 
 use crate::sequence::{Epoch, Sequence};
 
-/// A stretch of entries of one epoch.
+/// A run of consecutive entries of one epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct EpochRun {
-    /// Of all entries of the stretch.
+    /// Epoch of all entries of the run.
     pub epoch: Epoch,
-    /// Sequence of the first entry of the stretch; it lasts until the next run begins.
+    /// Sequence of the first entry of the run, which extends to the start of the next run.
     pub first: Sequence,
 }
 
-/// The epochs of a log's entries: enough to compare two logs without their content.
+/// The epochs of the entries of a log, which suffice to compare two logs without their content.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EpochRuns {
     runs: Vec<EpochRun>,
@@ -24,30 +24,30 @@
 }
 
 impl EpochRuns {
-    /// The epochs of the entries `first` to `end`; the run that holds `first - 1` may be included.
+    /// Creates the runs of the entries `first` to `end`. The run that contains `first - 1` may be included.
     pub fn new(first: Sequence, end: Sequence, runs: Vec<EpochRun>) -> EpochRuns {
         let mut built = EpochRuns { runs, first, end };
         built.runs.retain(|run| run.first <= end);
         built
     }
 
-    /// Lowest sequence held.
+    /// Returns the lowest sequence held.
     pub fn first(&self) -> Sequence {
         self.first
     }
 
-    /// Highest sequence held.
+    /// Returns the highest sequence held.
     pub fn end(&self) -> Sequence {
         self.end
     }
 
-    /// The runs, ascending.
+    /// Returns the runs in ascending order.
     pub fn runs(&self) -> &[EpochRun] {
         &self.runs
     }
 
-    /// Epoch of the entry `sequence`, known from `first - 1` on at best. The place before the very first entry
-    /// has epoch 0.
+    /// Returns the epoch of the entry `sequence`. Known from `first - 1` on if the run of that entry is kept, otherwise
+    /// from `first` on. Sequence 0, before the very first entry, has epoch 0.
     pub fn epoch_at(&self, sequence: Sequence) -> Option<Epoch> {
         if sequence == 0 {
             return Some(0);
@@ -58,7 +58,7 @@
         self.runs.iter().rev().find(|run| run.first <= sequence).map(|run| run.epoch)
     }
 
-    /// Notes an entry appended after the end.
+    /// Records an entry appended after the end.
     pub fn append(&mut self, epoch: Epoch) {
         self.end += 1;
         if self.runs.last().is_none_or(|run| run.epoch != epoch) {
@@ -66,21 +66,22 @@
         }
     }
 
-    /// Forgets all entries after `after`.
+    /// Removes all entries after `after`.
     pub fn truncate(&mut self, after: Sequence) {
         self.end = self.end.min(after);
         self.runs.retain(|run| run.first <= after);
     }
 
-    /// Forgets the entries before `first`, keeping the epoch of the one just before it.
+    /// Removes the entries before `first` but keeps the epoch of the entry just before it.
     pub fn trim(&mut self, first: Sequence) {
         self.first = self.first.max(first.min(self.end + 1));
         let before = self.first - 1;
-        let needless = self.runs.iter().rposition(|run| run.first <= before).unwrap_or(0);
-        self.runs.drain(..needless);
+        let obsolete = self.runs.iter().rposition(|run| run.first <= before).unwrap_or(0);
+        self.runs.drain(..obsolete);
     }
 
-    /// Begins anew at `start`; `previous_epoch` is the epoch of the entry before it, or 0 if not known.
+    /// Empties the log, so that it starts at `start`. `previous_epoch` is the epoch of the entry before, or 0 if
+    /// unknown.
     pub fn reset(&mut self, start: Sequence, previous_epoch: Epoch) {
         self.first = start;
         self.end = start - 1;
@@ -90,8 +91,8 @@
         }
     }
 
-    /// Highest sequence, at most `limit`, up to which `other` has the same entries. None if that lies below
-    /// what both logs still know.
+    /// Returns the highest sequence, at most `limit`, up to which both logs have the same entries. Returns `None` if
+    /// that sequence is below the entries whose epochs both logs still know.
     pub fn common_with(&self, other: &EpochRuns, limit: Sequence) -> Option<Sequence> {
         let mut candidate = limit.min(self.end).min(other.end);
         loop {
@@ -99,7 +100,7 @@
             if own_epoch == other_epoch {
                 return Some(candidate);
             }
-            // The entries of the newer run are in one log only: step before its beginning.
+            // The entries of the run with the higher epoch are in one log only: continue before the run.
             let newer = if own_epoch > other_epoch { self } else { other };
             candidate = newer.run_start(candidate).saturating_sub(1);
         }
--- a/crates/chain-replication/src/inflights.rs
+++ b/crates/chain-replication/src/inflights.rs
@@ -1,4 +1,4 @@
-//! The messages to one receiver that are sent and not acknowledged: the window of its replication.
+//! The messages to one receiver that were sent and not acknowledged yet: its replication window.
 
 use std::collections::VecDeque;
 
@@ -11,7 +11,7 @@
     payload_bytes: usize,
 }
 
-/// What is in flight to one receiver, in the order of the log.
+/// The batches in flight to one receiver, in the order of the log.
 #[derive(Debug, Default)]
 pub(crate) struct Inflights {
     batches: VecDeque<SentBatch>,
@@ -23,18 +23,18 @@
         self.batches.is_empty()
     }
 
-    /// Whether the window is open for another message.
-    pub fn has_room(&self) -> bool {
+    /// Returns true if the window permits another message.
+    pub fn has_capacity(&self) -> bool {
         self.payload_bytes < WINDOW_BYTES
     }
 
-    /// A message with the entries up to `last` was sent.
+    /// Records a message with the entries up to `last`.
     pub fn add(&mut self, last: Sequence, payload_bytes: usize) {
         self.batches.push_back(SentBatch { last, payload_bytes });
         self.payload_bytes += payload_bytes;
     }
 
-    /// The entries up to `sequence` are acknowledged.
+    /// Removes the batches whose entries are all acknowledged by `sequence`.
     pub fn acknowledge(&mut self, sequence: Sequence) {
         while let Some(batch) = self.batches.pop_front_if(|batch| batch.last <= sequence) {
             self.payload_bytes -= batch.payload_bytes;
--- a/crates/chain-replication/src/lib.rs
+++ b/crates/chain-replication/src/lib.rs
@@ -1,20 +1,21 @@
-//! Chain replication of a numbered log, free of I/O.
+//! Chain replication of a numbered log, without I/O.
 //!
 //! The members of a [`ChainView`] hold copies of one log. New entries enter at the head, travel down the
-//! chain one durable copy at a time and are committed once the tail has them on its disk. A view is decided
-//! elsewhere (one view per epoch); this crate brings the logs of its members into agreement, passes the
-//! entries on, fills learners that are to join later and confirms that a view is still in force (barriers, for
+//! chain one durable copy at a time and are committed once the tail has them on its disk. The views are decided
+//! outside this crate, one per epoch. This crate makes the logs of the members of a view equal, passes the entries
+//! on, fills the logs of learners that join later, and confirms that a view is still current (barriers, for
 //! linearizable reads).
 //!
-//! It follows van Renesse and Schneider 2004: the head orders the changes, the tail's disk decides that one is
-//! committed (section 3), and a view without the lost member is how a chain survives its loss. Unlike there, every
-//! member answers reads, after a barrier.
+//! It follows van Renesse and Schneider 2004: the head orders the changes, an entry is committed once it is on the disk
+//! of the tail (section 3), and the chain survives the loss of a member through a view without it. Unlike there, every
+//! member serves reads, after a barrier.
 //!
-//! [`Replica`] is the state machine of one member, with a file each for receiving, sending, committing and barriers.
-//! Its parts: `predecessor` is the state towards the neighbour that entries come from, `progress` with `inflights`
-//! the one towards each receiver, [`EpochRuns`] compares two logs without their content, `barrier` confirms views.
+//! [`Replica`] is the state machine of one member, with one file each for receiving, sending, committing and barriers.
+//! Its parts: `predecessor` is the state of the link to the neighbour that sends the entries, `progress` with
+//! `inflights` that of the link to each receiver, [`EpochRuns`] compares two logs without their content, `barrier`
+//! confirms views.
 //!
-//! What the authority over the views has to keep to:
+//! The component that decides the views must guarantee:
 //! - at most one view is ever decided per epoch;
 //! - the head of a view was reported as synchronized ([`Output::Synchronized`]) in an earlier view and has been
 //!   a member in all views since; in the very first view all logs are empty;
--- a/crates/chain-replication/src/message.rs
+++ b/crates/chain-replication/src/message.rs
@@ -6,85 +6,85 @@
 use crate::epoch_runs::EpochRun;
 use crate::sequence::{Epoch, PositionId, RoundNumber, Sequence};
 
-/// A message between two replicas. One whose epoch differs from the view in force at the receiver is dropped.
+/// A message between two replicas. The receiver drops it if its epoch differs from that of the receiver's current view.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum Message {
-    /// To the predecessor (from a learner: to the tail): where the sender's log stands.
+    /// To the predecessor (from a learner: to the tail): the position of the sender's log.
     Position {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
-        /// Tells this position from earlier ones.
+        /// Distinguishes this position from earlier ones.
         position_id: PositionId,
         /// Lowest sequence held.
         first: Sequence,
-        /// The epochs of the entries held.
+        /// Epochs of the entries held.
         runs: Vec<EpochRun>,
         /// Highest sequence held.
         end: Sequence,
     },
-    /// To the successor or a learner: where does its log stand? Sent by a member that enters a view, since it
-    /// dropped a position that came before.
+    /// To the successor or a learner: requests its position. Sent by a member that enters a view, because it has
+    /// dropped any position that arrived earlier.
     Locate {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
     },
-    /// To the successor or a learner: the entries after `previous_sequence`, all on the sender's disk.
+    /// To the successor or a learner: the entries after `previous_sequence`, all of them on the sender's disk.
     Entries {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
-        /// Of the newest position that the sender has handled: entries sent by an earlier run of the sender answer
-        /// none.
+        /// The latest position that the sender has handled. Entries sent by an earlier run of the sender carry another
+        /// value and therefore do not count as a reply to the receiver's position.
         position_id: PositionId,
-        /// Of the entry before those sent.
+        /// Sequence of the entry before the ones sent.
         previous_sequence: Sequence,
-        /// Epoch of that entry; the receiver's log must have it there, too.
+        /// Epoch of that entry. The receiver's log must have an entry of this epoch there, too.
         previous_epoch: Epoch,
-        /// None in a probe.
+        /// The entries; empty in a probe.
         entries: Vec<Entry>,
         /// Highest sequence that the sender knows to be committed.
         committed: Sequence,
-        /// End of the head's log when it entered the view, if the sender knows it.
+        /// End of the head's log when the head entered the view, if the sender knows it.
         epoch_base: Option<Sequence>,
     },
-    /// To the predecessor (from a learner: to the tail): all members from the sender to the tail have the
-    /// entries up to `sequence` on their disks.
+    /// To the predecessor (from a learner: to the tail): all members from the sender to the tail have the entries up to
+    /// `sequence` on their disks.
     Acknowledge {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
-        /// Highest sequence that is acknowledged.
+        /// Highest acknowledged sequence.
         sequence: Sequence,
     },
-    /// To the successor or a learner: the entries before `start` are no longer held, the log begins there.
+    /// To the successor or a learner: the sender no longer holds the entries before `start`; the log starts there.
     Reset {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
-        /// Of the position that is answered.
+        /// The position that this message replies to.
         position_id: PositionId,
         /// Lowest sequence held.
         start: Sequence,
-        /// Epoch of the entry before `start`; 0 if not known.
+        /// Epoch of the entry before `start`; 0 if unknown.
         previous_epoch: Epoch,
     },
-    /// To every other member: is this view in force with you?
+    /// To every other member: requests confirmation that this view is current at the receiver.
     Confirm {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
-        /// Of the sender.
+        /// Number of the sender's round of confirmations.
         round: RoundNumber,
     },
-    /// The answer, given only while it is.
+    /// Reply to `Confirm`, sent only if the view is current at the sender.
     Confirmed {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
-        /// Of the `Confirm`.
+        /// Round of the `Confirm`.
         round: RoundNumber,
-        /// What a reader must have applied.
+        /// The sequence that must be applied before the read.
         committed: Sequence,
     },
 }
 
 impl Message {
-    /// Epoch of the view that the message belongs to.
+    /// Returns the epoch of the view that the message belongs to.
     pub fn epoch(&self) -> Epoch {
         match self {
             Message::Position { epoch, .. }
--- a/crates/chain-replication/src/output.rs
+++ b/crates/chain-replication/src/output.rs
@@ -1,4 +1,4 @@
-//! What a replica puts out.
+//! The outputs of a replica.
 
 use derive_more::{Display, Error};
 use orchidvalve_protocol::identity::MemberId;
@@ -7,63 +7,63 @@
 use crate::message::Message;
 use crate::sequence::{BarrierId, Epoch, Sequence};
 
-/// What a replica asks its host to do. To be applied in order, before the next input.
+/// An action for the host, or an event. The host applies outputs in order, before the next input.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Output {
-    /// Append the entry in memory now, write it to the disk and call [`crate::Replica::entries_durable`] once it is
-    /// there.
+    /// Append the entry to the in-memory log now, write it to disk and call [`crate::Replica::entries_durable`] when
+    /// the write is durable.
     Append(Entry),
-    /// Discard the last entries of the log. Writes of them that are still under way must not be reported as durable.
+    /// Discard the last entries of the log. Pending writes of these entries must not be reported as durable.
     Truncate {
-        /// Last entry that stays.
+        /// Sequence of the last entry that is kept.
         after: Sequence,
     },
-    /// Discard the whole log; it begins anew. What lay before counts as committed.
+    /// Discard the complete log and restart it at `start`. All entries before `start` count as committed.
     Reset {
-        /// First entry to come.
+        /// Sequence of the next entry.
         start: Sequence,
-        /// Epoch of the entry before `start`; 0 if not known.
+        /// Epoch of the entry before `start`; 0 if unknown.
         previous_epoch: Epoch,
     },
-    /// Send the message, or drop it if there is no link.
+    /// Send the message, or drop it if there is no link to the receiver.
     Send {
-        /// The receiver.
+        /// The member that the message is for.
         to: MemberId,
-        /// What to send.
+        /// The message to send.
         message: Message,
     },
-    /// More entries are committed.
+    /// Further entries are committed.
     Committed {
-        /// Last of them.
+        /// Sequence of the last committed entry.
         through: Sequence,
     },
-    /// Everything committed in earlier views is on this member's disk: it may head the next view.
+    /// Everything committed in earlier views is on this member's disk: it may be the head of the next view.
     Synchronized {
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
     },
-    /// At the tail: the learner has acknowledged everything the tail had durable.
+    /// At the tail: the learner has acknowledged every entry that is durable at the tail.
     LearnerCaughtUp {
         /// The learner.
         member: MemberId,
-        /// Of the view in force.
+        /// Epoch of the current view.
         epoch: Epoch,
     },
-    /// The view was in force at all members after the barrier began.
+    /// The view was current at all members after the barrier began.
     Confirmed {
-        /// As the host numbered it.
+        /// Number of the barrier, as assigned by the host.
         barrier: BarrierId,
-        /// Committed here by now; a read that waited for the barrier sees all up to this.
+        /// Highest sequence committed here; a read after the barrier must see all entries up to it.
         committed: Sequence,
     },
-    /// The chain refused a step that would break a promise. To be logged as an error.
+    /// The replica rejected a message that would violate a guarantee. The host logs it as an error.
     Refused(Violation),
 }
 
-/// A neighbour asked for something that would break a promise.
+/// The guarantee that a message of the predecessor would violate.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum Violation {
-    /// The predecessor's log contradicts an entry known to be committed.
+    /// The predecessor's log contradicts an entry that is known to be committed.
     #[display(
         "chain: entry {sequence} of epoch {epoch} from {from} contradicts a committed entry; take {from} out of \
          service and compare its data directory before it is used again"
@@ -71,12 +71,12 @@
     CommittedEntry {
         /// The predecessor.
         from: MemberId,
-        /// Of the entry that it sent.
+        /// Sequence of the entry that it sent.
         sequence: Sequence,
-        /// Of the entry that it sent.
+        /// Epoch of the entry that it sent.
         epoch: Epoch,
     },
-    /// The predecessor's log contradicts an entry it sent in this epoch.
+    /// The predecessor's log contradicts an entry that it sent earlier in this epoch.
     #[display(
         "chain: entry {sequence} of epoch {epoch} from {from} contradicts one sent before; check that no two \
          processes use the data directory of {from}"
@@ -84,9 +84,9 @@
     MatchedEntry {
         /// The predecessor.
         from: MemberId,
-        /// Of the entry that it sent.
+        /// Sequence of the entry that it sent.
         sequence: Sequence,
-        /// Of the entry that it sent.
+        /// Epoch of the entry that it sent.
         epoch: Epoch,
     },
 }
--- a/crates/chain-replication/src/predecessor.rs
+++ b/crates/chain-replication/src/predecessor.rs
@@ -1,27 +1,26 @@
-//! The side of a replica towards its predecessor.
+//! The state of a replica towards its predecessor.
 
 use crate::limits::{Milliseconds, RESEND_MS};
 use crate::sequence::{PositionId, Sequence};
 
-/// Where a replica stands with its predecessor in the view in force.
+/// State of the replication from the predecessor in the current view.
 #[derive(Debug, Default)]
 pub(crate) struct Predecessor {
-    /// The log is known to equal that of the head up to here.
+    /// Highest sequence up to which the log is known to equal the head's.
     pub matched: Sequence,
-    /// End of the head's log when it entered the view: all that was committed in earlier views lies at or below.
+    /// End of the head's log when it entered the view: every entry committed in earlier views is at or below it.
     pub epoch_base: Option<Sequence>,
-    /// Whether everything up to `epoch_base` is durable here, and was reported so.
+    /// Whether everything up to `epoch_base` is durable here, and was reported as such.
     pub synchronized: bool,
-    /// Of the last position sent.
+    /// Id of the last position sent.
     pub position_id: PositionId,
     /// When the last position was sent.
     pub sent_at: Milliseconds,
-    /// Whether entries that fit the last position are awaited.
+    /// Whether a reply to the last position is awaited.
     pub awaiting: bool,
     /// Highest sequence acknowledged in this view.
     pub acknowledged: Option<Sequence>,
-    /// Highest sequence that is committed at the predecessor. It may be committed here only later, once the
-    /// entries are durable.
+    /// Highest sequence that is committed at the predecessor. It is committed here once the entries are durable.
     pub committed: Sequence,
 }
 
@@ -30,8 +29,9 @@
         Predecessor { matched, epoch_base, position_id, ..Predecessor::default() }
     }
 
-    /// Takes the base as the predecessor knows it; returns whether it changed. A head that restarted in its epoch may
-    /// know a lower one: each is an upper bound of what was committed in earlier views.
+    /// Updates `epoch_base` with the value that the predecessor knows; returns whether it changed. A head that
+    /// restarted in its epoch may know a lower one. The lower value is kept: each is an upper bound of the entries
+    /// committed in earlier views.
     pub fn learn_epoch_base(&mut self, epoch_base: Option<Sequence>) -> bool {
         let learned = match (self.epoch_base, epoch_base) {
             (Some(known), Some(received)) => Some(known.min(received)),
@@ -40,7 +40,7 @@
         std::mem::replace(&mut self.epoch_base, learned) != learned
     }
 
-    /// Whether the position has to be sent again.
+    /// Returns whether the position must be sent again.
     pub fn is_overdue(&self, now: Milliseconds) -> bool {
         (self.awaiting || self.epoch_base.is_none()) && now.saturating_sub(self.sent_at) >= RESEND_MS
     }
--- a/crates/chain-replication/src/progress.rs
+++ b/crates/chain-replication/src/progress.rs
@@ -1,4 +1,4 @@
-//! The side of a replica towards its successor or one of its learners.
+//! The state of a replica towards its successor or one of its learners.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -7,26 +7,26 @@
 use crate::limits::{Milliseconds, PROBE_MS};
 use crate::sequence::{PositionId, Sequence};
 
-/// How far a successor or learner has replicated the log in the view in force.
+/// Progress of the replication to a successor or learner in the current view.
 #[derive(Debug)]
 pub(crate) struct Progress {
     pub member: MemberId,
-    /// Of its last position; `None` until one came.
+    /// Id of the latest position received from it; `None` before the first.
     pub position_id: Option<PositionId>,
-    /// Next sequence to be sent.
+    /// Sequence of the next entry to send.
     pub next: Sequence,
-    /// Its log by that position, until it is known in full what both have.
+    /// The receiver's log according to that position, kept until the comparison with this log is complete.
     pub peer_log: Option<EpochRuns>,
-    /// Whether it gets a message even if there are no entries to send.
+    /// Whether a message is sent even if there are no entries to send.
     pub probe: bool,
     /// Highest sequence acknowledged in this view.
     pub acknowledged: Option<Sequence>,
-    /// Whether it was reported as caught up, in case of a learner.
+    /// Whether the member, if it is a learner, was reported as caught up.
     pub reported_caught_up: bool,
-    /// Highest committed sequence that was sent to it.
+    /// Highest committed sequence sent to the member.
     pub sent_committed: Sequence,
     inflights: Inflights,
-    /// When it last acknowledged something or was last probed.
+    /// When the member last acknowledged an entry or was last probed.
     progressed_at: Milliseconds,
 }
 
@@ -46,7 +46,7 @@
         }
     }
 
-    /// A position of the member came: replication starts over from what both have.
+    /// Handles a position of the member: replication restarts after the entries that both logs have.
     pub fn start_at_position(&mut self, position_id: PositionId, peer_log: EpochRuns, now: Milliseconds) {
         self.position_id = Some(position_id);
         self.peer_log = Some(peer_log);
@@ -56,12 +56,12 @@
         self.progressed_at = now;
     }
 
-    /// Whether another message with entries may be sent.
-    pub fn has_room(&self) -> bool {
-        self.inflights.has_room()
+    /// Returns whether another message with entries may be sent.
+    pub fn has_capacity(&self) -> bool {
+        self.inflights.has_capacity()
     }
 
-    /// A message with the entries up to `last` was sent.
+    /// Records a message with the entries up to `last`.
     pub fn sent(&mut self, last: Sequence, payload_bytes: usize, now: Milliseconds) {
         if self.inflights.is_empty() {
             self.progressed_at = now;
@@ -72,7 +72,7 @@
         }
     }
 
-    /// Takes an acknowledgement. Returns whether it is new.
+    /// Records an acknowledgement. Returns whether it is above the previous one.
     pub fn acknowledge(&mut self, sequence: Sequence, now: Milliseconds) -> bool {
         if self.acknowledged.is_some_and(|known| known >= sequence) {
             return false;
@@ -83,7 +83,8 @@
         true
     }
 
-    /// Whether the member has acknowledged nothing for too long of what was sent; true once per [`PROBE_MS`].
+    /// Returns true if the member has unacknowledged entries and acknowledged none for [`PROBE_MS`]; true again only
+    /// after another [`PROBE_MS`].
     pub fn is_stalled(&mut self, now: Milliseconds) -> bool {
         let outstanding = self.acknowledged.is_none_or(|known| known + 1 < self.next);
         let stalled = outstanding && now.saturating_sub(self.progressed_at) >= PROBE_MS;
--- a/crates/chain-replication/src/replica.rs
+++ b/crates/chain-replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! One member's side of the chain.
+//! The state machine of one member of the chain.
 
 mod barriers;
 mod committing;
@@ -19,7 +19,7 @@
 use crate::sequence::{Epoch, Sequence};
 use crate::view::ChainView;
 
-/// One member's replica of the log. All inputs push what has to be done to `outputs`.
+/// The replica of the log at one member. Each input appends the resulting actions to `outputs`.
 #[derive(Debug)]
 pub struct Replica {
     me: MemberId,
@@ -34,8 +34,8 @@
 }
 
 impl Replica {
-    /// A replica over the recovered log. `nonce` is random: it tells the messages of this run of the
-    /// process from those of earlier ones.
+    /// Creates a replica from the recovered log. `nonce` is random; it distinguishes the messages of this run of the
+    /// process from those of earlier runs.
     pub fn new(me: MemberId, state: RecoveredLog, nonce: u64) -> Replica {
         let RecoveredLog { first, end, committed, runs } = state;
         let committed = committed.min(end).max(first - 1);
@@ -52,64 +52,64 @@
         }
     }
 
-    /// The view in force.
+    /// Returns the current view.
     pub fn view(&self) -> &ChainView {
         &self.view
     }
 
-    /// Highest sequence that is committed here.
+    /// Returns the highest sequence that is committed here.
     pub fn committed(&self) -> Sequence {
         self.committed
     }
 
-    /// Highest sequence on the disk.
+    /// Returns the highest sequence that is durable here.
     pub fn durable_through(&self) -> Sequence {
         self.durable
     }
 
-    /// Lowest sequence held.
+    /// Returns the lowest sequence held.
     pub fn first(&self) -> Sequence {
         self.log.first()
     }
 
-    /// Highest sequence held.
+    /// Returns the highest sequence held.
     pub fn end(&self) -> Sequence {
         self.log.end()
     }
 
-    /// Epoch of the entry `sequence`, known from the one before [`Replica::first`] on at best.
+    /// Returns the epoch of the entry `sequence`; see [`EpochRuns::epoch_at`].
     pub fn epoch_at(&self, sequence: Sequence) -> Option<Epoch> {
         self.log.epoch_at(sequence)
     }
 
-    /// The epochs of the entries held.
+    /// Returns the epochs of the entries held.
     pub fn runs(&self) -> &[EpochRun] {
         self.log.runs()
     }
 
-    /// Whether this member numbers new entries.
+    /// Returns whether this member is the head, which numbers new entries.
     pub fn is_head(&self) -> bool {
         self.view.head() == Some(self.me)
     }
 
-    /// Whether this member is in the chain.
+    /// Returns whether this member is in the chain.
     pub fn is_member(&self) -> bool {
         self.view.is_member(self.me)
     }
 
-    /// Whether everything committed in earlier views is on this member's disk.
+    /// Returns whether everything committed in earlier views is on this member's disk.
     pub fn is_synchronized(&self) -> bool {
         self.predecessor.synchronized
     }
 
-    /// Whether all entries that stood at the head when the view began are committed. Until then the outcome of
-    /// entries of earlier views is open.
+    /// Returns whether every entry that the head held when the view began is committed. Until then it is open whether
+    /// entries of earlier views will be committed.
     pub fn is_recovered(&self) -> bool {
         self.view.can_commit()
             && self.predecessor.epoch_base.is_some_and(|epoch_base| self.committed >= epoch_base)
     }
 
-    /// A view was decided. One that isn't newer than the view in force is ignored.
+    /// Enters a decided view. A view that isn't later than the current one is ignored.
     pub fn view_changed(&mut self, view: ChainView, reader: &dyn LogReader, outputs: &mut Vec<Output>) {
         if view.epoch <= self.view.epoch {
             return;
@@ -127,7 +127,7 @@
         self.begin_barrier_round(outputs);
     }
 
-    /// The learners of the view in force are now these; those that are new are filled from the start.
+    /// Replaces the learners of the current view. Replication to new learners starts with a request for their position.
     pub fn learners_changed(
         &mut self,
         learners: Vec<MemberId>,
@@ -150,7 +150,7 @@
         self.advance(reader, outputs);
     }
 
-    /// A link to `peer` stands. What was sent on an earlier one may be lost.
+    /// Records that a link to `peer` was established. Messages sent on an earlier link may be lost.
     pub fn link_up(&mut self, peer: MemberId, outputs: &mut Vec<Output>) {
         if self.view.predecessor(self.me) == Some(peer) {
             self.send_position(outputs);
@@ -158,15 +158,15 @@
         self.link_down(peer);
     }
 
-    /// The link to `peer` is lost, or one of the links if each side has its own. The peer is asked with the next
-    /// tick whether it misses anything, and again until it answers.
+    /// Records that a link to `peer` was lost; each side may have its own link. The next tick probes the peer for
+    /// missing entries, and repeats that until the peer replies.
     pub fn link_down(&mut self, peer: MemberId) {
         if let Some(progress) = self.progress.iter_mut().find(|progress| progress.member == peer) {
             progress.probe = true;
         }
     }
 
-    /// Numbers a new entry. None unless this is the head.
+    /// Numbers a new entry and appends it. Returns `None` if this member is not the head.
     pub fn propose(&mut self, payload: Rc<[u8]>, outputs: &mut Vec<Output>) -> Option<Sequence> {
         if !self.is_head() {
             return None;
@@ -179,7 +179,7 @@
         Some(sequence)
     }
 
-    /// The log is on the disk up to and including `through`.
+    /// Reports that the log is durable up to and including `through`.
     pub fn entries_durable(&mut self, through: Sequence, reader: &dyn LogReader, outputs: &mut Vec<Output>) {
         let through = through.min(self.log.end());
         if through > self.durable {
@@ -188,13 +188,13 @@
         }
     }
 
-    /// The host no longer holds the entries before `first`, which must all be committed.
+    /// Reports that the host no longer holds the entries before `first`, which must all be committed.
     pub fn trimmed(&mut self, first: Sequence) {
         debug_assert!(first <= self.committed + 1, "only committed entries may be trimmed");
         self.log.trim(first.min(self.committed + 1));
     }
 
-    /// Time passed; `now` in milliseconds of a steady clock.
+    /// Advances the clock to `now`, in milliseconds of a monotonic clock, and repeats messages that are overdue.
     pub fn tick(&mut self, now: Milliseconds, reader: &dyn LogReader, outputs: &mut Vec<Output>) {
         self.now = now;
         if self.predecessor.is_overdue(now) {
--- a/crates/chain-replication/src/replica/barriers.rs
+++ b/crates/chain-replication/src/replica/barriers.rs
@@ -1,4 +1,4 @@
-//! Barriers of this member, and its part in those of others.
+//! Barriers of this member, and its replies to those of other members.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -9,14 +9,15 @@
 use crate::sequence::{BarrierId, RoundNumber, Sequence};
 
 impl Replica {
-    /// Asks whether the view is still in force at all members; answered by [`Output::Confirmed`] or never.
+    /// Starts a barrier, which confirms that the view is still current at all members. [`Output::Confirmed`] reports
+    /// the result; it may never come.
     pub fn barrier(&mut self, barrier: BarrierId, outputs: &mut Vec<Output>) {
         self.barriers.add(barrier);
         self.begin_barrier_round(outputs);
         self.complete_barriers(outputs);
     }
 
-    /// What a linearizable read that begins now has to see, as far as this member knows.
+    /// Returns the sequence that a linearizable read that begins now must see, as far as this member knows.
     pub(super) fn read_index(&self) -> Sequence {
         let epoch_base = if self.is_head() { self.predecessor.epoch_base.unwrap_or(0) } else { 0 };
         self.committed.max(epoch_base)
@@ -44,7 +45,7 @@
         outputs.extend(members.into_iter().map(message));
     }
 
-    /// Another member asks whether the view is in force here.
+    /// Replies to a `Confirm` of another member of the view.
     pub(super) fn handle_confirm(&self, from: MemberId, round: RoundNumber, outputs: &mut Vec<Output>) {
         if self.is_member() && self.view.is_member(from) {
             let message = Message::Confirmed { epoch: self.view.epoch, round, committed: self.read_index() };
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Another member confirms that the view is in force there.
+    /// Handles the reply of a member at which the view is current.
     pub(super) fn handle_confirmed(
         &mut self,
         from: MemberId,
--- a/crates/chain-replication/src/replica/committing.rs
+++ b/crates/chain-replication/src/replica/committing.rs
@@ -1,4 +1,4 @@
-//! What is committed, and what is acknowledged to the predecessor.
+//! Commit and acknowledgement of entries.
 
 use crate::entry::LogReader;
 use crate::message::Message;
@@ -7,7 +7,7 @@
 use crate::sequence::Sequence;
 
 impl Replica {
-    /// Passes on, acknowledges and commits whatever the newest input allows.
+    /// Sends, acknowledges and commits everything that the latest input permits.
     pub(super) fn advance(&mut self, reader: &dyn LogReader, outputs: &mut Vec<Output>) {
         if !self.predecessor.synchronized
             && (self.is_member() || self.view.learners.contains(&self.me))
@@ -27,8 +27,8 @@
         self.complete_barriers(outputs);
     }
 
-    /// Tells the predecessor, and takes as committed, what all members from here on have: what reached the tail is on
-    /// all disks (van Renesse and Schneider 2004, section 3).
+    /// Commits, and acknowledges to the predecessor, the entries that all members from this one to the tail have on
+    /// disk: an entry that reached the tail is on all disks (van Renesse and Schneider 2004, section 3).
     pub(super) fn acknowledge(&mut self, outputs: &mut Vec<Output>) {
         let reached = match self.view.successor(self.me) {
             None => self.sendable(),
@@ -43,7 +43,7 @@
         if self.is_member() && self.view.can_commit() {
             self.commit_through(reached, outputs);
         }
-        // Without an answer to the position nothing is known to be equal to the predecessor's log.
+        // Until the position has a reply, no entry is known to equal the predecessor's.
         let Some(to) = self.view.predecessor(self.me) else { return };
         if !self.predecessor.awaiting && self.predecessor.acknowledged.is_none_or(|known| known < reached) {
             self.predecessor.acknowledged = Some(reached);
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Commits up to `sequence`, as far as it is durable and matched here.
+    /// Commits up to `sequence`, limited to the entries that are durable and matched here.
     pub(super) fn commit_through(&mut self, sequence: Sequence, outputs: &mut Vec<Output>) {
         let through = sequence.min(self.sendable());
         if through > self.committed {
@@ -61,7 +61,7 @@
         }
     }
 
-    /// At the tail: reports the learners that have everything the tail has durable.
+    /// At the tail: reports the learners that have every entry that is durable at the tail.
     pub(super) fn report_caught_up_learners(&mut self, outputs: &mut Vec<Output>) {
         let (epoch, sendable) = (self.view.epoch, self.sendable());
         if !self.predecessor.synchronized || self.view.tail() != Some(self.me) {
--- a/crates/chain-replication/src/replica/receiving.rs
+++ b/crates/chain-replication/src/replica/receiving.rs
@@ -1,4 +1,4 @@
-//! Handling of what a neighbour in the chain sent.
+//! Handling of messages from the neighbours in the chain.
 
 use orchidvalve_protocol::identity::MemberId;
 
@@ -10,7 +10,7 @@
 use crate::sequence::{EntryId, Epoch, PositionId, Sequence};
 
 impl Replica {
-    /// A message arrived from `from`.
+    /// Handles a message from `from`.
     pub fn message_received(
         &mut self,
         from: MemberId,
@@ -66,7 +66,7 @@
         }
     }
 
-    /// A receiver tells where its log stands: replication to it starts over from what both have.
+    /// Handles the position of a receiver: replication to it restarts after the entries that both logs have.
     pub(super) fn handle_position(
         &mut self,
         from: MemberId,
@@ -82,7 +82,7 @@
         self.replicate(index, reader, outputs);
     }
 
-    /// The predecessor sent the entries after `previous`.
+    /// Handles the entries after `previous` from the predecessor.
     pub(super) fn handle_entries(
         &mut self,
         from: MemberId,
@@ -104,7 +104,7 @@
             self.predecessor.awaiting = false;
         }
         if entries.last().is_none_or(|last| last.sequence <= self.predecessor.matched) {
-            // Nothing new: the predecessor missed an acknowledgement or asks for one.
+            // No new entry: the predecessor has missed an acknowledgement or probes for one.
             self.predecessor.acknowledged = None;
         }
         for entry in entries {
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Accepts one entry that follows what is matched. False if it can't be.
+    /// Accepts the next entry after the matched ones. Returns false if the entry is not acceptable.
     fn accept_entry(&mut self, from: MemberId, entry: Entry, outputs: &mut Vec<Output>) -> bool {
         let (sequence, epoch) = (entry.sequence, entry.epoch);
         if sequence <= self.predecessor.matched {
@@ -142,7 +142,7 @@
         true
     }
 
-    /// Discards entries of earlier epochs that the head didn't have when it entered the view.
+    /// Discards entries of earlier epochs that the head did not have when it entered the view.
     pub(super) fn truncate_stale_suffix(&mut self, outputs: &mut Vec<Output>) {
         let Some(epoch_base) = self.predecessor.epoch_base else { return };
         let keep = epoch_base.max(self.predecessor.matched).max(self.committed);
@@ -159,7 +159,7 @@
         outputs.push(Output::Truncate { after });
     }
 
-    /// The predecessor holds nothing before `start` any more: the log begins anew there.
+    /// Handles a reset: the predecessor no longer holds entries before `start`, so the log restarts there.
     pub(super) fn handle_reset(&mut self, start: Sequence, previous_epoch: Epoch, outputs: &mut Vec<Output>) {
         if start == 0 || start - 1 <= self.predecessor.matched {
             return;
@@ -171,7 +171,7 @@
         outputs.push(Output::Reset { start, previous_epoch });
     }
 
-    /// A receiver has the entries up to `sequence` on all disks from there to the tail.
+    /// Handles an acknowledgement: the entries up to `sequence` are on all disks from that receiver to the tail.
     pub(super) fn handle_acknowledge(
         &mut self,
         from: MemberId,
--- a/crates/chain-replication/src/replica/sending.rs
+++ b/crates/chain-replication/src/replica/sending.rs
@@ -10,7 +10,7 @@
 use crate::sequence::Sequence;
 
 impl Replica {
-    /// Successor and learners of this member.
+    /// Returns the members that receive entries from this one: the successor and, at the tail, the learners.
     pub(super) fn receivers(&self) -> Vec<MemberId> {
         let mut receivers: Vec<MemberId> = self.view.successor(self.me).into_iter().collect();
         if self.view.tail() == Some(self.me) {
@@ -19,18 +19,18 @@
         receivers
     }
 
-    /// Everything here up to this sequence is durable and equal to the head's log.
+    /// Returns the highest sequence up to which the log is durable here and equal to the head's.
     pub(super) fn sendable(&self) -> Sequence {
         self.durable.min(self.predecessor.matched)
     }
 
-    /// Asks members that take entries from here for their positions.
+    /// Requests the positions of members that receive entries from this one.
     pub(super) fn locate(&self, receivers: Vec<MemberId>, outputs: &mut Vec<Output>) {
         let message = Message::Locate { epoch: self.view.epoch };
         outputs.extend(receivers.into_iter().map(|to| Output::Send { to, message: message.clone() }));
     }
 
-    /// Tells the predecessor where this log stands, so that it sends what is missing.
+    /// Sends the position of this log to the predecessor, which then sends the missing entries.
     pub(super) fn send_position(&mut self, outputs: &mut Vec<Output>) {
         let Some(to) = self.view.predecessor(self.me) else { return };
         self.predecessor.position_id = self.predecessor.position_id.wrapping_add(1);
@@ -46,7 +46,7 @@
         outputs.push(Output::Send { to, message });
     }
 
-    /// Sends what may be sent to one successor or learner.
+    /// Sends the entries that are due to one successor or learner.
     pub(super) fn replicate(&mut self, index: usize, reader: &dyn LogReader, outputs: &mut Vec<Output>) {
         let Some(position_id) = self.progress[index].position_id else { return };
         self.skip_matching(index);
@@ -60,7 +60,7 @@
                 Message::Reset { epoch: self.view.epoch, position_id, start: first, previous_epoch };
             outputs.push(Output::Send { to: progress.member, message });
         }
-        while self.progress[index].next <= self.sendable() && self.progress[index].has_room() {
+        while self.progress[index].next <= self.sendable() && self.progress[index].has_capacity() {
             self.send_batch(index, reader, outputs);
         }
         if self.progress[index].probe {
@@ -68,21 +68,21 @@
         }
     }
 
-    /// Steps over the entries that the member's position shows it to have.
+    /// Advances over the entries that the member has according to its position.
     fn skip_matching(&mut self, index: usize) {
         let sendable = self.sendable();
         let Some(peer_log) = &self.progress[index].peer_log else { return };
-        // What was trimmed there is committed, and so the same here.
+        // Entries that the member has trimmed are committed, so they are the same here.
         let trimmed = sendable.min(peer_log.first() - 1);
         let common = self.log.common_with(peer_log, sendable).map_or(trimmed, |known| known.max(trimmed));
-        let is_comparison_over = common < sendable || peer_log.end() <= sendable;
+        let is_comparison_complete = common < sendable || peer_log.end() <= sendable;
         let progress = &mut self.progress[index];
         let next = common + 1;
         if next > progress.next {
             progress.next = next;
             progress.probe = true;
         }
-        if is_comparison_over {
+        if is_comparison_complete {
             progress.peer_log = None;
         }
     }
--- a/crates/chain-replication/src/sequence.rs
+++ b/crates/chain-replication/src/sequence.rs
@@ -1,24 +1,24 @@
-//! Numbers that order entries, views, positions, barriers and their rounds.
+//! Numbers of entries, views, positions, barriers and rounds.
 
-/// Place of an entry in the log, from 1; 0 stands for the place before the first.
+/// Sequence number of an entry in the log, from 1; 0 means before the first entry.
 pub type Sequence = u64;
 
-/// Number of a view. Zero stands for no view.
+/// Number of a view. Zero means that there is no view.
 pub type Epoch = u64;
 
-/// Tells a position of a replica from earlier ones, also from those before a restart.
+/// Distinguishes a position of a replica from its earlier ones, including those before a restart.
 pub type PositionId = u64;
 
-/// Number that the host gives a barrier.
+/// Number that the host assigns to a barrier.
 pub type BarrierId = u64;
 
-/// Number of a round of confirmations of one replica; never one used before a restart.
+/// Number of a round of confirmations of one replica; not reused after a restart.
 pub type RoundNumber = u64;
 
-/// An entry's sequence and epoch, which together name its content: every epoch has a single head.
+/// Sequence and epoch of an entry, which together identify its content: every epoch has a single head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct EntryId {
     pub sequence: Sequence,
-    /// 0 if not known.
+    /// Epoch of the entry; 0 if unknown.
     pub epoch: Epoch,
 }
--- a/crates/chain-replication/tests/golden_chain.rs
+++ b/crates/chain-replication/tests/golden_chain.rs
@@ -1,4 +1,4 @@
-//! The chain puts out, byte for byte and in the same order, what it put out when the golden files were recorded.
+//! The outputs of the chain equal the recorded ones, byte for byte and in the same order.
 
 mod support;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn simulated_runs_put_out_the_recorded_bytes() {
+fn simulated_runs_produce_the_recorded_bytes() {
     let mut hashes = Vec::new();
     for (machines, minimum) in [(4, 2), (5, 3), (3, 1)] {
         for run in 0..RUNS_PER_CHAIN {
@@ -93,12 +93,12 @@
 }
 
 #[test]
-fn messages_have_the_recorded_bytes_and_are_read_back() {
+fn messages_have_the_recorded_bytes_and_decode_to_the_same_values() {
     check_parts("messages.txt", &messages());
 }
 
 #[test]
-fn records_and_parts_have_the_recorded_bytes_and_are_read_back() {
+fn records_and_parts_have_the_recorded_bytes_and_decode_to_the_same_values() {
     check_parts(
         "entries.txt",
         &[("empty", entry(1, 1, &[])), ("bytes", entry(70_000, 300, b"\x00\x7f\x80"))],
@@ -108,9 +108,9 @@
     check_parts("epoch_runs.txt", &[("list", runs())]);
 }
 
-/// The runs of a log are what its host keeps on disk of them.
+/// The host stores the runs of a log on disk, so their contents must not change.
 #[test]
-fn runs_answer_as_recorded() {
+fn epoch_runs_behave_as_recorded() {
     let mut log = EpochRuns::new(2, 70_001, runs());
     let epochs = [0, 1, 2, 69_999, 70_000, 70_001, 70_002].map(|sequence| log.epoch_at(sequence));
     assert_eq!(epochs, [Some(0), Some(1), Some(1), Some(1), Some(300), Some(300), None]);
--- a/crates/chain-replication/tests/messages/main.rs
+++ b/crates/chain-replication/tests/messages/main.rs
@@ -1,4 +1,4 @@
-//! Every message of the chain, each variant with each field: what comes back, what is refused.
+//! Encoding of every message of the chain, with each variant and field: round trips and rejection of damaged bytes.
 
 #[path = "../../../protocol/tests/messages/checks.rs"]
 mod checks;
--- a/crates/chain-replication/tests/messages/strategies.rs
+++ b/crates/chain-replication/tests/messages/strategies.rs
@@ -1,4 +1,4 @@
-//! All messages of the chain and their parts.
+//! Generators for all messages of the chain and their parts.
 
 use orchidvalve_chain_replication::{ChainView, Entry, EpochRun, Message};
 
--- a/crates/chain-replication/tests/mutations.rs
+++ b/crates/chain-replication/tests/mutations.rs
@@ -1,4 +1,4 @@
-//! One message at a time is dropped, doubled, delayed past its epoch, cut short or changed in one bit.
+//! One message at a time is dropped, duplicated, delayed past its epoch, truncated or changed in one bit.
 
 mod support;
 
@@ -47,7 +47,7 @@
 enum Mutation {
     None,
     Drop,
-    Double,
+    Duplicate,
     DelayPastEpoch,
     Replay,
 }
@@ -57,7 +57,7 @@
     hosts: Vec<Host>,
 }
 
-/// A message on its way.
+/// A message in flight.
 struct HeldMessage {
     from: MemberId,
     to: MemberId,
@@ -65,13 +65,13 @@
 }
 
 impl Mutation {
-    /// What arrives of a message, and to whom; what is to come later is held.
+    /// Returns the copies to deliver now, and to whom; copies to deliver later are added to `held`.
     fn apply(self, message: HeldMessage, held: &mut Vec<HeldMessage>) -> Vec<(MemberId, Message)> {
         let HeldMessage { from, to, message } = message;
         match self {
             Mutation::None => vec![(to, message)],
             Mutation::Drop => Vec::new(),
-            Mutation::Double => vec![(to, message.clone()), (to, message)],
+            Mutation::Duplicate => vec![(to, message.clone()), (to, message)],
             Mutation::DelayPastEpoch => {
                 held.push(HeldMessage { from, to, message });
                 Vec::new()
@@ -84,8 +84,8 @@
     }
 }
 
-/// A scenario in which every kind of message is sent; the message number `target` is mutated.
-fn play(target: usize, mutation: Mutation) -> Outcome {
+/// Runs a scenario in which every kind of message is sent; message number `target` is mutated.
+fn run_scenario(target: usize, mutation: Mutation) -> Outcome {
     let mut kinds = Vec::new();
     let mut held: Vec<HeldMessage> = Vec::new();
     let mut now = 0;
@@ -93,7 +93,7 @@
     let first = view(1, &[member(1), member(2)], &[], 2);
     let second = view(2, &[member(1), member(2)], &[member(3)], 2);
     let third = view(3, &[member(2), member(3)], &[], 2);
-    let mut rest = |hosts: &mut Vec<Host>, release: bool| {
+    let mut run_to_rest = |hosts: &mut Vec<Host>, release: bool| {
         for _ in 0..20 {
             settle_with(hosts, &mut |from, to, message| {
                 let number = kinds.len();
@@ -117,23 +117,23 @@
     hosts.iter_mut().for_each(|host| host.adopt(&first));
     for payload in [b"a", b"b", b"c"] {
         hosts[0].propose(payload);
-        rest(&mut hosts, false);
+        run_to_rest(&mut hosts, false);
     }
     hosts[1].input(|replica, _, outputs| replica.barrier(1, outputs));
-    rest(&mut hosts, false);
+    run_to_rest(&mut hosts, false);
     hosts[0].trim(2);
     hosts[1].trim(3);
     hosts.push(Host::new(member(3), 0));
     hosts.iter_mut().for_each(|host| host.adopt(&second));
-    rest(&mut hosts, true);
+    run_to_rest(&mut hosts, true);
     hosts[0].propose(b"d");
-    rest(&mut hosts, false);
+    run_to_rest(&mut hosts, false);
     hosts.iter_mut().for_each(|host| host.adopt(&third));
-    rest(&mut hosts, true);
+    run_to_rest(&mut hosts, true);
     hosts[1].propose(b"e");
     hosts[2].input(|replica, _, outputs| replica.barrier(2, outputs));
-    rest(&mut hosts, true);
-    rest(&mut hosts, true);
+    run_to_rest(&mut hosts, true);
+    run_to_rest(&mut hosts, true);
     Outcome { kinds, hosts }
 }
 
@@ -159,20 +159,20 @@
 
 #[rstest]
 #[case::drop(Mutation::Drop)]
-#[case::double(Mutation::Double)]
+#[case::duplicate(Mutation::Duplicate)]
 #[case::delay_past_epoch(Mutation::DelayPastEpoch)]
 #[case::replay(Mutation::Replay)]
-fn one_mutated_message_changes_no_outcome(#[case] mutation: Mutation) {
-    let untouched = play(usize::MAX, Mutation::None);
+fn one_mutated_message_does_not_change_the_outcome(#[case] mutation: Mutation) {
+    let untouched = run_scenario(usize::MAX, Mutation::None);
     check(&untouched);
     let seen: BTreeSet<Kind> = untouched.kinds.iter().copied().collect();
     assert_eq!(seen, BTreeSet::from(KINDS), "the scenario has to send every kind of message");
     for target in 0..untouched.kinds.len() {
-        check(&play(target, mutation));
+        check(&run_scenario(target, mutation));
     }
 }
 
-/// All messages that an untouched scenario sends.
+/// Returns all messages of a scenario without mutations.
 fn messages() -> Vec<(MemberId, MemberId, Message)> {
     let mut messages = Vec::new();
     let mut hosts: Vec<Host> = (1..=3).map(|number| Host::new(member(number), 0)).collect();
@@ -196,7 +196,7 @@
 }
 
 #[test]
-fn a_message_reads_back_as_it_was_written() {
+fn messages_decode_to_the_encoded_values() {
     for (_, _, message) in messages() {
         let bytes = musli::storage::to_vec(&message).unwrap();
         assert_eq!(musli::storage::from_slice::<Message>(&bytes).unwrap(), message);
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn damaged_bytes_are_no_message_or_do_no_harm() {
+fn damaged_bytes_are_rejected_or_harmless() {
     for (from, to, message) in messages() {
         let bytes = musli::storage::to_vec(&message).unwrap();
         for length in 0..bytes.len() {
@@ -218,7 +218,7 @@
     }
 }
 
-/// Nothing may panic, and what is committed stays.
+/// Checks that a damaged message causes no panic and that committed entries stay committed.
 fn receive_damaged(from: MemberId, to: MemberId, bytes: &[u8]) {
     let Ok(message) = musli::storage::from_slice::<Message>(bytes) else { return };
     let mut hosts: Vec<Host> = (1..=3).map(|number| Host::new(member(number), 0)).collect();
--- a/crates/chain-replication/tests/simulation.rs
+++ b/crates/chain-replication/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Random runs with a lossy network, power losses, wiped disks and a view authority that keeps to its rules.
+//! Random runs with a lossy network, power losses, wiped disks and a view authority that follows its rules.
 
 mod support;
 
@@ -20,7 +20,7 @@
         }
         world.heal();
         world.check_end();
-        committed += world.truth.len();
+        committed += world.committed_entries.len();
         confirmed += world.confirmed;
     }
     assert!(committed > 4_000, "only {committed} entries were committed");
--- a/crates/chain-replication/tests/steps.rs
+++ b/crates/chain-replication/tests/steps.rs
@@ -1,4 +1,4 @@
-//! The chain step by step.
+//! Step-by-step scenarios of the chain.
 
 mod support;
 
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_returned_head_loses_what_was_never_committed() {
+fn returning_head_discards_uncommitted_entries() {
     let mut hosts = chain(3);
     hosts[0].propose(b"a");
     settle(&mut hosts);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_stale_suffix_goes_also_without_new_entries() {
+fn stale_suffix_is_truncated_even_without_new_entries() {
     let mut hosts = chain(2);
     hosts[0].propose(b"stale");
     hosts[0].sync(1);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_head_that_restarted_in_its_epoch_numbers_on() {
+fn restarted_head_continues_the_numbering_of_its_epoch() {
     let mut hosts = chain(2);
     hosts[0].propose(b"a");
     settle(&mut hosts);
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_new_member_of_a_trimmed_log_begins_where_it_begins() {
+fn log_of_a_new_member_starts_where_the_trimmed_log_starts() {
     let mut hosts = chain(2);
     for number in 0..10u8 {
         hosts[0].propose(&[number]);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_learner_is_announced_once_per_epoch() {
+fn learner_is_reported_as_caught_up_once_per_epoch() {
     let mut hosts = chain(1);
     hosts.push(Host::new(member(2), 0));
     let grown = view(2, &[member(1)], &[member(2)], 1);
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn the_window_towards_a_silent_successor_is_bounded() {
+fn window_to_an_unresponsive_successor_is_bounded() {
     let mut hosts = chain(2);
     for _ in 0..100 {
         hosts[0].propose(&[0; 100_000]);
@@ -202,8 +202,8 @@
 }
 
 #[test]
-fn a_barrier_waits_for_what_may_have_been_acknowledged() {
-    // The tail committed and answered, its acknowledgement was lost with it.
+fn barrier_waits_for_entries_that_may_have_been_acknowledged() {
+    // The tail committed and acknowledged the entry; its acknowledgement was lost with it.
     let mut hosts = chain(2);
     hosts[0].propose(b"a");
     hosts[0].sync(1);
@@ -238,7 +238,7 @@
 }
 
 #[test]
-fn what_was_lost_with_the_link_to_the_successor_alone_is_sent_again() {
+fn entries_lost_with_one_link_to_the_successor_are_sent_again() {
     let mut hosts = chain(2);
     hosts[0].propose(b"a");
     hosts[0].sync(1);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_successor_that_says_nothing_is_asked_again() {
+fn unresponsive_successor_is_probed() {
     let mut hosts = chain(2);
     hosts[0].propose(b"a");
     hosts[0].sync(1);
@@ -270,9 +270,9 @@
     let mut hosts = chain(2);
     hosts[0].propose(b"a");
     settle(&mut hosts);
-    let in_force = hosts[0].replica.view().clone();
+    let current = hosts[0].replica.view().clone();
     hosts.push(Host::new(member(3), 0));
-    hosts[2].adopt(&in_force);
+    hosts[2].adopt(&current);
     let change = |hosts: &mut Vec<Host>, learners: &[_]| {
         for host in hosts.iter_mut() {
             host.input(|replica, log, outputs| {
@@ -293,9 +293,9 @@
     assert_eq!(payloads(&hosts[2]), [&b"a"[..], b"b"]);
 }
 
-/// The commit is told while the entry is still on its way to the learner's disk, and nothing comes after it.
+/// The commit is announced while the entry is still being written to the learner's disk, and no message follows it.
 #[test]
-fn a_learner_commits_what_was_told_before_it_was_durable() {
+fn learner_commits_entries_whose_commit_preceded_their_durability() {
     let mut hosts = chain(1);
     hosts.push(Host::new(member(2), 0));
     let grown = view(2, &[member(1)], &[member(2)], 1);
@@ -315,10 +315,10 @@
     assert_eq!(hosts[1].replica.committed(), 1);
 }
 
-/// A successor that knows a view first tells its position too early. The predecessor asks for it once it has entered
-/// the view, too, and nobody waits for the next repetition.
+/// A successor that learns the view first sends its position too early. The predecessor requests the position when it
+/// enters the view itself, so that replication does not wait for the next repetition.
 #[test]
-fn a_position_told_too_early_is_asked_for() {
+fn position_sent_too_early_is_requested_again() {
     let ids = [member(1), member(2)];
     let mut hosts: Vec<Host> = ids.iter().map(|&id| Host::new(id, 0)).collect();
     let view = view(1, &ids, &[], 2);
@@ -330,21 +330,21 @@
     assert_eq!((hosts[0].replica.committed(), hosts[1].replica.committed()), (1, 1));
 }
 
-/// A predecessor was killed and started again at once. What its former run had sent on the way reaches the successor
-/// after its link is up again and is no answer to its position, which the predecessor never got.
+/// A predecessor was killed and restarted at once. Entries sent by its earlier run reach the successor after the new
+/// link is up. They are no reply to the successor's position, which the predecessor never received.
 #[test]
-fn entries_of_a_former_run_answer_no_position() {
+fn entries_of_an_earlier_run_are_no_reply_to_a_position() {
     let mut hosts = chain(2);
     hosts[0].propose(b"a");
     hosts[0].sync(1);
-    let former = std::mem::take(&mut hosts[0].sent);
+    let earlier = std::mem::take(&mut hosts[0].sent);
     hosts[1].input(|replica, _, outputs| replica.link_up(member(1), outputs));
     hosts[1].sent.clear();
-    for (_, message) in former {
+    for (_, message) in earlier {
         hosts[1].receive(member(1), message);
     }
     hosts[1].sent.clear();
     hosts[1].tick(1_000);
-    let asks = hosts[1].sent.iter().any(|(_, message)| matches!(message, Message::Position { .. }));
-    assert!(asks, "{:?}", hosts[1].sent);
+    let sends_position = hosts[1].sent.iter().any(|(_, message)| matches!(message, Message::Position { .. }));
+    assert!(sends_position, "{:?}", hosts[1].sent);
 }
--- a/crates/chain-replication/tests/support/mod.rs
+++ b/crates/chain-replication/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A host for tests: a log in memory, a disk whose writes become durable when the test says so.
+//! A test host: a log in memory, and a disk whose writes become durable when the test says so.
 
 #![allow(dead_code)]
 
@@ -34,7 +34,7 @@
     Trim { first: u64 },
 }
 
-/// A log built up from records, as in memory or as recovered.
+/// A log built from records, either the one in memory or the one on disk.
 #[derive(Clone, Debug)]
 pub struct Copy {
     pub runs: EpochRuns,
@@ -71,8 +71,8 @@
     }
 
     pub fn get(&self, sequence: u64) -> Option<&Entry> {
-        let place = sequence.checked_sub(self.entries.front()?.sequence)?;
-        self.entries.get(place as usize)
+        let position = sequence.checked_sub(self.entries.front()?.sequence)?;
+        self.entries.get(position as usize)
     }
 }
 
@@ -96,10 +96,10 @@
     pub replica: Replica,
     pub memory: Copy,
     pub disk: Copy,
-    /// Records on their way to the disk; None once a later truncation or reset overtook their report.
+    /// Pending records with the sequence to report once durable; `None` once a later truncation or reset removed it.
     pub writes: VecDeque<(Record, Option<u64>)>,
     pub sent: Vec<(MemberId, Message)>,
-    /// Everything else that was output, in order.
+    /// All outputs except messages and log records, in order.
     pub events: Vec<Output>,
     /// All outputs in order, if they are recorded.
     pub outputs: Option<Vec<Output>>,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Gives one input and applies what it puts out.
+    /// Passes one input to the replica and applies its outputs.
     pub fn input<R>(&mut self, input: impl FnOnce(&mut Replica, &Copy, &mut Vec<Output>) -> R) -> R {
         let mut outputs = Vec::new();
         let result = input(&mut self.replica, &self.memory, &mut outputs);
@@ -147,11 +147,11 @@
                 self.write(Record::Append(entry), Some(sequence));
             }
             Output::Truncate { after } => {
-                self.forget_reports(after);
+                self.discard_reports(after);
                 self.write(Record::Truncate { after }, None);
             }
             Output::Reset { start, previous_epoch } => {
-                self.forget_reports(0);
+                self.discard_reports(0);
                 self.write(Record::Reset { start, previous_epoch }, None);
             }
             Output::Send { to, message } => self.sent.push((to, message)),
@@ -164,13 +164,13 @@
         self.writes.push_back((record, report));
     }
 
-    fn forget_reports(&mut self, after: u64) {
+    fn discard_reports(&mut self, after: u64) {
         for (_, report) in &mut self.writes {
             *report = report.filter(|&sequence| sequence <= after);
         }
     }
 
-    /// Brings up to `records` pending records to the disk.
+    /// Makes up to `records` pending records durable.
     pub fn sync(&mut self, records: usize) {
         let mut through = None;
         for _ in 0..records {
@@ -205,8 +205,8 @@
     }
 }
 
-/// Hands all messages over and brings all writes to the disks until nothing is left to do. `tamper` decides
-/// what becomes of each message.
+/// Delivers all messages and makes all writes durable until nothing is pending. `tamper` returns the messages to
+/// deliver in place of each message.
 pub fn settle_with(
     hosts: &mut [Host],
     tamper: &mut dyn FnMut(MemberId, MemberId, Message) -> Vec<(MemberId, Message)>,
--- a/crates/chain-replication/tests/support/trace.rs
+++ b/crates/chain-replication/tests/support/trace.rs
@@ -9,7 +9,7 @@
 use super::world::World;
 
 impl World {
-    /// A world that records its outputs.
+    /// Creates a world that records its outputs.
     pub fn traced(seed: u64, machines: u8, minimum: usize) -> World {
         let mut world = World::new(seed, machines, minimum);
         world.trace = Some(Trace::new());
@@ -17,7 +17,7 @@
         world
     }
 
-    /// Takes up what the replicas have put out since the last time.
+    /// Adds the outputs of the replicas since the last call to the trace.
     pub fn record(&mut self) {
         let Some(trace) = &mut self.trace else { return };
         for host in &mut self.hosts {
--- a/crates/chain-replication/tests/support/world.rs
+++ b/crates/chain-replication/tests/support/world.rs
@@ -1,5 +1,5 @@
-//! Replicas joined by a lossy network under power losses and wiped disks, with an authority over the views that keeps to
-//! its rules. All of it follows from the seed.
+//! Replicas connected by a lossy network under power losses and wiped disks, with a view authority that follows its
+//! rules. Every step is determined by the seed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,18 +12,18 @@
 
 use super::{Host, disk};
 
-/// Decides the views and keeps to the rules that the crate's documentation gives it.
+/// Decides the views according to the rules in the documentation of the crate.
 struct Authority {
     view: ChainView,
-    /// Members that hold everything committed.
+    /// Members that hold every committed entry.
     synchronized: BTreeSet<MemberId>,
     ready: BTreeSet<MemberId>,
-    /// Synchronized copies lost or given up since the chain was last whole.
+    /// Number of synchronized copies lost or removed since the chain was last complete.
     lost: usize,
 }
 
 impl Authority {
-    fn note(&mut self, me: MemberId, event: &Output) {
+    fn record_event(&mut self, me: MemberId, event: &Output) {
         match *event {
             Output::Synchronized { epoch } if epoch == self.view.epoch => {
                 self.synchronized.insert(me);
@@ -33,18 +33,18 @@
             }
             _ => {}
         }
-        let whole = self.view.members.iter().all(|member| self.synchronized.contains(member));
-        if whole && self.view.can_commit() {
+        let is_complete = self.view.members.iter().all(|member| self.synchronized.contains(member));
+        if is_complete && self.view.can_commit() {
             self.lost = 0;
         }
     }
 
-    /// Whether one more synchronized copy may be given up.
+    /// Returns whether one more synchronized copy may be lost.
     fn can_spare(&self) -> bool {
         self.lost + 1 < self.view.minimum && self.synchronized.len() > 1
     }
 
-    fn give_up(&mut self, member: MemberId) {
+    fn remove_copy(&mut self, member: MemberId) {
         if self.synchronized.remove(&member) {
             self.lost += 1;
         }
@@ -52,7 +52,7 @@
 
     fn decide(&mut self, out: Option<MemberId>, machines: &[MemberId]) {
         if let Some(out) = out {
-            self.give_up(out);
+            self.remove_copy(out);
         }
         let mut members: Vec<MemberId> = self.view.members.clone();
         members.retain(|&member| Some(member) != out && machines.contains(&member));
@@ -71,18 +71,18 @@
     pub now: u64,
     pub hosts: Vec<Host>,
     network: Vec<(MemberId, MemberId, Message)>,
-    cut: BTreeSet<(MemberId, MemberId)>,
+    partitioned: BTreeSet<(MemberId, MemberId)>,
     authority: Authority,
-    /// Every entry that any replica ever took as committed.
-    pub truth: BTreeMap<u64, Entry>,
-    /// Highest committed sequence when each barrier began.
+    /// Every entry that any replica has ever committed.
+    pub committed_entries: BTreeMap<u64, Entry>,
+    /// Highest committed sequence at the start of each barrier.
     barriers: BTreeMap<u64, u64>,
     pub confirmed: usize,
     proposals: u64,
     disks: u64,
     /// Highest committed sequence whose entries were compared, per host.
     compared: BTreeMap<MemberId, u64>,
-    /// Of all outputs, if they are recorded.
+    /// Trace of all outputs, if they are recorded.
     pub trace: Option<Trace>,
 }
 
@@ -96,14 +96,14 @@
             now: 0,
             hosts: ids.iter().map(|&id| Host::new(id, id.disk)).collect(),
             network: Vec::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             authority: Authority {
                 synchronized: members.iter().copied().collect(),
                 view,
                 ready: BTreeSet::new(),
                 lost: 0,
             },
-            truth: BTreeMap::new(),
+            committed_entries: BTreeMap::new(),
             barriers: BTreeMap::new(),
             confirmed: 0,
             proposals: 0,
@@ -137,7 +137,7 @@
             950..955 => self.wipe(index),
             955..965 => self.decide(),
             965..975 => self.trim(index),
-            975..985 => self.toggle_cut(),
+            975..985 => self.toggle_partition(),
             _ => self.replay(),
         }
         self.collect();
@@ -152,26 +152,26 @@
         if self.network.is_empty() {
             return;
         }
-        // Mostly in order, at times any message.
+        // Mostly in order, sometimes any message.
         let last = if self.random.random_bool(0.8) { 1 } else { self.network.len() };
-        let place = self.random.random_range(0..last);
-        let (from, to, message) = self.network.remove(place);
-        if self.random.random_bool(0.05) || self.cut.contains(&(from, to)) {
+        let position = self.random.random_range(0..last);
+        let (from, to, message) = self.network.remove(position);
+        if self.random.random_bool(0.05) || self.partitioned.contains(&(from, to)) {
             return;
         }
         if self.random.random_bool(0.05) {
             self.network.push((from, to, message.clone()));
         }
-        self.hand_over(from, to, message);
+        self.deliver_to(from, to, message);
     }
 
-    fn hand_over(&mut self, from: MemberId, to: MemberId, message: Message) {
+    fn deliver_to(&mut self, from: MemberId, to: MemberId, message: Message) {
         if let Some(host) = self.hosts.iter_mut().find(|host| host.me == to) {
             host.receive(from, message);
         }
     }
 
-    /// A message delayed beyond everything else: kept a long time, delivered in some later step.
+    /// Duplicates a message that is in flight, so that a copy arrives in some later step.
     fn replay(&mut self) {
         if let Some(message) = self.network.iter().choose(&mut self.random).cloned() {
             self.network.push(message);
@@ -197,8 +197,8 @@
 
     fn barrier(&mut self, index: usize) {
         let number = self.barriers.len() as u64;
-        let newest = self.truth.last_key_value().map_or(0, |(&sequence, _)| sequence);
-        self.barriers.insert(number, newest);
+        let latest = self.committed_entries.last_key_value().map_or(0, |(&sequence, _)| sequence);
+        self.barriers.insert(number, latest);
         self.hosts[index].input(|replica, _, outputs| replica.barrier(number, outputs));
     }
 
@@ -216,7 +216,7 @@
         if copy && !self.authority.can_spare() {
             return;
         }
-        self.authority.give_up(old);
+        self.authority.remove_copy(old);
         self.disks += 1;
         let renewed = MemberId { disk: self.disks, ..old };
         self.hosts[index] = Host::new(renewed, self.random.random());
@@ -239,16 +239,16 @@
         }
     }
 
-    fn toggle_cut(&mut self) {
+    fn toggle_partition(&mut self) {
         let ids = self.ids();
         let pair =
             (*ids.iter().choose(&mut self.random).unwrap(), *ids.iter().choose(&mut self.random).unwrap());
-        if !self.cut.remove(&pair) {
-            self.cut.insert(pair);
+        if !self.partitioned.remove(&pair) {
+            self.partitioned.insert(pair);
         }
     }
 
-    /// Takes up what the hosts put out and compares what they committed.
+    /// Collects the outputs of the hosts and compares the entries that they committed.
     pub fn collect(&mut self) {
         self.record();
         for index in 0..self.hosts.len() {
@@ -256,12 +256,15 @@
             let sent = std::mem::take(&mut self.hosts[index].sent);
             self.network.extend(sent.into_iter().map(|(to, message)| (me, to, message)));
             for event in std::mem::take(&mut self.hosts[index].events) {
-                self.authority.note(me, &event);
+                self.authority.record_event(me, &event);
                 match event {
                     Output::Committed { through } => self.compare(index, through),
                     Output::Confirmed { barrier, committed } => {
                         self.confirmed += 1;
-                        assert!(committed >= self.barriers[&barrier], "a read would miss what was answered");
+                        assert!(
+                            committed >= self.barriers[&barrier],
+                            "a read would miss an acknowledged entry"
+                        );
                         assert!(self.hosts[index].replica.committed() >= committed);
                     }
                     Output::Refused(violation) => panic!("{violation}"),
@@ -276,24 +279,24 @@
         let since = self.compared.insert(me, through).unwrap_or(0).min(through);
         for sequence in since + 1..=through {
             let Some(entry) = self.hosts[index].memory.get(sequence).cloned() else { continue };
-            match self.truth.get(&sequence) {
+            match self.committed_entries.get(&sequence) {
                 Some(known) => assert_eq!(*known, entry, "a committed entry changed"),
                 None => {
                     let copies = self.hosts.iter().filter(|host| {
                         host.disk.get(sequence) == Some(&entry) || host.disk.runs.first() > sequence
                     });
-                    // A disk that held the entry may have been wiped before its acknowledgement got here.
+                    // A disk that held the entry may have been wiped before its acknowledgement arrived here.
                     let needed = self.authority.view.minimum - self.authority.lost;
                     assert!(copies.count() >= needed.max(1), "committed with too few copies");
-                    self.truth.insert(sequence, entry);
+                    self.committed_entries.insert(sequence, entry);
                 }
             }
         }
     }
 
-    /// Ends all trouble and lets everything come to rest.
+    /// Ends all faults and runs until all machines are members again.
     pub fn heal(&mut self) {
-        self.cut.clear();
+        self.partitioned.clear();
         for round in 0..400 {
             if round % 40 == 0 && (self.authority.ready.len() + self.authority.view.members.len()) > 0 {
                 let ids = self.ids();
@@ -307,7 +310,7 @@
             }
             self.collect();
             for (from, to, message) in std::mem::take(&mut self.network) {
-                self.hand_over(from, to, message);
+                self.deliver_to(from, to, message);
             }
             self.collect();
         }
@@ -318,10 +321,10 @@
         assert_eq!(view.members.len(), self.hosts.len(), "every machine became a member again");
         let end = self.hosts[0].replica.end();
         for host in &self.hosts {
-            assert_eq!(host.replica.end(), end, "{} ends elsewhere", host.me);
-            assert_eq!(host.replica.committed(), end, "{} has not committed all", host.me);
+            assert_eq!(host.replica.end(), end, "the log of {} has another end", host.me);
+            assert_eq!(host.replica.committed(), end, "{} has not committed every entry", host.me);
             assert!(host.replica.is_synchronized());
-            for (&sequence, entry) in self.truth.range(host.replica.first()..) {
+            for (&sequence, entry) in self.committed_entries.range(host.replica.first()..) {
                 assert_eq!(host.disk.get(sequence), Some(entry), "a committed entry is lost at {}", host.me);
             }
         }
