--- a/crates/protocol/src/frames.rs
+++ b/crates/protocol/src/frames.rs
@@ -1,26 +1,27 @@
-//! Frames: a message behind its length, on a connection between two of the system's processes.
+//! Frames: messages with a length prefix, on connections between processes of the system.
 
 use derive_more::{Display, Error};
 use musli::alloc::Global;
 use musli::mode::Binary;
 use musli::{Decode, Encode};
 
-/// Bytes of the length before each message, in little-endian order.
+/// Size of the length prefix in bytes; the length is in little-endian order.
 const LENGTH_BYTES: usize = 4;
-/// Longest encoded message in bytes: a job document of the largest body and room for what goes with it.
+/// The maximum size of an encoded message in bytes: a job document with the largest body, and space for its envelope.
 pub const MAX_FRAME_BYTES: usize = 48 << 20;
 
-/// Why a frame can't be read. The connection has to be dropped, since its boundaries are lost.
+/// The reason why a frame cannot be read. The connection must be dropped, because the start of the next frame is
+/// unknown.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Display, Error)]
 pub enum FrameError {
-    /// The stated length is above [`MAX_FRAME_BYTES`].
+    /// The length prefix exceeds [`MAX_FRAME_BYTES`].
     #[display("frame of {bytes} bytes, {MAX_FRAME_BYTES} at most: drop the connection")]
     TooLarge {
-        /// The stated length in bytes.
+        /// The value of the length prefix in bytes.
         bytes: usize,
     },
-    /// The bytes are no message of the expected type.
-    #[display("a message can't be decoded: drop the connection; both ends have to run the same version")]
+    /// The bytes are not a message of the expected type.
+    #[display("a message cannot be decoded: drop the connection; both ends must run the same version")]
     Malformed,
 }
 
@@ -33,11 +34,11 @@
     out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_le_bytes());
 }
 
-/// The first whole frame of `bytes`: its message and the bytes it takes; None until it is whole.
+/// Reads the first frame of `bytes`. Returns its message and its size in bytes, `None` if the frame is incomplete.
 ///
 /// # Errors
 ///
-/// The frame is too large or holds no such message; the connection has to be dropped.
+/// Returns an error if the frame is too large or its message is malformed; the connection must be dropped then.
 pub fn read_frame<T: for<'de> Decode<'de, Binary, Global>>(
     bytes: &[u8],
 ) -> Result<Option<(T, usize)>, FrameError> {
@@ -51,7 +52,7 @@
     Ok(Some((message, LENGTH_BYTES + length)))
 }
 
-/// Encodes a value for a frame, the disk or the feed.
+/// Encodes a value as in a frame; also used for records on disk and changes in the feed.
 pub fn encode<T: Encode<Binary>>(value: &T) -> Vec<u8> {
     let mut out = Vec::new();
     encode_into(&mut out, value);
@@ -59,13 +60,13 @@
 }
 
 fn encode_into<T: Encode<Binary>>(out: &mut Vec<u8>, value: &T) {
-    // Writing into a vector fails only where a type's own encoding does; none of ours can.
+    // Writing to a vector cannot fail, and no message type has an encoding that fails.
     if let Err(error) = musli::storage::encode(out, value) {
-        log::error!("frames: a message can't be encoded: {error}");
+        log::error!("frames: a message cannot be encoded: {error}");
     }
 }
 
-/// Decodes what [`encode`] wrote; None where it is malformed or has bytes left over.
+/// Decodes the output of [`encode`]. Returns `None` if `bytes` are malformed or longer than the value.
 pub fn decode<T: for<'de> Decode<'de, Binary, Global>>(bytes: &[u8]) -> Option<T> {
     musli::storage::from_slice(bytes).ok()
 }
--- a/crates/protocol/src/identity.rs
+++ b/crates/protocol/src/identity.rs
@@ -6,7 +6,7 @@
 
 use musli::{Decode, Encode};
 
-/// Address of a process for traffic between the system's own processes.
+/// Address at which a process accepts connections from other processes of the system.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct NodeAddress {
     ip: u32,
@@ -14,22 +14,22 @@
 }
 
 impl NodeAddress {
-    /// The address of the process that listens at `ip` and `port`.
+    /// Creates the address of a process that listens at `ip` and `port`.
     pub fn new(ip: Ipv4Addr, port: u16) -> NodeAddress {
         NodeAddress { ip: ip.into(), port }
     }
 
-    /// IP address of the machine.
+    /// Returns the IP address of the machine.
     pub fn ip(&self) -> Ipv4Addr {
         self.ip.into()
     }
 
-    /// TCP port.
+    /// Returns the TCP port.
     pub fn port(&self) -> u16 {
         self.port
     }
 
-    /// The address as sockets take it.
+    /// Returns the address as a socket address.
     pub fn socket(&self) -> SocketAddrV4 {
         SocketAddrV4::new(self.ip(), self.port)
     }
@@ -47,13 +47,13 @@
     }
 }
 
-/// A process together with the identity of its disk. A machine that lost its disk comes back with the same
-/// address and another `disk`: it is a new member and keeps none of the promises made by the old one.
+/// A process together with the identity of its disk. A machine that lost its disk returns with the same address and
+/// another `disk`: it is a new member and is not bound by the promises of the old one.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct MemberId {
-    /// Where the process listens for others.
+    /// Address at which the process accepts connections from other processes.
     pub address: NodeAddress,
-    /// Drawn at random when the data directory is first used; never zero.
+    /// Random number drawn when the data directory is first used; never zero.
     pub disk: u64,
 }
 
@@ -69,8 +69,8 @@
     }
 }
 
-/// A new incarnation, which tells this start of the process from others (SWIM, Das et al. 2002): drawn from the seed of
-/// the standard library's hash maps, never zero.
+/// Returns a random incarnation, which distinguishes this start of the process from others (SWIM, Das et al. 2002). It
+/// is drawn from the seed of the standard library's hash maps and never zero.
 pub fn random_incarnation() -> u64 {
     RandomState::new().hash_one(0_u64) | 1
 }
--- a/crates/protocol/src/lib.rs
+++ b/crates/protocol/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the system's processes say to each other, and by what names: frames, identities, messages, the server table.
+//! The protocol between the processes of the system: frames, identities, messages, the server table.
 //!
 //! Nothing here does I/O or reads a clock, and only [`identity::random_incarnation`] draws a random number.
 
--- a/crates/protocol/src/messages/handshake.rs
+++ b/crates/protocol/src/messages/handshake.rs
@@ -1,14 +1,14 @@
-//! What a link begins with: a byte that names its protocol, then the caller's handshake.
+//! The start of a link: a byte that identifies its protocol, then the caller's handshake.
 
 use derive_more::Display;
 use musli::{Decode, Encode};
 
 use crate::identity::MemberId;
 
-/// Version of the messages between processes; a peer that speaks another one is refused.
+/// Version of the messages between processes; a peer with another version is refused.
 pub const PROTOCOL_VERSION: u16 = 6;
 
-/// The first byte on every connection between two processes: which messages follow.
+/// The first byte on every connection between two processes, which identifies the messages that follow.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum LinkProtocol {
     /// Between two control nodes.
@@ -22,12 +22,12 @@
 }
 
 impl LinkProtocol {
-    /// The byte that names the protocol on the wire.
+    /// Returns the byte that identifies the protocol on the wire.
     pub fn byte(self) -> u8 {
         self as u8
     }
 
-    /// The protocol that `byte` names, if there is one.
+    /// Returns the protocol that `byte` identifies, or `None` if there is none.
     pub fn from_byte(byte: u8) -> Option<LinkProtocol> {
         match byte {
             1 => Some(LinkProtocol::ControlPeer),
@@ -39,35 +39,35 @@
     }
 }
 
-/// What a process does. Displayed by the published word that starts it.
+/// Role of a process. Displayed as the command-line word that starts it.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Display, Encode, Decode)]
 pub enum Role {
-    /// Keeps the control state.
+    /// Control node: replicates the control state.
     #[display("control")]
     Control,
-    /// Takes clients' requests and runs generations; `door` on the command line, in settings and on the wire.
+    /// Gateway: serves clients' requests and runs generations; `door` on the command line, in settings and on the wire.
     #[display("door")]
     Gateway,
-    /// Keeps batch jobs and their results.
+    /// Store node: stores batch jobs and their results.
     #[display("store")]
     Store,
 }
 
-/// First message on every link: who is calling.
+/// First message on every link: identifies the caller.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct Handshake {
     /// [`PROTOCOL_VERSION`] of the caller.
     pub version: u16,
-    /// What the caller does.
+    /// Role of the caller.
     pub role: Role,
-    /// Name of the machine, as the operator knows it.
+    /// Name of the machine in the operator's settings.
     pub name: String,
-    /// Zone that the machine stands in.
+    /// Zone in which the machine is located.
     pub zone: String,
-    /// Address for traffic between processes, and the disk; `disk` is zero where there is none.
+    /// Address for traffic between processes, and the identity of the disk; `disk` is zero if there is none.
     pub member: MemberId,
-    /// Number drawn at random at every start of the process (SWIM, Das et al. 2002).
+    /// Random number drawn at each start of the process (SWIM, Das et al. 2002).
     pub incarnation: u64,
-    /// Share of a core that the process may use.
+    /// Fraction of a CPU core that the process may use.
     pub cpu_share: f32,
 }
--- a/crates/protocol/src/messages/mod.rs
+++ b/crates/protocol/src/messages/mod.rs
@@ -1,11 +1,11 @@
-//! Messages between gateways, store nodes and control nodes, and what a link between two processes begins with.
+//! Messages between gateways, store nodes and control nodes, and the first bytes of a link between two processes.
 //!
 //! A gateway or a store node keeps one session to a control node ([`SessionMessage`], [`ControlMessage`]); every
 //! gateway keeps a link to each store node ([`GatewayMessage`], [`StoreMessage`]). Each type is named after the
-//! process that sends it. Messages among control nodes and among store nodes belong to the crates of those planes.
+//! process that sends it. Messages among control nodes and among store nodes are defined in the crates of those planes.
 //!
-//! The encoding knows fields and variants by their positions: new ones go to the end, and [`PROTOCOL_VERSION`] rises
-//! with every change that an older process can't read.
+//! The encoding identifies fields and variants by their positions: new ones are added at the end, and
+//! [`PROTOCOL_VERSION`] increases with every change that an older process cannot decode.
 
 mod handshake;
 mod server_list;
--- a/crates/protocol/src/messages/session.rs
+++ b/crates/protocol/src/messages/session.rs
@@ -1,11 +1,11 @@
-//! Sessions of gateways and store nodes with a control node, and the feed of changes that they bring.
+//! Sessions of gateways and store nodes with a control node, and the feed of changes that they carry.
 
 use musli::{Decode, Encode};
 
 use super::{Handshake, ServerTableUpdate, TableVersion};
 use crate::identity::{MemberId, NodeAddress};
 
-/// How far a subscriber of the feed has come.
+/// Position of a subscriber in the feed.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Encode, Decode)]
 pub struct FeedPosition {
     /// Sequence number of the last change of the control state that was applied.
@@ -14,124 +14,125 @@
     pub servers: TableVersion,
 }
 
-/// Condition of a store node. Of a gateway, only `draining` counts.
+/// Condition of a store node. For a gateway, only `draining` is evaluated.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug, Encode, Decode)]
 pub struct StoreHealth {
-    /// Writes are failing or have been hanging for over a second.
+    /// Writes are failing, or have been hanging for more than a second.
     pub disk_failing: bool,
-    /// Bytes of the disk that are in use.
+    /// Number of bytes in use on the disk.
     pub used_bytes: u64,
-    /// Bytes that the disk may hold.
+    /// Number of bytes that the disk may hold.
     pub capacity_bytes: u64,
-    /// It was told to stop and ends as soon as others have its copies, or when its time is up.
+    /// The process shuts down gracefully: it ends when other nodes have its copies, or at its shutdown deadline.
     pub draining: bool,
 }
 
-/// From a gateway or a store node to its control node. The crate `orchidvalve-control-client` keeps such sessions.
+/// Message from a gateway or a store node to its control node. The sessions are kept by `orchidvalve-control-client`.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum SessionMessage {
-    /// The first message: who is calling, and from where on changes are wanted.
+    /// The first message: identifies the caller and the position from which it needs changes.
     Handshake {
-        /// Who is calling.
+        /// Identifies the caller.
         handshake: Handshake,
-        /// How far the caller has come before.
+        /// Feed position that the caller has reached.
         position: FeedPosition,
     },
-    /// The process is alive.
+    /// Sent regularly to show that the process is alive.
     Heartbeat {
-        /// How far it has come.
+        /// Feed position that the process has reached.
         position: FeedPosition,
-        /// Its condition, where it told one.
+        /// Condition of the process, if it has reported one.
         health: Option<StoreHealth>,
     },
-    /// The tail of a partition has copied everything to a learner, or a member holds everything that was
-    /// committed before the view of this epoch.
+    /// The tail of a partition has copied everything to a learner, or a member holds every entry that was committed
+    /// before the view of this epoch.
     LearnerCaughtUp {
         /// Number of the partition.
         partition: u16,
-        /// Epoch of its view.
+        /// Epoch of the partition's view.
         epoch: u64,
-        /// The learner, or the member.
+        /// The learner or the member that is complete.
         member: MemberId,
     },
-    /// The process is stopping and sends nothing more.
+    /// The process is stopping and sends no further messages.
     Goodbye,
-    /// A batch job came that uses a model so.
+    /// A submitted batch job uses a model in this way.
     ReportModelUsage {
         /// Name of the model.
         model: String,
-        /// Some texts have to be made under a single version.
+        /// Whether the job has texts that must be generated under a single version of the weights.
         single_version: bool,
-        /// How many versions its oldest allowed one is behind the newest; None where it allows every version.
+        /// The number of versions that its oldest permitted version is behind the latest; `None` if it permits every
+        /// version.
         lag: Option<u64>,
     },
-    /// Requests of tenants that began at servers through this gateway. The counts are those since the start of the
-    /// process, so a message that comes twice or late does no harm.
+    /// Numbers of requests of tenants that started on servers through this gateway. They are cumulative since the start
+    /// of the process, so duplicated or delayed messages have no effect.
     ReportUsage {
-        /// Windows whose counts have changed since they were last sent, or may not have arrived.
+        /// Windows whose counts have changed since they were last sent, or may not have been received.
         windows: Vec<WindowUsage>,
     },
-    /// What this process has to do at servers.
+    /// Load that this process has for the servers of each service.
     ReportLoad {
-        /// By service; one that isn't here has nothing to do.
+        /// One entry per service; a service without an entry has no load.
         loads: Vec<ServiceLoad>,
     },
 }
 
-/// Requests that began within one window of usage, as one process counted them.
+/// Requests that started within one usage window, as counted by one process.
 #[derive(Clone, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct WindowUsage {
-    /// Number of the window: it starts `window` times its length after the beginning of 1970.
+    /// Number of the window: it starts `window` times its length after 1970-01-01.
     pub window: u64,
-    /// Tenants that had requests in it.
+    /// Tenants with requests in the window.
     pub counts: Vec<TenantRequests>,
 }
 
-/// How many requests of a tenant began.
+/// The number of requests of a tenant that started.
 #[derive(Clone, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct TenantRequests {
     /// Name of the tenant.
     pub tenant: String,
-    /// Number of its requests.
+    /// The number of requests.
     pub requests: u64,
 }
 
-/// Work of one process for the servers of a service.
+/// The load that one process has for the servers of a service.
 #[derive(Clone, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct ServiceLoad {
     /// Name of the service.
     pub service: String,
-    /// Requests and generations that are in flight at its servers.
+    /// Requests and generations in flight to its servers.
     pub running: u32,
-    /// Requests and generations that wait to be sent.
+    /// Requests and generations that are queued.
     pub waiting: u32,
 }
 
-/// From a control node to a gateway or a store node.
+/// Message from a control node to a gateway or a store node.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum ControlMessage {
-    /// The session stands.
+    /// The session is established.
     Welcome {
-        /// Control nodes that may be called when this one falls silent.
+        /// Control nodes to connect to if this one becomes unresponsive.
         controls: Vec<NodeAddress>,
     },
-    /// This control node isn't in touch with a quorum: the caller goes to another one.
+    /// This control node has no quorum: the caller must connect to another one.
     Redirect {
-        /// Control nodes that may be called instead.
+        /// Control nodes to connect to instead.
         controls: Vec<NodeAddress>,
     },
-    /// The control node is alive.
+    /// Sent regularly to show that the control node is alive.
     Heartbeat,
-    /// The whole control state.
+    /// The complete control state.
     Snapshot {
-        /// Sequence number of the last change in it.
+        /// Sequence number of the last change it includes.
         sequence: u64,
         /// The encoded state (`orchidvalve-control-state`).
         state: Vec<u8>,
     },
-    /// Changes of the control state, in order.
+    /// Consecutive changes of the control state.
     Changes {
-        /// Sequence number of the first one.
+        /// Sequence number of the first change.
         first: u64,
         /// The encoded changes.
         changes: Vec<Vec<u8>>,
@@ -142,8 +143,8 @@
     Gateways(GatewayList),
 }
 
-/// The gateways that run generations. Each has a share of every model server's slots. The head of the control chain
-/// writes the list, so that all go by the same one.
+/// The gateways that run generations. Each has a quota of every model server's slots. The head of the control chain
+/// writes the list, so that all processes use the same one.
 #[derive(Clone, PartialEq, Eq, Default, Debug, Encode, Decode)]
 pub struct GatewayList {
     /// Version of the list.
--- a/crates/protocol/src/messages/store_link.rs
+++ b/crates/protocol/src/messages/store_link.rs
@@ -1,15 +1,15 @@
-//! Links of gateways to store nodes: requests of clients for batch jobs, and generations that are dispatched.
+//! Links of gateways to store nodes: clients' requests about batch jobs, and dispatched generations.
 
 use musli::{Decode, Encode};
 
 use super::Handshake;
 
-/// A request to the scorer, with the text that an item gave; it yields the item's reward.
+/// A request to the scorer with the text that an item generated; its response is the item's score.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct ScorerRequest {
-    /// Id of the request, sent as `Attempt-Id`.
+    /// Id of the request, sent in the header `Attempt-Id`.
     pub id: String,
-    /// Host of its route.
+    /// Host name of the scorer's route.
     pub hostname: String,
     /// Path that the request is sent to.
     pub path: String,
@@ -21,64 +21,64 @@
 /// One generation of a group.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct AssignedItem {
-    /// Id of the item, sent as `Attempt-Id`.
+    /// Id of the item, sent in the header `Attempt-Id`.
     pub id: String,
     /// Path that the request is sent to.
     pub path: String,
-    /// Names and values of the request's headers.
+    /// Names and values of the request headers.
     pub headers: Vec<(String, String)>,
     /// Body of the request.
     #[musli(bytes)]
     pub body: Vec<u8>,
-    /// Tokens of the prompt and the most out together.
+    /// Tokens of the prompt plus the maximum number of tokens to generate.
     pub token_usage: u32,
-    /// The request that scores the text, if there is one.
+    /// The request that scores the text, if the item is scored.
     pub scorer: Option<ScorerRequest>,
 }
 
 /// A group of generations that is dispatched to a gateway.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct AssignedGroup {
-    /// Index of the group in its job; lower ones go first.
+    /// Index of the group in its job; groups with lower indices are started first.
     pub index: u32,
-    /// Its items that have no committed result.
+    /// The items of the group that have no committed result.
     pub items: Vec<AssignedItem>,
 }
 
-/// The job that dispatched groups belong to: what their generations have in common.
+/// The job of dispatched groups: the properties that its generations have in common.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct AssignedJob {
-    /// Partition of the store that keeps the job.
+    /// Store partition that holds the job.
     pub partition: u16,
     /// Epoch of the partition's view under which the groups are dispatched.
     pub epoch: u64,
     /// Id of the job.
     pub job: String,
-    /// Host of the route by which the job was submitted; the route gives service and limits.
+    /// Host name of the route through which the job was submitted; the route determines service and limits.
     pub hostname: String,
     /// Path prefix of that route.
     pub path: String,
-    /// Model that makes the tokens.
+    /// Model that generates the tokens.
     pub model: Option<String>,
-    /// Oldest version of the weights that may make the tokens; 0 allows all.
+    /// Oldest permitted version of the weights; 0 permits every version.
     pub min_weights_version: u64,
-    /// Milliseconds since the job was first received, at the time of sending.
+    /// Time since the job was first received, in milliseconds at the time of sending.
     pub age_ms: u64,
-    /// Tenant that submitted the job; servers are told it. None where the configuration had no tenants then.
+    /// Tenant that submitted the job, reported to the servers. `None` if the configuration had no tenants at that time.
     pub tenant: Option<String>,
 }
 
-/// How an item ended.
+/// The final state of an item.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, Encode, Decode)]
 pub enum ItemState {
-    /// The whole text is there, and its score.
+    /// The complete text was generated and, if required, scored.
     Completed,
-    /// It was given up at its deadline.
+    /// The item was not completed by its deadline.
     Expired,
 }
 
 impl ItemState {
-    /// The word that stands for the state in responses to clients.
+    /// Returns the name of the state in responses to clients.
     pub fn as_str(self) -> &'static str {
         match self {
             ItemState::Completed => "completed",
@@ -87,200 +87,201 @@
     }
 }
 
-/// Outcome of one generation, as the trainer reads it once it is committed.
+/// Outcome of one generation, returned to the client once it is committed.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub struct ItemOutcome {
     /// Id of the item.
     pub item: String,
-    /// How it ended.
+    /// Final state of the item.
     pub state: ItemState,
-    /// Data of all events in order, joined by line feeds; compressed by the gateway, empty where there is no text.
+    /// Data of all events in order, joined by line feeds, compressed by the gateway; empty if there is no text.
     #[musli(bytes)]
     pub message: Vec<u8>,
-    /// Versions of the weights that made an event of the text, in rising order.
+    /// Versions of the weights that generated the events of the text, in ascending order.
     pub weight_versions: Vec<u64>,
-    /// Signature of the scorer's response (`Server-Signature`), if the text was scored.
+    /// Signature in the scorer's response (`Server-Signature`), if the text was scored.
     pub score: Option<String>,
 }
 
-/// How often servers answered an item with status 500.
+/// The number of responses with status 500 that an item has received from servers.
 #[derive(Clone, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct ItemFailures {
     /// Id of the item.
     pub item: String,
-    /// Number of these responses, at all gateways that ran it.
+    /// The number of these responses, at all gateways that ran the item.
     pub count: u32,
 }
 
-/// From a gateway to a store node.
+/// Message from a gateway to a store node.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum GatewayMessage {
-    /// The first message: who is calling.
+    /// The first message: identifies the caller.
     Handshake(Handshake),
-    /// The gateway is alive.
+    /// Sent regularly to show that the gateway is alive.
     Heartbeat {
-        /// Generations that the gateway can have in flight or queued.
+        /// The number of generations that the gateway can have in flight or queued.
         generation_capacity: u32,
     },
     /// A client submits a batch job.
     SubmitJob {
-        /// Number of this request on the link; it comes back in the response.
+        /// Number of this request on the link; the response carries it, too.
         request_id: u64,
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         id: String,
         /// The encoded job document (`orchidvalve-batch`).
         job: Vec<u8>,
-        /// When the gateway received it, in milliseconds since 1970.
+        /// When the gateway received the job, in milliseconds since 1970-01-01.
         received_at_ms: u64,
     },
     /// A client reads results of a job.
     ReadResults {
         /// Number of this request on the link.
         request_id: u64,
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         id: String,
-        /// Position in the list of results behind which to begin.
+        /// Position in the list of results after which to start.
         after: u64,
-        /// Longest wait for a further result, in milliseconds.
+        /// The maximum time to wait for further results, in milliseconds.
         wait_ms: u32,
-        /// Tenant whose key the call carries; None where it needs none.
+        /// Tenant of the API key in the client's request; `None` if no key is required.
         tenant: Option<String>,
     },
     /// A client reads the body of an item.
     ReadItemBody {
         /// Number of this request on the link.
         request_id: u64,
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         id: String,
         /// Id of the item.
         item: String,
-        /// Tenant whose key the call carries; None where it needs none.
+        /// Tenant of the API key in the client's request; `None` if no key is required.
         tenant: Option<String>,
     },
-    /// A client ends a job: nothing of it runs from then on.
+    /// A client ends a job: none of its items run from then on.
     EndJob {
         /// Number of this request on the link.
         request_id: u64,
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         id: String,
-        /// Tenant whose key the call carries; None where it needs none.
+        /// Tenant of the API key in the client's request; `None` if no key is required.
         tenant: Option<String>,
     },
-    /// Outcomes of generations that were dispatched to this gateway. They are sent again until
-    /// [`StoreMessage::AcknowledgeOutcomes`].
+    /// Outcomes of generations that were dispatched to this gateway. They are sent repeatedly until
+    /// [`StoreMessage::AcknowledgeOutcomes`] is received.
     ReportOutcomes {
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         job: String,
         /// The outcomes.
         outcomes: Vec<ItemOutcome>,
     },
-    /// Groups that this gateway gives back unfinished.
+    /// Unfinished groups that this gateway returns.
     ReturnGroups {
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
-        /// Epoch under which they were dispatched.
+        /// Epoch of the partition's view under which the groups were dispatched.
         epoch: u64,
         /// Id of the job.
         job: String,
         /// Indices of the groups in the job.
         groups: Vec<u32>,
     },
-    /// Items that servers answered with 500, so that the next gateway knows if their group moves. Not acknowledged.
+    /// Items to which servers responded with status 500, so that the next gateway knows them if the group moves. Not
+    /// acknowledged.
     ReportFailures {
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         job: String,
-        /// The items, with all failures known to the gateway.
+        /// The items, each with all failures known to the gateway.
         failures: Vec<ItemFailures>,
     },
 }
 
-/// From a store node to a gateway.
+/// Message from a store node to a gateway.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum StoreMessage {
-    /// The store node is alive.
+    /// Sent regularly to show that the store node is alive.
     Heartbeat,
     /// Response to a request of the gateway.
     Response {
         /// Number of the request on this link.
         request_id: u64,
-        /// What came of it.
+        /// The result of the request.
         response: StoreResponse,
     },
-    /// Groups that this gateway is to run.
+    /// Groups that are dispatched to this gateway.
     AssignGroups {
-        /// The job that they belong to.
+        /// The job of the groups.
         job: AssignedJob,
         /// The groups.
         groups: Vec<AssignedGroup>,
     },
-    /// The job has ended: nothing of it may be sent any more.
+    /// The job has ended: none of its requests may be sent any more.
     CancelJob {
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         job: String,
     },
-    /// These outcomes are committed or not wanted any more.
+    /// These outcomes are committed or no longer needed.
     AcknowledgeOutcomes {
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         job: String,
         /// Ids of the items.
         items: Vec<String>,
     },
-    /// Follows groups that were assigned: failures that some of their items had at other gateways.
+    /// Follows `AssignGroups`: failures that some items of the groups had at other gateways.
     KnownFailures {
-        /// Partition that keeps the job.
+        /// Store partition that holds the job.
         partition: u16,
         /// Id of the job.
         job: String,
-        /// The items.
+        /// The items with failures.
         failures: Vec<ItemFailures>,
     },
 }
 
-/// Response to a request of a gateway.
+/// Response of a store node to a request of a gateway.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum StoreResponse {
-    /// The job is committed: it is kept from now on.
+    /// The job is committed and therefore stored.
     Accepted,
-    /// The job was not taken and never will be by this request.
+    /// The job was rejected, and this request will not cause it to be accepted later.
     Rejected {
-        /// When the client may try again, in milliseconds from now.
+        /// Delay after which the client may retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// It is not known whether the job was taken.
+    /// It is unknown whether the job was accepted.
     OutcomeUnknown,
-    /// There is no such job or item.
+    /// The job or the item does not exist.
     NotFound,
-    /// This store node can't be sure; the request may be tried at another member of the partition or later.
+    /// This store node cannot guarantee a correct response. Another member of the partition may, or this one later.
     Unavailable,
-    /// Results from the position that was asked for.
+    /// Results after the requested position.
     Results {
-        /// Items of the job.
+        /// The number of items in the job.
         total: u32,
-        /// Position behind the last of these results.
+        /// Position after the last of these results.
         next: u64,
         /// The results.
         outcomes: Vec<ItemOutcome>,
     },
     /// Body of an item.
     Body(#[musli(bytes)] Vec<u8>),
-    /// The job is ended.
+    /// The job has ended.
     Ended,
-    /// The job belongs to another tenant than the caller.
+    /// The job belongs to a tenant other than the caller's.
     OtherTenant,
 }
--- a/crates/protocol/src/rendezvous.rs
+++ b/crates/protocol/src/rendezvous.rs
@@ -1,9 +1,10 @@
-//! Rendezvous hashing (highest random weight, Thaler and Ravishankar 1998): every process ranks the same candidates
-//! alike without asking, and a candidate that comes or goes moves only what it ranked first for.
+//! Rendezvous hashing (highest random weight, Thaler and Ravishankar 1998): every process computes the same ranking of
+//! the same candidates without communication, and adding or removing a candidate moves only the keys that rank it
+//! first.
 
 use crate::identity::NodeAddress;
 
-/// Spreads what differs between two values over all of their bits (the finalizer of SplitMix64).
+/// Spreads the differences between two values over all of their bits (the finalizer of SplitMix64).
 pub fn mix(value: u64) -> u64 {
     let value = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -11,12 +12,12 @@
     value ^ (value >> 31)
 }
 
-/// Hash of `bytes` that begins with `seed`.
+/// Returns the hash of `bytes`, starting from `seed`.
 pub fn hash(bytes: &[u8], seed: u64) -> u64 {
     bytes.iter().fold(mix(seed), |hash, &byte| mix(hash ^ u64::from(byte)))
 }
 
-/// The rank of the process at `address` for what has the hash `seed`; the lowest goes first.
+/// Returns the rank of the process at `address` for the key whose hash is `seed`; the lowest rank is preferred.
 pub fn rank(seed: u64, address: NodeAddress) -> u64 {
     let address = u64::from(u32::from(address.ip())) << 16 | u64::from(address.port());
     mix(seed ^ mix(address))
--- a/crates/protocol/src/server_table.rs
+++ b/crates/protocol/src/server_table.rs
@@ -1,34 +1,35 @@
-//! The server table: model servers and application servers, as the platform's list shows them.
+//! The server table: the model servers and application servers in the platform's list.
 //!
-//! The leader of the reading role replaces the table ([`ServerTable::replace`]) and spreads the updates; every other
-//! process applies them ([`ServerTable::apply`]).
+//! The leader of the role that reads the list replaces the table ([`ServerTable::replace`]) and distributes the
+//! updates; every other process applies them ([`ServerTable::apply`]).
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::messages::{ModelVersionChange, ServerEntry, ServerTableUpdate, TableVersion};
 
-/// Deltas that are kept at most for subscribers that are a little behind...
+/// The maximum number of deltas kept for subscribers that are slightly behind.
 const MAX_KEPT_DELTAS: usize = 256;
-/// ...and what they cost together, in parts of the table: beyond that a snapshot is smaller. So many deltas are kept in
-/// any case.
+/// The kept deltas may together cost this fraction (1/n) of the table; beyond that a snapshot is smaller. The latest
+/// [`MIN_KEPT_DELTAS`] are kept at any cost.
 const KEPT_COST_DIVISOR: usize = 2;
 const MIN_KEPT_DELTAS: usize = 32;
 
-/// Cost of a whole entry or of an instance that is gone, in changes of a model's version: roughly by their bytes.
+/// Cost of a complete entry or of a removed instance, in units of one change of a model version; roughly by their
+/// bytes.
 const ENTRY_COST: usize = 8;
 
-/// The table with its latest deltas.
+/// The server table and its latest deltas.
 #[derive(Default, Debug)]
 pub struct ServerTable {
     version: TableVersion,
     servers: BTreeMap<String, ServerEntry>,
-    /// Latest deltas, oldest first; each starts from the version that the one before leads to.
+    /// The latest deltas, oldest first; each starts from the version that the previous one leads to.
     deltas: VecDeque<ServerTableUpdate>,
-    /// What they cost together.
+    /// Total cost of `deltas`.
     delta_cost: usize,
 }
 
-/// What an update costs, in changes of a model's version.
+/// Returns the cost of an update, in units of one change of a model version.
 fn cost(update: &ServerTableUpdate) -> usize {
     match update {
         ServerTableUpdate::Snapshot { servers, .. } => servers.len() * ENTRY_COST,
@@ -38,7 +39,7 @@
     }
 }
 
-/// Whether two entries of a server differ in the versions of its weights at most.
+/// Returns whether two entries of a server are equal or differ only in the versions of model weights.
 fn differ_in_versions_only(before: &ServerEntry, after: &ServerEntry) -> bool {
     let ServerEntry { instance, service, address, zone, slots, draining, models } = before;
     let has_same_models =
@@ -52,12 +53,12 @@
         && has_same_models()
 }
 
-/// An index as messages carry it. No list has four billion entries.
+/// Returns an index as encoded in messages. No list has four billion entries.
 fn wire_index(index: usize) -> u32 {
     u32::try_from(index).unwrap_or(u32::MAX)
 }
 
-/// The changes that lead from one entry of the server with index `server` to another.
+/// Returns the version changes from the entry `before` to the entry `after` of the server with index `server`.
 fn version_changes(
     server: usize,
     before: &ServerEntry,
@@ -70,24 +71,24 @@
 }
 
 impl ServerTable {
-    /// Version of the table.
+    /// Returns the version of the table.
     pub fn version(&self) -> TableVersion {
         self.version
     }
 
-    /// All servers, by the order of their instance ids.
+    /// Returns all servers, ordered by instance id.
     pub fn servers(&self) -> impl Iterator<Item = &ServerEntry> {
         self.servers.values()
     }
 
-    /// The server with an instance id.
+    /// Returns the server with the given instance id.
     pub fn get(&self, instance: &str) -> Option<&ServerEntry> {
         self.servers.get(instance)
     }
 
-    /// Takes over a whole list that the leader of `term` read; the update if anything changed. The first one of a
-    /// term is a snapshot: the former leader may have told other machines more than this one. A list read under an
-    /// earlier term than the table's is ignored.
+    /// Replaces the table with a complete list that the leader of `term` read. Returns the update if anything changed.
+    /// The first update of a term is a snapshot, because the previous leader may have sent updates to other processes
+    /// that this one has not received. A list read under an earlier term than the table's is ignored.
     pub fn replace(&mut self, term: u64, servers: Vec<ServerEntry>) -> Option<ServerTableUpdate> {
         let from = self.version;
         if term < from.term {
@@ -107,7 +108,7 @@
         Some(if begins_term { self.snapshot() } else { update })
     }
 
-    /// The difference between the table as it is and a list that becomes `version` of it.
+    /// Returns the delta from the current table to `listed`, which becomes `version` of the table.
     fn delta_to(&self, version: TableVersion, listed: &BTreeMap<String, ServerEntry>) -> ServerTableUpdate {
         let mut versions = Vec::new();
         let mut removed = Vec::new();
@@ -143,7 +144,7 @@
             || (self.deltas.len() > MIN_KEPT_DELTAS && self.delta_cost > max_cost)
     }
 
-    /// Applies an update that another machine wrote; false where a snapshot is needed first. Older ones are ignored.
+    /// Applies an update from another process. Returns false if a snapshot is needed first. Older updates are ignored.
     pub fn apply(&mut self, update: &ServerTableUpdate) -> bool {
         match update {
             ServerTableUpdate::Snapshot { version, servers } => {
@@ -176,7 +177,7 @@
         }
     }
 
-    /// Whether the servers and models of all changes are in the table.
+    /// Returns whether the servers and models of all changes are in the table.
     fn has_all(&self, changes: &[ModelVersionChange]) -> bool {
         let mut changes = changes.iter().peekable();
         for (index, server) in self.servers.values().enumerate() {
@@ -200,7 +201,7 @@
         }
     }
 
-    /// The whole table as an update.
+    /// Returns the complete table as an update.
     pub fn snapshot(&self) -> ServerTableUpdate {
         ServerTableUpdate::Snapshot {
             version: self.version,
@@ -208,7 +209,7 @@
         }
     }
 
-    /// What a subscriber at version `from` needs to catch up: the deltas since, or a snapshot.
+    /// Returns the updates that a subscriber at version `from` lacks: the deltas since, or a snapshot.
     pub fn updates_since(&self, from: TableVersion) -> Vec<ServerTableUpdate> {
         if from >= self.version {
             return Vec::new();
--- a/crates/protocol/tests/golden_frames.rs
+++ b/crates/protocol/tests/golden_frames.rs
@@ -1,4 +1,4 @@
-//! Frames as they are on the wire: a length before each message.
+//! Golden test of frames on the wire: a length before each message.
 
 use std::path::Path;
 
--- a/crates/protocol/tests/golden_messages.rs
+++ b/crates/protocol/tests/golden_messages.rs
@@ -1,4 +1,4 @@
-//! Encoded samples of every message between processes, and of what is compared across processes.
+//! Golden test of the encoding of every message between processes, and of values that are compared across processes.
 
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -21,13 +21,13 @@
 
 type Samples = Vec<(&'static str, Vec<u8>)>;
 
-/// Adds the encoded value, once that gives the value back.
+/// Adds the encoded value after checking that it decodes to the same value.
 fn add<T>(samples: &mut Samples, name: &'static str, value: T)
 where
     T: Encode<Binary> + for<'de> Decode<'de, Binary, Global> + PartialEq,
 {
     let bytes = encode(&value);
-    assert!(decode::<T>(&bytes) == Some(value), "{name} comes back");
+    assert!(decode::<T>(&bytes) == Some(value), "{name} decodes to another value");
     samples.push((name, bytes));
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-fn scorer_call() -> ScorerRequest {
+fn scorer_request() -> ScorerRequest {
     ScorerRequest {
         id: "scorer-1".to_owned(),
         hostname: "scorer.example".to_owned(),
@@ -88,7 +88,7 @@
     }
 }
 
-fn work_item(scorer: Option<ScorerRequest>) -> AssignedItem {
+fn assigned_item(scorer: Option<ScorerRequest>) -> AssignedItem {
     AssignedItem {
         id: "item-1".to_owned(),
         path: "/v1/generate".to_owned(),
@@ -99,11 +99,11 @@
     }
 }
 
-fn work_group() -> AssignedGroup {
-    AssignedGroup { index: 9, items: vec![work_item(None), work_item(Some(scorer_call()))] }
+fn assigned_group() -> AssignedGroup {
+    AssignedGroup { index: 9, items: vec![assigned_item(None), assigned_item(Some(scorer_request()))] }
 }
 
-fn work_terms(model: Option<&str>) -> AssignedJob {
+fn assigned_job(model: Option<&str>) -> AssignedJob {
     AssignedJob {
         partition: 513,
         epoch: 12,
@@ -147,12 +147,12 @@
     add(&mut samples, "server-entry", server(1));
     add(&mut samples, "server-entry-draining", server(2));
     add(&mut samples, "worker-list", GatewayList { version: servers_version(), gateways: vec![address(1)] });
-    add(&mut samples, "scorer-call", scorer_call());
-    add(&mut samples, "work-item", work_item(None));
-    add(&mut samples, "work-item-with-scorer", work_item(Some(scorer_call())));
-    add(&mut samples, "work-group", work_group());
-    add(&mut samples, "work-terms", work_terms(None));
-    add(&mut samples, "work-terms-with-model", work_terms(Some("large")));
+    add(&mut samples, "scorer-call", scorer_request());
+    add(&mut samples, "work-item", assigned_item(None));
+    add(&mut samples, "work-item-with-scorer", assigned_item(Some(scorer_request())));
+    add(&mut samples, "work-group", assigned_group());
+    add(&mut samples, "work-terms", assigned_job(None));
+    add(&mut samples, "work-terms-with-model", assigned_job(Some("large")));
     add(&mut samples, "item-state-completed", ItemState::Completed);
     add(&mut samples, "item-state-expired", ItemState::Expired);
     add(&mut samples, "item-outcome-completed", outcome(ItemState::Completed));
@@ -199,9 +199,9 @@
     );
     let changes = vec![vec![9, 8], Vec::new(), vec![7]];
     add(to, "from-control-changes", ControlMessage::Changes { first: 100_000, changes });
-    let whole =
+    let snapshot =
         ServerTableUpdate::Snapshot { version: servers_version(), servers: vec![server(1), server(2)] };
-    add(to, "from-control-servers-whole", ControlMessage::Servers(whole.clone()));
+    add(to, "from-control-servers-whole", ControlMessage::Servers(snapshot.clone()));
     let difference = ServerTableUpdate::Delta {
         from: TableVersion { term: 5, number: 999 },
         version: servers_version(),
@@ -210,9 +210,9 @@
         removed: vec!["i-4".to_owned(), "i-5".to_owned()],
     };
     add(to, "from-control-servers-difference", ControlMessage::Servers(difference.clone()));
-    let workers = GatewayList { version: servers_version(), gateways: vec![address(7), address(8)] };
-    add(to, "from-control-workers", ControlMessage::Gateways(workers));
-    add(to, "servers-update-whole", whole);
+    let gateways = GatewayList { version: servers_version(), gateways: vec![address(7), address(8)] };
+    add(to, "from-control-workers", ControlMessage::Gateways(gateways));
+    add(to, "servers-update-whole", snapshot);
     add(to, "servers-update-difference", difference);
     check("session_messages.txt", &samples);
 }
@@ -291,11 +291,11 @@
         "from-store-answer",
         StoreMessage::Response { request_id: call, response: StoreResponse::Accepted },
     );
-    let terms = work_terms(Some("large"));
+    let assigned = assigned_job(Some("large"));
     add(
         to,
         "from-store-assign",
-        StoreMessage::AssignGroups { job: terms, groups: vec![work_group(), work_group()] },
+        StoreMessage::AssignGroups { job: assigned, groups: vec![assigned_group(), assigned_group()] },
     );
     add(to, "from-store-cancel", StoreMessage::CancelJob { partition, job: id() });
     add(
@@ -333,9 +333,15 @@
     ];
     check_samples(&Path::new(FOLDER).join("link_beginnings.txt"), &samples);
     let read = read_frame::<SessionMessage>(&samples[0].1[1..]).unwrap().unwrap();
-    assert!(read == (session, samples[0].1.len() - 1), "the session's first message comes back");
+    assert!(
+        read == (session, samples[0].1.len() - 1),
+        "the first message of the session decodes to another value"
+    );
     let read = read_frame::<GatewayMessage>(&samples[1].1[1..]).unwrap().unwrap();
-    assert!(read == (client, samples[1].1.len() - 1), "the link's first message comes back");
+    assert!(
+        read == (client, samples[1].1.len() - 1),
+        "the first message of the link decodes to another value"
+    );
 }
 
 #[test]
--- a/crates/protocol/tests/golden_server_table.rs
+++ b/crates/protocol/tests/golden_server_table.rs
@@ -1,4 +1,4 @@
-//! Server tables that are changed at random: the updates that they give, by seeds.
+//! Golden test of the updates of server tables that are changed at random, by seed.
 
 use std::net::Ipv4Addr;
 use std::path::Path;
--- a/crates/protocol/tests/messages/checks.rs
+++ b/crates/protocol/tests/messages/checks.rs
@@ -1,4 +1,4 @@
-//! What has to hold for every encoded message and record.
+//! Checks that apply to every encoded message and record.
 #![allow(dead_code, reason = "each crate uses its own part of the checks")]
 
 use std::fmt::Debug;
@@ -12,23 +12,23 @@
 
 use crate::generate::Generate;
 
-/// Values drawn of each variant.
+/// The number of values drawn for each variant.
 const CASES: u32 = 24;
-/// Bytes before the body of a frame: its length.
+/// Size of the length prefix of a frame in bytes.
 const LENGTH_BYTES: usize = 4;
 
-/// A type that goes over a link or onto a disk.
+/// A type that is sent over a link or written to disk.
 pub trait Encoded: PartialEq + Debug + Encode<Binary> + for<'de> Decode<'de, Binary, Global> {}
 impl<T: PartialEq + Debug + Encode<Binary> + for<'de> Decode<'de, Binary, Global>> Encoded for T {}
 
-/// Draws values of each variant and gives them to the check, without a file of earlier failures.
+/// Draws values of each variant and passes them to the check; no file of earlier failures is used.
 pub fn for_each_variant<T: Generate>(check: impl Fn(&T)) {
     for variant in T::variants() {
         for_each(&variant, &check);
     }
 }
 
-/// Draws values and gives them to the check.
+/// Draws values and passes them to the check.
 pub fn for_each<T: Debug>(strategy: &BoxedStrategy<T>, check: impl Fn(&T)) {
     let config = Config { cases: CASES, failure_persistence: None, ..Config::default() };
     let run = TestRunner::new(config).run(strategy, |value| {
@@ -38,30 +38,37 @@
     run.unwrap_or_else(|failure| panic!("{failure}"));
 }
 
-/// Every value comes back from its bytes. Bytes that end early or go on are refused. With any bit flipped they are
-/// refused or stand for one value, and nothing panics.
+/// Checks that every value decodes to itself, that truncated or extended bytes are rejected, and that bytes with any
+/// single bit flipped are rejected or decode to one value, without a panic.
 pub fn check_encoding<T: Encoded + Generate>() {
     for_each_variant(|value: &T| {
         let bytes = encode(value);
         assert_eq!(decode::<T>(&bytes).as_ref(), Some(value));
         for length in 0..bytes.len() {
-            assert!(decode::<T>(&bytes[..length]).is_none(), "taken with {length} of {} bytes", bytes.len());
+            assert!(
+                decode::<T>(&bytes[..length]).is_none(),
+                "accepted with {length} of {} bytes",
+                bytes.len()
+            );
         }
         let longer: Vec<u8> = bytes.iter().copied().chain([0]).collect();
-        assert!(decode::<T>(&longer).is_none(), "taken with a byte more");
-        for_each_flip(&bytes, |flipped| check_refused_or_one_value::<T>(flipped));
+        assert!(decode::<T>(&longer).is_none(), "accepted with one extra byte");
+        for_each_flip(&bytes, |flipped| check_rejected_or_one_value::<T>(flipped));
     });
 }
 
-/// The same within a frame; one that is cut off is awaited.
+/// Checks the same within a frame; an incomplete frame yields `None`.
 pub fn check_frames<T: Encoded + Generate>() {
     for_each_variant(|value: &T| {
         let mut frame = Vec::new();
         write_frame(&mut frame, value);
-        let (message, length) = read_frame::<T>(&frame).expect("a frame").expect("a whole one");
+        let (message, length) = read_frame::<T>(&frame).expect("a frame").expect("a complete frame");
         assert_eq!((&message, length), (value, frame.len()));
         for length in 0..frame.len() {
-            assert!(matches!(read_frame::<T>(&frame[..length]), Ok(None)), "not awaited at {length}");
+            assert!(
+                matches!(read_frame::<T>(&frame[..length]), Ok(None)),
+                "frame not awaited at length {length}"
+            );
         }
         for_each_flip(&frame, |flipped| {
             if let Ok(Some((_, length))) = read_frame::<T>(flipped) {
@@ -71,7 +78,7 @@
     });
 }
 
-/// Gives the bytes with each single bit flipped.
+/// Passes the bytes with each single bit flipped to the check.
 pub fn for_each_flip(bytes: &[u8], mut check: impl FnMut(&[u8])) {
     let mut flipped = bytes.to_vec();
     for bit in 0..bytes.len() * 8 {
@@ -81,9 +88,9 @@
     }
 }
 
-fn check_refused_or_one_value<T: Encoded>(bytes: &[u8]) {
+fn check_rejected_or_one_value<T: Encoded>(bytes: &[u8]) {
     let Some(value) = decode::<T>(bytes) else { return };
     let again = encode(&value);
-    // Compared as bytes: a number that isn't one differs from itself.
+    // Compared as bytes, because NaN differs from itself.
     assert_eq!(decode::<T>(&again).map(|value| encode(&value)), Some(again));
 }
--- a/crates/protocol/tests/messages/generate.rs
+++ b/crates/protocol/tests/messages/generate.rs
@@ -1,4 +1,4 @@
-//! Values of any type of a message or record, each variant and each field of it.
+//! Generators for values of any message or record type, with each of their variants and fields.
 //!
 //! [`generate_struct!`] and [`generate_enum!`] name all fields and variants without `..`: a new one fails the
 //! build until it is added to its line.
@@ -12,12 +12,12 @@
 use proptest::prelude::{Just, Strategy, any};
 use proptest::strategy::{BoxedStrategy, Union};
 
-/// Lists and texts have fewer entries or characters than this.
+/// Lists and strings are shorter than this.
 const LENGTH_LIMIT: usize = 5;
 
-/// A type of which any value can be drawn.
+/// A type whose values can be generated.
 pub trait Generate: Sized + std::fmt::Debug + 'static {
-    /// One strategy for each variant.
+    /// Returns one strategy for each variant.
     fn variants() -> Vec<BoxedStrategy<Self>>;
 
     fn generate() -> BoxedStrategy<Self> {
@@ -25,7 +25,7 @@
     }
 }
 
-/// Strategies of as many values, nested, of the types that the place wants.
+/// Nested strategies, one per identifier, of the types that the context requires.
 #[macro_export]
 macro_rules! nested_strategies {
     () => { proptest::strategy::Just(()) };
@@ -37,14 +37,14 @@
     };
 }
 
-/// The pattern that takes them apart.
+/// The pattern that destructures values of [`nested_strategies!`].
 #[macro_export]
 macro_rules! nested_pattern {
     () => { () };
     ($first:ident $($rest:ident)*) => { ($first, $crate::nested_pattern!($($rest)*)) };
 }
 
-/// `generate_struct!(Type { field, ... })`, all fields.
+/// `generate_struct!(Type { field, ... })` with all fields.
 #[macro_export]
 macro_rules! generate_struct {
     ($type:ty { $($field:ident),* $(,)? }) => {
@@ -58,7 +58,7 @@
     };
 }
 
-/// `generate_enum!(Type { Plain, Tuple(value), Named { field, ... }, ... })`, all variants.
+/// `generate_enum!(Type { Plain, Tuple(value), Named { field, ... }, ... })` with all variants.
 #[macro_export]
 macro_rules! generate_enum {
     ($type:ty {
@@ -83,7 +83,7 @@
     };
 }
 
-/// A pattern that takes anything.
+/// A wildcard pattern.
 #[macro_export]
 macro_rules! ignored {
     ($item:ident) => {
@@ -91,7 +91,7 @@
     };
 }
 
-/// Any number, and often one at the edge of a length of its encoding.
+/// Any number, and often one at a boundary of its encoded length.
 macro_rules! generate_number {
     ($($type:ty),*) => {$(
         impl Generate for $type {
--- a/crates/protocol/tests/messages/main.rs
+++ b/crates/protocol/tests/messages/main.rs
@@ -1,4 +1,4 @@
-//! Every message of this crate, each variant with each field: what comes back, what is refused.
+//! Encoding of every message of this crate, with each variant and field: round trips and rejection of damaged bytes.
 
 mod checks;
 mod generate;
@@ -10,20 +10,20 @@
 };
 
 #[test]
-fn session_messages_come_back_and_damaged_ones_do_no_harm() {
+fn session_messages_round_trip_and_damaged_ones_are_harmless() {
     check_encoding::<SessionMessage>();
     check_encoding::<ControlMessage>();
 }
 
 #[test]
-fn store_link_messages_come_back_and_damaged_ones_do_no_harm() {
+fn store_link_messages_round_trip_and_damaged_ones_are_harmless() {
     check_encoding::<GatewayMessage>();
     check_encoding::<StoreMessage>();
     check_encoding::<StoreResponse>();
 }
 
 #[test]
-fn frames_come_back_and_cut_ones_are_awaited() {
+fn frames_round_trip_and_incomplete_ones_are_awaited() {
     check_frames::<SessionMessage>();
     check_frames::<ControlMessage>();
     check_frames::<GatewayMessage>();
--- a/crates/protocol/tests/messages/strategies.rs
+++ b/crates/protocol/tests/messages/strategies.rs
@@ -1,4 +1,4 @@
-//! All messages of this crate and their parts.
+//! Generators for all messages of this crate and their parts.
 
 use orchidvalve_protocol::identity::MemberId;
 use orchidvalve_protocol::messages::{
--- a/crates/protocol/tests/server_table.rs
+++ b/crates/protocol/tests/server_table.rs
@@ -1,4 +1,4 @@
-//! The table of servers: replacing, deltas, gaps and older terms.
+//! The server table: replacement, deltas, gaps and older terms.
 
 use std::net::Ipv4Addr;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn an_unchanged_list_makes_no_update() {
+fn unchanged_list_yields_no_update() {
     let mut table = ServerTable::default();
     assert!(table.replace(3, vec![entry(1, 4)]).is_some());
     assert_eq!(table.replace(3, vec![entry(1, 4)]), None);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn the_first_list_makes_an_update_even_if_it_is_empty() {
+fn first_list_yields_an_update_even_if_it_is_empty() {
     let mut table = ServerTable::default();
     assert!(table.replace(1, Vec::new()).is_some());
     assert_eq!(table.replace(1, Vec::new()), None);
@@ -65,7 +65,7 @@
     assert_eq!(subscriber.version(), leader.version());
 }
 
-/// An entry that holds two models.
+/// Returns an entry that holds two models.
 fn entry_with(number: u8, versions: [u64; 2]) -> ServerEntry {
     let models = vec![("large".to_owned(), versions[0]), ("small".to_owned(), versions[1])];
     ServerEntry { models, ..entry(number, 4) }
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn other_versions_of_weights_are_sent_without_the_rest_of_their_entries() {
+fn new_weight_versions_are_sent_without_the_rest_of_the_entries() {
     let servers = |version| (1..=200).map(|number| entry_with(number, [version, 1])).collect::<Vec<_>>();
     let (mut leader, mut subscriber) = tables_with(servers(999));
     let update = leader.replace(2, servers(1_000)).expect("an update");
@@ -112,14 +112,14 @@
 #[case::no_such_server(&[(0, 0), (2, 0)])]
 #[case::no_such_model(&[(0, 0), (1, 2)])]
 #[case::out_of_order(&[(1, 0), (0, 0)])]
-fn versions_that_do_not_fit_the_table_change_nothing(#[case] places: &[(u32, u32)]) {
+fn version_changes_that_do_not_fit_the_table_are_rejected(#[case] indices: &[(u32, u32)]) {
     let (_, mut subscriber) = tables_with(vec![entry_with(1, [1, 1]), entry_with(2, [1, 1])]);
     let change =
         |(server, model): &(u32, u32)| ModelVersionChange { server: *server, model: *model, version: 2 };
     let update = ServerTableUpdate::Delta {
         from: version(2, 1),
         version: version(2, 2),
-        versions: places.iter().map(change).collect(),
+        versions: indices.iter().map(change).collect(),
         changed: Vec::new(),
         removed: Vec::new(),
     };
@@ -128,7 +128,7 @@
     assert_eq!(entries(&subscriber), [entry_with(1, [1, 1]), entry_with(2, [1, 1])]);
 }
 
-/// Whichever of the updates a subscriber gets, it has the leader's table once it has the leader's version.
+/// Whichever of the updates a subscriber receives, it has the leader's table once it has the leader's version.
 #[rstest]
 #[case(1)]
 #[case(2)]
@@ -175,10 +175,10 @@
 fn older_and_duplicate_updates_are_ignored() {
     let mut leader = ServerTable::default();
     let first = leader.replace(1, vec![entry(1, 4)]).unwrap();
-    let whole = leader.snapshot();
+    let snapshot = leader.snapshot();
     let second = leader.replace(1, vec![entry(1, 5)]).unwrap();
     let mut subscriber = ServerTable::default();
-    for update in [&whole, &second, &second, &first, &whole] {
+    for update in [&snapshot, &second, &second, &first, &snapshot] {
         assert!(subscriber.apply(update));
     }
     assert_eq!(entries(&subscriber), [entry(1, 5)]);
@@ -186,21 +186,21 @@
 
 #[test]
 fn a_later_term_outranks_higher_numbers_of_an_earlier_one() {
-    let mut former = ServerTable::default();
+    let mut previous = ServerTable::default();
     for slots in 1..=20 {
-        former.replace(4, vec![entry(1, slots)]);
+        previous.replace(4, vec![entry(1, slots)]);
     }
     let mut next = ServerTable::default();
     next.replace(5, vec![entry(2, 1)]);
     let mut subscriber = ServerTable::default();
-    assert!(subscriber.apply(&former.snapshot()));
+    assert!(subscriber.apply(&previous.snapshot()));
     assert!(subscriber.apply(&next.snapshot()));
-    assert!(subscriber.apply(&former.snapshot()));
+    assert!(subscriber.apply(&previous.snapshot()));
     assert_eq!(entries(&subscriber), [entry(2, 1)]);
 }
 
 #[test]
-fn a_former_leader_cannot_take_the_table_back() {
+fn previous_leader_cannot_replace_the_table() {
     let mut table = ServerTable::default();
     table.replace(5, vec![entry(2, 1)]);
     assert_eq!(table.replace(4, vec![entry(1, 1)]), None);
@@ -208,26 +208,26 @@
     assert_eq!(entries(&table), [entry(2, 1)]);
 }
 
-/// The former leader's last delta reached another machine but not the next leader.
+/// The previous leader's last delta reached another process but not the next leader.
 #[rstest]
 #[case::list_unchanged_for_the_leader(vec![entry(1, 4)])]
 #[case::list_changed_for_the_leader(vec![entry(1, 4), entry(3, 4)])]
-fn the_first_update_of_a_new_term_fits_every_machine(#[case] list: Vec<ServerEntry>) {
-    let mut former = ServerTable::default();
-    former.replace(1, vec![entry(1, 4)]);
+fn first_update_of_a_new_term_applies_at_every_process(#[case] list: Vec<ServerEntry>) {
+    let mut previous = ServerTable::default();
+    previous.replace(1, vec![entry(1, 4)]);
     let mut next = ServerTable::default();
     let mut other = ServerTable::default();
-    assert!(next.apply(&former.snapshot()));
-    assert!(other.apply(&former.snapshot()));
-    let last = former.replace(1, vec![entry(2, 4)]).unwrap();
+    assert!(next.apply(&previous.snapshot()));
+    assert!(other.apply(&previous.snapshot()));
+    let last = previous.replace(1, vec![entry(2, 4)]).unwrap();
     assert!(other.apply(&last));
-    let update = next.replace(2, list.clone()).expect("the other machine has another list");
-    assert!(other.apply(&update), "the other machine is left behind for good");
+    let update = next.replace(2, list.clone()).expect("the other process has another list");
+    assert!(other.apply(&update), "the other process stays behind permanently");
     assert_eq!(entries(&other), list);
 }
 
 #[test]
-fn a_subscriber_gets_the_deltas_it_lacks_or_a_snapshot() {
+fn subscriber_receives_the_missing_deltas_or_a_snapshot() {
     let mut table = ServerTable::default();
     table.replace(1, vec![entry(1, 1)]);
     let mut versions = vec![table.version()];
@@ -252,19 +252,19 @@
 }
 
 #[test]
-fn a_subscriber_ahead_of_this_machine_gets_nothing() {
+fn subscriber_ahead_of_this_process_receives_no_update() {
     let mut table = ServerTable::default();
     table.replace(1, vec![entry(1, 1)]);
     assert!(table.updates_since(version(2, 1)).is_empty());
 }
 
-/// Tables that pass updates on to each other, under losses, with changing writers: all come together as soon as
-/// they get the leader's whole table, and no version goes back.
+/// Tables exchange updates with losses and changing writers. All become equal as soon as they receive the leader's
+/// complete table, and no version decreases.
 #[rstest]
 #[case(1)]
 #[case(2)]
 #[case(3)]
-fn random_updates_never_lead_back(#[case] seed: u64) {
+fn versions_never_decrease_under_random_updates(#[case] seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut tables: Vec<ServerTable> = (0..4).map(|_| ServerTable::default()).collect();
     let mut sent: Vec<ServerTableUpdate> = Vec::new();
@@ -293,9 +293,9 @@
     }
     term += 1;
     tables[0].replace(term, vec![entry(1, 1)]);
-    let whole = tables[0].snapshot();
+    let snapshot = tables[0].snapshot();
     for table in &mut tables {
-        assert!(table.apply(&whole));
+        assert!(table.apply(&snapshot));
         assert_eq!(entries(table), [entry(1, 1)]);
     }
 }
