--- a/crates/control-state/src/change.rs
+++ b/crates/control-state/src/change.rs
@@ -1,4 +1,4 @@
-//! Changes of the control state, and what applying one leads to.
+//! Changes of the control state, and the results of applying them.
 
 use derive_more::{Display, Error};
 use musli::{Decode, Encode};
@@ -9,63 +9,63 @@
 use crate::snapshot::StateSnapshot;
 use crate::usage_reports::UsageReport;
 
-/// A change of the control state. The encoding knows the variants by their positions: new ones go to the end.
+/// A change of the control state. The encoding identifies variants by their positions: new ones are added at the end.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum Change {
-    /// The whole state as of this change; what came before isn't needed any more.
+    /// The complete state as of this change; earlier changes are no longer needed.
     Checkpoint(StateSnapshot),
-    /// A whole configuration, sent by the operator.
+    /// A complete configuration, sent by the operator.
     Replace {
-        /// Version of the configuration that it builds on; 0 for the first.
+        /// Version of the configuration that the change is based on; 0 for the first.
         base: u64,
         /// Body of the operator's request.
         #[musli(bytes)]
         body: Vec<u8>,
     },
-    /// Named items of the configuration, changed.
+    /// Changes of named items of the configuration, sent by the operator.
     Patch {
-        /// Version of the configuration that it builds on.
+        /// Version of the configuration that the change is based on.
         base: u64,
         /// Body of the operator's request.
         #[musli(bytes)]
         body: Vec<u8>,
     },
-    /// A trainer names a version of a model's weights.
+    /// A trainer has named a version of a model's weights.
     NameVersion {
         /// Name of the model.
         model: String,
-        /// The version; one that isn't above the newest changes nothing.
+        /// The version. If it isn't above the latest one, nothing changes.
         version: u64,
     },
-    /// A store node joins, or comes back with another disk or address.
+    /// A store node joins, or returns with another disk or address.
     RegisterStore {
         /// Name of the machine.
         name: String,
-        /// Zone that it stands in.
+        /// Zone in which the machine is located.
         zone: String,
-        /// Its identity.
+        /// Address and disk of the store node.
         member: MemberId,
     },
     /// New placements of partitions, by partition number.
     Place(Vec<(u16, Placement)>),
-    /// A store node is to be emptied.
+    /// The operator has ordered the retirement of a store node: its partitions are moved away from it.
     Retire {
         /// Name of the machine.
         name: String,
     },
-    /// The head of the control chain begins to act in the singleton roles. The sequence number of this change is its
-    /// term: new for every start of a head, also within one view, and higher than that of every head before.
+    /// The head of the control chain starts to act in the singleton roles. The sequence number of this change is its
+    /// term: a new one for every start of a head, also within one view, and higher than the terms of all earlier heads.
     BeginTerm,
-    /// Batch jobs were seen that use a model so.
+    /// Submitted batch jobs use a model in this way.
     RecordModelUsage {
         /// Name of the model.
         model: String,
-        /// How they use it.
+        /// How the jobs use the model.
         usage: ModelUsage,
     },
-    /// The counts of a window of usage are decided: the report of it says this from now on, whoever sends it.
+    /// The counts of a usage window are decided: its report has these counts, whichever node sends it.
     DecideUsageReport(UsageReport),
-    /// The platform has accepted the report of a window.
+    /// The platform has accepted the usage report of a window.
     AcceptUsageReport {
         /// Number of the window.
         window: u64,
@@ -75,15 +75,15 @@
 /// How trainers use a model.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct ModelUsage {
-    /// Some texts have to be made under a single version.
+    /// Whether some texts must be generated under a single version of the weights.
     pub single_version: bool,
-    /// Fewest versions that the oldest allowed one was behind the newest when a job came; None while no job
-    /// has told, since jobs that allow every version tell nothing.
+    /// The smallest number of versions that the oldest permitted one was behind the latest when a job was submitted.
+    /// `None` while no job has reported one; jobs that permit every version report none.
     pub lag: Option<u64>,
 }
 
 impl ModelUsage {
-    /// The usage that covers both.
+    /// Returns the usage that covers both.
     pub(crate) fn with(self, other: ModelUsage) -> ModelUsage {
         let lag = match (self.lag, other.lag) {
             (Some(lag), Some(other)) => Some(lag.min(other)),
@@ -93,41 +93,41 @@
     }
 }
 
-/// What applying a change did.
+/// The effect of applying a change.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Applied {
-    /// The state is another one.
+    /// The state has changed.
     Changed,
-    /// The state says so already: the change was applied before, or brings nothing new.
+    /// The state is the same: the change was applied before or contains nothing new.
     Unchanged,
 }
 
-/// Why a change isn't applied.
+/// The reason why a change was not applied.
 #[derive(Debug, PartialEq, Display, Error)]
 pub enum ChangeError {
-    /// The change builds on another version of the configuration than the current one.
+    /// The change is based on a version of the configuration that isn't the current one.
     #[display("version {current} is current, not {base}: read the configuration and build on it")]
     VersionConflict {
-        /// Version that the change builds on.
+        /// Version that the change is based on.
         base: u64,
         /// The current version.
         current: u64,
     },
-    /// A change on top of a version so old that it isn't known whether this one was accepted.
+    /// The change is based on a version so old that it is unknown whether this change was accepted already.
     #[display(
         "changes on top of version {base} are no longer remembered: read the configuration and build on it"
     )]
     BaseTooOld {
-        /// Version that the change builds on.
+        /// Version that the change is based on.
         base: u64,
     },
-    /// The configuration, or the change of it, is invalid.
+    /// The configuration, or the change to it, is invalid.
     #[display("{_0}")]
     Invalid(#[error(not(source))] ConfigurationError),
-    /// No store node has this name.
+    /// No store node is registered under this name.
     #[display("no storage machine is called {name}: see the members")]
     UnknownStore {
-        /// The name.
+        /// The unknown name.
         name: String,
     },
 }
--- a/crates/control-state/src/configuration_history.rs
+++ b/crates/control-state/src/configuration_history.rs
@@ -1,30 +1,30 @@
-//! Which changes of the configuration were accepted, so that one that is sent again is recognised.
+//! The accepted changes of the configuration, kept to recognise a change that is sent again.
 
 use musli::{Decode, Encode};
 
 use crate::change::ChangeError;
 
-/// Accepted configuration changes that are remembered, so that the same change sent again is recognised. Operators send
-/// a request again for some seconds, `ack-ms` at most; with a change each 0.2 s this covers three minutes and a half.
+/// The number of accepted configuration changes that are remembered to recognise repeated requests. Operators repeat a
+/// request for some seconds, at most `ack-ms`; with one change every 0.2 s this number covers three and a half minutes.
 pub const REMEMBERED_CHANGES: usize = 1_024;
 
-/// A configuration change that was accepted.
+/// An accepted configuration change.
 #[derive(Clone, PartialEq, Eq, Debug, Encode, Decode)]
 pub(crate) struct AcceptedChange {
-    /// Version that it led to.
+    /// Version that resulted from it.
     pub version: u64,
-    /// Version that it built on.
+    /// Version that it was based on.
     pub base: u64,
-    /// Fingerprint of its body.
+    /// Fingerprint of the request body.
     pub fingerprint: u64,
 }
 
 /// The latest accepted changes of the configuration.
 #[derive(Clone, Default, Debug)]
 pub(crate) struct ConfigurationHistory {
-    /// Oldest first; each builds on a higher version than the one before.
+    /// Oldest first; each is based on a higher version than the one before.
     accepted: Vec<AcceptedChange>,
-    /// Accepted changes on top of versions below this one aren't remembered any more.
+    /// Accepted changes based on versions below this one are no longer remembered.
     forgotten_below: u64,
 }
 
@@ -41,16 +41,17 @@
         self.forgotten_below
     }
 
-    /// Whether the change with this body on top of version `base` is remembered.
+    /// Returns whether the change with this body on top of version `base` is remembered.
     pub(crate) fn contains(&self, base: u64, fingerprint: u64) -> bool {
         self.accepted.iter().any(|accepted| accepted.base == base && accepted.fingerprint == fingerprint)
     }
 
-    /// Whether a change that isn't remembered may build on version `base`.
+    /// Checks that a change that isn't remembered may be based on version `base`.
     ///
     /// # Errors
     ///
-    /// Another version is current; or the base is so old that the change may be one that is no longer remembered.
+    /// Returns an error if another version is current, or if the base is so old that the change may be one that was
+    /// accepted and is no longer remembered.
     pub(crate) fn check_base(&self, base: u64, current: u64) -> Result<(), ChangeError> {
         if base < self.forgotten_below {
             return Err(ChangeError::BaseTooOld { base });
@@ -61,7 +62,7 @@
         Ok(())
     }
 
-    /// Remembers a change, and forgets the oldest one if there are too many.
+    /// Remembers a change, and drops the oldest one if there are more than [`REMEMBERED_CHANGES`].
     pub(crate) fn remember(&mut self, change: AcceptedChange) {
         self.accepted.push(change);
         if self.accepted.len() > REMEMBERED_CHANGES {
--- a/crates/control-state/src/lib.rs
+++ b/crates/control-state/src/lib.rs
@@ -1,8 +1,8 @@
-//! The control state: the replicated state machine of the control nodes, which every gateway and store node follows
-//! (Schneider 1990).
+//! The control state: the replicated state machine (Schneider 1990) of the control nodes, which every gateway and store
+//! node follows.
 //!
-//! The state changes only by [`Change`]s that are applied in the same order everywhere, so all nodes that have
-//! applied the same changes hold the same state. Nothing here does I/O, reads a clock or draws random numbers.
+//! The state changes only by [`Change`]s that are applied in the same order on every node, so all nodes that have
+//! applied the same changes have the same state. This crate does no I/O, reads no clock and draws no random numbers.
 
 mod change;
 mod configuration_history;
--- a/crates/control-state/src/placement.rs
+++ b/crates/control-state/src/placement.rs
@@ -1,43 +1,45 @@
-//! Store nodes, and which of them hold a partition.
+//! Registered store nodes, and the placement of partitions on them.
 
 use musli::{Decode, Encode};
 use orchidvalve_protocol::identity::MemberId;
 
-/// Where the replicas of a partition are: its view.
+/// The view of a partition: the store nodes that hold its replicas.
 #[derive(Clone, PartialEq, Eq, Default, Debug, Encode, Decode)]
 pub struct Placement {
-    /// Number of the view; rises with every change of this partition's placement.
+    /// Number of the view; increases with every change of this partition's placement.
     pub epoch: u64,
-    /// The chain: head first, tail last.
+    /// The chain, head first, tail last.
     pub members: Vec<MemberId>,
-    /// Members that copy the partition and aren't waited for.
+    /// Store nodes that copy the partition; no acknowledgement waits for them.
     pub learners: Vec<MemberId>,
-    /// Store nodes known to hold everything that was committed before this view, as of its decision. Beside members,
-    /// these are former ones as long as the chain is too short to commit anything.
+    /// Store nodes known to hold every entry that was committed before this view, as of its decision. In addition to
+    /// members, it contains previous members as long as the chain is too short to commit anything.
     #[musli(default)]
     pub complete_replicas: Vec<MemberId>,
-    /// Replicas that an acknowledgement needs in this view; 0 in placements of earlier versions, which didn't say.
+    /// Number of replicas that an acknowledgement requires in this view; 0 in placements of older versions, which have
+    /// no such field.
     #[musli(default)]
     pub copies: u32,
-    /// Epoch in which the log began anew, since every store node that held everything was lost; 0 if it never did.
+    /// Epoch in which the log restarted empty because every store node that held everything was lost; 0 if it never
+    /// did.
     #[musli(default)]
     pub reset_epoch: u64,
 }
 
 impl Placement {
-    /// Whether the chain has too few members to commit anything.
+    /// Returns whether the chain has too few members to commit anything.
     pub fn is_undersized(&self) -> bool {
         self.members.len() < self.copies as usize
     }
 }
 
-/// A store node, as it is registered under its name.
+/// A store node as registered under its name.
 #[derive(Clone, PartialEq, Eq, Debug, Encode, Decode)]
 pub struct RegisteredStore {
-    /// Zone that it stands in.
+    /// Zone in which the store node is located.
     pub zone: String,
-    /// Its identity.
+    /// Address and disk of the store node.
     pub member: MemberId,
-    /// It is to be emptied.
+    /// Whether the store node is being retired: its partitions are moved away from it.
     pub retiring: bool,
 }
--- a/crates/control-state/src/snapshot.rs
+++ b/crates/control-state/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! The state in the form in which it is sent and stored.
+//! The serialised form of the state, as sent and stored.
 
 use std::collections::BTreeMap;
 
@@ -9,10 +9,10 @@
 use crate::placement::{Placement, RegisteredStore};
 use crate::usage_reports::UsageReports;
 
-/// The whole state at one sequence number, for the feed and for checkpoints.
+/// The complete state at one sequence number, for the feed and for checkpoints.
 #[derive(Clone, PartialEq, Default, Debug, Encode, Decode)]
 pub struct StateSnapshot {
-    /// The document and the fingerprint of the body that brought it.
+    /// The configuration document, and the fingerprint of the request body from which it resulted.
     pub(crate) configuration: Option<(Vec<u8>, u64)>,
     pub(crate) accepted: Vec<AcceptedChange>,
     pub(crate) forgotten_below: u64,
--- a/crates/control-state/src/state.rs
+++ b/crates/control-state/src/state.rs
@@ -1,4 +1,4 @@
-//! The state machine: how each change is applied.
+//! The state machine: applies each kind of change.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,7 +12,7 @@
 use crate::snapshot::StateSnapshot;
 use crate::usage_reports::UsageReports;
 
-/// Version of a model's weights before one is named.
+/// The version of a model's weights before one is named.
 const FIRST_VERSION: u64 = 1;
 
 /// The control state.
@@ -28,46 +28,46 @@
 }
 
 impl ControlState {
-    /// The configuration; None before the first.
+    /// Returns the configuration, or `None` before the first.
     pub fn configuration(&self) -> Option<&Arc<Configuration>> {
         self.configuration.as_ref()
     }
 
-    /// Version of the configuration; 0 before the first.
+    /// Returns the version of the configuration, or 0 before the first.
     pub fn configuration_version(&self) -> u64 {
         self.configuration.as_ref().map_or(0, |configuration| configuration.version())
     }
 
-    /// Newest named version of each model's weights; models that aren't here have version 1.
+    /// Returns the latest named version of each model's weights; models without an entry have version 1.
     pub fn versions(&self) -> &BTreeMap<String, u64> {
         &self.versions
     }
 
-    /// How models are used, as far as jobs have shown it.
+    /// Returns how models are used, according to the jobs submitted so far.
     pub fn models(&self) -> &BTreeMap<String, ModelUsage> {
         &self.models
     }
 
-    /// Reports of usage to the platform.
+    /// Returns the usage reports to the platform.
     pub fn usage_reports(&self) -> &UsageReports {
         &self.usage_reports
     }
 
-    /// Registered store nodes by name.
+    /// Returns the registered store nodes by name.
     pub fn stores(&self) -> &BTreeMap<String, RegisteredStore> {
         &self.stores
     }
 
-    /// Placements by partition number; empty before the first placement.
+    /// Returns the placements by partition number; empty before the first placement.
     pub fn partitions(&self) -> &[Placement] {
         &self.partitions
     }
 
-    /// Applies a change, or leaves the state as it was.
+    /// Applies a change. On an error, the state stays the same.
     ///
     /// # Errors
     ///
-    /// The change doesn't fit this state. All nodes come to the same verdict.
+    /// Returns an error if the change is invalid in this state. All nodes get the same result.
     pub fn apply(&mut self, change: &Change) -> Result<Applied, ChangeError> {
         match change {
             Change::Checkpoint(snapshot) => {
@@ -133,7 +133,7 @@
         Applied::Changed
     }
 
-    /// A placement whose epoch isn't above the current one is late and is left out.
+    /// Applies new placements. A placement whose epoch isn't above the current one is stale and is skipped.
     fn apply_placements(&mut self, placements: &[(u16, Placement)]) {
         for (partition, placement) in placements {
             let index = usize::from(*partition);
@@ -146,8 +146,8 @@
         }
     }
 
-    /// A machine that is to be emptied still is when it comes back with another disk; one at another address is
-    /// another machine.
+    /// Registers a store node. A retiring machine stays retiring when it returns with another disk; under another
+    /// address, the same name stands for another machine.
     fn register_store(&mut self, name: &str, zone: &str, member: MemberId) {
         let is_same_machine = |known: &RegisteredStore| known.member.address == member.address;
         let retiring = self.stores.get(name).is_some_and(|known| known.retiring && is_same_machine(known));
@@ -165,7 +165,7 @@
         }
     }
 
-    /// The state in the form in which it is sent and stored.
+    /// Returns the state in serialised form.
     pub fn snapshot(&self) -> StateSnapshot {
         StateSnapshot {
             configuration: self.configuration.as_ref().map(|c| (c.to_json(), c.fingerprint())),
@@ -179,11 +179,11 @@
         }
     }
 
-    /// The state that a snapshot was taken of.
+    /// Restores the state from a snapshot.
     ///
     /// # Errors
     ///
-    /// The snapshot holds a configuration that can't be read.
+    /// Returns an error if the configuration in the snapshot is invalid.
     pub fn from_snapshot(snapshot: &StateSnapshot) -> Result<ControlState, ChangeError> {
         let restore = |(json, fingerprint): &(Vec<u8>, u64)| Configuration::restore(json, *fingerprint);
         let configuration = snapshot.configuration.as_ref().map(restore).transpose();
--- a/crates/control-state/src/usage_reports.rs
+++ b/crates/control-state/src/usage_reports.rs
@@ -1,4 +1,4 @@
-//! Reports of usage to the platform: what each says is decided once, before it is sent for the first time.
+//! Usage reports to the platform. The contents of each report are decided once, before it is first sent.
 
 use std::collections::BTreeMap;
 
@@ -6,56 +6,57 @@
 
 use crate::change::Applied;
 
-/// Windows whose counts are kept until their reports are decided. Older ones are never reported.
+/// The number of windows whose counts are kept until their reports are decided. Older windows are never reported.
 pub const MAX_UNDECIDED_WINDOWS: u64 = 120;
 
-/// Reports that are kept until the platform accepts them; beyond that the oldest are dropped. A platform that refuses them
-/// for ever must not fill the state, which every process holds.
+/// The maximum number of reports kept until the platform accepts them; beyond that the oldest are dropped. A platform
+/// that never accepts reports must not fill the state, which every process holds in memory.
 pub const MAX_UNACCEPTED_REPORTS: usize = 720;
 
-/// The requests of each tenant that began within one window.
+/// The number of requests of each tenant that started within one window.
 #[derive(Clone, PartialEq, Eq, Default, Debug, Encode, Decode)]
 pub struct UsageReport {
-    /// Number of the window: it starts `window` times its length after the beginning of 1970.
+    /// Number of the window: it starts `window` times its length after 1970-01-01.
     pub window: u64,
-    /// Requests by tenant.
+    /// Number of requests by tenant.
     pub counts: BTreeMap<String, u64>,
 }
 
-/// Which windows are decided, and the reports that the platform hasn't accepted yet.
+/// The progress of the decisions, and the decided reports that the platform has not accepted yet.
 #[derive(Clone, PartialEq, Default, Debug, Encode, Decode)]
 pub struct UsageReports {
-    /// The window that is decided next; None before the first decision.
+    /// The next window to decide; `None` before the first decision.
     next_window: Option<u64>,
-    /// Decided reports that the platform isn't known to have accepted, by window.
+    /// Decided reports that are not known to be accepted by the platform, by window.
     unaccepted: BTreeMap<u64, BTreeMap<String, u64>>,
 }
 
 impl UsageReports {
-    /// The window that is decided next; counts of earlier ones come too late. None before the first decision.
+    /// Returns the next window to decide, or `None` before the first decision. Counts of earlier windows arrive too
+    /// late.
     pub fn next_window(&self) -> Option<u64> {
         self.next_window
     }
 
-    /// Reports that have to be sent, oldest first.
+    /// Returns the reports that must be sent, oldest first.
     pub fn unaccepted(&self) -> impl Iterator<Item = UsageReport> {
         self.unaccepted.iter().map(|(window, counts)| UsageReport { window: *window, counts: counts.clone() })
     }
 
-    /// Windows whose reports have to be sent, oldest first.
+    /// Returns the windows whose reports must be sent, oldest first.
     pub fn unaccepted_windows(&self) -> impl Iterator<Item = u64> {
         self.unaccepted.keys().copied()
     }
 
-    /// What the report of a window says; None unless it has to be sent.
+    /// Returns the counts of a report, or `None` unless the report must be sent.
     pub fn unaccepted_counts(&self, window: u64) -> Option<&BTreeMap<String, u64>> {
         self.unaccepted.get(&window)
     }
 
-    /// Decides the report of a window, unless that window or a later one is decided.
+    /// Decides the report of a window, unless that window or a later one is already decided.
     pub(crate) fn decide(&mut self, report: &UsageReport) -> Applied {
         let is_decided = self.next_window.is_some_and(|next| report.window < next);
-        // The last number has no next one: no window has it.
+        // The highest number has no successor, so it is not used for a window.
         let Some(next_window) = report.window.checked_add(1).filter(|_| !is_decided) else {
             return Applied::Unchanged;
         };
@@ -67,7 +68,7 @@
         Applied::Changed
     }
 
-    /// The platform has accepted the report of a window.
+    /// Records that the platform has accepted the report of a window.
     pub(crate) fn accept(&mut self, window: u64) -> Applied {
         match self.unaccepted.remove(&window) {
             Some(_) => Applied::Changed,
--- a/crates/control-state/tests/golden_control_state.rs
+++ b/crates/control-state/tests/golden_control_state.rs
@@ -1,4 +1,5 @@
-//! The control state: encoded samples of its changes and snapshots, and what random changes lead to, by seeds.
+//! Golden test of the encoded changes and snapshots of the control state, and of the states after random changes, by
+//! seed.
 
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -107,13 +108,13 @@
     state
 }
 
-/// The encoded value, once that gives the value back.
+/// Returns the encoded value after checking that it decodes to the same value.
 fn encoded<T>(value: &T) -> Vec<u8>
 where
     T: Encode<Binary> + for<'de> Decode<'de, Binary, Global> + PartialEq,
 {
     let bytes = encode(value);
-    assert!(decode::<T>(&bytes).as_ref() == Some(value), "the value comes back");
+    assert!(decode::<T>(&bytes).as_ref() == Some(value), "the value decodes to another value");
     bytes
 }
 
@@ -136,17 +137,17 @@
     check_samples(&Path::new(FOLDER).join("control_state.txt"), &samples);
 }
 
-/// The fixed snapshot is read into the state that it was taken of, field by field.
+/// The recorded snapshot decodes to the state that it was accepted of, field by field.
 #[rstest]
-#[case::of_now("control_state.txt", 2)]
+#[case::current_version("control_state.txt", 2)]
 #[case::before_usage_was_reported("control_state_of_wire_version_5.txt", 0)]
-fn the_recorded_snapshot_is_read_back(#[case] file: &str, #[case] decided_reports: usize) {
+fn recorded_snapshot_decodes_to_its_state(#[case] file: &str, #[case] decided_reports: usize) {
     let samples = orchidvalve_golden::read_samples(&Path::new(FOLDER).join(file));
     let (_, bytes) = samples.iter().find(|(name, _)| name == "image").expect("the sample of the image");
     let state = ControlState::from_snapshot(&decode(bytes).expect("an image")).expect("a state");
     assert_eq!(state.configuration_version(), 6);
     assert_eq!(state.usage_reports().next_window().is_some(), decided_reports > 0);
-    // The platform has accepted the first one.
+    // The platform has accepted the first report.
     assert_eq!(state.usage_reports().unaccepted().count(), decided_reports.saturating_sub(1));
     let configuration = state.configuration().expect("a configuration");
     assert_eq!(configuration.document()["labels"], json!([{"name": "second", "text": 6}]));
@@ -200,7 +201,7 @@
     }
 }
 
-fn verdict(outcome: &Result<Applied, ChangeError>) -> u64 {
+fn result(outcome: &Result<Applied, ChangeError>) -> u64 {
     match outcome {
         Ok(Applied::Changed) => 0,
         Ok(Applied::Unchanged) => 1,
@@ -218,7 +219,7 @@
     for _ in 0..STEPS {
         let change = random_change(&mut random, state.configuration_version());
         trace.add(&encode(&change));
-        trace.add_number(verdict(&state.apply(&change)));
+        trace.add_number(result(&state.apply(&change)));
         trace.add(&encode(&state.snapshot()));
     }
     trace.finish()
--- a/crates/control-state/tests/messages/strategies.rs
+++ b/crates/control-state/tests/messages/strategies.rs
@@ -1,4 +1,4 @@
-//! All changes and records of this crate and their parts.
+//! Generators for all changes and records of this crate and their parts.
 
 use compact_str::CompactString;
 use orchidvalve_batch::{ItemResult, Job, JobOrigin};
@@ -13,7 +13,7 @@
 use crate::generate::Generate;
 use crate::{generate_enum, generate_struct};
 
-/// Partitions of a drawn snapshot; a place takes memory for all before it.
+/// Number of partitions of a generated snapshot; a placement takes memory for all partitions before it.
 const PARTITIONS: u16 = 4;
 
 generate_enum!(Change {
@@ -41,7 +41,7 @@
     }
 }
 
-/// A snapshot has private fields: it is taken of a state to which changes were applied.
+/// A snapshot has private fields, so it is taken of a state to which changes were applied.
 impl Generate for StateSnapshot {
     fn variants() -> Vec<BoxedStrategy<Self>> {
         let stores = Vec::<(String, RegisteredStore)>::generate();
@@ -69,7 +69,7 @@
     }
 }
 
-/// A snapshot of a state that was changed more often than it remembers.
+/// A snapshot of a state with more changes than it remembers.
 pub fn snapshot_that_has_forgotten_changes() -> StateSnapshot {
     let mut state = ControlState::default();
     for version in 1..=REMEMBERED_CHANGES as u64 + 5 {
@@ -83,7 +83,7 @@
     Change::Replace { base: version - 1, body: document.to_string().into_bytes() }
 }
 
-/// A job has private fields: it is read from a document.
+/// A job has private fields, so it is parsed from a document.
 impl Generate for Job {
     fn variants() -> Vec<BoxedStrategy<Self>> {
         let head = (Option::<u64>::generate(), Option::<u8>::generate(), 0_u32..9, u32::generate());
--- a/crates/control-state/tests/state.rs
+++ b/crates/control-state/tests/state.rs
@@ -1,4 +1,4 @@
-//! The control state: every kind of change, repeats, races, snapshots.
+//! The control state: every kind of change, repeated and conflicting changes, snapshots.
 
 use std::net::Ipv4Addr;
 
@@ -51,7 +51,7 @@
     Change::Place(vec![(partition, placement)])
 }
 
-/// A state with something of every kind in it.
+/// A state with at least one item of every kind.
 fn state() -> ControlState {
     let mut state = ControlState::default();
     let changes = [
@@ -69,16 +69,16 @@
     state
 }
 
-/// What a change on top of [`state`] comes to: changed, already, or the status-like kind of the error.
+/// The result of a change on top of [`state`]: "changed", "already" (unchanged), or the kind of the error.
 #[rstest]
 #[case::replace(replace(7, 9, "x"), "changed")]
-#[case::replace_again(replace(0, 5, "first"), "already")]
+#[case::repeated_replace(replace(0, 5, "first"), "already")]
 #[case::patch(patch(7, 8, "x"), "changed")]
-#[case::patch_again(patch(5, 7, "second"), "already")]
+#[case::repeated_patch(patch(5, 7, "second"), "already")]
 #[case::older_base(replace(5, 9, "x"), "other version")]
 #[case::newer_base(replace(8, 9, "x"), "other version")]
 #[case::same_body_on_another_base(replace(5, 5, "first"), "other version")]
-#[case::lost_race(patch(5, 7, "other"), "other version")]
+#[case::conflicting_change(patch(5, 7, "other"), "other version")]
 #[case::version_not_above(replace(7, 7, "x"), "invalid")]
 #[case::broken(Change::Replace { base: 7, body: b"{".to_vec() }, "invalid")]
 #[case::broken_patch(Change::Patch { base: 7, body: b"[]".to_vec() }, "invalid")]
@@ -87,19 +87,19 @@
 #[case::version_named_again(name("large", 3), "already")]
 #[case::version_below(name("large", 2), "already")]
 #[case::first_version_of_a_model(name("small", 2), "changed")]
-#[case::version_all_begin_with(name("small", 1), "already")]
+#[case::initial_version(name("small", 1), "already")]
 #[case::new_store(register("store-3", 3), "changed")]
 #[case::store_with_another_disk(register("store-1", 9), "changed")]
 #[case::retire(retire("store-1"), "changed")]
 #[case::retire_again(retire("store-2"), "already")]
-#[case::retire_nobody(retire("store-9"), "unknown store")]
+#[case::retire_unknown_store(retire("store-9"), "unknown store")]
 #[case::place(place(1, 5, 2), "changed")]
-#[case::begin_duty(Change::BeginTerm, "already")]
+#[case::begin_term(Change::BeginTerm, "already")]
 #[case::checkpoint(Change::Checkpoint(ControlState::default().snapshot()), "changed")]
-fn changes_have_their_verdict(#[case] change: Change, #[case] expected: &str) {
+fn changes_have_the_expected_result(#[case] change: Change, #[case] expected: &str) {
     let mut state = state();
     let before = state.snapshot();
-    let verdict = match state.apply(&change) {
+    let result = match state.apply(&change) {
         Ok(Applied::Changed) => "changed",
         Ok(Applied::Unchanged) => "already",
         Err(ChangeError::VersionConflict { .. }) => "other version",
@@ -107,7 +107,7 @@
         Err(ChangeError::Invalid(_)) => "invalid",
         Err(ChangeError::UnknownStore { .. }) => "unknown store",
     };
-    assert_eq!(verdict, expected);
+    assert_eq!(result, expected);
     assert_eq!(state.snapshot() != before, expected == "changed");
 }
 
@@ -115,14 +115,14 @@
 #[case::replace(replace(0, 5, "x"), true)]
 #[case::patch_of_nothing(patch(0, 5, "x"), false)]
 #[case::with_a_base(replace(1, 5, "x"), false)]
-fn the_first_configuration_is_a_whole_one(#[case] change: Change, #[case] taken: bool) {
+fn first_configuration_must_be_complete(#[case] change: Change, #[case] accepted: bool) {
     let mut state = ControlState::default();
-    assert_eq!(state.apply(&change).is_ok(), taken);
-    assert_eq!(state.configuration_version(), if taken { 5 } else { 0 });
+    assert_eq!(state.apply(&change).is_ok(), accepted);
+    assert_eq!(state.configuration_version(), if accepted { 5 } else { 0 });
 }
 
 #[test]
-fn one_of_two_changes_on_the_same_base_wins() {
+fn one_of_two_changes_on_the_same_base_is_applied() {
     let mut state = state();
     assert_eq!(state.apply(&replace(7, 9, "one")), Ok(Applied::Changed));
     let lost = state.apply(&replace(7, 10, "other"));
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn a_change_sent_again_is_recognised_after_many_others() {
+fn repeated_change_is_recognised_after_many_others() {
     let mut state = ControlState::default();
     for version in 0..200 {
         assert_eq!(state.apply(&replace(version, version + 1, "x")), Ok(Applied::Changed));
@@ -142,9 +142,9 @@
     assert_eq!(restored.clone().apply(&replace(0, 1, "x")), Ok(Applied::Unchanged));
 }
 
-/// The operator's order was acknowledged: losing the disk in the meantime doesn't undo it.
+/// The operator's order was acknowledged: losing the disk in the meantime doesn't revert it.
 #[test]
-fn a_retiring_store_stays_so_with_another_disk() {
+fn retiring_store_with_another_disk_stays_retiring() {
     let mut state = state();
     state.apply(&register("store-2", 2)).unwrap();
     assert!(state.stores()["store-2"].retiring);
@@ -164,9 +164,9 @@
     assert_eq!(state.stores()["store-2"].member, member);
 }
 
-/// What can't be told apart is never refused: the change may be one that was accepted long ago.
+/// Such a change may be one that was accepted long ago, so it is never reported as a version conflict.
 #[test]
-fn a_change_on_a_version_too_old_to_remember_has_no_verdict() {
+fn change_based_on_a_forgotten_version_is_rejected_as_too_old() {
     let mut state = ControlState::default();
     let last = REMEMBERED_CHANGES as u64 + 10;
     for version in 0..last {
@@ -185,7 +185,7 @@
 #[case::older(3, 1)]
 #[case::same(4, 1)]
 #[case::newer(5, 9)]
-fn only_a_placement_of_a_higher_epoch_counts(#[case] epoch: u64, #[case] disk: u64) {
+fn only_a_placement_of_a_higher_epoch_is_applied(#[case] epoch: u64, #[case] disk: u64) {
     let mut state = state();
     state.apply(&place(1, epoch, 9)).unwrap();
     assert_eq!(state.partitions()[1].members, [member(disk)]);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_snapshot_restores_the_whole_state() {
+fn snapshot_restores_the_complete_state() {
     let state = state();
     let snapshot: StateSnapshot = decode(&encode(&state.snapshot())).unwrap();
     assert_eq!(snapshot, state.snapshot());
@@ -204,15 +204,15 @@
 }
 
 #[test]
-fn a_checkpoint_replaces_whatever_was_there() {
-    let (whole, mut other) = (state(), ControlState::default());
+fn checkpoint_replaces_the_previous_state() {
+    let (complete, mut other) = (state(), ControlState::default());
     other.apply(&replace(0, 99, "other")).unwrap();
     other.apply(&register("store-7", 7)).unwrap();
-    assert_eq!(other.apply(&Change::Checkpoint(whole.snapshot())), Ok(Applied::Changed));
-    assert_eq!(other.snapshot(), whole.snapshot());
+    assert_eq!(other.apply(&Change::Checkpoint(complete.snapshot())), Ok(Applied::Changed));
+    assert_eq!(other.snapshot(), complete.snapshot());
 }
 
-/// Every kind of change comes back from its encoding; no shorter one does, nor one with more bytes.
+/// Every kind of change decodes to itself; truncated bytes are rejected.
 #[rstest]
 #[case(replace(1, 2, "x"))]
 #[case(patch(1, 2, "x"))]
@@ -222,7 +222,7 @@
 #[case(retire("store-1"))]
 #[case(Change::BeginTerm)]
 #[case(Change::Checkpoint(state().snapshot()))]
-fn changes_come_back_from_their_encoding(#[case] change: Change) {
+fn changes_round_trip_through_their_encoding(#[case] change: Change) {
     let bytes = encode(&change);
     assert_eq!(decode::<Change>(&bytes), Some(change));
     for length in 0..bytes.len() {
@@ -230,7 +230,7 @@
     }
 }
 
-/// Two states that get the same changes, one by way of snapshots, stay the same.
+/// Two states that apply the same changes, one of them restored from snapshots in between, stay equal.
 #[rstest]
 fn random_changes_lead_to_the_same_state(#[values(1, 2, 3, 4, 5, 6)] seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -247,17 +247,17 @@
             5 => retire("store-1"),
             _ => place(random.random_range(0..8), random.random_range(1..100), 1),
         };
-        let verdict = one.apply(&change);
+        let result = one.apply(&change);
         if random.random_bool(0.1) {
             let snapshot: StateSnapshot = decode(&encode(&other.snapshot())).unwrap();
             other = ControlState::from_snapshot(&snapshot).unwrap();
         }
-        assert_eq!(other.apply(&change), verdict);
+        assert_eq!(other.apply(&change), result);
         assert_eq!(one.snapshot(), other.snapshot());
     }
 }
 
-/// A placement as versions before the holders wrote it.
+/// A placement as encoded by versions before `complete_replicas` was added.
 #[derive(musli::Encode)]
 struct EarlierPlacement {
     epoch: u64,
@@ -273,19 +273,19 @@
     let expected =
         Placement { epoch: 3, members: vec![member(1)], learners: vec![member(2)], ..Placement::default() };
     assert_eq!(read, expected);
-    assert!(!read.is_undersized(), "nothing may be concluded where the number of copies isn't known");
+    assert!(!read.is_undersized(), "a placement without the number of copies does not count as undersized");
 }
 
 fn usage_report(window: u64, requests: u64) -> Change {
     Change::DecideUsageReport(UsageReport { window, counts: [("cuka620".to_owned(), requests)].into() })
 }
 
-/// Windows whose reports have to be sent, with the requests of the one tenant.
+/// Returns the windows whose reports must be sent, each with the requests of the single tenant.
 fn unaccepted(state: &ControlState) -> Vec<(u64, u64)> {
     state.usage_reports().unaccepted().map(|report| (report.window, report.counts["cuka620"])).collect()
 }
 
-// Guards against two reports of one window that differ: the platform accepts both, and the tenant is charged twice.
+// Guards against two different reports of one window: the platform accepts both, and the tenant is charged twice.
 #[test]
 fn the_report_of_a_window_is_decided_once() {
     let mut state = ControlState::default();
@@ -299,7 +299,7 @@
     assert_eq!((unaccepted(&state), state.usage_reports().next_window()), (vec![(8, 1)], Some(9)));
 }
 
-// Guards against a decision that is forgotten with the log behind a checkpoint, or with all processes.
+// Guards against a decision that is lost when the log before a checkpoint is trimmed or all processes restart.
 #[test]
 fn decided_reports_are_in_a_snapshot() {
     let mut state = ControlState::default();
@@ -312,9 +312,9 @@
     assert_eq!(restored.apply(&usage_report(7, 9)), Ok(Applied::Unchanged));
 }
 
-// Guards against a state that grows without bound where the platform accepts nothing.
+// Guards against a state that grows without bound if the platform accepts no report.
 #[test]
-fn so_many_unaccepted_reports_are_kept_and_no_more() {
+fn number_of_unaccepted_reports_is_limited() {
     let mut state = ControlState::default();
     let count = MAX_UNACCEPTED_REPORTS as u64;
     for window in 0..count + 5 {
@@ -325,9 +325,9 @@
     assert_eq!(state.apply(&usage_report(0, 2)), Ok(Applied::Unchanged));
 }
 
-// Guards against a damaged change that ends every node which applies it, since no window follows the last number.
+// Guards against a damaged change that stops every node which applies it, because no window follows the highest number.
 #[test]
-fn the_last_number_is_no_window() {
+fn highest_number_is_not_used_for_a_window() {
     let mut state = ControlState::default();
     assert_eq!(state.apply(&usage_report(u64::MAX, 3)), Ok(Applied::Unchanged));
     assert_eq!(state.usage_reports().next_window(), None);
