--- a/crates/control-client/src/candidates.rs
+++ b/crates/control-client/src/candidates.rs
@@ -1,36 +1,36 @@
-//! Control nodes that may be asked for a session, and which of them is asked next.
+//! The control nodes that may be contacted for a session, and the order in which they are contacted.
 //!
-//! Three sources name them: a control node that has a quorum, whose list replaces the one before; one that hasn't,
-//! whose list may be old and only adds to the others; and the settings file. Nobody is asked twice
-//! within a pause; of those that may be asked, the one goes first that was asked longest ago. While a search goes on
-//! without success, the list of the last session and the others take turns, so neither a list that is out of date nor
-//! seeds that have gone hold the search up.
+//! They come from three sources: a control node that has a quorum, whose list replaces the previous one; a control node
+//! without a quorum, whose list may be old and is only added to the others; and the settings file. A node isn't
+//! contacted again within [`RETRY_INTERVAL_MS`]; of the remaining ones, the one contacted longest ago is next. During a
+//! search without success, the list of the last session and the other nodes alternate, so neither an outdated list nor
+//! seeds that no longer exist delay the search.
 
 use std::collections::BTreeMap;
 
 use orchidvalve_protocol::identity::NodeAddress;
 
-/// A control node isn't asked again within this time, in milliseconds.
+/// The minimum time between two attempts at the same control node, in milliseconds.
 pub(crate) const RETRY_INTERVAL_MS: u64 = 300;
-/// While a search goes on, so many of the last session's list are asked for each of the others.
+/// The number of attempts at nodes of the last session's list for each attempt at another node, during a search.
 const LISTED_PER_OTHER: u32 = 2;
-/// Most addresses that are kept of the lists of nodes without a quorum.
+/// The maximum number of addresses kept from the lists of nodes without a quorum.
 const MAX_HINTS: usize = 32;
 
-/// All control nodes that this process has been told of.
+/// All control nodes known to this process.
 #[derive(Debug)]
 pub(crate) struct Candidates {
     seeds: Vec<NodeAddress>,
-    /// List of the control node that kept the last session.
+    /// List from the control node of the last session.
     listed: Vec<NodeAddress>,
-    /// From lists of control nodes without a quorum, newest last.
+    /// Addresses from lists of control nodes without a quorum, latest last.
     hints: Vec<NodeAddress>,
     attempted_at: BTreeMap<NodeAddress, u64>,
-    /// Since when there has been no session.
+    /// Time at which the last session ended.
     search_began: u64,
-    /// How many of the last session's list were asked since one of the others.
+    /// Consecutive attempts at nodes of the last session's list.
     listed_in_a_row: u32,
-    /// Random: where each list is begun, so that processes spread.
+    /// Random: determines where each list is started, so that processes spread over the nodes.
     spread: usize,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The control node of the session named all of them.
+    /// Replaces the list with that of `by`, the control node of the session.
     pub fn set_listed(&mut self, by: NodeAddress, control_nodes: Vec<NodeAddress>) {
         if control_nodes.is_empty() {
             return;
@@ -61,7 +61,7 @@
         self.attempted_at.retain(|address, _| is_known(address));
     }
 
-    /// A control node without a quorum named those that it knows.
+    /// Adds the nodes listed by a control node without a quorum.
     pub fn add_hints(&mut self, control_nodes: Vec<NodeAddress>) {
         for address in control_nodes {
             if !self.listed.contains(&address) && !self.seeds.contains(&address) {
@@ -73,18 +73,18 @@
         self.hints.drain(..surplus);
     }
 
-    /// Those of the last session's list, or of the hints where there is none.
+    /// Returns the last session's list, or the hints if there is none.
     pub fn known(&self) -> Vec<NodeAddress> {
         if self.listed.is_empty() { self.hints.clone() } else { self.listed.clone() }
     }
 
-    /// A session with `address` ended: the search for another one begins elsewhere.
+    /// Records that the session with `address` has ended; the search for another one starts with other nodes.
     pub fn session_ended(&mut self, address: NodeAddress, now: u64) {
         self.search_began = now;
         self.attempted_at.insert(address, now);
     }
 
-    /// The control node that is to be asked now; `None` while all were asked a moment ago.
+    /// Returns the control node to contact now, or `None` while all were contacted too recently.
     pub fn next(&mut self, now: u64) -> Option<NodeAddress> {
         let listed = self.longest_ago(&self.listed, now);
         let others: Vec<NodeAddress> = self.others().collect();
@@ -102,7 +102,7 @@
         Some(chosen)
     }
 
-    /// When somebody may be asked again after [`Candidates::next`] found none.
+    /// Returns when a node may be contacted again after [`Candidates::next`] returned `None`.
     pub fn next_at(&self) -> Option<u64> {
         let all = self.listed.iter().copied().chain(self.others());
         all.map(|address| self.attempted_at.get(&address).map_or(0, |at| at + RETRY_INTERVAL_MS)).min()
@@ -112,7 +112,7 @@
         self.hints.iter().chain(&self.seeds).copied().filter(|address| !self.listed.contains(address))
     }
 
-    /// Of those that may be asked, the one that was asked longest ago or never.
+    /// Returns the node that was never contacted, or longest ago, among those in `list` that may be contacted.
     fn longest_ago(&self, list: &[NodeAddress], now: u64) -> Option<NodeAddress> {
         let start = self.spread % list.len().max(1);
         let rotated = list[start..].iter().chain(&list[..start]);
--- a/crates/control-client/src/load_reports.rs
+++ b/crates/control-client/src/load_reports.rs
@@ -1,46 +1,47 @@
-//! When a process tells its control node what it has to do at servers: on changes, seldom enough to be cheap, and again
-//! after a while, since another control node may have become the head.
+//! Timing of the load reports of a process to its control node: on changes, at limited frequency, and repeatedly even
+//! without changes, because another control node may have become the head.
 
 use std::collections::BTreeMap;
 
 use orchidvalve_protocol::identity::NodeAddress;
 use orchidvalve_protocol::messages::{ServiceLoad, SessionMessage};
 
-/// Pause between two looks at what there is to do, in milliseconds: the busiest of them is reported.
+/// Interval between two samples of the load, in milliseconds. The highest sample is reported.
 const SAMPLE_INTERVAL_MS: u64 = 50;
-/// Least time between two reports, in milliseconds.
+/// Minimum time between two reports, in milliseconds.
 const REPORT_INTERVAL_MS: u64 = 500;
-/// A report is repeated after this time, also without a change, in milliseconds.
+/// Time after which a report is repeated even without a change, in milliseconds.
 const REPEAT_INTERVAL_MS: u64 = 5_000;
-/// A smaller change of a number isn't reported before that.
+/// The smallest change of a count that is reported before [`REPEAT_INTERVAL_MS`].
 const REPORTED_STEP: u32 = 2;
 
 /// The last report of this process.
 #[derive(Debug)]
 struct SentReport {
     at: u64,
-    /// The control node that got it.
+    /// The control node that received it.
     to: NodeAddress,
     loads: Vec<ServiceLoad>,
 }
 
-/// What was seen since the last report, and that report. Times are in milliseconds.
+/// The samples since the last report, and that report. Times are in milliseconds.
 #[derive(Default, Debug)]
 pub struct LoadReports {
     next_sample_at: u64,
-    /// Most that ran at once since the last report, by service.
+    /// Highest number of requests in flight since the last report, by service.
     busiest: BTreeMap<String, u32>,
     sent: Option<SentReport>,
 }
 
 impl LoadReports {
-    /// Whether [`LoadReports::observe`] is due.
+    /// Returns whether [`LoadReports::observe`] is due.
     pub fn is_due(&self, now: u64) -> bool {
         now >= self.next_sample_at
     }
 
-    /// What there is to do now, of each service that is to be reported. Returns the report for the control node that
-    /// keeps the session, if one is due: the most that ran since the last one, and what waits now.
+    /// Takes a sample: `loads` is the current load of each service to report. Returns the report for the control node
+    /// of the session if one is due. It contains the highest number in flight since the last report, and the number
+    /// that wait now.
     pub fn observe(
         &mut self,
         now: u64,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Whether the loads differ enough to be told.
+/// Returns whether the loads differ enough to be reported.
 fn differ(before: &[ServiceLoad], after: &[ServiceLoad]) -> bool {
     let has_same_services =
         before.iter().map(|load| &load.service).eq(after.iter().map(|load| &load.service));
--- a/crates/control-client/src/replica.rs
+++ b/crates/control-client/src/replica.rs
@@ -1,4 +1,4 @@
-//! A subscriber's replica of what the feed brings. It never goes back within one run of the process.
+//! A subscriber's replica of the data in the feed. It never returns to an older state within one run of the process.
 
 use derive_more::{Display, Error};
 use orchidvalve_control_state::{Change, ControlState, StateSnapshot};
@@ -7,29 +7,31 @@
 use orchidvalve_protocol::messages::{FeedPosition, GatewayList, ServerTableUpdate};
 use orchidvalve_protocol::server_table::ServerTable;
 
-/// Why a message of the feed can't be applied. A new session brings what is missing.
+/// The reason why a message of the feed cannot be applied. A new session delivers the missing data.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Display, Error)]
 pub enum FeedError {
-    /// A snapshot or a change can't be decoded.
-    #[display("the feed's change {sequence} can't be decoded; run the same version on all machines")]
+    /// A snapshot or a change cannot be decoded.
+    #[display("feed change {sequence} cannot be decoded; run the same version on all machines")]
     Unreadable {
-        /// Number of the change.
+        /// Sequence number of the change.
         sequence: u64,
     },
-    /// Changes are missing before one.
-    #[display("the feed brings change {sequence} after {applied}: a new session brings what is missing")]
+    /// Changes before this one are missing.
+    #[display("feed change {sequence} follows {applied}: changes are missing; a new session delivers them")]
     MissingChanges {
-        /// Number of the change.
+        /// Sequence number of the change.
         sequence: u64,
-        /// Last change that was applied.
+        /// Sequence number of the last applied change.
         applied: u64,
     },
-    /// An update builds on another server table than this one.
-    #[display("the feed's update fits no server table known here: a new session brings the whole table")]
+    /// An update is based on another version of the server table.
+    #[display(
+        "feed update does not apply to the server table held here; a new session delivers the complete table"
+    )]
     MissingTable,
 }
 
-/// What a message of the feed has changed.
+/// The parts of the replica that a message of the feed has changed.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct FeedUpdate {
     /// The control state.
@@ -41,7 +43,7 @@
 }
 
 impl FeedUpdate {
-    /// Whether anything has changed.
+    /// Returns whether any part has changed.
     pub fn any(&self) -> bool {
         self.state || self.servers || self.workers
     }
@@ -55,7 +57,7 @@
     }
 }
 
-/// The replica of the control state, the server table and the list of workers.
+/// The replica of the control state, the server table and the list of workers (gateways that run generations).
 #[derive(Default, Debug)]
 pub struct FeedReplica {
     state: ControlState,
@@ -65,36 +67,36 @@
 }
 
 impl FeedReplica {
-    /// The control state as of [`FeedReplica::sequence`].
+    /// Returns the control state as of [`FeedReplica::sequence`].
     pub fn state(&self) -> &ControlState {
         &self.state
     }
 
-    /// Last change of the control state that was applied; 0 before the first.
+    /// Returns the sequence number of the last applied change of the control state; 0 before the first.
     pub fn sequence(&self) -> u64 {
         self.sequence
     }
 
-    /// The server table.
+    /// Returns the server table.
     pub fn servers(&self) -> &ServerTable {
         &self.servers
     }
 
-    /// The gateways that run generations.
+    /// Returns the gateways that run generations.
     pub fn workers(&self) -> &[NodeAddress] {
         &self.workers.gateways
     }
 
-    /// How far this replica has come, as a session tells it.
+    /// Returns the position of this replica in the feed, as reported in the session.
     pub fn position(&self) -> FeedPosition {
         FeedPosition { applied: self.sequence, servers: self.servers.version() }
     }
 
-    /// Takes over a snapshot of the control state. One that is older than the replica is ignored.
+    /// Replaces the control state with a snapshot. A snapshot that isn't newer than the replica is ignored.
     ///
     /// # Errors
     ///
-    /// It can't be decoded.
+    /// Returns an error if the snapshot cannot be decoded.
     pub fn apply_snapshot(&mut self, sequence: u64, snapshot: &[u8]) -> Result<FeedUpdate, FeedError> {
         if sequence <= self.sequence {
             return Ok(FeedUpdate::default());
@@ -106,11 +108,12 @@
         Ok(FeedUpdate { state: true, ..FeedUpdate::default() })
     }
 
-    /// Applies changes, of which the first has the number `first`; those that the replica has are skipped.
+    /// Applies changes, the first of which has the sequence number `first`. Changes already applied are skipped.
     ///
     /// # Errors
     ///
-    /// Some are missing before them, or one can't be decoded. Those before it are applied.
+    /// Returns an error if changes are missing before them, or if one cannot be decoded. The changes before that one
+    /// stay applied.
     pub fn apply_changes(&mut self, first: u64, changes: &[Vec<u8>]) -> Result<FeedUpdate, FeedError> {
         let mut update = FeedUpdate::default();
         for (offset, bytes) in changes.iter().enumerate() {
@@ -122,7 +125,7 @@
                 return Err(FeedError::MissingChanges { sequence, applied: self.sequence });
             }
             let change: Change = decode(bytes).ok_or(FeedError::Unreadable { sequence })?;
-            // A change that doesn't fit leaves the state as it was, on every node alike.
+            // A change that is invalid leaves the state as it was, in the same way on every node.
             let _ = self.state.apply(&change);
             self.sequence = sequence;
             update.state = true;
@@ -130,11 +133,11 @@
         Ok(update)
     }
 
-    /// Applies an update of the server table. One that is older than the replica is ignored.
+    /// Applies an update of the server table. An update that isn't newer than the replica is ignored.
     ///
     /// # Errors
     ///
-    /// It builds on another table: a whole one is needed.
+    /// Returns an error if the update is based on another version of the table: a snapshot is needed.
     pub fn apply_server_update(&mut self, update: &ServerTableUpdate) -> Result<FeedUpdate, FeedError> {
         let before = self.servers.version();
         if !self.servers.apply(update) {
@@ -143,7 +146,7 @@
         Ok(FeedUpdate { servers: self.servers.version() != before, ..FeedUpdate::default() })
     }
 
-    /// Takes over the list of the gateways that run generations, unless it is older than the replica.
+    /// Replaces the list of the gateways that run generations, unless the list isn't newer than the replica's.
     pub fn apply_workers(&mut self, list: GatewayList) -> FeedUpdate {
         if list.version <= self.workers.version {
             return FeedUpdate::default();
--- a/crates/control-client/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -1,9 +1,8 @@
-//! The session with one control node: opened, kept alive, and moved to another node when that one
-//! fails or has no quorum.
+//! The session with one control node: opened, kept alive, and moved to another node if that one fails or has no quorum.
 //!
-//! Without a session, several control nodes are asked in overlapping attempts, since one that is cut off or
-//! frozen doesn't say so. The first that welcomes this process keeps the session, and the other attempts are dropped.
-//! Only the session feeds the replica.
+//! Without a session, several control nodes are contacted in overlapping attempts, because a node that is partitioned
+//! or frozen doesn't reply. The first one that welcomes this process keeps the session, and the other attempts are
+//! dropped. Only the session updates the replica.
 
 use std::time::Duration;
 
@@ -16,20 +15,20 @@
 use crate::candidates::Candidates;
 use crate::replica::{FeedError, FeedReplica, FeedUpdate};
 
-/// Pause between two heartbeats, in milliseconds.
+/// Interval between two heartbeats, in milliseconds.
 pub const HEARTBEAT_MS: u64 = 250;
-/// The session ends when nothing is received from its control node for this time, in milliseconds.
+/// The session ends if nothing is received from its control node for this time, in milliseconds.
 const SESSION_TIMEOUT_MS: u64 = 900;
-/// An attempt ends when its control node doesn't welcome this process within this time, in milliseconds.
+/// An attempt ends if its control node doesn't welcome this process within this time, in milliseconds.
 const WELCOME_TIMEOUT_MS: u64 = 350;
-/// Pause before the next control node is asked where one has refused, in milliseconds.
+/// Delay before the next control node is contacted after one has refused, in milliseconds.
 const RETRY_MS: u64 = 60;
-/// Pause before the next control node is asked where one has said nothing yet, in milliseconds.
+/// Delay before the next control node is contacted while one hasn't replied yet, in milliseconds.
 const OVERLAP_MS: u64 = 100;
-/// How long bytes that were sent may stay unacknowledged by the other machine.
+/// TCP user timeout: how long sent bytes may stay unacknowledged by the other machine.
 const USER_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// A connection to a control node that is asked for a session.
+/// A connection to a control node on which a session is requested.
 #[derive(Debug)]
 struct Attempt {
     connection: ConnectionId,
@@ -43,43 +42,44 @@
     connection: ConnectionId,
     address: NodeAddress,
     last_received_at: u64,
-    /// When the last whole message came after the welcome.
+    /// When the last complete message after the welcome was received.
     last_message_at: Option<u64>,
     next_heartbeat_at: u64,
 }
 
-/// Why the connection ends that a message came on.
+/// The reason why a message causes its connection to be closed.
 #[derive(Debug, Display, From)]
 enum Disconnect {
-    /// The control node refers to others.
+    /// The control node refers this process to other control nodes.
     #[display("the control node has no quorum")]
     Redirected,
-    /// It fed a process that it hasn't welcomed.
-    #[display("the control node hasn't welcomed this process")]
+    /// The control node sent data before welcoming this process.
+    #[display("the control node has not welcomed this process")]
     NotWelcomed,
-    /// The replica can't apply the message.
+    /// The replica cannot apply the message.
     #[from]
     Feed(FeedError),
 }
 
-/// The session and the replica that it feeds. Times are in milliseconds.
+/// The session and the replica that it updates. Times are in milliseconds.
 #[derive(Debug)]
 pub struct FeedClient {
     handshake: Handshake,
     candidates: Candidates,
     session: Option<Session>,
-    /// Empty while there is a session.
+    /// Open attempts; empty while there is a session.
     attempts: Vec<Attempt>,
-    /// When the next control node is asked while there is no session.
+    /// When the next control node is contacted while there is no session.
     next_attempt_at: u64,
     health: Option<StoreHealth>,
-    /// Sessions that this process has opened.
+    /// Number of sessions opened by this process.
     sessions_opened: u64,
     replica: FeedReplica,
 }
 
 impl FeedClient {
-    /// `seeds` are control nodes that may be tried first. `spread` is random: it chooses the first one.
+    /// Creates a client without a session. `seeds` are the control nodes to contact first. `spread` is random: it
+    /// selects the first one.
     pub fn new(handshake: Handshake, seeds: Vec<NodeAddress>, spread: u64) -> FeedClient {
         FeedClient {
             handshake,
@@ -93,55 +93,57 @@
         }
     }
 
-    /// What the feed has brought so far.
+    /// Returns the replica as updated by the feed so far.
     pub fn replica(&self) -> &FeedReplica {
         &self.replica
     }
 
-    /// Whether a control node that has a quorum keeps a session of this process.
+    /// Returns whether this process has a session with a control node that has a quorum.
     pub fn has_session(&self) -> bool {
         self.session.is_some()
     }
 
-    /// Control nodes that this process has been told of: those of the last session, or what nodes without a quorum
-    /// have named where there was no session yet.
+    /// Returns the control nodes known to this process: the list of the last session, or before the first session the
+    /// ones listed by nodes without a quorum.
     pub fn known_control_nodes(&self) -> Vec<NodeAddress> {
         self.candidates.known()
     }
 
-    /// Another process has named control nodes: they are asked soon where there is no session.
+    /// Adds control nodes listed by another process. Without a session, they are contacted soon.
     pub fn add_hints(&mut self, control_nodes: Vec<NodeAddress>, now: u64) {
         self.candidates.add_hints(control_nodes);
         self.next_attempt_at = self.next_attempt_at.min(now + RETRY_MS);
     }
 
-    /// Number of the session that is open, unlike that of every one before: what was sent in those may be lost.
+    /// Returns the number of the open session, which differs from that of every earlier one. Messages sent in earlier
+    /// sessions may be lost.
     pub fn session_number(&self) -> Option<u64> {
         self.session.as_ref().map(|_| self.sessions_opened)
     }
 
-    /// The control node that keeps the session: it has a quorum.
+    /// Returns the control node of the session, which has a quorum.
     pub fn session_node(&self) -> Option<NodeAddress> {
         self.session.as_ref().map(|session| session.address)
     }
 
-    /// When something was last received from the control node in this session.
+    /// Returns when bytes were last received from the control node in this session.
     pub fn last_received_at(&self) -> Option<u64> {
         self.session.as_ref().map(|session| session.last_received_at)
     }
 
-    /// When a whole message last came from the control node in this session, its welcome aside. Whatever the control node
-    /// knew of the control state before it sent that message is in the replica: changes are sent first.
+    /// Returns when a complete message other than the welcome was last received from the control node in this session.
+    /// Every change of the control state that the control node knew before it sent that message is in the replica,
+    /// because changes are sent first.
     pub fn last_message_at(&self) -> Option<u64> {
         self.session.as_ref().and_then(|session| session.last_message_at)
     }
 
-    /// What the heartbeats say of this process from now on.
+    /// Sets the health that heartbeats report from now on.
     pub fn set_health(&mut self, health: StoreHealth) {
         self.health = Some(health);
     }
 
-    /// Whether this is the connection of the session or of an attempt.
+    /// Returns whether this is the connection of the session or of an attempt.
     pub fn owns(&self, connection: ConnectionId) -> bool {
         self.is_session(connection) || self.attempts.iter().any(|attempt| attempt.connection == connection)
     }
@@ -150,7 +152,7 @@
         self.session.as_ref().is_some_and(|session| session.connection == connection)
     }
 
-    /// When [`FeedClient::maintain`] has to be called next.
+    /// Returns when [`FeedClient::maintain`] must be called next.
     pub fn next_wakeup(&self) -> u64 {
         match &self.session {
             Some(session) => session.next_heartbeat_at.min(session.last_received_at + SESSION_TIMEOUT_MS),
@@ -161,7 +163,7 @@
         }
     }
 
-    /// Opens, keeps and ends sessions as time passes.
+    /// Opens sessions, sends heartbeats and handles timeouts.
     pub fn maintain(&mut self, network: &mut Network, now: u64) {
         match &mut self.session {
             Some(session) if now >= session.last_received_at + SESSION_TIMEOUT_MS => {
@@ -202,7 +204,7 @@
         }
     }
 
-    /// Drops a connection; the next control node is asked soon.
+    /// Drops a connection; the next control node is contacted soon.
     fn disconnect(&mut self, network: &mut Network, connection: ConnectionId, now: u64) {
         network.abort(connection);
         if let Some(session) = self.session.take_if(|session| session.connection == connection) {
@@ -213,7 +215,7 @@
         self.next_attempt_at = self.next_attempt_at.min(now + RETRY_MS);
     }
 
-    /// A connection is up: if it is of an attempt, the session is asked for.
+    /// Handles an established connection: if it belongs to an attempt, requests the session.
     pub fn connected(&mut self, network: &mut Network, connection: ConnectionId) {
         if !self.attempts.iter().any(|attempt| attempt.connection == connection) {
             return;
@@ -231,10 +233,10 @@
         }
     }
 
-    /// Bytes have arrived. Returns what they have changed in the replica.
+    /// Handles received bytes. Returns which parts of the replica have changed.
     pub fn data(&mut self, network: &mut Network, connection: ConnectionId, now: u64) -> FeedUpdate {
         let mut update = FeedUpdate::default();
-        // Part of a message is a sign of life, too: a whole table takes long on a narrow link.
+        // Part of a message also shows that the node is alive: a complete table takes long on a slow link.
         if let Some(session) = self.session.as_mut().filter(|session| session.connection == connection) {
             session.last_received_at = now;
         }
@@ -285,7 +287,7 @@
                 self.candidates.add_hints(controls);
                 Err(Disconnect::Redirected)
             }
-            // Only a control node that has a quorum, and has said so, may send anything else.
+            // Only a control node that has a quorum, and has welcomed this process, may send anything else.
             _ if !self.is_session(connection) => Err(Disconnect::NotWelcomed),
             ControlMessage::Heartbeat => Ok(FeedUpdate::default()),
             ControlMessage::Snapshot { sequence, state } => {
@@ -297,7 +299,7 @@
         }
     }
 
-    /// The attempt becomes the session, and the others are dropped.
+    /// Turns the attempt into the session and drops the other attempts.
     fn welcomed(&mut self, network: &mut Network, connection: ConnectionId, now: u64) {
         let is_meant = |attempt: &Attempt| attempt.connection == connection;
         let Some(index) = self.attempts.iter().position(is_meant) else { return };
@@ -316,12 +318,12 @@
         }
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub fn closed(&mut self, network: &mut Network, connection: ConnectionId, now: u64) {
         self.disconnect(network, connection, now);
     }
 
-    /// Tells the control node that this process shuts down.
+    /// Notifies the control node that this process shuts down.
     pub fn say_goodbye(&mut self, network: &mut Network) {
         self.send(network, &SessionMessage::Goodbye);
     }
--- a/crates/control-client/tests/golden_follower.rs
+++ b/crates/control-client/tests/golden_follower.rs
@@ -1,5 +1,5 @@
-//! Recorded runs of a subscriber: what its copy holds after each message of a random feed, and what its session sends to
-//! which control node at what time of a fixed scenario.
+//! Golden test of a subscriber: the contents of its replica after each message of a random feed, and the messages that
+//! its session sends to each control node, with their times, in a fixed scenario.
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -68,10 +68,10 @@
     }
 }
 
-/// The control plane that the feed comes from.
+/// The control plane that produces the feed.
 #[derive(Default)]
 struct Source {
-    /// The states after each change, the first one before all.
+    /// The state after each change, preceded by the initial one.
     states: Vec<ControlState>,
     changes: Vec<Vec<u8>>,
     table: ServerTable,
@@ -98,8 +98,8 @@
     }
 }
 
-fn add_news(trace: &mut Trace, news: Option<FeedUpdate>) {
-    trace.add_number(match news {
+fn add_update(trace: &mut Trace, update: Option<FeedUpdate>) {
+    trace.add_number(match update {
         None => u64::MAX,
         Some(FeedUpdate { state, servers, workers }) => {
             u64::from(state) + 2 * u64::from(servers) + 4 * u64::from(workers)
@@ -107,16 +107,16 @@
     });
 }
 
-fn add_copy(trace: &mut Trace, copy: &FeedReplica) {
-    trace.add(&encode(&copy.position()));
-    trace.add_number(copy.sequence());
-    trace.add(&encode(&copy.state().snapshot()));
-    trace.add(&encode(&copy.servers().snapshot()));
-    copy.workers().iter().for_each(|worker| trace.add(&encode(worker)));
+fn add_replica(trace: &mut Trace, replica: &FeedReplica) {
+    trace.add(&encode(&replica.position()));
+    trace.add_number(replica.sequence());
+    trace.add(&encode(&replica.state().snapshot()));
+    trace.add(&encode(&replica.servers().snapshot()));
+    replica.workers().iter().for_each(|worker| trace.add(&encode(worker)));
 }
 
-/// One message of the feed, often not the one that fits.
-fn feed(random: &mut Pcg64Mcg, source: &Source, copy: &mut FeedReplica) -> Option<FeedUpdate> {
+/// Applies one message of the feed, often not the next one.
+fn feed(random: &mut Pcg64Mcg, source: &Source, replica: &mut FeedReplica) -> Option<FeedUpdate> {
     let most = source.changes.len() as u64;
     match random.random_range(0..10) {
         0 => {
@@ -125,33 +125,36 @@
             if random.random_bool(0.2) {
                 image.pop();
             }
-            copy.apply_snapshot(sequence, &image).ok()
+            replica.apply_snapshot(sequence, &image).ok()
         }
         1..5 => {
-            let next = copy.sequence() + 1;
+            let next = replica.sequence() + 1;
             let first = (next + random.random_range(0..3)).saturating_sub(1).clamp(1, most);
             let last = random.random_range(first..=(first + 3).min(most));
-            copy.apply_changes(first, &source.changes[first as usize - 1..last as usize]).ok()
+            replica.apply_changes(first, &source.changes[first as usize - 1..last as usize]).ok()
+        }
+        5..9 => {
+            replica.apply_server_update(&source.updates[random.random_range(0..source.updates.len())]).ok()
         }
-        5..9 => copy.apply_server_update(&source.updates[random.random_range(0..source.updates.len())]).ok(),
         _ => {
             let version = TableVersion { term: random.random_range(1..4), number: random.random_range(1..4) };
-            let doors = (0..random.random_range(0..3)).map(|_| address(random.random_range(1..3))).collect();
-            Some(copy.apply_workers(GatewayList { version, gateways: doors }))
+            let addresses =
+                (0..random.random_range(0..3)).map(|_| address(random.random_range(1..3))).collect();
+            Some(replica.apply_workers(GatewayList { version, gateways: addresses }))
         }
     }
 }
 
 #[test]
-fn copies_of_the_feed_are_as_recorded() {
+fn replicas_of_the_feed_are_as_recorded() {
     let run = |seed: u64| {
         let (mut random, mut trace) = (Pcg64Mcg::seed_from_u64(seed), Trace::new());
         let source = Source::new(&mut random);
-        let mut copy = FeedReplica::default();
+        let mut replica = FeedReplica::default();
         for _ in 0..80 {
-            let news = feed(&mut random, &source, &mut copy);
-            add_news(&mut trace, news);
-            add_copy(&mut trace, &copy);
+            let update = feed(&mut random, &source, &mut replica);
+            add_update(&mut trace, update);
+            add_replica(&mut trace, &replica);
         }
         (format!("seed-{seed}"), trace.finish())
     };
@@ -159,16 +162,16 @@
 }
 
 const TURN: Duration = Duration::from_millis(3);
-/// Turns without news after which nothing more comes at this moment.
+/// Number of turns without an event after which no more events are pending.
 const QUIET_TURNS: usize = 3;
 const MACHINES: usize = 5;
 
-/// What a control node does with its callers.
+/// How a control node treats its callers.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Conduct {
-    InTouch,
-    OutOfTouch,
-    Silent,
+enum NodeBehavior {
+    HasQuorum,
+    NoQuorum,
+    Unresponsive,
     Killed,
 }
 
@@ -177,23 +180,23 @@
     begun: bool,
 }
 
-/// A subscriber and the control nodes that it may call, over loopback and in a time of their own.
-struct Day {
+/// A subscriber and the control nodes that it may contact, over loopback and in virtual time.
+struct Scenario {
     network: Network,
     client: FeedClient,
     addresses: Vec<NodeAddress>,
-    conduct: [Conduct; MACHINES],
+    behavior: [NodeBehavior; MACHINES],
     callers: BTreeMap<ConnectionId, Caller>,
-    /// What has come to each machine at this moment.
-    heard: Vec<(usize, Vec<u8>)>,
-    news: FeedUpdate,
+    /// The bytes that each machine has received since the last `settle`.
+    received: Vec<(usize, Vec<u8>)>,
+    update: FeedUpdate,
     now: u64,
     trace: Trace,
 }
 
-impl Day {
-    /// The first three machines stand in the settings.
-    fn new(spread: u64, conduct: [Conduct; MACHINES]) -> Day {
+impl Scenario {
+    /// The first three machines are listed in the settings.
+    fn new(spread: u64, behavior: [NodeBehavior; MACHINES]) -> Scenario {
         let mut network = Network::new().unwrap();
         let mut listen = |tag: usize| {
             let bound = network.listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0), tag as u32).unwrap();
@@ -210,20 +213,20 @@
             cpu_share: 1.0,
         };
         let client = FeedClient::new(handshake, addresses[..3].to_vec(), spread);
-        Day {
+        Scenario {
             network,
             client,
             addresses,
-            conduct,
+            behavior,
             callers: BTreeMap::new(),
-            heard: Vec::new(),
-            news: FeedUpdate::default(),
+            received: Vec::new(),
+            update: FeedUpdate::default(),
             now: 10_000,
             trace: Trace::new(),
         }
     }
 
-    /// Lets everything happen that happens without time passing, and notes what was said.
+    /// Handles all events that are due at the current time, and records the messages.
     fn settle(&mut self) {
         let mut quiet = 0;
         while quiet < QUIET_TURNS {
@@ -231,19 +234,20 @@
             quiet = if events.is_empty() { quiet + 1 } else { 0 };
             events.into_iter().for_each(|event| self.handle(event));
         }
-        self.heard.sort();
-        for (machine, bytes) in self.heard.drain(..) {
+        self.received.sort();
+        for (machine, bytes) in self.received.drain(..) {
             self.trace.add_number(self.now);
             self.trace.add_number(machine as u64);
             self.trace.add(&bytes);
         }
-        let news = std::mem::take(&mut self.news);
-        if news.any() {
-            add_news(&mut self.trace, Some(news));
-            add_copy(&mut self.trace, self.client.replica());
+        let update = std::mem::take(&mut self.update);
+        if update.any() {
+            add_update(&mut self.trace, Some(update));
+            add_replica(&mut self.trace, self.client.replica());
         }
-        let place = |address| self.addresses.iter().position(|a| *a == address).unwrap();
-        self.trace.add_number(self.client.session_node().map_or(u64::MAX, |address| place(address) as u64));
+        let index_of = |address| self.addresses.iter().position(|a| *a == address).unwrap();
+        self.trace
+            .add_number(self.client.session_node().map_or(u64::MAX, |address| index_of(address) as u64));
     }
 
     fn handle(&mut self, event: Event) {
@@ -251,9 +255,9 @@
             Event::Accepted { listener, connection } => self.accepted(listener as usize, connection),
             Event::Connected(connection) => self.client.connected(&mut self.network, connection),
             Event::Data(connection) if self.client.owns(connection) => {
-                self.news |= self.client.data(&mut self.network, connection, self.now);
+                self.update |= self.client.data(&mut self.network, connection, self.now);
             }
-            Event::Data(connection) => self.told(connection),
+            Event::Data(connection) => self.receive(connection),
             Event::Closed { connection, .. } if self.client.owns(connection) => {
                 self.client.closed(&mut self.network, connection, self.now);
             }
@@ -266,22 +270,22 @@
     }
 
     fn accepted(&mut self, machine: usize, connection: ConnectionId) {
-        self.heard.push((machine, Vec::new()));
-        if self.conduct[machine] == Conduct::Killed {
+        self.received.push((machine, Vec::new()));
+        if self.behavior[machine] == NodeBehavior::Killed {
             self.network.abort(connection);
             return;
         }
         self.callers.insert(connection, Caller { machine, begun: false });
     }
 
-    fn told(&mut self, connection: ConnectionId) {
+    fn receive(&mut self, connection: ConnectionId) {
         while let Some(caller) = self.callers.get_mut(&connection) {
             let machine = caller.machine;
             if !caller.begun {
                 caller.begun = true;
                 let kind = self.network.inbox(connection)[0];
                 self.network.consume(connection, 1);
-                self.heard.push((machine, vec![kind]));
+                self.received.push((machine, vec![kind]));
             }
             let Some((message, length)) =
                 read_frame::<SessionMessage>(self.network.inbox(connection)).unwrap()
@@ -289,41 +293,44 @@
                 return;
             };
             self.network.consume(connection, length);
-            self.heard.push((machine, encode(&message)));
-            self.answer(connection, machine, &message);
+            self.received.push((machine, encode(&message)));
+            self.reply(connection, machine, &message);
         }
     }
 
-    fn answer(&mut self, connection: ConnectionId, machine: usize, message: &SessionMessage) {
+    fn reply(&mut self, connection: ConnectionId, machine: usize, message: &SessionMessage) {
         let controls = self.addresses.clone();
-        let answer = match (self.conduct[machine], message) {
-            (Conduct::InTouch, SessionMessage::Handshake { .. }) => ControlMessage::Welcome { controls },
-            (Conduct::InTouch, SessionMessage::Heartbeat { .. }) => ControlMessage::Heartbeat,
-            (Conduct::OutOfTouch, _) => ControlMessage::Redirect { controls },
+        let reply = match (self.behavior[machine], message) {
+            (NodeBehavior::HasQuorum, SessionMessage::Handshake { .. }) => {
+                ControlMessage::Welcome { controls }
+            }
+            (NodeBehavior::HasQuorum, SessionMessage::Heartbeat { .. }) => ControlMessage::Heartbeat,
+            (NodeBehavior::NoQuorum, _) => ControlMessage::Redirect { controls },
             _ => return,
         };
-        let ends = matches!(answer, ControlMessage::Redirect { .. });
-        write_frame(self.network.outbox(connection).unwrap(), &answer);
+        let ends = matches!(reply, ControlMessage::Redirect { .. });
+        write_frame(self.network.outbox(connection).unwrap(), &reply);
         if ends {
             self.callers.remove(&connection);
             self.network.finish(connection);
         }
     }
 
-    /// Every machine with a quorum tells its subscribers something.
-    fn tell(&mut self, message: &ControlMessage) {
-        let in_touch = |caller: &Caller| self.conduct[caller.machine] == Conduct::InTouch && caller.begun;
+    /// Every control node with a quorum sends a message to its subscribers.
+    fn broadcast(&mut self, message: &ControlMessage) {
+        let has_quorum =
+            |caller: &Caller| self.behavior[caller.machine] == NodeBehavior::HasQuorum && caller.begun;
         let connections: Vec<ConnectionId> =
-            self.callers.iter().filter(|(_, caller)| in_touch(caller)).map(|(id, _)| *id).collect();
+            self.callers.iter().filter(|(_, caller)| has_quorum(caller)).map(|(id, _)| *id).collect();
         for connection in connections {
             write_frame(self.network.outbox(connection).unwrap(), message);
         }
         self.settle();
     }
 
-    fn set(&mut self, machine: usize, conduct: Conduct) {
-        self.conduct[machine] = conduct;
-        if conduct == Conduct::Killed {
+    fn set(&mut self, machine: usize, behavior: NodeBehavior) {
+        self.behavior[machine] = behavior;
+        if behavior == NodeBehavior::Killed {
             let of_machine = |caller: &Caller| caller.machine == machine;
             let ended: Vec<ConnectionId> =
                 self.callers.iter().filter(|(_, caller)| of_machine(caller)).map(|(id, _)| *id).collect();
@@ -335,7 +342,7 @@
         }
     }
 
-    /// Passes time from one moment to the next at which the subscriber wants to do something.
+    /// Advances the time from one wake-up of the subscriber to the next.
     fn pass(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         while self.now < end {
@@ -347,47 +354,48 @@
 }
 
 /// Losses of control nodes one after the other, with changes and a server table in between.
-fn day(spread: u64) -> u64 {
-    let [in_touch, out_of_touch] = [Conduct::InTouch, Conduct::OutOfTouch];
-    let conduct = [in_touch, Conduct::Silent, Conduct::Killed, in_touch, out_of_touch];
-    let mut day = Day::new(spread, conduct);
+fn run_scenario(spread: u64) -> u64 {
+    let [has_quorum, no_quorum] = [NodeBehavior::HasQuorum, NodeBehavior::NoQuorum];
+    let behavior = [has_quorum, NodeBehavior::Unresponsive, NodeBehavior::Killed, has_quorum, no_quorum];
+    let mut scenario = Scenario::new(spread, behavior);
     let mut random = Pcg64Mcg::seed_from_u64(spread);
     let source = Source::new(&mut random);
     let health =
         |leaving| StoreHealth { disk_failing: false, used_bytes: 10, capacity_bytes: 100, draining: leaving };
-    day.client.set_health(health(false));
-    day.pass(700);
-    day.tell(&ControlMessage::Snapshot { sequence: 5, state: encode(&source.states[5].snapshot()) });
-    day.tell(&ControlMessage::Changes { first: 5, changes: source.changes[4..9].to_vec() });
-    day.tell(&ControlMessage::Servers(source.table.snapshot()));
-    day.pass(600);
-    day.tell(&ControlMessage::Gateways(GatewayList {
+    scenario.client.set_health(health(false));
+    scenario.pass(700);
+    scenario
+        .broadcast(&ControlMessage::Snapshot { sequence: 5, state: encode(&source.states[5].snapshot()) });
+    scenario.broadcast(&ControlMessage::Changes { first: 5, changes: source.changes[4..9].to_vec() });
+    scenario.broadcast(&ControlMessage::Servers(source.table.snapshot()));
+    scenario.pass(600);
+    scenario.broadcast(&ControlMessage::Gateways(GatewayList {
         version: TableVersion { term: 1, number: 1 },
         gateways: vec![address(1)],
     }));
-    day.set(0, out_of_touch);
-    day.pass(500);
-    day.set(3, Conduct::Killed);
-    day.pass(900);
-    day.set(2, in_touch);
-    day.pass(900);
-    day.client.set_health(health(true));
-    day.client.send(
-        &mut day.network,
+    scenario.set(0, no_quorum);
+    scenario.pass(500);
+    scenario.set(3, NodeBehavior::Killed);
+    scenario.pass(900);
+    scenario.set(2, has_quorum);
+    scenario.pass(900);
+    scenario.client.set_health(health(true));
+    scenario.client.send(
+        &mut scenario.network,
         &SessionMessage::LearnerCaughtUp { partition: 1, epoch: 2, member: member(9) },
     );
-    day.pass(300);
-    assert_eq!((day.client.replica().sequence(), day.client.replica().workers().len()), (9, 1));
-    // What is missing before a change ends the session.
-    day.tell(&ControlMessage::Changes { first: 30, changes: source.changes[29..31].to_vec() });
-    day.pass(500);
-    day.client.say_goodbye(&mut day.network);
-    day.settle();
-    day.trace.finish()
+    scenario.pass(300);
+    assert_eq!((scenario.client.replica().sequence(), scenario.client.replica().workers().len()), (9, 1));
+    // A gap before a change ends the session.
+    scenario.broadcast(&ControlMessage::Changes { first: 30, changes: source.changes[29..31].to_vec() });
+    scenario.pass(500);
+    scenario.client.say_goodbye(&mut scenario.network);
+    scenario.settle();
+    scenario.trace.finish()
 }
 
 #[test]
 fn sessions_of_a_subscriber_are_as_recorded() {
-    let run = |spread: u64| (format!("spread-{spread}"), day(spread));
+    let run = |spread: u64| (format!("spread-{spread}"), run_scenario(spread));
     check_hashes(&file("sessions.txt"), &(0..3).map(run).collect::<Vec<_>>());
 }
--- a/crates/control-client/tests/load_reports.rs
+++ b/crates/control-client/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! When a process reports its work.
+//! The times at which a process reports its load.
 
 use std::net::Ipv4Addr;
 
@@ -27,16 +27,20 @@
 }
 
 #[test]
-fn the_busiest_moment_since_the_last_report_is_told() {
+fn highest_load_since_the_last_report_is_reported() {
     let mut reports = LoadReports::default();
     assert!(reports.observe(0, node(1), loads(1, 0)).is_some());
     assert_eq!(reports.observe(100, node(1), loads(30, 12)), None);
     assert_eq!(reports.observe(500, node(1), loads(2, 0)), report(30, 0));
-    assert_eq!(reports.observe(1_000, node(1), loads(2, 0)), report(2, 0), "it is over");
+    assert_eq!(
+        reports.observe(1_000, node(1), loads(2, 0)),
+        report(2, 0),
+        "the peak belongs to the previous report"
+    );
 }
 
 #[test]
-fn small_changes_wait_for_the_repetition() {
+fn small_changes_are_reported_with_the_next_repetition() {
     let mut reports = LoadReports::default();
     assert!(reports.observe(0, node(1), loads(10, 5)).is_some());
     for now in (500..5_000).step_by(50) {
@@ -46,7 +50,7 @@
 }
 
 #[test]
-fn the_first_and_the_last_request_are_no_small_changes() {
+fn first_and_last_request_are_reported_at_once() {
     let mut reports = LoadReports::default();
     let nothing = Some(SessionMessage::ReportLoad { loads: Vec::new() });
     assert_eq!(reports.observe(0, node(1), loads(0, 0)), nothing);
@@ -55,7 +59,7 @@
 }
 
 #[test]
-fn nothing_is_reported_without_a_session_and_a_new_one_is_told_all() {
+fn no_report_without_a_session_and_a_full_report_to_a_new_one() {
     let mut reports = LoadReports::default();
     assert!(reports.observe(0, node(1), loads(3, 0)).is_some());
     assert_eq!(reports.observe(1_000, None, loads(8, 0)), None);
@@ -63,7 +67,7 @@
 }
 
 #[test]
-fn work_is_looked_at_at_intervals() {
+fn load_is_sampled_at_intervals() {
     let mut reports = LoadReports::default();
     assert!(reports.is_due(0));
     reports.observe(0, None, loads(3, 0));
--- a/crates/control-client/tests/session.rs
+++ b/crates/control-client/tests/session.rs
@@ -1,4 +1,4 @@
-//! The session of a subscriber on a narrow link.
+//! The session of a subscriber on a slow link.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::time::Duration;
@@ -9,7 +9,7 @@
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
 use orchidvalve_protocol::messages::{ControlMessage, Handshake, PROTOCOL_VERSION, Role};
 
-const MOST_TURNS: usize = 1_000;
+const MAX_TURNS: usize = 1_000;
 
 struct Pair {
     network: Network,
@@ -19,16 +19,16 @@
     client_end: ConnectionId,
 }
 
-/// Polls until `found` returns something.
+/// Polls until `found` returns a value.
 fn await_event<T>(network: &mut Network, mut found: impl FnMut(&Event) -> Option<T>) -> T {
-    for _ in 0..MOST_TURNS {
+    for _ in 0..MAX_TURNS {
         for event in network.poll(Duration::from_millis(20)).unwrap() {
             if let Some(result) = found(&event) {
                 return result;
             }
         }
     }
-    panic!("the event didn't come");
+    panic!("the event did not occur");
 }
 
 fn connect(now: u64) -> Pair {
@@ -61,7 +61,7 @@
 
 impl Pair {
     /// The control node sends bytes, which the client reads at `now`.
-    fn arrive(&mut self, bytes: &[u8], now: u64) {
+    fn receive(&mut self, bytes: &[u8], now: u64) {
         self.network.send(self.control, bytes);
         let client_end = self.client_end;
         await_event(&mut self.network, |event| {
@@ -78,57 +78,57 @@
 }
 
 #[test]
-fn part_of_a_message_keeps_the_session_alive() {
+fn partial_message_keeps_the_session_alive() {
     let mut pair = connect(1_000);
     let mut snapshot = Vec::new();
     write_frame(&mut snapshot, &ControlMessage::Snapshot { sequence: 1, state: vec![0; 2_000] });
-    pair.arrive(&welcome(), 1_100);
+    pair.receive(&welcome(), 1_100);
     assert!(pair.client.has_session());
     for (turn, piece) in snapshot.chunks(500).take(3).enumerate() {
         let now = 1_700 + 600 * turn as u64;
-        pair.arrive(piece, now);
+        pair.receive(piece, now);
         pair.client.maintain(&mut pair.network, now + 550);
         assert!(pair.client.has_session(), "at {now}");
     }
 }
 
 #[test]
-fn a_silent_control_node_is_left() {
+fn session_with_an_unresponsive_control_node_ends() {
     let mut pair = connect(1_000);
-    pair.arrive(&welcome(), 1_100);
+    pair.receive(&welcome(), 1_100);
     pair.client.maintain(&mut pair.network, 1_900);
     assert!(pair.client.has_session());
     pair.client.maintain(&mut pair.network, 2_100);
     assert!(!pair.client.has_session());
 }
 
-// Guards against CONFIG of incident keys-and-duties: a new session was taken for news of the control state, although what
-// this process had missed was still on its way.
+// Guards against CONFIG of incident keys-and-duties: a new session counted as up to date with the control state,
+// although the changes that this process had missed were still in flight.
 #[test]
-fn neither_a_welcome_nor_part_of_a_message_is_news_of_the_control_state() {
+fn welcome_and_partial_message_do_not_count_as_last_message() {
     let mut pair = connect(1_000);
     assert_eq!(pair.client.last_message_at(), None);
-    pair.arrive(&welcome(), 1_100);
+    pair.receive(&welcome(), 1_100);
     assert_eq!((pair.client.has_session(), pair.client.last_message_at()), (true, None));
     let mut heartbeat = Vec::new();
     write_frame(&mut heartbeat, &ControlMessage::Heartbeat);
     let (part, rest) = heartbeat.split_at(heartbeat.len() - 1);
-    pair.arrive(part, 1_200);
+    pair.receive(part, 1_200);
     assert_eq!(pair.client.last_message_at(), None);
-    pair.arrive(rest, 1_300);
+    pair.receive(rest, 1_300);
     assert_eq!(pair.client.last_message_at(), Some(1_300));
-    pair.arrive(&welcome(), 1_400);
+    pair.receive(&welcome(), 1_400);
     assert_eq!(pair.client.last_message_at(), Some(1_300));
     pair.client.maintain(&mut pair.network, 2_400);
     assert_eq!((pair.client.has_session(), pair.client.last_message_at()), (false, None));
 }
 
-// Guards against counts of usage that are sent in one session only: each new one is recognised by its number.
+// Guards against usage counts that are sent in one session only: each new session is recognised by its number.
 #[test]
-fn each_session_has_a_number_of_its_own() {
+fn each_session_has_its_own_number() {
     let mut pair = connect(1_000);
     assert_eq!(pair.client.session_number(), None);
-    pair.arrive(&welcome(), 1_100);
+    pair.receive(&welcome(), 1_100);
     assert_eq!(pair.client.session_number(), Some(1));
     pair.client.maintain(&mut pair.network, 2_100);
     assert_eq!(pair.client.session_number(), None);
@@ -148,7 +148,7 @@
             pair.client.connected(&mut pair.network, connection);
             break connection;
         }
-        assert!(now < 12_000, "no control node is called");
+        assert!(now < 12_000, "no control node was contacted");
     };
     while control.is_none() {
         for event in pair.network.poll(Duration::from_millis(5)).unwrap() {
@@ -159,6 +159,6 @@
     }
     pair.control = control.unwrap();
     pair.client_end = client_end;
-    pair.arrive(&welcome(), now);
+    pair.receive(&welcome(), now);
     assert_eq!(pair.client.session_number(), Some(2));
 }
