--- a/crates/net/src/connection.rs
+++ b/crates/net/src/connection.rs
@@ -1,4 +1,4 @@
-//! One connection: its state, and the bytes read from and to be written to its socket.
+//! One connection: its state, its received bytes and its bytes to be sent.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -7,17 +7,17 @@
 
 use calloop::RegistrationToken;
 
-/// Capacity in bytes that an empty buffer keeps; what is above is given back.
+/// Capacity in bytes that an empty buffer keeps; anything above is freed.
 const RETAINED_BYTES: usize = 32 << 10;
-/// Most bytes that are read from one connection in one turn, so that none starves the others.
+/// The maximum number of bytes read from one connection in one turn, so that no connection starves the others.
 const MAX_BYTES_PER_TURN: usize = 1 << 20;
 
-/// Names a connection. Ids aren't used twice.
+/// Identifies a connection. Ids are not reused.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ConnectionId {
-    /// Index in the table of connections; used again after the connection is gone.
+    /// Index in the table of connections; reused after the connection is removed.
     pub(super) slot: u32,
-    /// Number that tells the connections of one slot apart.
+    /// Distinguishes the connections that have used the same slot.
     pub(super) serial: u32,
 }
 
@@ -26,14 +26,14 @@
 pub(super) enum State {
     Connecting,
     Open,
-    /// Everything is written and this end is shut; the peer's end is awaited.
+    /// Everything is written and this end is shut down; the peer has not closed its end yet.
     Lingering,
     Closed {
         reset: bool,
     },
 }
 
-/// A connection with the bytes that wait in it.
+/// A connection with its buffers.
 pub(super) struct Connection {
     pub(super) socket: Rc<TcpStream>,
     pub(super) registration: Option<RegistrationToken>,
@@ -43,20 +43,20 @@
     read_start: usize,
     pub(super) outbox: Vec<u8>,
     write_start: usize,
-    /// When the outbox has to be written at the latest.
+    /// Latest time at which the bytes in the outbox may be written.
     pub(super) write_deadline: Option<Instant>,
-    /// To be shut down once the outbox is empty.
+    /// Whether to shut down once the outbox is empty.
     pub(super) finish: bool,
-    /// Its outbox may hold bytes that the next flush has to write.
+    /// Whether the outbox may contain bytes for the next flush.
     pub(super) dirty: bool,
     pub(super) peer: SocketAddr,
 }
 
-/// What reading from a socket came to.
+/// The result of reading from a socket.
 pub(super) enum ReadOutcome {
-    /// Everything that had arrived is read.
+    /// All bytes that had arrived are read.
     Drained,
-    /// The bound of a turn was reached: there may be more.
+    /// The limit of one turn was reached: there may be more bytes.
     MoreToRead,
     /// The peer closed its end.
     EndOfStream,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Whether a connection that was begun here is up, or why it failed; `None` while it is being established.
+    /// Returns whether a connection initiated here is established, or why it failed; `None` while it is in progress.
     pub(super) fn connect_outcome(&self) -> Option<io::Result<()>> {
         match self.socket.take_error() {
             Ok(Some(fault)) | Err(fault) => Some(Err(fault)),
@@ -96,22 +96,22 @@
         }
     }
 
-    /// Bytes that have arrived and weren't consumed yet.
+    /// Returns the bytes that were received and not consumed yet.
     pub(super) fn unread(&self) -> &[u8] {
         &self.inbox[self.read_start..]
     }
 
-    /// Number of bytes that wait to be taken by the system.
+    /// Returns the number of bytes that the kernel has not accepted yet.
     pub(super) fn queued_bytes(&self) -> usize {
         self.outbox.len() - self.write_start
     }
 
-    /// Whether bytes wait that had to be written by now.
+    /// Returns whether queued bytes have passed their write deadline.
     pub(super) fn missed_write_deadline(&self) -> bool {
         self.write_deadline.is_some_and(|deadline| self.queued_bytes() > 0 && Instant::now() >= deadline)
     }
 
-    /// Marks the first `bytes` of what is unread as read.
+    /// Marks the first `bytes` unread bytes as read.
     pub(super) fn consume(&mut self, bytes: usize) {
         self.read_start = (self.read_start + bytes).min(self.inbox.len());
         if self.read_start == self.inbox.len() {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Reads what has arrived into the inbox, up to a bound for one turn.
+    /// Reads received bytes into the inbox, up to the limit of one turn.
     pub(super) fn read_available(&mut self, scratch: &mut [u8]) -> ReadOutcome {
         if self.read_start > 0 {
             self.inbox.drain(..self.read_start);
@@ -133,7 +133,7 @@
                 Ok(0) => return ReadOutcome::EndOfStream,
                 Ok(length) => {
                     taken += length;
-                    // A connection that is being closed discards what still arrives.
+                    // A connection that is being closed discards the bytes that still arrive.
                     if self.state == State::Open {
                         self.inbox.extend_from_slice(&scratch[..length]);
                     }
@@ -146,7 +146,7 @@
         ReadOutcome::MoreToRead
     }
 
-    /// Writes as much of the outbox as the system takes.
+    /// Writes as much of the outbox as the kernel accepts.
     pub(super) fn write(&mut self) -> io::Result<()> {
         while self.write_start < self.outbox.len() {
             match (&*self.socket).write(&self.outbox[self.write_start..]) {
@@ -167,8 +167,8 @@
         Ok(())
     }
 
-    /// Gives back what is written of an outbox that isn't empty: on a line that is always busy it never is. Only once
-    /// that is more than what waits, so that each byte is moved once on average.
+    /// Frees the written part of an outbox that isn't empty, because on a busy connection it may never become empty.
+    /// Done only if that part is larger than the rest, so that each byte is moved once on average.
     fn compact_outbox(&mut self) {
         if self.write_start > self.queued_bytes() {
             self.outbox.drain(..self.write_start);
--- a/crates/net/src/event.rs
+++ b/crates/net/src/event.rs
@@ -1,10 +1,10 @@
-//! What the event loop reports, and the sources of its events.
+//! The events that the event loop reports, and their sources.
 
 use calloop::ping::Ping;
 
 use super::connection::ConnectionId;
 
-/// What happened.
+/// An event reported by [`super::Network::poll`].
 #[derive(Debug)]
 pub enum Event {
     /// A peer connected to the listener with this tag.
@@ -14,18 +14,18 @@
         /// The new connection.
         connection: ConnectionId,
     },
-    /// A connection that was begun here is up.
+    /// A connection initiated here is established.
     Connected(ConnectionId),
-    /// Bytes have arrived: see [`super::Network::inbox`].
+    /// Bytes were received: see [`super::Network::inbox`].
     Data(ConnectionId),
-    /// The connection is over. What arrived before can still be read until [`super::Network::abort`].
+    /// The connection has ended. Bytes received before can still be read until [`super::Network::abort`].
     Closed {
         /// The connection.
         connection: ConnectionId,
-        /// It failed or never came up, rather than that the peer closed its end in order.
+        /// Whether it failed or was never established; false if the peer closed its end in order.
         reset: bool,
     },
-    /// The process is told to stop (SIGTERM or SIGINT).
+    /// The process was asked to stop (SIGTERM or SIGINT).
     Terminate,
     /// The settings may have changed (SIGHUP).
     Reload,
@@ -43,7 +43,7 @@
     Wake,
 }
 
-/// Everything that became ready in one turn, each source once.
+/// The sources that became ready in one turn, each listed once.
 #[derive(Default)]
 pub(super) struct Ready {
     pub(super) sources: Vec<Source>,
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -17,18 +17,18 @@
 use super::table::ConnectionTable;
 use super::turn::{MayWait, collect_events};
 
-/// Most bytes that one call reads from a socket.
+/// The maximum number of bytes that one call reads from a socket.
 const READ_BYTES: usize = 16 << 10;
-/// How long a peer may take to close its end after this one is closed.
+/// The time within which a peer must close its end after this end is closed.
 const LINGER_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A listening socket and the tag that its connections are reported with.
+/// A listening socket and the tag with which its connections are reported.
 struct Listener {
     socket: Rc<TcpListener>,
     tag: u32,
 }
 
-/// A connection that is closed here and not yet by its peer.
+/// A connection that is closed here and not yet closed by its peer.
 #[derive(Clone, Copy)]
 struct LingeringConnection {
     since: Instant,
@@ -42,34 +42,34 @@
     ready: Ready,
     listeners: Vec<Listener>,
     connections: ConnectionTable,
-    /// Connections whose outboxes may hold bytes to be written.
+    /// Connections whose outboxes may contain bytes to be written.
     dirty: Vec<ConnectionId>,
-    /// Events found outside of polling; the next poll reports them.
+    /// Events found outside of polling; the next poll returns them.
     pending_events: VecDeque<Event>,
-    /// Connections with more to read than one turn takes.
+    /// Connections with more bytes to read than one turn permits.
     more_to_read: Vec<ConnectionId>,
     waker: Waker,
-    /// What is read from a socket first goes here.
+    /// Buffer for reading from sockets.
     scratch: Vec<u8>,
-    /// When the latest turn began: everything that had arrived by then was reported.
+    /// When the latest turn started: everything that had arrived by then was reported.
     turn_started_at: Instant,
-    /// Connections whose peer has yet to close its end, oldest first.
+    /// Connections whose peer has not closed its end yet, oldest first.
     lingering: VecDeque<LingeringConnection>,
-    /// Address that connections begun here leave from; the kernel chooses one where there is none.
+    /// Source address of connections initiated here; the kernel chooses one if it is `None`.
     source_address: Option<Ipv4Addr>,
 }
 
-/// An error of the event loop's library as one of I/O.
+/// Converts an error of the event loop library to an I/O error.
 fn io_error(error: impl std::fmt::Display) -> io::Error {
     io::Error::other(error.to_string())
 }
 
 impl Network {
-    /// A loop without listeners and connections that takes in the process's signals.
+    /// Creates a loop without listeners and connections that handles the signals of the process.
     ///
     /// # Errors
     ///
-    /// The system gives no further file descriptors.
+    /// Returns an error if the system provides no further file descriptors.
     pub fn new() -> io::Result<Network> {
         let events = EventLoop::try_new().map_err(io_error)?;
         let handle: LoopHandle<'static, Ready> = events.handle();
@@ -100,21 +100,21 @@
         })
     }
 
-    /// Connections that are begun from now on leave from `source`; `None` lets the kernel choose.
+    /// Sets the source address of connections initiated from now on; `None` lets the kernel choose.
     pub fn set_source_address(&mut self, source: Option<Ipv4Addr>) {
         self.source_address = source;
     }
 
-    /// A handle by which other threads wake the loop: it then returns [`Event::Woken`].
+    /// Returns a handle with which other threads wake the loop, which then returns [`Event::Woken`].
     pub fn waker(&self) -> Waker {
         self.waker.clone()
     }
 
-    /// Listens at `address`; connections come with `tag`. Returns the address with the port that was taken.
+    /// Listens on `address`; its connections are reported with `tag`. Returns the bound address with its port.
     ///
     /// # Errors
     ///
-    /// The address can't be listened at.
+    /// Returns an error if the address cannot be bound.
     pub fn listen(&mut self, address: SocketAddrV4, tag: u32) -> io::Result<SocketAddr> {
         let socket = Rc::new(sockets::listen(address)?);
         let index = self.listeners.len();
@@ -129,12 +129,12 @@
         Ok(local)
     }
 
-    /// Begins a connection; [`Event::Connected`] or [`Event::Closed`] follows. `user_timeout` bounds how long
-    /// sent bytes may stay unacknowledged by the peer's machine (TCP_USER_TIMEOUT, RFC 5482).
+    /// Initiates a connection; [`Event::Connected`] or [`Event::Closed`] follows. `user_timeout` limits how long sent
+    /// bytes may stay unacknowledged by the peer's machine (TCP_USER_TIMEOUT, RFC 5482).
     ///
     /// # Errors
     ///
-    /// The connection can't even be begun.
+    /// Returns an error if the connection cannot be initiated.
     pub fn connect(&mut self, address: SocketAddrV4, user_timeout: Duration) -> io::Result<ConnectionId> {
         let address = SocketAddr::V4(address);
         let socket = sockets::begin_connect(address, self.source_address, user_timeout)?;
@@ -156,22 +156,22 @@
         Ok(id)
     }
 
-    /// Writes the outboxes, waits up to `wait` for something to happen and returns it. A turn that is judged by
+    /// Writes the outboxes, waits for events for at most `wait` and returns them. Code that evaluates deadlines by
     /// [`Network::turn_started_at`] misses nothing that had arrived by then.
     ///
     /// # Errors
     ///
-    /// The system can't wait for events.
+    /// Returns an error if waiting for events fails.
     pub fn poll(&mut self, wait: Duration) -> io::Result<Vec<Event>> {
         self.flush();
         self.abort_lingering();
         let due = Instant::now().checked_add(wait);
         let has_events = !self.pending_events.is_empty() || !self.more_to_read.is_empty();
         let wait = if has_events { Duration::ZERO } else { wait };
-        let (loop_of_events, ready) = (&mut self.events, &mut self.ready);
+        let (event_loop, ready) = (&mut self.events, &mut self.ready);
         self.turn_started_at = collect_events(due, Instant::now, |may_wait| {
             let wait = if may_wait == MayWait::UntilDue { wait } else { Duration::ZERO };
-            loop_of_events.dispatch(wait, ready)
+            event_loop.dispatch(wait, ready)
         })
         .map_err(io_error)?;
         let mut sources = std::mem::take(&mut self.ready.sources);
@@ -193,8 +193,8 @@
         Ok(events)
     }
 
-    /// When the latest turn began: everything that had arrived by then was returned by [`Network::poll`]. Deadlines are
-    /// judged by this time, since a process may be held after it.
+    /// Returns when the latest turn started: everything that had arrived by then was returned by [`Network::poll`].
+    /// Deadlines are evaluated at this time, because the process may be suspended after it.
     pub fn turn_started_at(&self) -> Instant {
         self.turn_started_at
     }
@@ -205,12 +205,12 @@
             match socket.accept() {
                 Ok((stream, peer)) => match self.insert(stream, peer, State::Open) {
                     Ok(connection) => events.push(Event::Accepted { listener: tag, connection }),
-                    Err(error) => log::warn!("network: a connection was lost as it came: {error}"),
+                    Err(error) => log::warn!("network: an accepted connection was lost: {error}"),
                 },
                 Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(error) if error.kind() == ErrorKind::Interrupted => {}
                 Err(error) => {
-                    log::warn!("network: can't take in a connection: {error}; raise the limit of open files");
+                    log::warn!("network: cannot accept a connection: {error}; raise the limit of open files");
                     return;
                 }
             }
@@ -265,7 +265,7 @@
         }
     }
 
-    /// Bytes that have arrived and weren't consumed yet.
+    /// Returns the bytes that were received and not consumed yet.
     pub fn inbox(&self, id: ConnectionId) -> &[u8] {
         self.connections.get(id).map_or(&[], Connection::unread)
     }
@@ -277,7 +277,7 @@
         }
     }
 
-    /// Bytes to be written to the connection; they leave at the end of the turn.
+    /// Returns the buffer of bytes to be written to the connection; they are written at the end of the turn.
     pub fn outbox(&mut self, id: ConnectionId) -> Option<&mut Vec<u8>> {
         self.mark_dirty(id);
         self.connections
@@ -293,9 +293,10 @@
         }
     }
 
-    /// What is sent on the connection until its outbox is empty is written within `limit` of the start of this turn or
-    /// not at all: later the connection is closed instead, with [`Event::Closed`]. The time is looked at right before
-    /// the bytes are written, so that also a process that was suspended in mid-turn writes nothing late.
+    /// Limits the time for writing the bytes sent on the connection until its outbox is empty. They are written within
+    /// `limit` of the start of this turn or not at all: after that the connection is closed instead, with
+    /// [`Event::Closed`]. The time is checked right before the bytes are written, so a process that was suspended
+    /// within a turn writes nothing after the deadline.
     pub fn set_write_deadline(&mut self, id: ConnectionId, limit: Duration) {
         let deadline = self.turn_started_at + limit;
         if let Some(connection) = self.connections.get_mut(id) {
@@ -303,28 +304,28 @@
         }
     }
 
-    /// Bytes that wait to be taken by the system.
+    /// Returns the number of bytes that the kernel has not accepted yet.
     pub fn queued_bytes(&self, id: ConnectionId) -> usize {
         self.connections.get(id).map_or(0, Connection::queued_bytes)
     }
 
-    /// Whether the connection is up and may be written to.
+    /// Returns whether the connection is established and may be written to.
     pub fn is_open(&self, id: ConnectionId) -> bool {
         self.connections.get(id).is_some_and(|c| c.state == State::Open && !c.finish)
     }
 
-    /// Whether the connection is over and its peer closed its end in order, after everything it had sent. Only then
-    /// can a message without a length be whole.
+    /// Returns whether the connection has ended and its peer closed its end in order, after everything it had sent.
+    /// Only then can a message without a length be complete.
     pub fn closed_cleanly(&self, id: ConnectionId) -> bool {
         self.connections.get(id).is_some_and(|c| c.state == State::Closed { reset: false })
     }
 
-    /// Address of the peer.
+    /// Returns the address of the peer.
     pub fn peer_address(&self, id: ConnectionId) -> Option<SocketAddr> {
         self.connections.get(id).map(|c| c.peer)
     }
 
-    /// Number of connections that are held.
+    /// Returns the number of open connections.
     pub fn connection_count(&self) -> usize {
         self.connections.len()
     }
@@ -337,7 +338,7 @@
         }
     }
 
-    /// Drops the connection at once with all that waits in it. No event follows.
+    /// Drops the connection at once, including its buffers. No event follows.
     pub fn abort(&mut self, id: ConnectionId) {
         let Some(connection) = self.connections.remove(id) else { return };
         if let Some(registration) = connection.registration {
@@ -354,7 +355,7 @@
         }
     }
 
-    /// Writes what waits in the outboxes.
+    /// Writes the bytes queued in the outboxes.
     pub fn flush(&mut self) {
         for id in std::mem::take(&mut self.dirty) {
             let Some(connection) = self.connections.get_mut(id) else { continue };
@@ -380,7 +381,7 @@
         }
     }
 
-    /// Drops lingering connections whose peers don't close their end in time.
+    /// Drops lingering connections whose peers have not closed their end in time.
     fn abort_lingering(&mut self) {
         while let Some(&LingeringConnection { since, id }) = self.lingering.front() {
             if self.connections.get(id).is_some() && since.elapsed() < LINGER_TIMEOUT {
@@ -391,7 +392,7 @@
         }
     }
 
-    /// After a failed write, what the peer had sent before is read first.
+    /// Closes a connection after a failed write, once the bytes that the peer had sent before are read.
     fn mark_closed_by_write(&mut self, id: ConnectionId, events: &mut Vec<Event>) {
         let scratch = &mut self.scratch[..];
         let Some(connection) = self.connections.get_mut(id) else { return };
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! The event loop of a process: listeners, connections and signals in one thread.
 //!
-//! [`Network::poll`] waits for readiness and returns what happened; everything that is to be sent is collected
-//! in the outboxes of the connections and written at the end of the turn by [`Network::flush`].
+//! [`Network::poll`] waits for events and returns them. Bytes to be sent are collected in the outboxes of the
+//! connections and written at the end of the turn by [`Network::flush`].
 
 pub mod clock;
 mod connection;
--- a/crates/net/src/sockets.rs
+++ b/crates/net/src/sockets.rs
@@ -1,4 +1,4 @@
-//! Opening of sockets: those that listen, and those of connections that are begun here.
+//! Creation of listening sockets and of sockets for outgoing connections.
 
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -7,10 +7,10 @@
 use rustix::io::Errno;
 use socket2::{Domain, Protocol, Socket, Type};
 
-/// Most connections that the system keeps for a listener until they are accepted.
+/// The maximum number of connections that the kernel queues for a listener until they are accepted.
 const BACKLOG: i32 = 1024;
 
-/// A socket that listens at `address` and doesn't block.
+/// Returns a non-blocking socket that listens on `address`.
 pub(super) fn listen(address: SocketAddrV4) -> io::Result<TcpListener> {
     let socket = Socket::new(Domain::IPV4, Type::STREAM, Some(Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -20,8 +20,8 @@
     Ok(socket.into())
 }
 
-/// A socket that begins to connect to `address` from `source`, or from an address of the kernel's choice.
-/// `user_timeout` bounds how long sent bytes may stay unacknowledged by the peer's machine.
+/// Returns a socket that is connecting to `address` from `source`, or from an address that the kernel chooses.
+/// `user_timeout` limits how long sent bytes may stay unacknowledged by the peer's machine.
 pub(super) fn begin_connect(
     address: SocketAddr,
     source: Option<Ipv4Addr>,
--- a/crates/net/src/table.rs
+++ b/crates/net/src/table.rs
@@ -1,10 +1,10 @@
-//! The table of connections: each is found by its slot, and distinguished from earlier ones there by its serial number.
+//! The table of connections. A slot is reused; the serial number distinguishes its connections.
 
 use slab::Slab;
 
 use super::connection::{Connection, ConnectionId};
 
-/// All connections that are held.
+/// All open connections.
 pub(super) struct ConnectionTable {
     slots: Slab<Connection>,
     next_serial: u32,
@@ -15,14 +15,14 @@
         ConnectionTable { slots: Slab::new(), next_serial: 1 }
     }
 
-    /// The id of the connection that is inserted next.
+    /// Returns the id of the connection that is inserted next.
     pub(super) fn next_id(&mut self) -> ConnectionId {
         let id = ConnectionId { slot: self.slots.vacant_key() as u32, serial: self.next_serial };
         self.next_serial = self.next_serial.wrapping_add(1);
         id
     }
 
-    /// Inserts the connection that the last [`ConnectionTable::next_id`] was for.
+    /// Inserts the connection for which [`ConnectionTable::next_id`] was last called.
     pub(super) fn insert(&mut self, connection: Connection) {
         self.slots.insert(connection);
     }
@@ -40,7 +40,7 @@
         self.slots.try_remove(id.slot as usize)
     }
 
-    /// Number of connections that are held.
+    /// Returns the number of open connections.
     pub(super) fn len(&self) -> usize {
         self.slots.len()
     }
--- a/crates/net/src/turn.rs
+++ b/crates/net/src/turn.rs
@@ -1,19 +1,18 @@
-//! When a turn of an event loop takes place: the time by which it judges what is due.
+//! The time of a turn of an event loop, at which its deadlines are evaluated.
 
-/// Collects what has happened, and returns the time of the turn: everything that had arrived by then is collected.
+/// Collects events and returns the time of the turn: everything that had arrived by then is collected.
 ///
-/// A process may be held for long between the end of its wait and the reading of the clock (stopped, or without a
-/// processor). What arrived meanwhile is not among the events of that wait, but the deadlines that passed meanwhile
-/// would look missed. So where something is due by the time that was read, events are collected once more, without a
-/// wait.
+/// A process may be suspended for long between the end of its wait and the reading of the clock (stopped, or without a
+/// CPU). Events that arrive meanwhile are not among those of that wait, while deadlines that pass meanwhile would seem
+/// missed. So if a deadline is due at the time that was read, events are collected once more, without waiting.
 ///
-/// * `due`: when the earliest deadline falls due; the caller waits until then at most.
+/// * `due`: the earliest deadline; the caller waits no longer than that.
 /// * `now`: reads the clock.
-/// * `dispatch`: collects events; its argument says whether it may wait for them.
+/// * `dispatch`: collects events; its argument determines whether it may wait for them.
 ///
 /// # Errors
 ///
-/// Those of `dispatch`.
+/// Returns the errors of `dispatch`.
 pub fn collect_events<T: Copy + PartialOrd, E>(
     due: Option<T>,
     now: impl FnOnce() -> T,
@@ -27,11 +26,11 @@
     Ok(time)
 }
 
-/// Whether events may be waited for.
+/// Whether `dispatch` may wait for events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MayWait {
-    /// Until the earliest deadline falls due.
+    /// It may wait until the earliest deadline.
     UntilDue,
-    /// Only what has happened already is collected.
+    /// It collects only the events that have occurred already.
     No,
 }
--- a/crates/net/tests/clock.rs
+++ b/crates/net/tests/clock.rs
@@ -7,7 +7,7 @@
 const WALL_MS: u64 = 1_790_000_000_000;
 
 #[test]
-fn the_time_of_day_goes_on_by_the_monotonic_clock() {
+fn time_of_day_advances_with_the_monotonic_clock() {
     let clock = Clock::begin(Instant::now(), WALL_MS);
     let now = clock.now();
     let wall = clock.wall_ms_at(now);
--- a/crates/net/tests/network.rs
+++ b/crates/net/tests/network.rs
@@ -1,4 +1,4 @@
-//! The event loop's connections against sockets of the standard library.
+//! Connections of the event loop against sockets of the standard library.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, SocketAddrV4, TcpListener, TcpStream};
@@ -8,7 +8,7 @@
 
 const LIMIT: Duration = Duration::from_secs(20);
 
-/// Address that a connection leaves from, by what the listener sees.
+/// Returns the source address of a connection, as seen by the listener.
 fn source_of(network: &mut Network) -> Ipv4Addr {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -16,7 +16,7 @@
     let begin = Instant::now();
     let mut up = false;
     while !up {
-        assert!(begin.elapsed() < LIMIT, "the connection comes up");
+        assert!(begin.elapsed() < LIMIT, "the connection was not established");
         let events = network.poll(Duration::from_millis(10)).unwrap();
         up = events.iter().any(|event| matches!(event, Event::Connected(connected) if *connected == id));
     }
@@ -35,9 +35,9 @@
     assert_eq!(source_of(&mut network), Ipv4Addr::LOCALHOST);
 }
 
-/// As for a process that stands still between sending and writing: its time is over when it goes on.
+/// Like a process that is suspended between sending and writing until the deadline has passed.
 #[test]
-fn bytes_whose_time_is_over_are_never_written() {
+fn bytes_past_their_write_deadline_are_never_written() {
     let mut network = Network::new().unwrap();
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -47,20 +47,20 @@
     let begin = Instant::now();
     let mut closed = false;
     while !closed {
-        assert!(begin.elapsed() < LIMIT, "the connection is closed");
+        assert!(begin.elapsed() < LIMIT, "the connection was not closed");
         let events = network.poll(Duration::from_millis(10)).unwrap();
         closed =
             events.iter().any(|event| matches!(event, Event::Closed { connection, .. } if *connection == id));
     }
     network.abort(id);
     let (mut peer, _) = listener.accept().unwrap();
-    let mut got = Vec::new();
-    peer.read_to_end(&mut got).unwrap();
-    assert!(got.is_empty());
+    let mut received = Vec::new();
+    peer.read_to_end(&mut received).unwrap();
+    assert!(received.is_empty());
 }
 
 #[test]
-fn bytes_that_are_written_in_time_leave_the_connection_as_it_is() {
+fn bytes_written_before_the_deadline_leave_the_connection_open() {
     let mut network = Network::new().unwrap();
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let port = listener.local_addr().unwrap().port();
@@ -69,16 +69,16 @@
     network.send(id, b"in time");
     let begin = Instant::now();
     while !network.is_open(id) || network.queued_bytes(id) > 0 {
-        assert!(begin.elapsed() < LIMIT, "the bytes are written");
+        assert!(begin.elapsed() < LIMIT, "the bytes were not written");
         network.poll(Duration::from_millis(10)).unwrap();
     }
     let (mut peer, _) = listener.accept().unwrap();
-    let mut got = [0; 7];
-    peer.read_exact(&mut got).unwrap();
-    assert_eq!(&got, b"in time");
+    let mut received = [0; 7];
+    peer.read_exact(&mut received).unwrap();
+    assert_eq!(&received, b"in time");
 }
 
-/// The rest of a message comes, and is shorter than what was consumed before its beginning.
+/// The rest of a message arrives, and is shorter than the bytes consumed before the message.
 #[test]
 fn bytes_that_follow_an_unconsumed_rest_are_reported() {
     let mut network = Network::new().unwrap();
@@ -95,11 +95,11 @@
     assert_eq!(network.inbox(id), b"beginning");
 }
 
-/// The connection on which data comes next.
+/// Returns the connection on which data arrives next.
 fn data(network: &mut Network) -> ConnectionId {
     let begin = Instant::now();
     loop {
-        assert!(begin.elapsed() < LIMIT, "data is reported");
+        assert!(begin.elapsed() < LIMIT, "no data was reported");
         let events = network.poll(Duration::from_millis(10)).unwrap();
         let connection = |event: &Event| match event {
             Event::Data(connection) => Some(*connection),
@@ -111,11 +111,11 @@
     }
 }
 
-/// The peer takes as much as is sent, and the line is never idle.
+/// The peer reads as much as is sent, and the connection is never idle.
 #[test]
 fn an_outbox_that_is_never_empty_does_not_grow() {
     const CHUNK_BYTES: usize = 1 << 20;
-    /// More than the system takes of what the peer hasn't read.
+    /// More than the kernel buffers of the data that the peer hasn't read.
     const WAITING_CHUNKS: usize = 24;
     const CHUNKS: usize = 150;
     let mut network = Network::new().unwrap();
@@ -136,7 +136,7 @@
             network.poll(Duration::ZERO).unwrap();
             taken += peer.read(&mut chunk[taken..]).unwrap_or(0);
         }
-        assert!(network.queued_bytes(id) > 0, "the line is busy");
+        assert!(network.queued_bytes(id) > 0, "the connection is idle");
     }
     let held = network.outbox(id).unwrap().len();
     assert!(held <= 3 * network.queued_bytes(id), "{held} bytes are held");
--- a/crates/net/tests/outgoing_link.rs
+++ b/crates/net/tests/outgoing_link.rs
@@ -1,4 +1,4 @@
-//! A link to another process: opened, given up, and opened again after its pause.
+//! A link to another process: opened, reset, and opened again after its delay.
 
 use std::net::{Ipv4Addr, TcpListener};
 
@@ -6,36 +6,36 @@
 use orchidvalve_net::outgoing_link::{MonitoredLink, OutgoingLink, ReconnectTiming};
 use orchidvalve_protocol::identity::NodeAddress;
 
-const PACE: ReconnectTiming = ReconnectTiming { retry_interval_ms: 150, connect_timeout_ms: 300 };
+const TIMING: ReconnectTiming = ReconnectTiming { retry_interval_ms: 150, connect_timeout_ms: 300 };
 const START: u64 = 100_000;
 
-/// A peer that takes connections, and a link to it that has been opened at [`START`].
+/// Returns a peer that accepts connections, and a link to it that was opened at [`START`].
 fn opened_link() -> (TcpListener, NodeAddress, Network, OutgoingLink) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let address = NodeAddress::new(Ipv4Addr::LOCALHOST, listener.local_addr().unwrap().port());
     let mut network = Network::new().unwrap();
-    let mut link = OutgoingLink::new(PACE);
+    let mut link = OutgoingLink::new(TIMING);
     link.connect_if_due(&mut network, address, START);
     assert!(link.connection().is_some());
     (listener, address, network, link)
 }
 
 #[test]
-fn a_link_that_does_not_come_up_hangs_and_is_begun_anew_at_once() {
+fn link_that_is_not_established_times_out_and_is_opened_again_at_once() {
     let (_listener, address, mut network, mut link) = opened_link();
     let first = link.connection().unwrap();
     assert_eq!(link.next_wakeup(0), START + 300);
     assert!(!link.connect_timed_out(START + 299));
     assert!(link.connect_timed_out(START + 300));
     assert!(link.reset(&mut network, START + 300));
-    assert!(!link.reset(&mut network, START + 300), "there is none left");
+    assert!(!link.reset(&mut network, START + 300), "the connection was already dropped");
     link.connect_if_due(&mut network, address, START + 300);
     assert!(link.connection().is_some_and(|connection| connection != first));
     assert_eq!(link.connect_started_at(), START + 300);
 }
 
 #[test]
-fn a_link_that_ended_is_opened_again_after_its_pause() {
+fn link_that_ended_is_opened_again_after_the_delay() {
     let (_listener, address, mut network, mut link) = opened_link();
     link.connected();
     assert!(link.is_up() && !link.connect_timed_out(START + 10_000));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_peer_that_is_known_to_be_up_is_called_again_at_once() {
+fn link_to_a_reachable_peer_is_opened_again_at_once() {
     let (_listener, _address, mut network, mut link) = opened_link();
     link.peer_reachable(START + 10);
     assert!(link.connect_timed_out(START + 10));
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn a_link_that_is_abandoned_is_opened_again_without_a_pause() {
+fn link_that_is_reset_is_opened_again_without_a_delay() {
     let (_listener, address, mut network, mut link) = opened_link();
     link.connected();
     assert!(link.reset(&mut network, START + 10));
@@ -85,15 +85,15 @@
 }
 
 #[test]
-fn a_monitored_link_fails_when_it_does_not_come_up_or_its_peer_is_silent() {
+fn monitored_link_fails_if_it_is_not_established_or_its_peer_is_unresponsive() {
     let (_listener, address, mut network, _) = opened_link();
-    let mut link = MonitoredLink::new(PACE, 1_000);
+    let mut link = MonitoredLink::new(TIMING, 1_000);
     link.outgoing.connect_if_due(&mut network, address, START);
     assert!(!link.has_failed(START + 299));
-    assert!(link.has_failed(START + 300), "it isn't up in time");
+    assert!(link.has_failed(START + 300), "the connection was not established in time");
     link.outgoing.connected();
     assert!(!link.has_failed(START + 1_000));
-    assert!(link.has_failed(START + 1_001), "its peer was never heard");
+    assert!(link.has_failed(START + 1_001), "nothing was received from the peer");
     link.message_received(START + 500);
     assert_eq!(link.last_received_at(), START + 500);
     assert!(!link.has_failed(START + 1_500));
@@ -101,9 +101,6 @@
     assert!(link.outgoing.reset(&mut network, START + 5_000));
     link.outgoing.connect_if_due(&mut network, address, START + 5_000);
     link.outgoing.connected();
-    assert!(
-        !link.has_failed(START + 6_000),
-        "a new connection gets as long, though the peer was heard long ago"
-    );
+    assert!(!link.has_failed(START + 6_000), "a new connection must be allowed the full timeout");
     assert!(link.has_failed(START + 6_001));
 }
--- a/crates/net/tests/turn.rs
+++ b/crates/net/tests/turn.rs
@@ -1,11 +1,11 @@
-//! The time of a turn: nothing that arrived before it is left uncollected.
+//! The time of a turn: no event that arrived before it is left uncollected.
 
 use std::cell::{Cell, RefCell};
 
 use orchidvalve_net::turn::{MayWait, collect_events};
 use rstest::rstest;
 
-/// A process that is held for some time after its wait. Something arrives at `arrives_at`.
+/// A process that is suspended for `held` after its wait. An event arrives at `arrives_at`.
 struct HeldProcess {
     clock: Cell<u64>,
     held: u64,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// The wait ends at `due`, or when the event arrives; then the process is held.
+    /// The wait ends at `due`, or when the event arrives; then the process is suspended.
     fn dispatch(&self, due: Option<u64>, wait: MayWait) {
         self.waits.borrow_mut().push(wait);
         if wait == MayWait::UntilDue {
@@ -54,7 +54,7 @@
 #[case::arrived_in_time(0, Some(100), 40)]
 #[case::held_after_an_event(500, Some(100), 40)]
 #[case::due_already(30, Some(0), 20)]
-fn what_arrived_before_the_time_of_the_turn_is_collected(
+fn events_that_arrived_before_the_time_of_the_turn_are_collected(
     #[case] held: u64,
     #[case] due: Option<u64>,
     #[case] arrives_at: u64,
@@ -62,11 +62,11 @@
     let process = HeldProcess::new(held, arrives_at);
     let time = process.turn(due);
     assert!(arrives_at <= time);
-    assert!(process.collected_at.get().is_some(), "collected by {time}");
+    assert!(process.collected_at.get().is_some(), "not collected by {time}");
 }
 
 #[test]
-fn where_nothing_is_due_events_are_collected_once() {
+fn events_are_collected_once_if_nothing_is_due() {
     let process = HeldProcess::new(0, 40);
     assert_eq!(process.turn(Some(100)), 40);
     assert_eq!(*process.waits.borrow(), [MayWait::UntilDue]);
