--- a/crates/wal/src/assembler.rs
+++ b/crates/wal/src/assembler.rs
@@ -1,34 +1,34 @@
-//! Puts the records together from the fragments of all files, in the order in which they were written.
+//! Assembles records from the fragments of all files, in the order in which they were written.
 
 use crate::format::{FragmentHeader, Position};
 use crate::recovery::Record;
 
-/// Place within the sequence of records: a position and an offset in that record.
+/// A location in the sequence of records: the position of a record and an offset in that record.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 struct Cursor {
     position: Position,
     offset: u32,
 }
 
-/// Whether a fragment counts.
+/// Whether a fragment belongs to the log.
 pub(crate) enum FragmentStatus {
     Accepted,
-    /// Left behind by an older use of the file: what counts ends before it.
+    /// Left over from an earlier use of the file: the valid fragments end before it.
     Stale,
-    /// Records that are needed are missing before it.
+    /// Records that are still needed are missing before it.
     Hole,
 }
 
-/// The records put together so far.
+/// The records assembled so far.
 #[derive(Default)]
 pub(crate) struct Assembler {
     pub released_before: Position,
     pub durable_through: Position,
-    /// Where the next fragment has to begin; position 0 before the first.
+    /// Where the next fragment must begin; position 0 before the first.
     expected: Cursor,
-    /// The beginning of a record whose end is still missing.
+    /// The beginning of a record whose end has not been read yet.
     partial: Vec<u8>,
-    /// The beginning of the current record is gone with a file that was used again.
+    /// Whether the beginning of the current record was in a file that has been reused.
     start_is_missing: bool,
     records: Vec<Record>,
 }
@@ -38,18 +38,18 @@
         Self { released_before, durable_through, ..Self::default() }
     }
 
-    /// Position of the record that the next fragment belongs to; 0 before the first.
+    /// Returns the position of the record that the next fragment belongs to; 0 before the first.
     pub fn next_position(&self) -> Position {
         self.expected.position
     }
 
-    /// The records that are still needed.
+    /// Returns the records that are still needed.
     pub fn into_records(mut self) -> Vec<Record> {
         self.records.retain(|record| record.position >= self.released_before);
         self.records
     }
 
-    /// Takes the next fragment of a file; `after_marker` if it is the first one of the file or after a sync marker.
+    /// Adds the next fragment of a file. `after_marker` is set for the first one of a file and after a sync marker.
     pub fn accept(&mut self, header: &FragmentHeader, payload: &[u8], after_marker: bool) -> FragmentStatus {
         let cursor = Cursor { position: header.position, offset: header.offset };
         if self.expected.position == 0 {
@@ -69,14 +69,14 @@
         FragmentStatus::Accepted
     }
 
-    /// The sequence begins at `cursor`: what came before was no longer needed.
+    /// Restarts the sequence at `cursor`, because the records before it are no longer needed.
     fn restart_at(&mut self, cursor: Cursor) {
         self.records.clear();
         self.partial.clear();
         self.start_is_missing = cursor.offset > 0;
     }
 
-    /// The records from `cursor` on were written again.
+    /// Drops everything from `cursor` on, because it was written again.
     fn go_back_to(&mut self, cursor: Cursor) {
         if cursor.position < self.expected.position {
             self.partial.clear();
@@ -95,7 +95,7 @@
         }
     }
 
-    /// Adds a fragment that goes on where the one before it ended.
+    /// Appends a fragment that continues where the previous one ended.
     fn append(&mut self, header: &FragmentHeader, payload: &[u8]) {
         let end = header.offset + header.length;
         if !self.start_is_missing {
--- a/crates/wal/src/backlog.rs
+++ b/crates/wal/src/backlog.rs
@@ -1,31 +1,31 @@
-//! Since when the oldest record that is not durable waits.
+//! Tracks how long the oldest record that is not durable has been waiting.
 
 use std::collections::VecDeque;
 use std::time::Instant;
 
 use crate::format::Position;
 
-/// One batch: what is appended until the thread takes the queue.
+/// The records appended between two times at which the thread takes the queue.
 #[derive(Debug)]
 struct Batch {
     first_position: Position,
-    /// When its first record was appended.
+    /// When the first record of the batch was appended.
     since: Instant,
 }
 
-/// Batches that hold a record which is not durable, oldest first.
+/// The batches with a record that is not durable, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct Backlog {
     batches: VecDeque<Batch>,
 }
 
 impl Backlog {
-    /// A batch begins with the record of this position.
+    /// Starts a batch with the record at this position.
     pub(crate) fn begin(&mut self, first_position: Position, since: Instant) {
         self.batches.push_back(Batch { first_position, since });
     }
 
-    /// Forgets the batches whose records are all durable; `next_position` is the one after the newest record.
+    /// Removes the batches whose records are all durable. `next_position` is the position after the latest record.
     pub(crate) fn forget_durable(&mut self, durable_through: Position, next_position: Position) {
         while !self.batches.is_empty() {
             let end = self.batches.get(1).map_or(next_position, |batch| batch.first_position);
@@ -36,7 +36,7 @@
         }
     }
 
-    /// When the oldest batch began.
+    /// Returns when the oldest batch began.
     pub(crate) fn oldest(&self) -> Option<Instant> {
         self.batches.front().map(|batch| batch.since)
     }
--- a/crates/wal/src/error.rs
+++ b/crates/wal/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors of opening a ring and of a ring in use.
+//! Errors when a ring is opened, and errors of a ring in use.
 
 use std::io;
 
@@ -6,72 +6,72 @@
 
 use crate::format::Position;
 
-/// Why a ring cannot be opened.
+/// The reason why a ring cannot be opened.
 #[derive(Debug, Display, Error)]
 pub enum OpenError {
-    /// The options leave no room for three files.
+    /// The capacity is too small for three files, or the file size is below the minimum.
     #[display(
         "a ring of {capacity_bytes} bytes cannot hold three files of {file_bytes} bytes; \
          raise the capacity or lower the file size (at least {} bytes)",
         crate::format::MIN_FILE_BYTES
     )]
     TooSmall {
-        /// Asked capacity.
+        /// The configured capacity in bytes.
         capacity_bytes: u64,
-        /// Asked size of a file.
+        /// The configured file size in bytes.
         file_bytes: u64,
     },
-    /// The disk refused an operation.
+    /// A file operation failed.
     #[display(
         "cannot {action} in the data directory: {source}; check the disk and its rights, then start again"
     )]
     Disk {
-        /// What was tried.
+        /// The operation that failed.
         action: &'static str,
-        /// The system's answer.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// Records were recovered that a loss of power could still take away.
-    #[display("what was recovered is not durable yet: {_0}; then start again")]
+    /// Records were recovered that a loss of power could still remove.
+    #[display("the recovered records are not durable yet: {_0}; then start again")]
     NotDurable(#[error(not(source))] DiskError),
-    /// Records that had been durable are gone.
+    /// Records that had been durable are missing.
     #[display(
         "file {file} lacks records from position {position} on that had been synced; empty the data directory, \
          the process then starts as one whose disk was lost"
     )]
     Damaged {
-        /// Name of the file where the records should go on.
+        /// Name of the file in which the records should continue.
         #[error(not(source))]
         file: String,
         /// First missing position.
         position: Position,
     },
-    /// The identity file cannot be read as one.
+    /// The identity file is damaged.
     #[display(
         "the file 'identity' is damaged; empty the data directory, the process then starts as one whose disk was lost"
     )]
     DamagedIdentity,
 }
 
-/// What keeps a ring from opening for now. It may pass without anyone touching the data directory.
+/// An error that prevents a ring from being opened for now. It may pass without a change to the data directory.
 #[derive(Debug, Display)]
 pub enum TransientError<'e> {
-    /// Records were recovered that a loss of power could still take away.
-    #[display("what was recovered is not durable yet: {_0}")]
+    /// Records were recovered that a loss of power could still remove.
+    #[display("the recovered records are not durable yet: {_0}")]
     NotDurable(DiskError),
-    /// The disk refused an operation.
+    /// A file operation failed.
     #[display("cannot {action} in the data directory: {source}")]
     Disk {
-        /// What was tried.
+        /// The operation that failed.
         action: &'static str,
-        /// The system's answer.
+        /// The error of the operating system.
         source: &'e io::Error,
     },
 }
 
 impl OpenError {
-    /// The transient error behind this one, if another attempt may succeed: a disk that is full or refuses may work
-    /// again. Damaged files, wrong options, and answers of the system about wrong rights or paths stay as they are.
+    /// Returns the transient error behind this one if another attempt may succeed: a full or failing disk may recover.
+    /// Damaged files, invalid options, and system errors about permissions or paths are permanent.
     pub fn transient(&self) -> Option<TransientError<'_>> {
         match self {
             Self::NotDurable(disk_error) => Some(TransientError::NotDurable(*disk_error)),
@@ -82,13 +82,13 @@
         }
     }
 
-    /// Wraps an answer of the disk with what was tried.
+    /// Wraps an error of a file operation with the name of the operation.
     pub(crate) fn disk(action: &'static str) -> impl FnOnce(io::Error) -> Self {
         move |source| Self::Disk { action, source }
     }
 }
 
-/// Whether this answer of the system comes from a mistake in the settings or rights, not from a failing disk.
+/// Returns whether the error is caused by the settings or permissions and not by a failing disk.
 fn is_permanent(kind: io::ErrorKind) -> bool {
     use io::ErrorKind;
     matches!(
@@ -103,10 +103,10 @@
     )
 }
 
-/// Why queued records do not become durable at the moment. The ring goes on trying.
+/// The reason why queued records cannot become durable at the moment. The ring keeps retrying.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Display)]
 pub enum DiskError {
-    /// All files hold records that are still needed.
+    /// All files contain records that are still needed.
     #[display("all files of the ring are in use; release old records or raise the capacity")]
     RingFull,
     /// The file system is full.
@@ -115,13 +115,13 @@
     /// A write or another file operation failed.
     #[display("the disk refuses writes ({_0}); check the disk")]
     WriteFailed(io::ErrorKind),
-    /// A sync failed; the records concerned are written again to another file.
+    /// A sync failed; the affected records are written again to another file.
     #[display("the disk fails to sync ({_0}); check the disk")]
     SyncFailed(io::ErrorKind),
 }
 
 impl DiskError {
-    /// The error behind a failed write.
+    /// Converts the error of a failed write.
     pub(crate) fn of_write(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::StorageFull => Self::NoSpace,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// The error behind a failed sync.
+    /// Converts the error of a failed sync.
     pub(crate) fn of_sync(error: &io::Error) -> Self {
         match error.kind() {
             io::ErrorKind::StorageFull => Self::NoSpace,
--- a/crates/wal/src/format.rs
+++ b/crates/wal/src/format.rs
@@ -1,45 +1,46 @@
-//! Bytes of a ring file: a header block, then fragments of records one after the other.
+//! Format of a ring file: a header block, then consecutive fragments of records.
 //!
-//! A record is one fragment, or several where it crosses the end of a file. All numbers are little-endian.
-//! The checksum of a fragment begins with the salt of the file's current use, so what an older use left behind
-//! is not valid. A fragment of position 0 is a sync marker. One precedes what each sync covers: the file is synced
-//! through there. It gives the salt of the fragments after it, a new one after each start of the process.
+//! A record is one fragment, or several if it crosses the end of a file. All numbers are little-endian.
+//! The checksum of a fragment is seeded with the salt of the file's current use, so bytes left from an earlier use are
+//! not valid. A fragment of position 0 is a sync marker. It precedes the fragments that one sync covers: the file is
+//! synced up to the marker. It contains the salt of the fragments after it, which changes after each start of the
+//! process.
 
 use crc32fast::Hasher;
 
-/// Number of a record, its log sequence number: from 1, rising by one.
+/// Log sequence number of a record: from 1, increasing by one.
 pub type Position = u64;
 
-/// Bytes of the block at the start of a file that holds its header.
+/// Size in bytes of the block at the start of a file that contains its header.
 pub const FILE_HEADER_BYTES: u64 = 4096;
-/// Bytes before the payload of a fragment.
+/// Size in bytes of the header that precedes the payload of a fragment.
 pub const FRAGMENT_HEADER_BYTES: usize = 24;
-/// A file with fewer free bytes than this is full.
+/// A file with fewer free bytes than this counts as full.
 pub const MIN_FREE_BYTES: u64 = FRAGMENT_HEADER_BYTES as u64 + 104;
-/// The smallest size of a file that works.
+/// The smallest supported file size in bytes.
 pub const MIN_FILE_BYTES: u64 = FILE_HEADER_BYTES + 4 * MIN_FREE_BYTES;
-/// Position of a marker; records begin at 1.
+/// Position of a sync marker; records start at 1.
 pub const SYNC_MARKER_POSITION: Position = 0;
 
 const MAGIC: &[u8; 8] = b"ORCHRNG1";
 const ENCODED_HEADER_BYTES: usize = 40;
 const ENCODED_SYNC_MARKER_BYTES: usize = 12;
 
-/// Header of a file: one per use, synced before the use begins.
+/// Header of a file, written and synced before each use of the file begins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FileHeader {
-    /// Number of this use of the file; rises over all files of the ring.
+    /// Number of this use of the file; increases across all files of the ring.
     pub generation: u64,
-    /// Salt of the checksums of this use.
+    /// Salt of the checksums during this use.
     pub salt: u32,
     /// Position through which records were durable when the header was written.
     pub durable_through: Position,
-    /// Records below this position were no longer needed when the header was written.
+    /// Position below which records were no longer needed when the header was written.
     pub released_before: Position,
 }
 
 impl FileHeader {
-    /// The bytes of the header.
+    /// Encodes the header.
     pub fn encode(&self) -> [u8; ENCODED_HEADER_BYTES] {
         let mut bytes = [0; ENCODED_HEADER_BYTES];
         bytes[0..8].copy_from_slice(MAGIC);
@@ -52,7 +53,7 @@
         bytes
     }
 
-    /// Reads a header; `None` if the bytes hold none that is whole.
+    /// Decodes a header; returns `None` if the bytes contain no valid one.
     pub fn decode(bytes: &[u8]) -> Option<Self> {
         let bytes = bytes.get(..ENCODED_HEADER_BYTES)?;
         if &bytes[0..8] != MAGIC || crc32fast::hash(&bytes[..36]) != read_u32(bytes, 36) {
@@ -70,20 +71,20 @@
 /// Header of a fragment.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct FragmentHeader {
-    /// Checksum over salt, the other fields and the payload.
+    /// Checksum of the salt, the other fields and the payload.
     pub checksum: u32,
-    /// Bytes of payload in this fragment.
+    /// Number of payload bytes in this fragment.
     pub length: u32,
     /// Position of the record.
     pub position: Position,
-    /// Where in the record this fragment begins.
+    /// Offset in the record at which this fragment begins.
     pub offset: u32,
-    /// Bytes of the whole record.
+    /// Total size of the record in bytes.
     pub total: u32,
 }
 
 impl FragmentHeader {
-    /// The header of a fragment with this payload.
+    /// Creates the header of a fragment with this payload.
     pub fn new(salt: u32, position: Position, offset: u32, total: u32, payload: &[u8]) -> Self {
         let length = payload.len() as u32;
         let mut header = Self { checksum: 0, length, position, offset, total };
@@ -91,7 +92,7 @@
         header
     }
 
-    /// The bytes of the header.
+    /// Encodes the header.
     pub fn encode(&self) -> [u8; FRAGMENT_HEADER_BYTES] {
         let mut bytes = [0; FRAGMENT_HEADER_BYTES];
         bytes[0..4].copy_from_slice(&self.checksum.to_le_bytes());
@@ -102,7 +103,7 @@
         bytes
     }
 
-    /// Reads the fields; whether they are true only [`Self::is_valid`] tells.
+    /// Decodes the fields without validation; see [`Self::is_valid`].
     pub fn decode(bytes: &[u8; FRAGMENT_HEADER_BYTES]) -> Self {
         Self {
             checksum: read_u32(bytes, 0),
@@ -113,13 +114,13 @@
         }
     }
 
-    /// Whether the lengths can be true, before the payload is read.
+    /// Returns whether the lengths are consistent, before the payload is read.
     pub fn is_plausible(&self) -> bool {
         let ends = self.offset.checked_add(self.length).is_some_and(|end| end <= self.total);
         ends && (self.position != SYNC_MARKER_POSITION || self.length as usize == ENCODED_SYNC_MARKER_BYTES)
     }
 
-    /// Whether the checksum fits the payload and the salt.
+    /// Returns whether the checksum matches the payload and the salt.
     pub fn is_valid(&self, salt: u32, payload: &[u8]) -> bool {
         self.length as usize == payload.len() && self.checksum == self.compute_checksum(salt, payload)
     }
@@ -133,7 +134,7 @@
     }
 }
 
-/// What a marker says.
+/// The payload of a sync marker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SyncMarker {
     /// Salt of the fragments after the marker.
@@ -154,7 +155,7 @@
         out.extend_from_slice(&payload);
     }
 
-    /// Reads the payload of a marker; `None` if its length is wrong.
+    /// Decodes the payload of a marker; returns `None` if its length is wrong.
     pub fn decode(payload: &[u8]) -> Option<Self> {
         (payload.len() == ENCODED_SYNC_MARKER_BYTES)
             .then(|| Self { durable_through: read_u64(payload, 0), salt: read_u32(payload, 8) })
--- a/crates/wal/src/fragment_reader.rs
+++ b/crates/wal/src/fragment_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the fragments of one file.
+//! Reading of the fragments of one file.
 
 use std::io;
 
@@ -12,12 +12,12 @@
     storage: &'a mut S,
     file: &'a S::File,
     file_bytes: u64,
-    /// Where the current fragment begins in the file.
+    /// Offset of the current fragment in the file.
     pub offset: u64,
     buffer: Vec<u8>,
-    /// Where the current fragment begins in the buffer.
+    /// Offset of the current fragment in the buffer.
     start: usize,
-    /// Bytes of the current fragment.
+    /// Size of the current fragment in bytes.
     current: usize,
 }
 
@@ -34,7 +34,7 @@
         }
     }
 
-    /// The fragment at the offset, if it is valid.
+    /// Returns the fragment at the current offset if it is valid.
     pub fn next(&mut self, salt: u32) -> io::Result<Option<(FragmentHeader, &[u8])>> {
         if !self.fill(FRAGMENT_HEADER_BYTES)? {
             return Ok(None);
@@ -51,14 +51,14 @@
         Ok(header.is_valid(salt, payload).then_some((header, payload)))
     }
 
-    /// Goes past the fragment that [`Self::next`] gave.
+    /// Advances past the fragment that [`Self::next`] returned.
     pub fn consume(&mut self) {
         self.start += self.current;
         self.offset += self.current as u64;
         self.current = 0;
     }
 
-    /// Reads until `count` bytes are there; false if the file ends before.
+    /// Reads until `count` bytes are buffered; returns false if the file ends before.
     fn fill(&mut self, count: usize) -> io::Result<bool> {
         if self.offset + count as u64 > self.file_bytes {
             return Ok(false);
--- a/crates/wal/src/identity.rs
+++ b/crates/wal/src/identity.rs
@@ -1,4 +1,4 @@
-//! The identity of a disk: a random number made at first use. A disk that comes back empty gets another one.
+//! The identity of a disk: a random number drawn at its first use. A disk that returns empty gets another one.
 
 use crate::error::OpenError;
 use crate::recovery;
@@ -13,12 +13,12 @@
 pub(crate) struct DiskIdentity {
     /// Random and nonzero.
     pub number: u64,
-    /// Whether it was made just now.
+    /// Whether it was created by this call.
     pub is_new: bool,
 }
 
-/// Reads the disk's identity, or makes one at its first use. Ring files without an identity are of no known disk and
-/// removed.
+/// Reads the disk's identity, or creates one at the first use. Ring files without an identity belong to an unknown disk
+/// and are removed.
 pub(crate) fn load_or_create<S: Storage>(
     storage: &mut S,
     names: &[String],
@@ -26,7 +26,7 @@
     let mut ring_files = names.iter().filter(|name| recovery::file_index(name).is_some()).peekable();
     if let Some(number) = load(storage, names)? {
         if ring_files.peek().is_none() {
-            // The process may have ended between the rename and the folder's sync.
+            // An earlier process may have ended between the rename and the sync of the folder.
             storage.sync_folder().map_err(OpenError::disk("sync the folder"))?;
         }
         return Ok(DiskIdentity { number, is_new: false });
@@ -35,16 +35,16 @@
         for name in ring_files {
             storage.remove(name).map_err(OpenError::disk("remove a stray file"))?;
         }
-        // Else a loss of power could bring a stray file back beside the new identity.
+        // Otherwise a loss of power could restore a stray file next to the new identity.
         storage.sync_folder().map_err(OpenError::disk("sync the folder"))?;
     }
     Ok(DiskIdentity { number: create(storage)?, is_new: true })
 }
 
-/// Reads the disk's identity; `None` if it has none yet.
+/// Reads the disk's identity; returns `None` if it has none yet.
 ///
 /// # Errors
-/// Fails if the disk refuses or the file is not whole.
+/// Returns an error if a file operation fails or the file is damaged.
 pub fn load<S: Storage>(storage: &mut S, names: &[String]) -> Result<Option<u64>, OpenError> {
     if !names.iter().any(|name| name == NAME) {
         return Ok(None);
@@ -58,10 +58,10 @@
     if is_valid && identity != 0 { Ok(Some(identity)) } else { Err(OpenError::DamagedIdentity) }
 }
 
-/// Makes an identity and makes it durable: written, synced, renamed, folder synced.
+/// Creates an identity durably: writes, syncs and renames the file, then syncs the folder.
 ///
 /// # Errors
-/// Fails if the disk refuses.
+/// Returns an error if a file operation fails.
 pub fn create<S: Storage>(storage: &mut S) -> Result<u64, OpenError> {
     let identity = storage.random().max(1);
     let mut bytes = [0; ENCODED_BYTES];
--- a/crates/wal/src/lib.rs
+++ b/crates/wal/src/lib.rs
@@ -1,22 +1,22 @@
 //! Write-ahead log in a ring of preallocated files (segments), written by one thread.
 //!
-//! A [`Ring`] takes records at once, numbers them with rising positions and lets a thread of its own write them
-//! with one sync for all that is queued (group commit). [`Ring::durable_through`] tells how far the records
-//! survive a loss of power. When the owner no longer needs the oldest records, as after a checkpoint, it calls
-//! [`Ring::release_before`], and the files that hold only such records are used again.
+//! A [`Ring`] accepts records without blocking and numbers them with increasing positions. Its own thread writes them,
+//! with one sync for all queued records (group commit). [`Ring::durable_through`] returns the position through which
+//! records survive a loss of power. When the owner no longer needs the oldest records, for example after a checkpoint,
+//! it calls [`Ring::release_before`], and files with only such records are reused.
 //!
 //! Layout of the data directory: one `identity` file and up to `capacity / file_bytes` files `ring-NNN.data`.
-//! [`mod@format`] describes the bytes of a file, [`recovery`] what is recovered after a start: all records up to a
-//! torn tail.
+//! [`mod@format`] describes the bytes of a file, [`recovery`] which records are recovered at a start: all up to a torn
+//! tail.
 //!
-//! A record may be larger than a file and is then split over several. One that is larger than all the space that
-//! releases can ever free stays queued for good, and [`Usage::disk_error`] says so.
+//! A record larger than a file is split over several files. A record larger than all the space that releases can ever
+//! free stays queued forever, and [`Usage::disk_error`] reports that.
 //!
-//! Rules the parts rely on:
+//! Invariants:
 //! - The header of a file is synced before the first record goes into it.
-//! - A file is synced before the next one is begun, so at most one file has unsynced records.
-//! - Every use of a file has its own random salt in the checksums, so bytes of older uses never count.
-//! - After a failed sync nothing is known of the file; its unsynced records are written again to another file.
+//! - A file is synced before the next one is started, so at most one file has unsynced records.
+//! - Every use of a file has its own random salt in the checksums, so bytes of earlier uses are never valid.
+//! - After a failed sync the contents of the file are unknown; its unsynced records are written again to another file.
 
 mod assembler;
 mod backlog;
--- a/crates/wal/src/open_retry.rs
+++ b/crates/wal/src/open_retry.rs
@@ -1,36 +1,36 @@
-//! Repeated attempts to open a ring whose disk fails: when one is due, what a failure means, when to give up.
+//! Repeated attempts to open a ring on a failing disk: when an attempt is due, and whether a failure is final.
 //!
-//! Free of I/O. Times are milliseconds of the owner's steady clock.
+//! No I/O is done here. Times are milliseconds of the owner's monotonic clock.
 
 use crate::error::{OpenError, TransientError};
 
-/// Pause between the end of an attempt and the next one, in milliseconds.
+/// Delay between the end of an attempt and the next one, in milliseconds.
 pub const RETRY_INTERVAL_MS: u64 = 250;
-/// An attempt that has no result after this time is reported as a hanging disk, in milliseconds.
+/// An attempt without a result after this time, in milliseconds, is reported as a hanging disk.
 pub const SLOW_ATTEMPT_MS: u64 = 1_000;
 
-/// What the owner does next.
+/// The next action of the owner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OpenStep {
-    /// Begins an attempt now.
+    /// Starts an attempt now.
     Attempt,
-    /// Waits until this time, or until the attempt under way ends.
+    /// Waits until this time, or until the current attempt ends.
     Wait {
-        /// Time of the steady clock.
+        /// Time of the monotonic clock, in milliseconds.
         until: u64,
     },
-    /// Ends without a ring: it was asked to stop.
+    /// Ends without a ring, because [`OpenRetry::stop`] was called.
     GiveUp,
 }
 
-/// What follows from an attempt that failed.
+/// The consequence of a failed attempt.
 #[derive(Debug)]
 pub enum FailureOutcome<'e> {
-    /// Another attempt can't help.
+    /// Another attempt cannot succeed.
     Final,
-    /// There will be another attempt; `first_report` is the error if no error was reported before.
+    /// There will be another attempt. `first_report` is the error if no error was reported before.
     Retry {
-        /// The error to report.
+        /// The error to report, if any.
         first_report: Option<TransientError<'e>>,
     },
 }
@@ -39,28 +39,28 @@
 enum Phase {
     /// The next attempt is due at this time.
     Due(u64),
-    /// An attempt has been under way since this time.
+    /// An attempt has been running since this time.
     Running(u64),
 }
 
-/// The attempts to open one ring. At most one is under way at a time.
+/// The state of the attempts to open one ring. At most one attempt runs at a time.
 #[derive(Debug)]
 pub struct OpenRetry {
     phase: Phase,
     attempts: u64,
-    /// Whether an error was reported.
+    /// Whether an error has been reported.
     reported: bool,
-    /// Until when an attempt under way is waited for, once the owner was asked to stop.
+    /// Time until which the owner waits for the current attempt, set once the owner is asked to stop.
     stop_by: Option<u64>,
 }
 
 impl OpenRetry {
-    /// The first attempt is due at once.
+    /// Creates the state with the first attempt due at once.
     pub fn new(now: u64) -> Self {
         Self { phase: Phase::Due(now), attempts: 0, reported: false, stop_by: None }
     }
 
-    /// What is to be done at time `now`. [`OpenStep::Attempt`] counts as begun.
+    /// Returns the action due at time `now`. An attempt counts as started when [`OpenStep::Attempt`] is returned.
     pub fn step(&mut self, now: u64) -> OpenStep {
         match (self.phase, self.stop_by) {
             (Phase::Due(_), Some(_)) => OpenStep::GiveUp,
@@ -80,7 +80,7 @@
         OpenStep::Wait { until: slow_at.min(stop_by.unwrap_or(u64::MAX)) }
     }
 
-    /// Whether the disk hangs and nothing was reported before. True once at most.
+    /// Returns true if the current attempt hangs and nothing was reported before; true at most once.
     pub fn begins_to_hang(&mut self, now: u64) -> bool {
         let slow = matches!(self.phase, Phase::Running(since) if now >= since + SLOW_ATTEMPT_MS);
         let first_report = slow && !self.reported;
@@ -88,7 +88,7 @@
         first_report
     }
 
-    /// The attempt under way ended with this error.
+    /// Records that the current attempt ended with this error.
     pub fn attempt_failed<'e>(&mut self, now: u64, error: &'e OpenError) -> FailureOutcome<'e> {
         self.phase = Phase::Due(now + RETRY_INTERVAL_MS);
         let Some(disk_error) = error.transient() else { return FailureOutcome::Final };
@@ -97,12 +97,12 @@
         FailureOutcome::Retry { first_report }
     }
 
-    /// The attempt under way opened the ring. The number of attempts, if an error was reported before.
+    /// Returns the number of attempts, if an error was reported before the ring was opened.
     pub fn attempts_if_reported(&self) -> Option<u64> {
         self.reported.then_some(self.attempts)
     }
 
-    /// The owner was asked to stop: no further attempt begins, and one that is under way is waited for until `by`.
+    /// Requests a stop: no further attempt starts, and the owner waits for a running one until `by`.
     pub fn stop(&mut self, by: u64) {
         self.stop_by.get_or_insert(by);
     }
--- a/crates/wal/src/pending_records.rs
+++ b/crates/wal/src/pending_records.rs
@@ -1,4 +1,4 @@
-//! Records that were appended and are not durable, and how far they are written.
+//! Records that were appended and are not durable, and how much of them is written.
 
 use std::collections::VecDeque;
 
@@ -15,11 +15,11 @@
 #[derive(Debug, Default)]
 pub(crate) struct PendingRecords {
     records: VecDeque<Record>,
-    /// Records of the queue that are written as a whole.
+    /// Number of records in the queue that are completely written.
     written: usize,
-    /// Bytes that are written of the record after those.
+    /// Number of bytes written of the record after those.
     written_offset: usize,
-    /// Bytes that are synced of the oldest record.
+    /// Number of bytes synced of the oldest record.
     synced_offset: usize,
 }
 
@@ -32,13 +32,13 @@
         self.records.is_empty()
     }
 
-    /// What is to be written next; `None` if all is written.
+    /// Returns the next bytes to write, or `None` if everything is written.
     pub fn next_unwritten(&self) -> Option<Unwritten<'_>> {
         let record = self.records.get(self.written)?;
         Some(Unwritten { record, offset: self.written_offset })
     }
 
-    /// The record that [`Self::next_unwritten`] gave is written through `end` of its `total` bytes.
+    /// Records that the record of [`Self::next_unwritten`] is written up to `end` of its `total` bytes.
     pub fn advance(&mut self, end: usize, total: usize) {
         if end == total {
             self.written += 1;
@@ -48,7 +48,7 @@
         }
     }
 
-    /// What is written is synced. Returns the position of the last record that is durable by that as a whole.
+    /// Marks everything written as synced. Returns the position of the last record that is completely durable.
     pub fn mark_synced(&mut self) -> Option<Position> {
         let last = self.records.drain(..self.written).next_back();
         self.written = 0;
@@ -56,7 +56,7 @@
         last.map(|record| record.position)
     }
 
-    /// What is written and not synced is lost: it is to be written again.
+    /// Marks everything written but not synced as unwritten, so that it is written again.
     pub fn rewind(&mut self) {
         self.written = 0;
         self.written_offset = self.synced_offset;
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -1,8 +1,8 @@
-//! Recovery: what is read back from the files after a start.
+//! Recovery: reads the records back from the files at a start.
 //!
-//! Files are read in the order of their generations. A fragment counts if its checksum fits and it goes on where the
-//! one before it ended. The first fragment of a file, or after a marker, may also go back: the records from
-//! there on were written again. A torn tail is cut. A hole among records that had been durable is an error.
+//! Files are read in the order of their generations. A fragment is valid if its checksum matches and it continues where
+//! the previous one ended. The first fragment of a file, or after a marker, may also start earlier: the records from
+//! there on were written again. A torn tail is dropped. A gap among records that had been durable is an error.
 
 use std::io;
 
@@ -15,50 +15,50 @@
 /// A record and its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// Position the ring gave at [`crate::Ring::append`].
+    /// Position returned by [`crate::Ring::append`].
     pub position: Position,
     /// The bytes as they were appended.
     pub payload: Vec<u8>,
 }
 
-/// What a ring finds when it is opened.
+/// The result of recovery when a ring is opened.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovery {
-    /// Random, nonzero number made at the disk's first use.
+    /// Random, nonzero number drawn at the disk's first use.
     pub disk_identity: u64,
     /// Whether this was the first use: a new machine, or one whose disk was lost.
     pub fresh: bool,
-    /// Records in order, without holes. Released ones may be among them. Those of a [`crate::Ring`] are all
-    /// durable. Those of a [`crate::writer::Writer`] are so through its `durable_through`, which falls short of the
-    /// last only if the disk fails to sync right now; as long as it does, a loss of power may bring back records
-    /// that the process before had queued.
+    /// The records in order, without gaps; released ones may be among them. All records of a [`crate::Ring`] are
+    /// durable. Those of a [`crate::writer::Writer`] are durable through its `durable_through`, which is below the last
+    /// one only while the disk fails to sync. As long as it does, a loss of power may restore records that the previous
+    /// process had queued.
     pub records: Vec<Record>,
 }
 
-/// A segment of the ring as it was found on the disk.
+/// A segment of the ring as found on the disk.
 pub(crate) struct ScannedSegment<F> {
     /// Index in the file's name.
     pub index: usize,
     pub file: F,
     pub bytes: u64,
-    /// `None` if the file holds none that is valid.
+    /// `None` if the file has no valid header.
     pub header: Option<FileHeader>,
-    /// Highest position of a fragment that counts; 0 without one.
+    /// Highest position of a valid fragment; 0 if there is none.
     pub last_position: Position,
-    /// Through where the file is known to be synced.
+    /// Offset up to which the file is known to be synced.
     pub synced: u64,
-    /// Where the last fragment that counts ends.
+    /// Offset at which the last valid fragment ends.
     pub end: u64,
 }
 
 impl<F> ScannedSegment<F> {
-    /// Number of the current use of the file; 0 without a valid header.
+    /// Returns the number of the current use of the file; 0 without a valid header.
     pub fn generation(&self) -> u64 {
         self.header.map_or(0, |header| header.generation)
     }
 }
 
-/// Where the last file that counts ends.
+/// Where the valid fragments of the last segment end.
 pub(crate) struct Tail {
     /// Index in the file's name.
     pub index: usize,
@@ -66,7 +66,7 @@
     pub salt: u32,
 }
 
-/// Everything that the files tell.
+/// The contents of all ring files.
 pub(crate) struct ScannedRing<F> {
     pub segments: Vec<ScannedSegment<F>>,
     pub tail: Option<Tail>,
@@ -76,12 +76,12 @@
     pub released_before: Position,
 }
 
-/// Name of the ring file with this index.
+/// Returns the name of the ring file with this index.
 pub(crate) fn file_name(index: usize) -> String {
     format!("ring-{index:03}.data")
 }
 
-/// Index of the ring file with this name.
+/// Returns the index of the ring file with this name, or `None` if it is another file.
 pub(crate) fn file_index(name: &str) -> Option<usize> {
     let index = name.strip_prefix("ring-")?.strip_suffix(".data")?.parse().ok()?;
     (file_name(index) == name).then_some(index)
@@ -134,7 +134,7 @@
     })
 }
 
-/// Gives the fragments of one segment to the assembler. Returns the end of those that count, if any does.
+/// Passes the fragments of one segment to the assembler. Returns the end of the valid ones, if there are any.
 fn read_fragments<S: Storage>(
     storage: &mut S,
     segment: &mut ScannedSegment<S::File>,
@@ -169,7 +169,7 @@
         after_marker = false;
         segment.synced = batch_start;
         segment.end = reader.offset;
-        // A marker without fragments behind it may be gone after a loss of power: it is not part of the tail.
+        // A marker without fragments after it may be lost with the power, so it does not belong to the tail.
         tail = Some(Tail { index: segment.index, offset: segment.end, salt });
     }
     Ok(tail)
--- a/crates/wal/src/resync.rs
+++ b/crates/wal/src/resync.rs
@@ -1,4 +1,4 @@
-//! Makes what was recovered durable, before anything builds on it.
+//! Makes recovered records durable before anything relies on them.
 
 use std::io;
 use std::ops::Range;
@@ -9,36 +9,36 @@
 use crate::segments::{SegmentId, Segments};
 use crate::storage::Storage;
 
-/// Bytes that are read and written again at once.
+/// Number of bytes that are read and rewritten at once.
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// Part of a segment.
+/// A part of a segment that may not be durable.
 struct UnsyncedRange {
     segment: SegmentId,
     range: Range<u64>,
 }
 
-/// What was found on the disk and may not survive a loss of power yet.
+/// Recovered data that may not survive a loss of power yet.
 pub(crate) struct Resync {
-    /// Whether the names of the files may not be durable: a process before may have ended between making a file and
+    /// Whether the names of the files may not be durable: an earlier process may have ended between creating a file and
     /// syncing the folder.
     names: bool,
     ranges: Vec<UnsyncedRange>,
 }
 
 impl Resync {
-    /// All that these files leave open; records through `durable_through` are known to be durable.
+    /// Determines what may not be durable in these files. Records through `durable_through` are known to be durable.
     pub(crate) fn new<F>(files: &[ScannedSegment<F>], durable_through: Position) -> Self {
         Self { names: !files.is_empty(), ranges: unsynced_ranges(files, durable_through) }
     }
 
-    /// Whether all of it is durable.
+    /// Returns whether everything is durable.
     pub(crate) fn is_done(&self) -> bool {
         !self.names && self.ranges.is_empty()
     }
 
-    /// Makes it durable: the names, then the contents. Their pages may count as written although a sync of the
-    /// process before failed, so the same bytes are written once more.
+    /// Makes everything durable: the names, then the contents. The kernel may treat their pages as clean although a
+    /// sync of an earlier process failed, so the same bytes are written once more.
     pub(crate) fn run<S: Storage>(
         &mut self,
         storage: &mut S,
@@ -58,8 +58,8 @@
     }
 }
 
-/// Parts of the files whose state on the disk may differ from what was read. A file without records counts too:
-/// its header may be gone after a loss of power and an older one, of records written elsewhere since, be back.
+/// Returns the parts of the files whose state on disk may differ from what was read. This includes files without
+/// records: after a loss of power their header may be replaced by an older one, of records written elsewhere since.
 fn unsynced_ranges<F>(found: &[ScannedSegment<F>], durable_through: Position) -> Vec<UnsyncedRange> {
     let unsynced = |(id, found): (usize, &ScannedSegment<F>)| {
         let range = match found.last_position {
@@ -72,7 +72,7 @@
     found.iter().enumerate().filter_map(unsynced).collect()
 }
 
-/// Writes a part of a file over itself.
+/// Overwrites a part of a file with its own contents.
 fn rewrite<S: Storage>(storage: &mut S, file: &S::File, range: Range<u64>) -> io::Result<()> {
     let mut buffer = vec![0; BUFFER_BYTES];
     let mut offset = range.start;
--- a/crates/wal/src/ring.rs
+++ b/crates/wal/src/ring.rs
@@ -14,33 +14,33 @@
 use crate::storage::{FolderStorage, Storage};
 use crate::writer::{OpenedWriter, Writer};
 
-/// Called by the ring's thread after each sync and when the disk begins to fail or works again. It must return soon.
+/// Called by the ring's thread after each sync and when the disk starts to fail or recovers. It must not block.
 pub type OnProgress = Box<dyn Fn() + Send>;
 
-/// How full a ring is and whether its disk works.
+/// Fill level of a ring and state of its disk.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Usage {
-    /// Bytes the files may take.
+    /// Maximum size of the files in bytes.
     pub capacity: u64,
-    /// Bytes of files that hold needed records.
+    /// Size in bytes of the files that contain needed records.
     pub used_bytes: u64,
-    /// What keeps records from becoming durable at the moment. A disk that hangs gives no answer and thus no
-    /// error; [`Self::unwritten_for`] tells of it.
+    /// The error that currently prevents records from becoming durable. A disk that hangs returns no error;
+    /// [`Self::unwritten_for`] shows that case.
     pub disk_error: Option<DiskError>,
-    /// Steady time when the oldest record that is not durable yet was appended, or the first of those that
-    /// went to the disk together with it; `None` if all are durable. It stays while the disk hangs or refuses.
+    /// Time on the monotonic clock at which the oldest record that is not durable was appended, or the first record of
+    /// its batch; `None` if all records are durable. It stays unchanged while the disk hangs or fails.
     pub oldest_unwritten_since: Option<Instant>,
 }
 
 impl Usage {
-    /// How long the oldest record that is not durable has waited by `now`. It counts the time in which the whole
-    /// process stood still, too.
+    /// Returns how long the oldest record that is not durable has been waiting at `now`, including time in which the
+    /// whole process was suspended.
     pub fn unwritten_for(&self, now: Instant) -> Option<Duration> {
         self.oldest_unwritten_since.map(|since| now.saturating_duration_since(since))
     }
 }
 
-/// What the ring's thread waits for.
+/// What the ring's thread is waiting for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Waiting {
     No,
@@ -48,7 +48,7 @@
     ForRetry,
 }
 
-/// State under the lock.
+/// State protected by the lock.
 struct Queue {
     records: Vec<Record>,
     backlog: Backlog,
@@ -73,8 +73,8 @@
     }
 }
 
-/// A write-ahead log in a ring of files. Dropping it ends the thread; what is queued but not being written by
-/// then is left out.
+/// A write-ahead log in a ring of files. Dropping it ends the thread; records that are queued and not being written at
+/// that time are lost.
 pub struct Ring {
     shared: Arc<Shared>,
     capacity: u64,
@@ -85,8 +85,8 @@
     /// Opens the ring in this folder and starts its thread.
     ///
     /// # Errors
-    /// Fails if the options are too small, the disk refuses to be read, what was recovered cannot be made durable
-    /// or durable records are gone.
+    /// Returns an error if the options are too small, the files cannot be read, the recovered records cannot be made
+    /// durable, or durable records are missing.
     pub fn open(
         directory: &Path,
         options: Options,
@@ -96,17 +96,17 @@
         Self::open_with(storage, options, on_progress)
     }
 
-    /// Like [`Self::open`] on any storage.
+    /// Like [`Self::open`], on any storage.
     ///
     /// # Errors
-    /// As [`Self::open`].
+    /// See [`Self::open`].
     pub fn open_with<S: Storage>(
         storage: S,
         options: Options,
         on_progress: OnProgress,
     ) -> Result<(Self, Recovery), OpenError> {
         let OpenedWriter { mut writer, recovery, next_position } = Writer::recover(storage, &options)?;
-        // The owner acts on what it recovers, so a loss of power must not take that away again.
+        // The owner acts on the recovered records, so a loss of power must not remove them again.
         writer.resync().map_err(OpenError::NotDurable)?;
         let queue = Queue {
             records: Vec::new(),
@@ -135,7 +135,7 @@
         Ok((Self { shared, capacity: options.capacity_bytes, thread: Some(thread) }, recovery))
     }
 
-    /// Queues a record and returns its position at once. Positions rise by one.
+    /// Queues a record and returns its position without blocking. Positions increase by one.
     pub fn append(&self, payload: Vec<u8>) -> Position {
         let mut queue = self.shared.lock();
         let position = queue.next_position;
@@ -151,17 +151,18 @@
         position
     }
 
-    /// The position the next [`Self::append`] gives.
+    /// Returns the position that the next [`Self::append`] returns.
     pub fn next_position(&self) -> Position {
         self.shared.lock().next_position
     }
 
-    /// Records through this position are durable: they survive a loss of power. 0 before the first.
+    /// Returns the position through which records are durable, so that they survive a loss of power; 0 before the
+    /// first.
     pub fn durable_through(&self) -> Position {
         self.shared.durable_through.load(Ordering::Acquire)
     }
 
-    /// Lets files be used again all of whose records lie below `position`. Call it only when what replaces those
+    /// Permits the reuse of files all of whose records are below `position`. Call it only when the replacement of those
     /// records is durable. Positions that are not durable yet are not released.
     pub fn release_before(&self, position: Position) {
         let mut queue = self.shared.lock();
@@ -176,7 +177,7 @@
         }
     }
 
-    /// How full the ring is and whether the disk works. A release shows once the thread has seen it.
+    /// Returns the fill level and the state of the disk. A release is included once the thread has processed it.
     pub fn usage(&self) -> Usage {
         let queue = self.shared.lock();
         Usage {
@@ -193,18 +194,18 @@
         self.shared.lock().closing = true;
         self.shared.wake.notify_one();
         if self.thread.take().is_some_and(|thread| thread.join().is_err()) {
-            log::error!("ring: the thread that writes had ended by a panic");
+            log::error!("ring: the writer thread has panicked");
         }
     }
 }
 
-/// What the ring's thread owns.
+/// State owned by the ring's thread.
 struct Worker<S: Storage> {
     writer: Writer<S>,
     shared: Arc<Shared>,
     on_progress: OnProgress,
     retry_interval: Duration,
-    /// Swapped with the queue, so that both keep their memory.
+    /// Swapped with the queue, so that both keep their allocations.
     batch: Vec<Record>,
 }
 
@@ -219,7 +220,7 @@
             self.writer.release_before(released_before);
             let before = self.writer.durable_through();
             let now = self.writer.commit().err();
-            // What was not durable could not be released before.
+            // A position that was not durable before the commit could not be released before it.
             self.writer.release_before(released_before);
             let durable_through = self.writer.durable_through();
             self.shared.durable_through.store(durable_through, Ordering::Release);
@@ -236,7 +237,7 @@
         }
     }
 
-    /// Waits until there is something to do and takes the queue; `None` at the end.
+    /// Waits for work and takes the queue; returns `None` when the ring is closed.
     fn wait_for_work(&mut self) -> Option<Position> {
         let mut queue = self.shared.lock();
         let mut retry = self.writer.has_pending() && queue.disk_error.is_none();
@@ -272,7 +273,7 @@
         queue.backlog.forget_durable(self.writer.durable_through(), next_position);
     }
 
-    /// Gets the next file ready after the sync, when nobody waits for it.
+    /// Prepares the next file after the sync, when no record is waiting for it.
     fn prepare_ahead(&mut self, disk_error: Option<DiskError>) {
         if disk_error.is_none()
             && let Err(reason) = self.writer.prepare_ahead()
@@ -285,6 +286,6 @@
 fn report(error: Option<DiskError>) {
     match error {
         Some(error) => log::warn!("ring: {error}; records stay queued"),
-        None => log::info!("ring: the disk takes records again"),
+        None => log::info!("ring: the disk accepts records again"),
     }
 }
--- a/crates/wal/src/segments.rs
+++ b/crates/wal/src/segments.rs
@@ -1,4 +1,4 @@
-//! The segments of a ring, which are its files, and which of them may be used next.
+//! The segments (files) of a ring, and the selection of the one to use next.
 
 use std::io;
 
@@ -8,11 +8,11 @@
 use crate::recovery::{ScannedSegment, file_name};
 use crate::storage::{Storage, new_salt};
 
-/// A segment of a [`Segments`].
+/// Index of a segment in [`Segments`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentId(pub usize);
 
-/// Which records have to stay on the disk.
+/// Determines which records must stay on the disk.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Retention {
     /// Records below this position are no longer needed.
@@ -28,26 +28,26 @@
     bytes: u64,
     /// Number of the current use.
     generation: u64,
-    /// Highest position of a record, or a part of one, that is synced here; 0 without one.
+    /// Highest position of a synced record, or part of one, in this file; 0 if there is none.
     last_position: Position,
 }
 
 impl<F> Segment<F> {
-    /// Whether nothing in the file is needed. The file of the newest durable record always stays: it tells
-    /// where positions go on.
+    /// Returns whether the file contains nothing that is needed. The file of the latest durable record is always kept,
+    /// because it determines the next position.
     fn is_free(&self, retention: Retention) -> bool {
         let needed_from = retention.released_before.min(retention.durable_through);
         self.last_position == 0 || self.last_position < needed_from
     }
 }
 
-/// A segment whose header is synced and that holds no record yet.
+/// A segment whose header is synced and that contains no record yet.
 pub(crate) struct PreparedSegment {
     pub segment: SegmentId,
     pub salt: u32,
 }
 
-/// Where the records end in the segment that takes new ones.
+/// The end of the records in the active segment.
 pub(crate) struct SegmentEnd {
     pub segment: SegmentId,
     pub offset: u64,
@@ -58,13 +58,13 @@
     segments: Vec<Segment<F>>,
     prepared: Option<PreparedSegment>,
     next_generation: u64,
-    /// Most segments that there may be.
+    /// Maximum number of segments.
     capacity: usize,
     file_bytes: u64,
 }
 
 impl<F> Segments<F> {
-    /// Takes the segments that were found, each under its place in `found`.
+    /// Creates the set from the segments on disk; the id of each is its index in `found`.
     pub(crate) fn new(found: Vec<ScannedSegment<F>>, options: &Options) -> Self {
         let next_generation = found.iter().map(ScannedSegment::generation).max().unwrap_or(0) + 1;
         let capacity = usize::try_from(options.capacity_bytes / options.file_bytes).unwrap_or(usize::MAX);
@@ -79,7 +79,7 @@
         Self { segments, prepared: None, next_generation, capacity, file_bytes: options.file_bytes }
     }
 
-    /// The segment with this index in its file's name.
+    /// Returns the segment with this index in its file name.
     pub(crate) fn find(&self, index: usize) -> Option<SegmentId> {
         self.segments.iter().position(|segment| segment.index == index).map(SegmentId)
     }
@@ -91,12 +91,12 @@
             .ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
-    /// Length of the file.
+    /// Returns the length of the file in bytes.
     pub(crate) fn bytes(&self, segment: SegmentId) -> u64 {
         self.segments[segment.0].bytes
     }
 
-    /// Whether the file reaches through `offset`.
+    /// Returns whether the file is long enough to contain `offset` bytes.
     pub(crate) fn reaches(&self, segment: SegmentId, offset: u64) -> bool {
         offset <= self.segments[segment.0].bytes
     }
@@ -105,7 +105,7 @@
         self.segments[segment.0].last_position
     }
 
-    /// Records through `position` are synced in this segment.
+    /// Records that records through `position` are synced in this segment.
     pub(crate) fn set_last_position(&mut self, segment: SegmentId, position: Position) {
         self.segments[segment.0].last_position = position;
     }
@@ -114,12 +114,12 @@
         self.prepared.is_some()
     }
 
-    /// The prepared segment; it is the caller's to write.
+    /// Takes the prepared segment; the caller writes to it from then on.
     pub(crate) fn take_prepared(&mut self) -> Option<PreparedSegment> {
         self.prepared.take()
     }
 
-    /// Bytes of the segments in use; of the active one only those before its end.
+    /// Returns the size in bytes of the segments in use; of the active one only the part before its end.
     pub(crate) fn used_bytes(&self, active: Option<SegmentEnd>, retention: Retention) -> u64 {
         let used = self.segments.iter().enumerate().map(|(id, segment)| match &active {
             Some(active) if active.segment == SegmentId(id) => active.offset,
@@ -129,7 +129,7 @@
         used.sum()
     }
 
-    /// Makes a free segment ready for records: its length set, its header written and synced.
+    /// Prepares a free segment for records: sets its length, writes and syncs its header.
     pub(crate) fn prepare<S: Storage<File = F>>(
         &mut self,
         storage: &mut S,
@@ -139,7 +139,7 @@
         let free = self.segments.iter().enumerate().filter(|(id, segment)| {
             Some(SegmentId(*id)) != active && segment.index < self.capacity && segment.is_free(retention)
         });
-        // Empty ones first, then the oldest: only the beginning of the sequence may be missing at a recovery.
+        // Empty segments first, then the oldest: at a recovery, only the beginning of the sequence may be missing.
         let oldest = free.min_by_key(|(_, segment)| (segment.last_position > 0, segment.generation));
         let segment = match oldest {
             Some((id, _)) => SegmentId(id),
@@ -178,7 +178,7 @@
         if resized {
             storage.set_length(&segment.file, file_bytes).map_err(|error| DiskError::of_write(&error))?;
         }
-        // The whole block is written, so that nothing of an older header stays.
+        // The whole block is written, so that no part of an older header remains.
         let mut block = [0; FILE_HEADER_BYTES as usize];
         let encoded = header.encode();
         block[..encoded.len()].copy_from_slice(&encoded);
--- a/crates/wal/src/storage.rs
+++ b/crates/wal/src/storage.rs
@@ -1,4 +1,4 @@
-//! The file operations a ring needs, and their form on a real folder.
+//! The file operations that a ring needs, and their implementation on a folder of the file system.
 
 use std::fs::{self, File, OpenOptions};
 use std::hash::{BuildHasher, RandomState};
@@ -6,50 +6,50 @@
 use std::os::unix::fs::FileExt;
 use std::path::{Path, PathBuf};
 
-/// One folder of files. Tests put a simulated disk behind it.
+/// A folder of files. Tests implement it with a simulated disk.
 ///
-/// A write counts as durable once [`Storage::sync`] of the same file has returned without an error; a name that
-/// was made, renamed or removed once [`Storage::sync_folder`] has. Before that a loss of power may keep or lose
-/// each name by itself, even if its file was synced.
+/// A write is durable once [`Storage::sync`] of the same file has returned without an error. A name that was created,
+/// renamed or removed is durable once [`Storage::sync_folder`] has returned without an error. Before that, a loss of
+/// power may keep or lose each name independently, even if its file was synced.
 pub trait Storage: Send + 'static {
     /// An open file.
     type File: Send;
 
-    /// Names of all files of the folder, in any order.
+    /// Returns the names of all files in the folder, in any order.
     fn list(&mut self) -> io::Result<Vec<String>>;
-    /// Opens a file for reading and writing and creates it if it is missing.
+    /// Opens a file for reading and writing; creates it if it is missing.
     fn open(&mut self, name: &str) -> io::Result<Self::File>;
-    /// Length of the file in bytes.
+    /// Returns the length of the file in bytes.
     fn length(&mut self, file: &Self::File) -> io::Result<u64>;
-    /// Cuts or extends the file; new bytes read as zero.
+    /// Truncates or extends the file; new bytes read as zero.
     fn set_length(&mut self, file: &Self::File, bytes: u64) -> io::Result<()>;
-    /// Reads up to the buffer's length; fewer only at the end of the file.
+    /// Reads up to the buffer's length; fewer bytes only at the end of the file.
     fn read_at(&mut self, file: &Self::File, buffer: &mut [u8], offset: u64) -> io::Result<usize>;
     /// Writes all bytes.
     fn write_at(&mut self, file: &Self::File, bytes: &[u8], offset: u64) -> io::Result<()>;
     /// Makes the file's contents and length durable (fdatasync).
     fn sync(&mut self, file: &Self::File) -> io::Result<()>;
-    /// Renames a file over another.
+    /// Renames a file, replacing an existing one.
     fn rename(&mut self, from: &str, to: &str) -> io::Result<()>;
     /// Removes a file.
     fn remove(&mut self, name: &str) -> io::Result<()>;
-    /// Makes renames, removals and new names durable (fsync of the folder).
+    /// Makes created, renamed and removed names durable (fsync of the folder).
     fn sync_folder(&mut self) -> io::Result<()>;
-    /// A random number.
+    /// Returns a random number.
     fn random(&mut self) -> u64;
 }
 
-/// A folder of the real file system.
+/// A folder of the file system.
 #[derive(Debug)]
 pub struct FolderStorage {
     folder: PathBuf,
 }
 
 impl FolderStorage {
-    /// Takes the folder; if it is missing, creates it with the folders above it and makes their names durable.
+    /// Opens the folder. If it is missing, creates it and its parents and makes their names durable.
     ///
     /// # Errors
-    /// Fails if a folder cannot be created or the one above it cannot be synced.
+    /// Returns an error if a folder cannot be created or its parent cannot be synced.
     pub fn new(folder: &Path) -> io::Result<Self> {
         create_durable_folder(folder)?;
         Ok(Self { folder: folder.to_path_buf() })
@@ -130,7 +130,7 @@
     }
 }
 
-/// A random salt that differs from the one before.
+/// Returns a random salt that differs from `old`.
 pub(crate) fn new_salt<S: Storage>(storage: &mut S, old: u32) -> u32 {
     let salt = storage.random() as u32;
     if salt == old { !salt } else { salt }
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -1,4 +1,4 @@
-//! Writes records to the files, without a thread: the ring's thread calls it, and tests do so directly.
+//! Writes records to the files, without a thread: called by the ring's thread, and by tests directly.
 
 use std::io;
 
@@ -15,30 +15,30 @@
 use crate::segments::{PreparedSegment, Retention, SegmentEnd, SegmentId, Segments};
 use crate::storage::{Storage, new_salt};
 
-/// Small fragments are gathered up to this size before a write.
+/// Small fragments are buffered up to this size before a write.
 const BUFFER_BYTES: usize = 64 << 10;
-/// One file holds the newest durable record, one the beginning of the next; a third takes the rest.
+/// One file contains the latest durable record, one the beginning of the next record; a third one its rest.
 const MIN_FILE_COUNT: u64 = 3;
 
-/// The segment that takes records.
+/// The segment to which records are appended.
 struct ActiveSegment {
     segment: SegmentId,
     salt: u32,
-    /// Where the next byte goes, buffered ones included.
+    /// Offset of the next byte, including buffered ones.
     offset: u64,
-    /// Through where the file is synced.
+    /// Offset up to which the file is synced.
     synced: u64,
-    /// Salt through `synced`; the next sync marker is checked with it.
+    /// Salt in effect at `synced`; it seeds the checksum of the next sync marker.
     synced_salt: u32,
-    /// Highest position of a record, or a part of one, that was written here.
+    /// Highest position of a record, or part of one, written to this segment.
     last_written: Position,
 }
 
-/// Bytes on their way to the active segment.
+/// Bytes to be written to the active segment.
 #[derive(Default)]
 struct WriteBuffer {
     bytes: Vec<u8>,
-    /// Where the first of them goes.
+    /// Offset in the file at which the first byte is written.
     offset: u64,
 }
 
@@ -48,44 +48,44 @@
     }
 }
 
-/// Writer of a ring's records.
+/// The writer of a ring's records.
 pub struct Writer<S: Storage> {
     storage: S,
     segments: Segments<S::File>,
     active: Option<ActiveSegment>,
     pending: PendingRecords,
     buffer: WriteBuffer,
-    /// What was recovered and may not be durable yet.
+    /// Recovered data that may not be durable yet.
     resync: Resync,
-    /// What is durable once that is done.
+    /// Position through which records are durable once the resync is done.
     recovered_through: Position,
     retention: Retention,
 }
 
-/// A writer that was opened, and what it found on the disk.
+/// A writer that was opened, and the result of its recovery.
 pub struct OpenedWriter<S: Storage> {
-    /// The writer, which goes on behind what it found.
+    /// The writer, which continues after the recovered records.
     pub writer: Writer<S>,
-    /// What it found.
+    /// The recovered records and the disk's identity.
     pub recovery: Recovery,
     /// Position of the next record.
     pub next_position: Position,
 }
 
 impl<S: Storage> Writer<S> {
-    /// Recovers what is on the disk and syncs it.
+    /// Recovers the records on the disk and syncs them.
     ///
     /// # Errors
-    /// Fails if the options are too small, the disk refuses to be read or durable records are gone.
+    /// Returns an error if the options are too small, the files cannot be read, or durable records are missing.
     pub fn open(storage: S, options: &Options) -> Result<OpenedWriter<S>, OpenError> {
         let mut opened = Self::recover(storage, options)?;
         if let Err(error) = opened.writer.resync() {
-            log::warn!("ring: what was recovered is not durable yet: {error}");
+            log::warn!("ring: the recovered records are not durable yet: {error}");
         }
         Ok(opened)
     }
 
-    /// Like [`Self::open`], but leaves the sync of what was recovered to the caller.
+    /// Like [`Self::open`], but leaves the sync of the recovered records to the caller.
     pub(crate) fn recover(mut storage: S, options: &Options) -> Result<OpenedWriter<S>, OpenError> {
         let Options { capacity_bytes, file_bytes, .. } = *options;
         if file_bytes < MIN_FILE_BYTES || capacity_bytes / file_bytes < MIN_FILE_COUNT {
@@ -121,14 +121,14 @@
         writer
     }
 
-    /// Makes what was recovered durable.
+    /// Makes the recovered records durable.
     pub(crate) fn resync(&mut self) -> Result<(), DiskError> {
         self.resync.run(&mut self.storage, &self.segments)?;
         self.retention.durable_through = self.retention.durable_through.max(self.recovered_through);
         Ok(())
     }
 
-    /// Goes on in the segment that holds the newest records, behind a sync marker with a new salt.
+    /// Continues in the segment with the latest records, after a sync marker with a new salt.
     fn resume(&mut self, tail: &Tail) {
         let Some(segment) = self.segments.find(tail.index) else { return };
         if !self.segments.reaches(segment, tail.offset + MIN_FREE_BYTES) {
@@ -145,28 +145,28 @@
         });
     }
 
-    /// Queues a record; positions have to be contiguous.
+    /// Queues a record; positions must be contiguous.
     pub fn enqueue(&mut self, record: Record) {
         self.pending.push(record);
     }
 
-    /// Lets segments be used again all of whose records lie below `position`. What is not durable stays.
+    /// Permits the reuse of segments all of whose records are below `position`. Records that are not durable are kept.
     pub fn release_before(&mut self, position: Position) {
         let Retention { released_before, durable_through } = &mut self.retention;
         *released_before = (*released_before).max(position.min(*durable_through + 1));
     }
 
-    /// Records through this position are durable: they survive a loss of power.
+    /// Returns the position through which records are durable, so that they survive a loss of power.
     pub fn durable_through(&self) -> Position {
         self.retention.durable_through
     }
 
-    /// Whether records wait to be written, or what was recovered to be synced.
+    /// Returns whether records are waiting to be written, or recovered ones to be synced.
     pub fn has_pending(&self) -> bool {
         !self.pending.is_empty() || !self.resync.is_done()
     }
 
-    /// Bytes of the files that hold needed records; of the newest file only what is written.
+    /// Returns the size in bytes of the files that contain needed records; of the active file only the written part.
     pub fn used_bytes(&self) -> u64 {
         let active = self.active.as_ref();
         let end = active.map(|active| SegmentEnd { segment: active.segment, offset: active.offset });
@@ -176,7 +176,7 @@
     /// Writes all queued records and syncs them.
     ///
     /// # Errors
-    /// Tells what keeps records from becoming durable. They stay queued; call again later.
+    /// Returns the error that prevents records from becoming durable. They stay queued; call again later.
     pub fn commit(&mut self) -> Result<(), DiskError> {
         self.resync()?;
         while self.pending.next_unwritten().is_some() {
@@ -186,10 +186,10 @@
         self.sync_active()
     }
 
-    /// Prepares the next segment once the newest is half full, so that a later commit finds it ready.
+    /// Prepares the next segment once the active one is half full, so that a later commit does not have to.
     ///
     /// # Errors
-    /// Tells why it cannot; the next commit that needs the segment tries again.
+    /// Returns an error if that fails; the next commit that needs the segment retries.
     pub fn prepare_ahead(&mut self) -> Result<(), DiskError> {
         let active = self.active.as_ref();
         if self.segments.is_prepared()
@@ -206,7 +206,7 @@
         self.segments.prepare(&mut self.storage, active, self.retention)
     }
 
-    /// Begins the next segment if the active one is full.
+    /// Starts the next segment if the active one is full.
     fn ensure_free_bytes(&mut self) -> Result<(), DiskError> {
         if let Some(active) = &self.active {
             if self.segments.reaches(active.segment, active.offset + MIN_FREE_BYTES) {
@@ -232,7 +232,7 @@
         Ok(())
     }
 
-    /// Encodes as much of the next record as the active segment takes.
+    /// Encodes as much of the next record as fits into the active segment.
     fn write_fragment(&mut self) -> Result<(), DiskError> {
         let Some(active) = &mut self.active else { return Ok(()) };
         let Some(Unwritten { record, offset }) = self.pending.next_unwritten() else { return Ok(()) };
@@ -276,7 +276,8 @@
         self.handle_written(written)
     }
 
-    /// After a failed write the unsynced part of the segment is written once more, at the same place.
+    /// After a failed write, resets the state so that the unsynced part of the segment is written again at the same
+    /// offset.
     fn handle_written(&mut self, written: io::Result<()>) -> Result<(), DiskError> {
         written.map_err(|error| {
             self.rewind();
@@ -287,7 +288,7 @@
         })
     }
 
-    /// Writes the buffer, syncs the active segment and takes note of what is durable.
+    /// Writes the buffer, syncs the active segment and updates the durable position.
     fn sync_active(&mut self) -> Result<(), DiskError> {
         self.flush()?;
         let Some(active) = &mut self.active else { return Ok(()) };
@@ -296,7 +297,7 @@
         }
         let synced = self.segments.file(active.segment).and_then(|file| self.storage.sync(file));
         if let Err(error) = synced {
-            // Nothing is known of the unsynced part: it is never written again in this use of the file.
+            // The unsynced part of the file is in an unknown state: this use of the file ends without another write.
             self.active = None;
             self.rewind();
             return Err(DiskError::of_sync(&error));
@@ -310,7 +311,7 @@
         Ok(())
     }
 
-    /// Forgets what was written and not synced.
+    /// Marks everything that was written and not synced as unwritten.
     fn rewind(&mut self) {
         self.buffer.bytes.clear();
         self.pending.rewind();
--- a/crates/wal/tests/first_use.rs
+++ b/crates/wal/tests/first_use.rs
@@ -1,5 +1,5 @@
-//! The first use of a disk, ended at every step by a kill or a loss of power: the identity, once reported, stays with
-//! its records, and records never stay or go without it.
+//! The first use of a disk, interrupted at every step by a kill or a loss of power: an identity, once reported, is kept
+//! together with its records, and records are never kept or lost without it.
 
 mod support;
 
@@ -8,48 +8,48 @@
 use rstest::rstest;
 use support::{Disk, Faults, small_options};
 
-/// More operations than the first use and the first records take.
+/// Larger than the number of operations of the first use and the first records.
 const OPERATIONS: u32 = 24;
 const SEEDS: u64 = 4;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum End {
-    /// The process ends; what it wrote stays in the page cache.
+    /// The process is killed; its writes stay in the page cache.
     Kill,
-    /// Unsynced writes and names are kept or lost, each by itself.
+    /// Each unsynced write and name is independently kept or lost.
     PowerLoss,
-    /// All that was not synced is gone.
+    /// Everything that was not synced is lost.
     TotalPowerLoss,
 }
 
 const ENDS: [End; 3] = [End::Kill, End::PowerLoss, End::TotalPowerLoss];
 
-/// What the processes so far reported.
+/// What the processes so far have reported.
 #[derive(Debug, Default)]
-struct Promises {
+struct ReportedState {
     identity: Option<u64>,
     durable_through: u64,
 }
 
-struct Play {
+struct Run {
     disk: Disk,
     options: Options,
-    promises: Promises,
+    reported: ReportedState,
 }
 
-impl Play {
+impl Run {
     fn new(seed: u64) -> Self {
-        Self { disk: Disk::new(seed), options: small_options(4, 600), promises: Promises::default() }
+        Self { disk: Disk::new(seed), options: small_options(4, 600), reported: ReportedState::default() }
     }
 
-    /// One process: opens the ring, writes some records and ends after that many operations of the disk.
+    /// Runs one process: opens the ring, writes some records and ends after the given number of disk operations.
     fn process(&mut self, operations: Option<u32>, end: End) {
         self.disk.set_faults(Faults { operations_left: operations, ..Faults::default() });
         match Writer::open(self.disk.clone(), &self.options) {
             Ok(OpenedWriter { writer, recovery, next_position: next }) => {
-                let known = *self.promises.identity.get_or_insert(recovery.disk_identity);
-                assert_eq!(recovery.disk_identity, known, "a disk keeps its identity");
-                assert!(next > self.promises.durable_through, "durable records are gone");
+                let known = *self.reported.identity.get_or_insert(recovery.disk_identity);
+                assert_eq!(recovery.disk_identity, known, "the identity of the disk has changed");
+                assert!(next > self.reported.durable_through, "durable records are missing");
                 assert_eq!(recovery.records.len() as u64, next - 1);
                 self.write(writer, next);
             }
@@ -66,37 +66,37 @@
     fn write(&mut self, mut writer: Writer<Disk>, next: u64) {
         for position in next..next + 3 {
             writer.enqueue(Record { position, payload: vec![position as u8; 150] });
-            // Whether it worked shows in what is durable.
+            // `durable_through` shows whether the commit succeeded.
             let _ = writer.commit();
-            self.promises.durable_through = self.promises.durable_through.max(writer.durable_through());
+            self.reported.durable_through = self.reported.durable_through.max(writer.durable_through());
         }
     }
 }
 
 #[rstest]
-fn the_first_use_bears_an_end_at_every_step(
+fn first_use_survives_an_interruption_at_every_step(
     #[values(0, 1, 2)] first_end: usize,
     #[values(0, 1, 2)] second_end: usize,
 ) {
     for seed in 0..SEEDS {
         for first in 0..OPERATIONS {
             for second in (0..OPERATIONS).chain([u32::MAX]) {
-                let mut play = Play::new(seed);
-                play.process(Some(first), ENDS[first_end]);
-                play.process(Some(second), ENDS[second_end]);
-                play.process(None, End::PowerLoss);
-                play.process(None, End::TotalPowerLoss);
-                play.process(None, End::Kill);
-                assert!(play.promises.durable_through >= 9);
+                let mut run = Run::new(seed);
+                run.process(Some(first), ENDS[first_end]);
+                run.process(Some(second), ENDS[second_end]);
+                run.process(None, End::PowerLoss);
+                run.process(None, End::TotalPowerLoss);
+                run.process(None, End::Kill);
+                assert!(run.reported.durable_through >= 9);
             }
         }
     }
 }
 
 #[test]
-fn a_file_whose_name_a_killed_process_left_unsynced_is_kept_with_its_records() {
+fn file_whose_name_was_not_synced_before_a_kill_is_kept() {
     let options = small_options(4, 2000);
-    // Ends right before the sync of the folder that the first ring file needs.
+    // One of these ends right before the sync of the folder that the first ring file needs.
     for operations in 0..OPERATIONS {
         let disk = Disk::new(1);
         disk.set_faults(Faults { operations_left: Some(operations), ..Faults::default() });
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_stray_file_never_comes_back_beside_a_new_identity() {
+fn stray_file_is_never_restored_next_to_a_new_identity() {
     let options = small_options(4, 2000);
     for seed in 0..100 {
         for operations in 0..OPERATIONS {
--- a/crates/wal/tests/format.rs
+++ b/crates/wal/tests/format.rs
@@ -1,11 +1,11 @@
-//! The bytes of ring files: every header, fragment and marker comes back, and none with a bit flipped or cut off is
-//! taken.
+//! The encoding of ring files: every header, fragment and marker decodes to itself, and with a bit flipped or truncated
+//! it is rejected.
 
 use orchidvalve_wal::format::{FRAGMENT_HEADER_BYTES, FileHeader, FragmentHeader, SyncMarker};
 use proptest::collection::vec;
 use proptest::prelude::{any, proptest};
 
-/// Gives the bytes with each single bit flipped.
+/// Calls `check` with each single bit of the bytes flipped.
 fn for_each_flip(bytes: &[u8], mut check: impl FnMut(&[u8])) {
     let mut flipped = bytes.to_vec();
     for bit in 0..bytes.len() * 8 {
@@ -15,7 +15,7 @@
     }
 }
 
-/// The payload of the fragment at the start of the bytes, read as a recovery does.
+/// Returns the header and payload of the fragment at the start of the bytes, validated like in a recovery.
 fn read_fragment(bytes: &[u8], salt: u32) -> Option<(FragmentHeader, &[u8])> {
     let (head, rest) = bytes.split_first_chunk::<FRAGMENT_HEADER_BYTES>()?;
     let header = FragmentHeader::decode(head);
@@ -50,8 +50,8 @@
     ) {
         let total = before + payload.len() as u32 + after;
         let header = FragmentHeader::new(salt, position, before, total, &payload);
-        let FragmentHeader { checksum: _, length, position: decoded_position, offset, total: whole } = header;
-        assert_eq!((length as usize, decoded_position, offset, whole), (payload.len(), position, before, total));
+        let FragmentHeader { checksum: _, length, position: decoded_position, offset, total: decoded_total } = header;
+        assert_eq!((length as usize, decoded_position, offset, decoded_total), (payload.len(), position, before, total));
         let bytes: Vec<u8> = header.encode().iter().chain(&payload).copied().collect();
         assert_eq!(read_fragment(&bytes, salt), Some((header, payload.as_slice())));
         for length in 0..bytes.len() {
@@ -60,7 +60,7 @@
         for_each_flip(&bytes, |flipped| assert_eq!(read_fragment(flipped, salt), None));
         for_each_flip(&salt.to_le_bytes(), |flipped| {
             let other = u32::from_le_bytes(flipped.try_into().expect("four bytes"));
-            assert_eq!(read_fragment(&bytes, other), None, "of another use of the file");
+            assert_eq!(read_fragment(&bytes, other), None, "a fragment of another use of the file was accepted");
         });
     }
 
--- a/crates/wal/tests/golden_directories.rs
+++ b/crates/wal/tests/golden_directories.rs
@@ -1,12 +1,12 @@
-//! Data directories that an earlier version wrote on a real file system are read back as they were then.
+//! Data directories written by an earlier version on a real file system are recovered with the recorded contents.
 //!
-//! `golden/directories.txt` holds each file as the bytes at its start and those from the first fragment on, with zeros
-//! between. The directories were written by `Ring` with files of 600 bytes behind the header block and a capacity of
-//! five files:
+//! `golden/directories.txt` contains the bytes at the start of each file and those from the first fragment on, with
+//! zeros between. The directories were written by `Ring` with files of 600 bytes after the header block and a capacity
+//! of five files:
 //! - `first-use`: opened and closed.
-//! - `several-files`: records 1 to 21, nothing released; record 21 crosses a file's end.
-//! - `wrapped`: records 1 to 50, a new start, records 51 to 90; all but the newest eight were released step by step.
-//! - `torn`: records 1 to 9, a new start, records 10 to 13; the last 20 bytes of record 13 were then zeroed by hand.
+//! - `several-files`: records 1 to 21, nothing released; record 21 crosses the end of a file.
+//! - `wrapped`: records 1 to 50, a restart, records 51 to 90; all but the latest eight were released step by step.
+//! - `torn`: records 1 to 9, a restart, records 10 to 13; the last 20 bytes of record 13 were then zeroed by hand.
 
 use std::fs;
 use std::os::unix::fs::FileExt;
@@ -23,7 +23,7 @@
     Options { file_bytes: FILE_BYTES, ..Options::with_capacity(5 * FILE_BYTES) }
 }
 
-/// Puts the recorded directory into a folder that only this test uses.
+/// Restores the recorded directory into a folder that only this test uses.
 fn restored(directory: &str, test: &str) -> PathBuf {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{directory}-{test}"));
     let _ = fs::remove_dir_all(&folder);
@@ -58,11 +58,11 @@
 #[case::several_files("several-files", Expected { identity: 0x285d_84aa_06ee_cdec, first: 1, last: 21, used_bytes: 23_200 })]
 #[case::wrapped("wrapped", Expected { identity: 0xc754_e280_6a3f_34eb, first: 80, last: 90, used_bytes: 13_651 })]
 #[case::torn("torn", Expected { identity: 0xdfed_c9a7_e486_63d5, first: 1, last: 12, used_bytes: 9_174 })]
-fn a_recorded_directory_is_read_back(#[case] directory: &str, #[case] expected: Expected) {
+fn recorded_directory_is_recovered(#[case] directory: &str, #[case] expected: Expected) {
     let folder = restored(directory, "read");
     let storage = FolderStorage::new(&folder).expect("a folder");
     let OpenedWriter { mut writer, recovery, next_position: next } =
-        Writer::open(storage, &options()).expect("a whole directory");
+        Writer::open(storage, &options()).expect("an intact directory");
     let Recovery { disk_identity, fresh, records } = recovery;
     assert_eq!(disk_identity, expected.identity);
     assert!(!fresh);
@@ -71,13 +71,13 @@
     assert_eq!(writer.durable_through(), expected.last);
     assert_eq!(writer.used_bytes(), expected.used_bytes);
     assert!(!writer.has_pending());
-    // It goes on behind them, and what is added is there with them at the next start.
+    // Writing continues after the recovered records, and a restart recovers old and new ones.
     writer.enqueue(record(next));
-    writer.commit().expect("room");
+    writer.commit().expect("free space");
     drop(writer);
     let storage = FolderStorage::new(&folder).expect("a folder");
     let OpenedWriter { recovery, next_position: next, .. } =
-        Writer::open(storage, &options()).expect("a whole directory");
+        Writer::open(storage, &options()).expect("an intact directory");
     assert_eq!(recovery.disk_identity, expected.identity);
     assert_eq!(recovery.records, (expected.first..=expected.last + 1).map(record).collect::<Vec<_>>());
     assert_eq!(next, expected.last + 2);
@@ -90,7 +90,7 @@
 #[case::torn("torn", 12)]
 fn a_ring_opens_on_a_recorded_directory(#[case] directory: &str, #[case] last: u64) {
     let folder = restored(directory, "open");
-    let (ring, recovery) = Ring::open(&folder, options(), Box::new(|| ())).expect("a whole directory");
+    let (ring, recovery) = Ring::open(&folder, options(), Box::new(|| ())).expect("an intact directory");
     assert_eq!(recovery.records.last().map_or(0, |record| record.position), last);
     assert_eq!((ring.next_position(), ring.durable_through()), (last + 1, last));
 }
--- a/crates/wal/tests/golden_writing.rs
+++ b/crates/wal/tests/golden_writing.rs
@@ -1,4 +1,4 @@
-//! The writer puts the bytes on the disk that it put there when the golden file was recorded, in the same steps.
+//! Golden test of the writer: it writes the recorded bytes to the disk, in the same steps.
 
 mod support;
 
@@ -136,15 +136,15 @@
 }
 
 #[test]
-fn runs_write_the_recorded_bytes() {
+fn writer_writes_the_recorded_bytes() {
     let mut hashes = Vec::new();
-    for (files, room) in [(8, 600), (6, 1500), (3, 5000)] {
+    for (files, fragment_bytes) in [(8, 600), (6, 1500), (3, 5000)] {
         for run in 0..RUNS_PER_SIZE {
-            let mut written = Run::new(900 + run, small_options(files, room));
+            let mut written = Run::new(900 + run, small_options(files, fragment_bytes));
             for _ in 0..STEPS {
                 written.step();
             }
-            hashes.push((format!("files-{files}-room-{room}-run-{run}"), written.trace.finish()));
+            hashes.push((format!("files-{files}-room-{fragment_bytes}-run-{run}"), written.trace.finish()));
         }
     }
     let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "golden", "writing.txt"].iter().collect();
--- a/crates/wal/tests/open_retry.rs
+++ b/crates/wal/tests/open_retry.rs
@@ -1,4 +1,4 @@
-//! The attempts to open a ring on a disk that refuses, hangs and heals.
+//! The attempts to open a ring on a disk that fails, hangs and recovers.
 
 mod support;
 
@@ -23,7 +23,7 @@
     Ok(recovery.records.len())
 }
 
-/// A disk that holds one record that lasts and one that was written and never synced.
+/// A disk with one durable record and one that was written and never synced.
 fn disk_with_an_unsynced_record() -> Disk {
     let disk = Disk::new(1);
     let OpenedWriter { mut writer, next_position: next, .. } =
@@ -37,7 +37,7 @@
     disk
 }
 
-/// Whether there is another attempt, and whether its error is reported for the first time.
+/// Returns `None` if the failure is final, else whether its error is the first to be reported.
 fn first_report(after: &FailureOutcome<'_>) -> Option<bool> {
     match after {
         FailureOutcome::Final => None,
@@ -48,7 +48,7 @@
 #[rstest]
 #[case::full(Faults { full: true, ..Faults::default() })]
 #[case::refuses_syncs(Faults { syncs_fail: true, ..Faults::default() })]
-fn a_ring_opens_at_a_bounded_pace_once_its_disk_takes_writes(#[case] faults: Faults) {
+fn ring_opens_within_the_retry_interval_after_its_disk_recovers(#[case] faults: Faults) {
     let disk = disk_with_an_unsynced_record();
     disk.set_faults(faults);
     let mut retry = OpenRetry::new(START);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_first_use_waits_for_room_and_then_keeps_its_identity() {
+fn first_use_waits_for_free_space_and_then_keeps_its_identity() {
     let disk = Disk::new(1);
     disk.set_faults(Faults { full: true, ..Faults::default() });
     let mut retry = OpenRetry::new(START);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_ring_that_opens_at_once_tells_of_nothing() {
+fn ring_that_opens_at_once_reports_nothing() {
     let mut retry = OpenRetry::new(START);
     assert_eq!(retry.step(START), OpenStep::Attempt);
     assert_eq!(open(&Disk::new(1)).unwrap(), 0);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_disk_that_hangs_is_told_of_once_and_gets_no_second_attempt() {
+fn hanging_disk_is_reported_once_without_a_second_attempt() {
     let mut retry = OpenRetry::new(START);
     assert_eq!(retry.step(START), OpenStep::Attempt);
     let slow_at = START + SLOW_ATTEMPT_MS;
@@ -108,25 +108,25 @@
 }
 
 #[test]
-fn nothing_is_begun_after_the_order_to_stop() {
+fn no_attempt_starts_after_a_stop() {
     let error = OpenError::NotDurable(DiskError::NoSpace);
     let mut waiting = OpenRetry::new(START);
     assert_eq!(waiting.step(START), OpenStep::Attempt);
     waiting.attempt_failed(START, &error);
     waiting.stop(START + 4_000);
     assert_eq!(waiting.step(START + 1), OpenStep::GiveUp);
-    let mut fresh = OpenRetry::new(START);
-    fresh.stop(START + 4_000);
-    assert_eq!(fresh.step(START), OpenStep::GiveUp);
+    let mut never_started = OpenRetry::new(START);
+    never_started.stop(START + 4_000);
+    assert_eq!(never_started.step(START), OpenStep::GiveUp);
 }
 
 #[test]
-fn an_attempt_under_way_is_waited_for_after_the_order_to_stop_but_not_for_long() {
+fn running_attempt_is_awaited_until_the_stop_deadline() {
     let stop_by = START + 500;
     let mut retry = OpenRetry::new(START);
     assert_eq!(retry.step(START), OpenStep::Attempt);
     retry.stop(stop_by);
-    // A second order doesn't put it off.
+    // A second request does not extend the deadline.
     retry.stop(stop_by + 500);
     assert_eq!(retry.step(stop_by - 1), OpenStep::Wait { until: stop_by });
     assert_eq!(retry.step(stop_by), OpenStep::GiveUp);
@@ -141,7 +141,7 @@
 #[case::rights(refused(ErrorKind::PermissionDenied))]
 #[case::no_folder(refused(ErrorKind::NotADirectory))]
 #[case::a_folder(refused(ErrorKind::IsADirectory))]
-fn what_cannot_heal_is_final_and_says_what_to_do(#[case] error: OpenError) {
+fn permanent_error_is_final_and_names_a_remedy(#[case] error: OpenError) {
     let mut retry = OpenRetry::new(START);
     assert_eq!(retry.step(START), OpenStep::Attempt);
     assert_eq!(first_report(&retry.attempt_failed(START, &error)), None);
@@ -156,9 +156,9 @@
 #[case(ErrorKind::ReadOnlyFilesystem)]
 #[case(ErrorKind::TimedOut)]
 #[case(ErrorKind::Other)]
-fn what_the_system_refuses_for_now_is_tried_again(#[case] kind: ErrorKind) {
+fn transient_system_error_is_retried(#[case] kind: ErrorKind) {
     let error = refused(kind);
-    let reported = text_of_news(&OpenRetry::new(START).attempt_failed(START, &error));
+    let reported = reported_text(&OpenRetry::new(START).attempt_failed(START, &error));
     assert!(reported.contains("cannot write the identity"), "{reported}");
     assert!(!reported.contains("start again"), "{reported}");
 }
@@ -167,8 +167,8 @@
     OpenError::Disk { action: "write the identity", source: Error::from(kind) }
 }
 
-/// The text of what is reported.
-fn text_of_news(after: &FailureOutcome<'_>) -> String {
+/// Returns the text of the reported error.
+fn reported_text(after: &FailureOutcome<'_>) -> String {
     match after {
         FailureOutcome::Retry { first_report: Some(disk_error) } => disk_error.to_string(),
         other => panic!("nothing is reported: {other:?}"),
--- a/crates/wal/tests/random.rs
+++ b/crates/wal/tests/random.rs
@@ -13,25 +13,25 @@
 
 const STEPS: u32 = 300;
 
-struct Play {
+struct Run {
     disk: Disk,
     options: Options,
     random: Pcg64Mcg,
     writer: Option<Writer<Disk>>,
     identity: u64,
-    /// What was appended and may still be on the disk.
+    /// Records that were appended and may still be on the disk.
     appended: BTreeMap<u64, Vec<u8>>,
-    /// What the processes before had appended, as long as the disk has refused every sync since they ended: a
-    /// loss of power may then bring theirs back.
+    /// Records that previous processes had appended, kept as long as the disk has failed every sync since they ended: a
+    /// loss of power may then restore them.
     earlier: Vec<BTreeMap<u64, Vec<u8>>>,
     next_position: u64,
     durable_through: u64,
-    /// What the writer says of it.
+    /// The durable position that the writer reports.
     known_durable: u64,
     released_before: u64,
 }
 
-impl Play {
+impl Run {
     fn new(seed: u64, options: Options) -> Self {
         let disk = Disk::new(seed ^ 0x5eed);
         let OpenedWriter { writer, recovery, next_position } = Writer::open(disk.clone(), &options).unwrap();
@@ -88,21 +88,21 @@
         let result = self.writer().commit();
         let durable_through = self.writer().durable_through();
         assert!(durable_through >= self.known_durable && durable_through < self.next_position);
-        self.note_durable(durable_through);
+        self.record_durable(durable_through);
         if result.is_ok() {
             self.earlier.clear();
             assert_eq!(durable_through, self.next_position - 1);
         }
     }
 
-    fn note_durable(&mut self, durable_through: u64) {
+    fn record_durable(&mut self, durable_through: u64) {
         self.known_durable = durable_through;
-        // What had been durable before stays so, even if a failing disk keeps the writer from knowing it.
+        // Records that had been durable stay durable, even if a failing disk prevents the writer from knowing it.
         self.durable_through = self.durable_through.max(durable_through);
     }
 
     fn prepare_ahead(&mut self) {
-        // Whether it works shows at the next commit.
+        // The next commit shows whether it succeeded.
         let _ = self.writer().prepare_ahead();
     }
 
@@ -122,7 +122,7 @@
         self.disk.set_faults(faults);
     }
 
-    /// The process ends; its writes stay in the page cache. The power may be off at once, or the syncs fail.
+    /// The process is killed; its writes stay in the page cache. Syncs may fail from then on.
     fn kill(&mut self) {
         self.disk.set_faults(Faults::default());
         if self.random.random_bool(0.3) {
@@ -161,7 +161,7 @@
         self.writer = None;
         let opened = Writer::open(self.disk.clone(), &self.options);
         let OpenedWriter { writer, recovery, next_position } = match opened {
-            // A ring without files syncs its folder once more, and cannot be opened while that fails.
+            // A ring without files syncs its folder again, and cannot be opened while that fails.
             Err(OpenError::Disk { .. }) if self.durable_through == 0 => {
                 self.disk.set_faults(Faults::default());
                 Writer::open(self.disk.clone(), &self.options).unwrap()
@@ -187,14 +187,14 @@
         appended.split_off(&next_position);
         self.earlier.push(std::mem::replace(&mut self.appended, appended));
         self.next_position = next_position;
-        self.note_durable(writer.durable_through());
+        self.record_durable(writer.durable_through());
         if !writer.has_pending() {
             self.earlier.clear();
         }
         self.writer = Some(writer);
     }
 
-    /// Without faults and with releases everything becomes durable.
+    /// Without faults and with releases, all records become durable.
     fn settle(&mut self) {
         self.disk.set_faults(Faults::default());
         loop {
@@ -206,7 +206,7 @@
                 Err(disk_error) => assert_eq!(disk_error, DiskError::RingFull),
             }
             self.durable_through = self.writer().durable_through();
-            assert!(self.durable_through > durable_through, "a full ring has to make progress");
+            assert!(self.durable_through > durable_through, "a full ring makes no progress");
         }
         self.commit();
         self.disk.lose_power();
@@ -219,13 +219,13 @@
 #[case::small_files(6, 1500)]
 #[case::three_files(3, 5000)]
 #[case::many_files(20, 800)]
-fn random_runs_keep_what_is_durable(#[case] files: u64, #[case] room: u64) {
+fn random_runs_keep_durable_records(#[case] files: u64, #[case] fragment_bytes: u64) {
     for seed in 0..150 {
-        let mut play = Play::new(seed, small_options(files, room));
+        let mut run = Run::new(seed, small_options(files, fragment_bytes));
         for step in 0..STEPS {
-            play.step();
-            if step % 100 == 99 && files * room > 6000 {
-                play.settle();
+            run.step();
+            if step % 100 == 99 && files * fragment_bytes > 6000 {
+                run.settle();
             }
         }
     }
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! What a ring reads back after cuts, flips, lost writes and wipes.
+//! Recovery of a ring after truncation, flipped bits, lost writes and wipes.
 
 mod support;
 
@@ -27,7 +27,7 @@
     (1..=through).map(|position| Record { position, payload: payload(position) }).collect()
 }
 
-/// A disk with records 1 through `count`, and where each of them ends in the file.
+/// Returns a disk with records 1 through `count`, and the offset at which each of them ends in the file.
 fn written(count: u64, options: &Options) -> (Disk, Vec<usize>) {
     let disk = Disk::new(1);
     let mut writer = open(&disk, options).writer;
@@ -41,8 +41,8 @@
     (disk, ends)
 }
 
-/// After any damage: the records through `through`, and writing goes on from there, twice.
-fn assert_goes_on(disk: &Disk, options: &Options, through: u64) {
+/// Asserts that the records through `through` are recovered after damage, and that writing continues after them, twice.
+fn assert_continues_after(disk: &Disk, options: &Options, through: u64) {
     let OpenedWriter { mut writer, recovery, next_position: next } = open(disk, options);
     assert_eq!(recovery.records, records(through));
     assert_eq!((next, writer.durable_through()), (through + 1, through));
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn an_identity_that_cannot_be_written_leaves_no_half_one() {
+fn failed_write_of_the_identity_leaves_no_partial_one() {
     for operations in 0..20 {
         let disk = Disk::new(operations.into());
         disk.set_faults(Faults { operations_left: Some(operations), ..Faults::default() });
@@ -81,7 +81,9 @@
         disk.lose_power();
         let second = open(&disk, &small_options(3, 1000)).recovery;
         match first {
-            Ok(first) => assert_eq!((second.disk_identity, second.fresh), (first.disk_identity, false)),
+            Ok(first) => {
+                assert_eq!((second.disk_identity, second.fresh), (first.disk_identity, false))
+            }
             Err(OpenError::Disk { .. }) => {}
             Err(error) => panic!("{error}"),
         }
@@ -103,13 +105,13 @@
 }
 
 #[test]
-fn a_damaged_identity_is_told() {
+fn damaged_identity_is_reported() {
     let disk = Disk::new(1);
     let options = small_options(3, 1000);
     open(&disk, &options);
-    let whole = disk.contents("identity");
-    for index in 0..whole.len() {
-        let mut flipped = whole.clone();
+    let original = disk.contents("identity");
+    for index in 0..original.len() {
+        let mut flipped = original.clone();
         flipped[index] ^= 1;
         disk.replace("identity", flipped);
         let error = Writer::open(disk.clone(), &options).err().unwrap();
@@ -119,51 +121,51 @@
 }
 
 #[rstest]
-#[case::cut_off(false)]
+#[case::truncated(false)]
 #[case::zeroed(true)]
-fn a_cut_at_every_byte_keeps_the_records_before_it(#[case] zeroed: bool) {
+fn truncation_at_every_byte_keeps_the_records_before_it(#[case] zeroed: bool) {
     let options = small_options(4, 2000);
     let (disk, ends) = written(8, &options);
-    let whole = disk.contents(LAST_FILE);
-    for cut in format::FILE_HEADER_BYTES as usize..ends[7] {
+    let original = disk.contents(LAST_FILE);
+    for truncated_at in format::FILE_HEADER_BYTES as usize..ends[7] {
         let disk = disk.copy();
-        let mut contents = whole.clone();
-        contents.truncate(cut);
+        let mut contents = original.clone();
+        contents.truncate(truncated_at);
         if zeroed {
-            contents.resize(whole.len(), 0);
+            contents.resize(original.len(), 0);
         }
-        // Zeroing may leave a record whole that ends in zeros.
-        let intact = ends.iter().filter(|end| contents.get(..**end) == Some(&whole[..**end])).count();
+        // A record that ends in zeros may stay intact.
+        let intact = ends.iter().filter(|end| contents.get(..**end) == Some(&original[..**end])).count();
         disk.replace(LAST_FILE, contents);
-        assert_goes_on(&disk, &options, intact as u64);
+        assert_continues_after(&disk, &options, intact as u64);
     }
 }
 
 #[test]
-fn a_flip_of_every_byte_keeps_the_records_before_it() {
+fn flipped_bit_in_every_byte_keeps_the_records_before_it() {
     let options = small_options(4, 2000);
     let (disk, ends) = written(8, &options);
-    let whole = disk.contents(LAST_FILE);
+    let original = disk.contents(LAST_FILE);
     for flip in format::FILE_HEADER_BYTES as usize..ends[7] {
         for bit in [0x01, 0x80] {
             let disk = disk.copy();
-            let mut contents = whole.clone();
+            let mut contents = original.clone();
             contents[flip] ^= bit;
             disk.replace(LAST_FILE, contents);
             let intact = ends.iter().filter(|end| **end <= flip).count();
-            assert_goes_on(&disk, &options, intact as u64);
+            assert_continues_after(&disk, &options, intact as u64);
         }
     }
 }
 
 #[test]
-fn records_behind_a_cut_never_come_back() {
+fn records_after_a_dropped_tail_are_never_restored() {
     let options = small_options(4, 2000);
     let (disk, ends) = written(8, &options);
     let mut contents = disk.contents(LAST_FILE);
     contents[ends[4] + 1] ^= 4;
     disk.replace(LAST_FILE, contents);
-    // Record 6 is damaged; 7 and 8 are still whole behind it. A new 6 of the same bytes follows in its place.
+    // Record 6 is damaged; 7 and 8 are intact after it. A new record 6 with the same bytes is written in its place.
     let OpenedWriter { mut writer, recovery, next_position: next } = open(&disk, &options);
     assert_eq!((recovery.records.len(), next), (5, 6));
     enqueue(&mut writer, [6]);
@@ -177,18 +179,18 @@
 fn a_damaged_header_of_the_only_file_leaves_an_empty_ring() {
     let options = small_options(4, 2000);
     let (disk, _) = written(3, &options);
-    let whole = disk.contents(LAST_FILE);
+    let original = disk.contents(LAST_FILE);
     for flip in 0..40 {
         let disk = disk.copy();
-        let mut contents = whole.clone();
+        let mut contents = original.clone();
         contents[flip] ^= 1;
         disk.replace(LAST_FILE, contents);
-        assert_goes_on(&disk, &options, 0);
+        assert_continues_after(&disk, &options, 0);
     }
 }
 
 #[test]
-fn a_hole_among_durable_records_is_an_error() {
+fn gap_among_durable_records_is_an_error() {
     let options = small_options(8, 600);
     let (disk, _) = written(40, &options);
     assert!(disk.names().len() > 4);
@@ -201,7 +203,7 @@
 }
 
 #[test]
-fn what_is_read_back_after_a_kill_outlasts_a_loss_of_power() {
+fn records_recovered_after_a_kill_survive_a_loss_of_power() {
     let options = small_options(4, 2000);
     let disk = Disk::new(5);
     let mut writer = open(&disk, &options).writer;
@@ -222,7 +224,7 @@
 }
 
 #[test]
-fn what_is_read_back_but_cannot_be_synced_is_written_again() {
+fn recovered_records_that_cannot_be_synced_are_written_again() {
     let options = small_options(4, 2000);
     let disk = Disk::new(6);
     let mut writer = open(&disk, &options).writer;
@@ -246,7 +248,7 @@
 #[rstest]
 #[case::two_files(1 << 16, 1 << 15)]
 #[case::tiny_files(1 << 16, 100)]
-fn options_without_room_are_refused(#[case] capacity_bytes: u64, #[case] file_bytes: u64) {
+fn too_small_options_are_rejected(#[case] capacity_bytes: u64, #[case] file_bytes: u64) {
     let options = Options { file_bytes, ..Options::with_capacity(capacity_bytes) };
     let tiny = file_bytes < format::MIN_FILE_BYTES;
     let capacity_bytes = if tiny { capacity_bytes } else { file_bytes * 3 - 1 };
@@ -255,14 +257,14 @@
     assert!(error.to_string().contains("raise the capacity"));
 }
 
-/// Faults that let one more operation through and then switch the power off.
+/// Faults that permit one more operation and then switch the power off.
 fn one_operation_left() -> Faults {
     Faults { operations_left: Some(1), ..Faults::default() }
 }
 
 #[test]
-fn an_older_header_of_an_empty_file_does_not_bring_records_back() {
-    /// With a marker of 36 bytes and a fragment's header of 24 it fills the room of 600.
+fn older_header_of_an_empty_file_does_not_restore_records() {
+    /// Together with a marker of 36 bytes and a fragment header of 24 bytes, this fills the 600 bytes of a file.
     const FILLS_A_FILE: usize = 540;
     let options = small_options(4, 600);
     for seed in 0..60 {
@@ -271,7 +273,7 @@
         writer.enqueue(Record { position: 1, payload: vec![1; FILLS_A_FILE] });
         writer.commit().unwrap();
         writer.prepare_ahead().unwrap();
-        // Records 2 to 9 go partly into the prepared file, and whether they reach the disk is unknown.
+        // Records 2 to 9 are partly written to the prepared file, and it is unknown whether they reach the disk.
         disk.set_faults(Faults { syncs_fail: true, ..Faults::default() });
         enqueue(&mut writer, 2..10);
         writer.commit().unwrap_err();
@@ -289,7 +291,7 @@
 }
 
 #[test]
-fn the_file_of_the_newest_durable_record_is_not_given_up() {
+fn file_of_the_latest_durable_record_is_not_reused() {
     let options = small_options(4, 2000);
     for seed in 0..60 {
         let disk = Disk::new(seed);
--- a/crates/wal/tests/ring.rs
+++ b/crates/wal/tests/ring.rs
@@ -1,4 +1,4 @@
-//! The ring with its thread: order, progress, troubles and a hanging disk.
+//! The ring with its thread: order, progress, disk errors and a hanging disk.
 
 mod support;
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn records_become_durable_and_come_back() {
+fn records_become_durable_and_are_recovered() {
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
     let (ring, recovery) = Ring::open_with(disk.clone(), small_options(4, 2000), on_progress).unwrap();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_hanging_sync_holds_up_only_the_thread_and_the_queue_shares_the_next_one() {
+fn hanging_sync_blocks_only_the_thread_and_queued_records_share_the_next_sync() {
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
     let (ring, _) = Ring::open_with(disk.clone(), small_options(4, 20_000), on_progress).unwrap();
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn a_trouble_is_visible_until_the_disk_works_again() {
+fn disk_error_is_reported_until_the_disk_recovers() {
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
     let (ring, _) = Ring::open_with(disk.clone(), small_options(4, 8000), on_progress).unwrap();
@@ -85,7 +85,7 @@
     assert_eq!(ring.usage().disk_error, None);
 }
 
-/// The age of what was appended so far is forgotten, once a further record is durable.
+/// Asserts that the age of the records appended so far is dropped once a further record is durable.
 fn assert_all_written(ring: &Ring, receiver: &Receiver<()>) {
     let before = Instant::now();
     let position = ring.append(vec![9; 10]);
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_hanging_disk_shows_in_the_age_of_the_oldest_record() {
+fn hanging_disk_increases_the_age_of_the_oldest_record() {
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
     let (ring, _) = Ring::open_with(disk.clone(), small_options(4, 8000), on_progress).unwrap();
@@ -107,11 +107,11 @@
     ring.append(vec![1; 10]);
     let after = Instant::now();
     begun.recv().unwrap();
-    // Records that queue up behind the sync that hangs leave the age of the first as it is.
+    // Records queued behind the hanging sync do not change the age of the first one.
     ring.append(vec![2; 10]);
     ring.append(vec![3; 10]);
     let usage = ring.usage();
-    // Before any check that may fail: the end of the ring waits for the disk.
+    // Before any assertion that may fail, because dropping the ring waits for the disk.
     disk.set_faults(Faults::default());
     assert_eq!(usage.disk_error, None);
     let since = usage.oldest_unwritten_since.unwrap();
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn the_age_moves_on_to_the_next_batch_once_the_first_is_durable() {
+fn age_is_that_of_the_next_batch_once_the_first_is_durable() {
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
     let (ring, _) = Ring::open_with(disk.clone(), small_options(4, 8000), on_progress).unwrap();
@@ -138,11 +138,11 @@
     let between = Instant::now();
     assert_eq!(ring.append(vec![3; 10]), 4);
     let first = ring.usage().oldest_unwritten_since;
-    // The sync that hangs ends; the next one hangs.
+    // The hanging sync ends; the next one hangs.
     disk.set_faults(Faults { syncs_before_hang: Some(0), ..Faults::default() });
     begun.recv().unwrap();
     let (durable_through, second) = (ring.durable_through(), ring.usage().oldest_unwritten_since);
-    // Before any check that may fail: the end of the ring waits for the disk.
+    // Before any assertion that may fail, because dropping the ring waits for the disk.
     disk.set_faults(Faults::default());
     assert!(first.is_some_and(|since| since <= between));
     assert_eq!(durable_through, 3);
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn a_refusing_disk_keeps_the_age_over_its_retries() {
+fn failing_disk_keeps_the_age_across_retries() {
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
     let (ring, _) = Ring::open_with(disk.clone(), small_options(4, 8000), on_progress).unwrap();
@@ -170,10 +170,10 @@
 }
 
 #[test]
-fn a_release_makes_room_in_a_full_ring() {
+fn release_frees_space_in_a_full_ring() {
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
-    // A release alone has to end the failure: the next attempt by itself is far away.
+    // The release alone must end the failure: the next retry is far in the future.
     let retry_interval = std::time::Duration::from_secs(1 << 30);
     let options = Options { retry_interval, ..small_options(3, 1000) };
     let (ring, _) = Ring::open_with(disk, options.clone(), on_progress).unwrap();
@@ -198,11 +198,11 @@
     assert_eq!(ring.usage().disk_error, None);
 }
 
-/// A process was killed between a write and its sync, and the disk of the next one refuses to sync.
+/// A process was killed between a write and its sync, and the disk fails to sync in the next process.
 #[rstest]
 #[case::syncs(Faults { syncs_fail: true, ..Faults::default() }, false)]
 #[case::full(Faults { full: true, ..Faults::default() }, true)]
-fn a_ring_opens_only_with_what_lasts(#[case] faults: Faults, #[case] writes: bool) {
+fn ring_opens_only_if_the_recovered_records_are_durable(#[case] faults: Faults, #[case] writes: bool) {
     let disk = Disk::new(1);
     let options = small_options(4, 8000);
     let OpenedWriter { mut writer, next_position: next, .. } = Writer::open(disk.clone(), &options).unwrap();
@@ -227,7 +227,7 @@
 }
 
 #[test]
-fn a_real_folder_works() {
+fn ring_works_on_a_real_folder() {
     let parent: PathBuf = std::env::temp_dir().join(format!("ring-test-{}", std::process::id()));
     let folder = parent.join("of/three/parts");
     let options = Options { file_bytes: 1 << 16, ..Options::with_capacity(1 << 18) };
--- a/crates/wal/tests/support/mod.rs
+++ b/crates/wal/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A simulated disk that loses, tears, fills up, fails and hangs.
+//! A simulated disk that loses and tears writes, fills up, fails and hangs.
 #![allow(dead_code, reason = "each test file uses its own part of the disk")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,9 +10,9 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// Options for small files that hold `room` bytes of fragments each.
-pub fn small_options(files: u64, room: u64) -> Options {
-    let file_bytes = format::FILE_HEADER_BYTES + room;
+/// Options for small files with `fragment_bytes` bytes of fragments each.
+pub fn small_options(files: u64, fragment_bytes: u64) -> Options {
+    let file_bytes = format::FILE_HEADER_BYTES + fragment_bytes;
     Options {
         file_bytes,
         retry_interval: std::time::Duration::from_millis(1),
@@ -20,7 +20,7 @@
     }
 }
 
-/// A change of a file that no sync has covered.
+/// A change of a file that is not covered by a sync.
 #[derive(Debug, Clone)]
 enum Change {
     Length(u64),
@@ -48,12 +48,12 @@
         }
     }
 
-    /// The change as a loss of power leaves it: there, missing or torn.
+    /// Applies the change as it survives a loss of power: complete, torn or not at all.
     fn survive(&self, bytes: &mut Vec<u8>, random: &mut Pcg64Mcg) {
         match (random.random_range(0..3), self) {
             (0, _) => self.apply(bytes),
             (1, Change::Write(offset, written)) if !written.is_empty() => {
-                // Many tears fall into the first bytes, where the headers are.
+                // Many tears are in the first bytes, where the headers are.
                 let length = if random.random_bool(0.5) { written.len() } else { written.len().min(48) };
                 let from = random.random_range(0..length);
                 let to = random.random_range(from..=length);
@@ -64,17 +64,17 @@
     }
 }
 
-/// What the disk does wrong at the moment.
+/// The current faults of the disk.
 #[derive(Debug, Clone, Default)]
 pub struct Faults {
     pub full: bool,
     pub writes_fail: bool,
     pub syncs_fail: bool,
-    /// After that many more changing operations the power is off: all fail until [`Disk::lose_power`].
+    /// The power is off after this many more changing operations: all fail until [`Disk::lose_power`].
     pub operations_left: Option<u32>,
-    /// Syncs wait until this is false again.
+    /// Syncs block until this is false again.
     pub syncs_hang: bool,
-    /// After that many more syncs they hang.
+    /// Syncs start to hang after this many more syncs.
     pub syncs_before_hang: Option<u32>,
 }
 
@@ -90,8 +90,8 @@
 }
 
 impl State {
-    /// Counts an operation that changes something; an error if the power is off.
-    fn operate(&mut self) -> io::Result<()> {
+    /// Counts a changing operation; returns an error if the power is off.
+    fn count_operation(&mut self) -> io::Result<()> {
         match &mut self.faults.operations_left {
             Some(0) => Err(io::ErrorKind::Other.into()),
             Some(left) => {
@@ -103,20 +103,20 @@
     }
 
     fn check_write(&mut self) -> io::Result<()> {
-        self.operate()?;
+        self.count_operation()?;
         if self.faults.full {
             return Err(io::ErrorKind::StorageFull.into());
         }
         if self.faults.writes_fail { Err(io::ErrorKind::PermissionDenied.into()) } else { Ok(()) }
     }
 
-    /// The names after a loss of power.
+    /// Determines the names after a loss of power.
     fn keep_names(&mut self, all_gone: bool) {
         let known: BTreeSet<String> = self.names.keys().chain(self.durable_names.keys()).cloned().collect();
         let mut kept = BTreeMap::new();
         for name in known {
-            let newest = !all_gone && self.random.random();
-            let names = if newest { &self.names } else { &self.durable_names };
+            let is_current = !all_gone && self.random.random();
+            let names = if is_current { &self.names } else { &self.durable_names };
             kept.extend(names.get(&name).map(|file| (name, *file)));
         }
         self.names = kept;
@@ -129,7 +129,7 @@
     }
 }
 
-/// Handle on the disk; clones share it.
+/// Handle of the disk; clones share it.
 #[derive(Debug, Clone)]
 pub struct Disk {
     state: Arc<(Mutex<State>, Condvar)>,
@@ -153,7 +153,7 @@
         self.state.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// An independent disk with the same durable and current contents.
+    /// Returns an independent disk with the same durable and current contents.
     pub fn copy(&self) -> Self {
         let state = self.lock();
         let copy = Self::new(7);
@@ -179,7 +179,7 @@
         self.state.1.notify_all();
     }
 
-    /// Tells of each sync that begins.
+    /// Sends a message at the start of each sync.
     pub fn watch_syncs(&self, sender: Sender<()>) {
         self.lock().sync_begins = Some(sender);
     }
@@ -188,8 +188,8 @@
         self.lock().syncs
     }
 
-    /// The power is lost and comes back: unsynced changes are there, missing or torn, or all gone. Each name
-    /// that was made, renamed or removed without a sync of the folder is kept or lost by itself.
+    /// Loses the power and restores it: each unsynced change is kept, lost or torn, or all are lost. Each name that was
+    /// created, renamed or removed without a sync of the folder is independently kept or lost.
     pub fn lose_power(&self) {
         let mut guard = self.lock();
         let state = &mut *guard;
@@ -207,7 +207,7 @@
         state.durable_names = state.names.clone();
     }
 
-    /// All unsynced changes are gone.
+    /// Loses all unsynced changes.
     pub fn lose_all_unsynced(&self) {
         let mut guard = self.lock();
         let state = &mut *guard;
@@ -219,7 +219,7 @@
         }
     }
 
-    /// The disk comes back empty.
+    /// Empties the disk.
     pub fn wipe(&self) {
         let mut state = self.lock();
         state.nodes.clear();
@@ -232,7 +232,7 @@
         self.lock().names.keys().cloned().collect()
     }
 
-    /// Bytes of all ring files.
+    /// Returns the size of all ring files in bytes.
     pub fn ring_bytes(&self) -> u64 {
         let state = self.lock();
         let ring_files = state.names.iter().filter(|(name, _)| name.starts_with("ring-"));
@@ -244,7 +244,7 @@
         state.nodes[state.names[name]].current.clone()
     }
 
-    /// Replaces a file's contents, durably.
+    /// Replaces the contents of a file durably.
     pub fn replace(&self, name: &str, contents: Vec<u8>) {
         let mut state = self.lock();
         let file = state.names[name];
@@ -297,7 +297,7 @@
     fn write_at(&mut self, file: &usize, bytes: &[u8], offset: u64) -> io::Result<()> {
         let mut state = self.lock();
         let checked = state.check_write();
-        // A write that fails may leave its beginning.
+        // A failed write may have written its beginning.
         let count = if checked.is_ok() { bytes.len() } else { state.random.random_range(0..=bytes.len()) };
         state.change(*file, Change::Write(offset, bytes[..count].to_vec()));
         checked
@@ -316,13 +316,13 @@
         while guard.faults.syncs_hang {
             guard = self.state.1.wait(guard).unwrap_or_else(PoisonError::into_inner);
         }
-        guard.operate()?;
+        guard.count_operation()?;
         let state = &mut *guard;
         state.syncs += 1;
         let node = &mut state.nodes[*file];
         let fails = state.faults.syncs_fail;
         for change in node.unsynced.drain(..) {
-            // After a failed sync the pages count as written, whatever became of them.
+            // After a failed sync the kernel treats the pages as clean, regardless of what was written.
             if fails {
                 change.survive(&mut node.durable, &mut state.random);
             } else {
@@ -345,13 +345,13 @@
 
     fn remove(&mut self, name: &str) -> io::Result<()> {
         let mut state = self.lock();
-        state.operate()?;
+        state.count_operation()?;
         state.names.remove(name).map(|_| ()).ok_or_else(|| io::ErrorKind::NotFound.into())
     }
 
     fn sync_folder(&mut self) -> io::Result<()> {
         let mut state = self.lock();
-        state.operate()?;
+        state.count_operation()?;
         if state.faults.syncs_fail {
             return Err(io::ErrorKind::Other.into());
         }
--- a/crates/wal/tests/writing.rs
+++ b/crates/wal/tests/writing.rs
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn released_files_are_used_again_and_the_capacity_holds() {
+fn released_files_are_reused_within_the_capacity() {
     let options = small_options(3, 1000);
     let disk = Disk::new(1);
     let mut writer = open(&disk, &options).writer;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn positions_go_on_after_everything_was_released() {
+fn positions_continue_after_everything_was_released() {
     let options = small_options(3, 600);
     let disk = Disk::new(1);
     for round in 0..30 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_is_not_durable_cannot_be_released() {
+fn records_that_are_not_durable_are_not_released() {
     let options = small_options(3, 1000);
     let disk = Disk::new(1);
     let mut writer = open(&disk, &options).writer;
@@ -100,7 +100,7 @@
     Faults { syncs_fail: true, ..Faults::default() },
     DiskError::SyncFailed(std::io::ErrorKind::Other)
 )]
-fn records_stay_queued_while_the_disk_is_in_trouble(#[case] faults: Faults, #[case] disk_error: DiskError) {
+fn records_stay_queued_while_the_disk_fails(#[case] faults: Faults, #[case] disk_error: DiskError) {
     let options = small_options(4, 1000);
     for (seed, before) in (0..40).flat_map(|seed| [(seed, 0), (seed, 3)]) {
         let disk = Disk::new(seed);
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn troubles_name_a_remedy() {
+fn disk_errors_name_a_remedy() {
     assert!(DiskError::RingFull.to_string().contains("release old records"));
     assert!(DiskError::NoSpace.to_string().contains("make room"));
     assert!(DiskError::SyncFailed(std::io::ErrorKind::Other).to_string().contains("check the disk"));
@@ -153,7 +153,7 @@
 #[case::a_file(1000)]
 #[case::over_a_file(1001)]
 #[case::five_files(5000)]
-fn records_of_any_size_come_back(#[case] bytes: usize) {
+fn records_of_any_size_are_recovered(#[case] bytes: usize) {
     let options = small_options(16, 1000);
     let disk = Disk::new(1);
     let mut writer = open(&disk, &options).writer;
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_large_record_that_loses_power_midway_is_cut_whole() {
+fn large_record_torn_by_a_loss_of_power_is_dropped_completely() {
     let options = small_options(8, 1000);
     for operations in 0..40 {
         let disk = Disk::new(operations.into());
@@ -200,12 +200,12 @@
         writer.commit().unwrap();
         disk.set_faults(Faults { operations_left: Some(operations), ..Faults::default() });
         writer.enqueue(record(2, 4000));
-        let whole = writer.commit().is_ok();
+        let is_committed = writer.commit().is_ok();
         disk.lose_power();
         let OpenedWriter { mut writer, recovery, next_position: next } = open(&disk, &options);
-        assert!(next == 3 || (next == 2 && !whole));
+        assert!(next == 3 || (next == 2 && !is_committed));
         assert_eq!(recovery.records.len() as u64, next - 1);
-        // The next record takes the position, and the files the cut one had filled become free again.
+        // The next record uses the position, and the files that the torn record had filled become free again.
         (next..next + 10).for_each(|position| writer.enqueue(record(position, 90)));
         writer.commit().unwrap();
         let recovery = open(&disk, &options).recovery;
