--- a/crates/ctl/tests/command_line/check.rs
+++ b/crates/ctl/tests/command_line/check.rs
@@ -154,5 +154,5 @@
     let file = File::new("bad.conf", &format!("{SETTINGS}bootstrap=perhaps\n"));
     let error = run_command(&["settings", file.path()]).unwrap_err();
     assert!(matches!(error, CommandError::Settings(_)));
-    assert!(error.to_string().contains("line 5: bootstrap=perhaps isn't true or false"), "{error}");
+    assert!(error.to_string().contains("line 5: bootstrap=perhaps is not true or false"), "{error}");
 }
--- a/crates/settings/src/lib.rs
+++ b/crates/settings/src/lib.rs
@@ -1,5 +1,6 @@
-//! Settings of a process: lines of `a.b=value` in a file that the environment names, read once into types. Keys that
-//! aren't known are skipped. Fields are named after their keys, with the key's unit.
+//! The settings of a process: `key=value` lines of the file named by [`PATH_VARIABLE`], parsed once at the start.
+//!
+//! Unknown keys are ignored. Each field is named after its key, including the key's unit.
 
 mod lines;
 pub mod logging;
@@ -13,235 +14,236 @@
 
 use lines::Lines;
 
-/// Environment variable that names the file.
+/// The environment variable that holds the path of the settings file.
 pub const PATH_VARIABLE: &str = "ORCHIDVALVE_BOOT";
 
-/// What an address looks like, for errors.
+/// The expected form of an address, shown in errors about malformed addresses.
 const ADDRESS: &str = "an address like 10.0.0.1:80";
 
-/// Why settings can't be used.
+/// The reason why the settings cannot be used.
 #[derive(Debug, Display, Error)]
 pub enum SettingsError {
-    /// The environment doesn't name a file.
-    #[display("the variable {PATH_VARIABLE} isn't set: set it to the path of the settings file")]
+    /// The environment variable [`PATH_VARIABLE`] is not set.
+    #[display("the environment variable {PATH_VARIABLE} is not set: set it to the path of the settings file")]
     NoPath,
-    /// The file can't be read.
-    #[display("{}: can't be read ({source}): check path and rights", path.display())]
+    /// The settings file cannot be read.
+    #[display("{}: cannot be read ({source}): check the path and its permissions", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Why not.
+        /// The error of the operating system.
         source: io::Error,
     },
-    /// A key that has no default is missing.
+    /// A required key is missing.
     #[display("{}: {key} is missing: add a line {key}=VALUE", path.display())]
     Missing {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// The key.
+        /// The missing key.
         key: &'static str,
     },
-    /// A value isn't of its key's type.
-    #[display("{}, line {line}: {key}={value} isn't {expected}: correct it", path.display())]
+    /// A value does not have the type of its key.
+    #[display("{}, line {line}: {key}={value} is not {expected}: correct it", path.display())]
     Malformed {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
-        /// The key.
+        /// Key of the malformed value.
         key: String,
-        /// The value as it stands.
+        /// The value as written in the file.
         value: String,
-        /// What it should be.
+        /// The expected form of the value.
         expected: &'static str,
     },
-    /// A line isn't `key=value`.
+    /// A line is not of the form `key=value`.
     #[display("{}, line {line}: no '=' in it: write key=value", path.display())]
     NoEquals {
-        /// The file.
+        /// Path of the settings file.
         path: PathBuf,
-        /// Number of the line, from 1.
+        /// Number of the line, counted from 1.
         line: usize,
     },
 }
 
-/// What a process may use.
+/// The resources that a process may use.
 #[derive(Clone, PartialEq, Debug)]
 pub struct ProcessLimits {
-    /// Share of one core.
+    /// Fraction of one CPU core that the process may use.
     pub cpu_share: f64,
-    /// Cores of the machine.
+    /// Number of CPU cores of the machine.
     pub cpu_cores: f64,
     /// Memory in MiB.
     pub memory_mb: u64,
-    /// File descriptors that may be open at once.
+    /// Maximum number of open file descriptors.
     pub max_open_files: u64,
-    /// Bandwidth of the network in Mbit/s.
+    /// Network bandwidth in Mbit/s.
     pub link_mbps: f64,
-    /// Disk in MiB, where there is one.
+    /// Disk size in MiB; `None` if the machine has no disk or its size is not given.
     pub disk_mb: Option<u64>,
 }
 
-/// How many of each failure domain may be lost at once with all rules kept.
+/// How many failures of each failure domain the system tolerates at the same time.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct FaultTolerance {
-    /// Machines.
+    /// Number of machines that may fail at the same time.
     pub machines: u32,
-    /// Zones.
+    /// Number of zones that may fail at the same time.
     pub zones: u32,
-    /// Regions.
+    /// Number of regions that may fail at the same time.
     pub regions: u32,
 }
 
-/// Figures of the rules that the system is held to. Four of them steer processes; the others are read all the same, so
-/// that a mistake in them is reported.
+/// Time limits and tolerances that the system has to meet (`bounds.*`). Six of them affect a process; the others
+/// are parsed as well so that malformed values are reported.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Bounds {
-    /// `bounds.seed-lag-s`, in seconds; steers no process.
+    /// `bounds.seed-lag-s`, in seconds; affects no process.
     pub seed_lag_s: f64,
-    /// `bounds.address-reuse-s`, in seconds; steers no process.
+    /// `bounds.address-reuse-s`, in seconds; affects no process.
     pub address_reuse_s: f64,
-    /// `bounds.contact-ms`, in milliseconds; steers no process.
+    /// `bounds.contact-ms`, in milliseconds; affects no process.
     pub contact_ms: u64,
-    /// `bounds.ack-ms`, in milliseconds; steers no process.
+    /// `bounds.ack-ms`, in milliseconds; affects no process.
     pub ack_ms: u64,
-    /// Time in which a lost voter has to be replaced, in seconds.
+    /// Time within which a lost voter has to be replaced, in seconds.
     pub catch_up_s: f64,
-    /// `bounds.drain-ms`, in milliseconds; steers no process.
+    /// `bounds.drain-ms`, in milliseconds; affects no process.
     pub drain_ms: u64,
-    /// Time from SIGTERM to the end of the process, in seconds.
+    /// Grace period: the time between SIGTERM and the exit of the process, in seconds.
     pub grace_s: f64,
-    /// `bounds.loss-slack-ms`, in milliseconds; steers no process.
+    /// `bounds.loss-slack-ms`, in milliseconds; affects no process.
     pub loss_slack_ms: u64,
-    /// `bounds.config-apply-ms`, in milliseconds; steers no process.
+    /// `bounds.config-apply-ms`, in milliseconds; affects no process.
     pub config_apply_ms: u64,
-    /// `bounds.rollback-slack-ms`, in milliseconds; steers no process.
+    /// `bounds.rollback-slack-ms`, in milliseconds; affects no process.
     pub rollback_slack_ms: u64,
-    /// `bounds.max-stretch-ms`, in milliseconds; steers no process.
+    /// `bounds.max-stretch-ms`, in milliseconds; affects no process.
     pub max_stretch_ms: u64,
-    /// `bounds.recovery-s`, in seconds; steers no process.
+    /// `bounds.recovery-s`, in seconds; affects no process.
     pub recovery_s: f64,
-    /// `bounds.pass_ms`, in milliseconds; steers no process.
+    /// `bounds.pass_ms`, in milliseconds; affects no process.
     pub pass_ms: u64,
-    /// `bounds.again_s`, in seconds; steers no process.
+    /// `bounds.again_s`, in seconds; affects no process.
     pub again_s: f64,
-    /// `bounds.finish-s`, in seconds; steers no process.
+    /// `bounds.finish-s`, in seconds; affects no process.
     pub finish_s: f64,
-    /// How long results of ended jobs are kept, in seconds.
+    /// How long the results of ended batch jobs are kept, in seconds.
     pub status_interval_s: f64,
-    /// `bounds.cancel-ms`, in milliseconds; steers no process.
+    /// `bounds.cancel-ms`, in milliseconds; affects no process.
     pub cancel_ms: u64,
-    /// `bounds.settle-ms`, in milliseconds; steers no process.
+    /// `bounds.settle-ms`, in milliseconds; affects no process.
     pub settle_ms: u64,
-    /// `bounds.quota-overage`, a fraction; steers no process.
+    /// `bounds.quota-overage`, a fraction; affects no process.
     pub quota_overage: f64,
-    /// `bounds.fencing-enforced`, a flag; steers no process.
+    /// `bounds.fencing-enforced`, a flag; affects no process.
     pub fencing_enforced: bool,
-    /// Time that a new head of the control chain waits before it orders weights, in milliseconds.
+    /// How long a new head of the control chain waits before it sends weight orders, in milliseconds.
     pub lease_ms: u64,
-    /// `bounds.thaw-slack-ms`, in milliseconds; steers no process.
+    /// `bounds.thaw-slack-ms`, in milliseconds; affects no process.
     pub thaw_slack_ms: u64,
-    /// `bounds.strict-revocation`, a flag; steers no process.
+    /// `bounds.strict-revocation`, a flag; affects no process.
     pub strict_revocation: bool,
-    /// `bounds.revoke-ms`, in milliseconds; steers no process.
+    /// `bounds.revoke-ms`, in milliseconds; affects no process.
     pub revoke_ms: u64,
-    /// Length of the windows of usage reports, in seconds; above 0.
+    /// Length of a usage window, in seconds; above 0.
     pub usage_window_s: f64,
-    /// `bounds.usage-tolerance`, a fraction; steers no process.
+    /// `bounds.usage-tolerance`, a fraction; affects no process.
     pub usage_tolerance: f64,
-    /// Time after the end of a window by which its usage has to be reported, in seconds.
+    /// Time after the end of a usage window by which its usage has to be reported, in seconds.
     pub usage_late_s: f64,
 }
 
-/// Access to the platform's interface, which lists the servers.
+/// Access to the API of the platform, which lists the servers.
 #[derive(Clone, PartialEq, Debug)]
 pub struct CloudApi {
-    /// Where it takes requests, if there is one.
+    /// Address of the API; `None` if there is no platform.
     pub address: Option<SocketAddrV4>,
-    /// Requests a second that all processes together may make.
+    /// The number of requests per second that all processes together may send to the API.
     pub rate_per_s: f64,
-    /// What the system may do through it (`duties`).
+    /// Names of the singleton roles that the system performs through the API (key `cloud-api.duties`).
     pub platform_roles: Vec<String>,
-    /// How long it may take until a change shows in its answers, in milliseconds.
+    /// Maximum time until a change is visible in the responses of the API, in milliseconds.
     pub lag_ms: u64,
-    /// Calls of singleton duties a second that all processes together may make.
+    /// The number of platform calls per second that all processes together may make for singleton roles; above 0 (key
+    /// `cloud-api.duty-per-s`).
     pub platform_calls_per_second: f64,
 }
 
-/// Ports from the first to the last one.
+/// An inclusive range of ports.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct PortRange {
-    /// The first port.
+    /// The lowest port.
     pub first: u16,
-    /// The last port; not below the first.
+    /// The highest port; at least `first`.
     pub last: u16,
 }
 
-/// Where a process listens; a role needs some of these.
+/// The addresses at which a process listens; each role needs some of them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ListenAddresses {
-    /// Requests of clients.
+    /// Address for requests of clients.
     pub frontend: Option<SocketAddrV4>,
-    /// Questions whether the process is ready.
+    /// Address for readiness requests.
     pub readiness: Option<SocketAddrV4>,
-    /// Requests of operators.
+    /// Address for requests of operators.
     pub control: Option<SocketAddrV4>,
-    /// The system's own processes, if they reach this one through a relay at its IP address and the first internal
-    /// port. Connections to others then leave from this address, too.
+    /// Address for traffic between the system's own processes if they reach this process through a relay, which listens
+    /// at `ip` and the first internal port. Outgoing connections then use this IP address as well.
     pub internal: Option<SocketAddrV4>,
 }
 
-/// All settings of a process.
+/// The settings of a process.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Settings {
-    /// Name of the machine; unique in the system.
+    /// Name of the node; unique in the system.
     pub node_name: String,
-    /// Name of the machine's role in the plan of the deployment.
+    /// Name of the node's role in the deployment plan.
     pub role: String,
-    /// Name of the kind of machine.
+    /// Name of the machine type.
     pub machine_class: String,
-    /// What the machine serves.
+    /// Names of the functions that the node serves, such as `control_plane`.
     pub serves: Vec<String>,
-    /// IP address that others reach the machine by.
+    /// IP address at which other processes reach the node.
     pub ip: Ipv4Addr,
-    /// Zone that the machine stands in.
+    /// Zone of the node.
     pub zone: String,
-    /// Region that the machine stands in.
+    /// Region of the node; empty if it is not given.
     pub region: String,
-    /// Region of each zone.
+    /// The region of each zone, keyed by zone.
     pub zones: BTreeMap<String, String>,
-    /// Where the process listens.
+    /// The addresses at which the process listens.
     pub listen: ListenAddresses,
-    /// Ports for traffic between the system's own processes; the first one is used.
+    /// Ports for traffic between the system's own processes; only the first one is used.
     pub internal_ports: PortRange,
-    /// Control nodes to try first.
+    /// Addresses of the control nodes to contact first.
     pub seed_nodes: Vec<SocketAddrV4>,
-    /// This is the first start of all.
+    /// Whether this is the first start of the system.
     pub bootstrap: bool,
-    /// The machine may be a voter.
+    /// Whether the node may become a voter.
     pub quorum_member: bool,
-    /// What the process may use.
+    /// The resources that the process may use.
     pub limits: ProcessLimits,
-    /// Where files are kept; none on a machine that keeps nothing.
+    /// Directory for data files; `None` on a node that stores nothing.
     pub data_directory: Option<PathBuf>,
-    /// Pause between two heartbeats, in milliseconds.
+    /// Time between two heartbeats, in milliseconds.
     pub heartbeat_ms: u64,
-    /// Names of the contracts that the system is held to.
+    /// Names of the contracts that the system has to fulfil.
     pub contracts: Vec<String>,
-    /// How many failures at once have to be tolerated.
+    /// How many failures the system has to tolerate at the same time.
     pub fault_tolerance: FaultTolerance,
-    /// Figures of the rules.
+    /// Time limits and tolerances that the system has to meet.
     pub bounds: Bounds,
-    /// Access to the platform's interface.
+    /// Access to the API of the platform.
     pub cloud_api: CloudApi,
 }
 
 impl Settings {
-    /// Reads the file that the environment names.
+    /// Reads the file named by the environment variable [`PATH_VARIABLE`].
     ///
     /// # Errors
     ///
-    /// There is no such file, or a field that is needed is missing or malformed.
+    /// Returns an error if the variable is not set, the file cannot be read, or a key is missing or malformed.
     pub fn load_from_environment() -> Result<Settings, SettingsError> {
         let path = PathBuf::from(env::var_os(PATH_VARIABLE).ok_or(SettingsError::NoPath)?);
         let text = fs::read_to_string(&path)
@@ -249,11 +251,11 @@
         Settings::parse(&text, &path)
     }
 
-    /// Reads settings from the text of the file at `path`.
+    /// Parses `text`, the content of the file at `path`. The path is used in errors only.
     ///
     /// # Errors
     ///
-    /// A field that is needed is missing, or a known one is malformed.
+    /// Returns an error if a required key is missing, a known key is malformed, or a line has no `=`.
     pub fn parse(text: &str, path: &Path) -> Result<Settings, SettingsError> {
         let lines = Lines::split(text, path)?;
         Ok(Settings {
@@ -264,7 +266,7 @@
             ip: lines.required("ip-address", "an IPv4 address")?,
             zone: lines.required("zone", "a name")?,
             region: lines.or("region", "a name", String::new())?,
-            zones: lines.below("zones."),
+            zones: lines.with_prefix("zones."),
             listen: listen_addresses(&lines)?,
             internal_ports: lines.ports("internal-port-range")?,
             seed_nodes: lines.list("seed-nodes", "addresses like 10.0.0.1:80")?,
--- a/crates/settings/src/lines.rs
+++ b/crates/settings/src/lines.rs
@@ -1,4 +1,4 @@
-//! The lines of a settings file: looked up by their keys, read into types.
+//! Lookup of the lines of a settings file by key, and conversion of their values.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -6,22 +6,22 @@
 
 use super::{PortRange, SettingsError};
 
-/// The lines of a file by their keys.
+/// The lines of a settings file by key.
 pub(super) struct Lines<'a> {
     path: &'a Path,
     values: BTreeMap<&'a str, LineValue<'a>>,
 }
 
-/// The value of a key and where it stands.
+/// The value of a key and the line that holds it.
 #[derive(Clone, Copy)]
 struct LineValue<'a> {
-    /// Number of the line, from 1.
+    /// Number of the line, counted from 1.
     line: usize,
     text: &'a str,
 }
 
 impl<'a> Lines<'a> {
-    /// Splits the text of the file at `path`; of lines with the same key the last one counts.
+    /// Splits the text of the file at `path` into keys and values. If a key occurs repeatedly, its last line counts.
     pub(super) fn split(text: &'a str, path: &'a Path) -> Result<Lines<'a>, SettingsError> {
         let mut values = BTreeMap::new();
         for (index, line) in text.lines().enumerate() {
@@ -37,7 +37,7 @@
         Ok(Lines { path, values })
     }
 
-    /// The value of a key, if there is one.
+    /// Parses the value of `key`. Returns `None` if the key is missing.
     fn read<T: FromStr>(&self, key: &str, expected: &'static str) -> Result<Option<T>, SettingsError> {
         let Some(value) = self.values.get(key) else { return Ok(None) };
         let parsed = value.text.parse().map_err(|_| self.malformed(key, *value, expected))?;
@@ -54,7 +54,7 @@
         }
     }
 
-    /// A whole number of milliseconds, also where it is written as a fraction: it is rounded.
+    /// Returns a number of milliseconds, or `default` if the key is missing. A fraction is rounded.
     pub(super) fn milliseconds(&self, key: &str, default: u64) -> Result<u64, SettingsError> {
         const EXPECTED: &str = "a number of milliseconds, 0 or more";
         let Some(value) = self.values.get(key) else { return Ok(default) };
@@ -62,7 +62,7 @@
         number.map(|n| n.round() as u64).ok_or_else(|| self.malformed(key, *value, EXPECTED))
     }
 
-    /// A number above 0, or `default` where the key is missing.
+    /// Returns a number above 0, or `default` if the key is missing.
     pub(super) fn positive(&self, key: &str, default: f64) -> Result<f64, SettingsError> {
         const EXPECTED: &str = "a number above 0";
         let Some(value) = self.values.get(key) else { return Ok(default) };
@@ -70,7 +70,7 @@
         number.ok_or_else(|| self.malformed(key, *value, EXPECTED))
     }
 
-    /// A value that has to be there.
+    /// Returns the value of a required key.
     pub(super) fn required<T: FromStr>(
         &self,
         key: &'static str,
@@ -79,7 +79,7 @@
         self.read(key, expected)?.ok_or(SettingsError::Missing { path: self.path.to_owned(), key })
     }
 
-    /// A value that may be left out or empty.
+    /// Returns the value of an optional key; `None` if it is missing or empty.
     pub(super) fn optional<T: FromStr>(
         &self,
         key: &str,
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A value, or `default` where the key is missing.
+    /// Returns the value of `key`, or `default` if the key is missing.
     pub(super) fn or<T: FromStr>(
         &self,
         key: &str,
@@ -101,7 +101,7 @@
         Ok(self.read(key, expected)?.unwrap_or(default))
     }
 
-    /// Items separated by commas; none where the key is missing or empty.
+    /// Returns the items of a comma-separated list; empty if the key is missing or its value is empty.
     pub(super) fn list<T: FromStr>(
         &self,
         key: &str,
@@ -112,7 +112,7 @@
         items.map(|item| item.parse().map_err(|_| self.malformed(key, *value, expected))).collect()
     }
 
-    /// First and last port of a range.
+    /// Returns a port range, written as its first and last port.
     pub(super) fn ports(&self, key: &'static str) -> Result<PortRange, SettingsError> {
         const EXPECTED: &str = "two ports like 7660,7675, the first not above the second";
         let ports: Vec<u16> = self.list(key, EXPECTED)?;
@@ -123,10 +123,10 @@
         }
     }
 
-    /// The values of all keys that begin with `prefix`, by the rest of their keys.
-    pub(super) fn below(&self, prefix: &str) -> BTreeMap<String, String> {
-        let below =
+    /// Returns the values of all keys that begin with `prefix`, by the rest of the key.
+    pub(super) fn with_prefix(&self, prefix: &str) -> BTreeMap<String, String> {
+        let matching =
             self.values.iter().filter_map(|(key, value)| Some((key.strip_prefix(prefix)?, value.text)));
-        below.map(|(key, value)| (key.to_owned(), value.to_owned())).collect()
+        matching.map(|(key, value)| (key.to_owned(), value.to_owned())).collect()
     }
 }
--- a/crates/settings/src/logging.rs
+++ b/crates/settings/src/logging.rs
@@ -1,20 +1,20 @@
-//! Logs of the programs: lines of level and message on standard error.
+//! Logging of the programs to standard error.
 
 use std::io;
 
 use derive_more::{Display, Error, From};
 
-/// Why logging can't be set up.
+/// Logging cannot be set up.
 #[derive(Debug, Display, Error, From)]
-#[display("logging can't be set up: {_0}; it may be set up once only")]
+#[display("logging cannot be set up: {_0}; set it up only once")]
 pub struct LoggingError(log::SetLoggerError);
 
-/// Sends log lines of `level` and above to standard error as `LEVEL message`; a message begins with the part of the
-/// program that it is about.
+/// Writes log records of `level` and more severe ones to standard error, each as a line `LEVEL message`. A
+/// message begins with the name of the part of the program that it concerns.
 ///
 /// # Errors
 ///
-/// Logging is set up already.
+/// Returns an error if logging is already set up.
 pub fn start(level: log::LevelFilter) -> Result<(), LoggingError> {
     fern::Dispatch::new()
         .format(|out, message, record| out.finish(format_args!("{} {message}", record.level())))
--- a/crates/settings/tests/golden_settings.rs
+++ b/crates/settings/tests/golden_settings.rs
@@ -1,4 +1,4 @@
-//! The settings that a process reads from a fixed document, and those that it takes where a key is left out.
+//! Checks all parsed settings, and the defaults of missing keys, against recorded values.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::Path;
@@ -8,7 +8,7 @@
 
 const FOLDER: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/golden");
 
-const WHOLE: &str = "
+const ALL_KEYS: &str = "
 # every key
 node-name=storage-a-1
 role=store
@@ -74,14 +74,14 @@
 unknown.key=is skipped
 ";
 
-const SHORTEST: &str = "
+const REQUIRED_KEYS: &str = "
 node-name=edge-1
 ip-address=10.1.2.3
 zone=zone-a
 internal-port-range=7660,7675
 ";
 
-/// What a process makes of a document, each value in a form that holds all of it.
+/// Parses a settings file and encodes each value without loss, by key.
 fn samples(text: &str) -> Vec<(String, Vec<u8>)> {
     let settings = Settings::parse(text, Path::new("settings")).expect("settings");
     let mut samples = Vec::new();
@@ -93,7 +93,7 @@
         Some(address) => [&address.ip().octets()[..], &address.port().to_le_bytes()[..]].concat(),
         None => Vec::new(),
     };
-    let whole = |value: u64| value.to_le_bytes().to_vec();
+    let integer = |value: u64| value.to_le_bytes().to_vec();
     let float = |value: f64| value.to_le_bytes().to_vec();
     let flag = |value: bool| vec![u8::from(value)];
 
@@ -119,59 +119,59 @@
     add("quorum-member", flag(settings.quorum_member));
     add("limits.cpu-share", float(settings.limits.cpu_share));
     add("limits.cpu-cores", float(settings.limits.cpu_cores));
-    add("limits.memory-mb", whole(settings.limits.memory_mb));
-    add("limits.max-open-files", whole(settings.limits.max_open_files));
+    add("limits.memory-mb", integer(settings.limits.memory_mb));
+    add("limits.max-open-files", integer(settings.limits.max_open_files));
     add("limits.link-mbps", float(settings.limits.link_mbps));
-    add("limits.disk-mb", settings.limits.disk_mb.map_or(Vec::new(), whole));
+    add("limits.disk-mb", settings.limits.disk_mb.map_or(Vec::new(), integer));
     let directory = settings.data_directory.as_deref().map_or("", |path| path.to_str().expect("a text"));
     add("data-directory", text(directory));
-    add("heartbeat-ms", whole(settings.heartbeat_ms));
+    add("heartbeat-ms", integer(settings.heartbeat_ms));
     add("contracts", list(&settings.contracts));
-    add("fault-tolerance.machines", whole(settings.fault_tolerance.machines.into()));
-    add("fault-tolerance.zones", whole(settings.fault_tolerance.zones.into()));
-    add("fault-tolerance.regions", whole(settings.fault_tolerance.regions.into()));
+    add("fault-tolerance.machines", integer(settings.fault_tolerance.machines.into()));
+    add("fault-tolerance.zones", integer(settings.fault_tolerance.zones.into()));
+    add("fault-tolerance.regions", integer(settings.fault_tolerance.regions.into()));
     let bounds = &settings.bounds;
     add("bounds.seed-lag-s", float(bounds.seed_lag_s));
     add("bounds.address-reuse-s", float(bounds.address_reuse_s));
-    add("bounds.contact-ms", whole(bounds.contact_ms));
-    add("bounds.ack-ms", whole(bounds.ack_ms));
+    add("bounds.contact-ms", integer(bounds.contact_ms));
+    add("bounds.ack-ms", integer(bounds.ack_ms));
     add("bounds.catch-up-s", float(bounds.catch_up_s));
-    add("bounds.drain-ms", whole(bounds.drain_ms));
+    add("bounds.drain-ms", integer(bounds.drain_ms));
     add("bounds.grace-s", float(bounds.grace_s));
-    add("bounds.loss-slack-ms", whole(bounds.loss_slack_ms));
-    add("bounds.config-apply-ms", whole(bounds.config_apply_ms));
-    add("bounds.rollback-slack-ms", whole(bounds.rollback_slack_ms));
-    add("bounds.max-stretch-ms", whole(bounds.max_stretch_ms));
+    add("bounds.loss-slack-ms", integer(bounds.loss_slack_ms));
+    add("bounds.config-apply-ms", integer(bounds.config_apply_ms));
+    add("bounds.rollback-slack-ms", integer(bounds.rollback_slack_ms));
+    add("bounds.max-stretch-ms", integer(bounds.max_stretch_ms));
     add("bounds.recovery-s", float(bounds.recovery_s));
-    add("bounds.pass_ms", whole(bounds.pass_ms));
+    add("bounds.pass_ms", integer(bounds.pass_ms));
     add("bounds.again_s", float(bounds.again_s));
     add("bounds.finish-s", float(bounds.finish_s));
     add("bounds.status-interval-s", float(bounds.status_interval_s));
-    add("bounds.cancel-ms", whole(bounds.cancel_ms));
-    add("bounds.settle-ms", whole(bounds.settle_ms));
+    add("bounds.cancel-ms", integer(bounds.cancel_ms));
+    add("bounds.settle-ms", integer(bounds.settle_ms));
     add("bounds.quota-overage", float(bounds.quota_overage));
     add("bounds.fencing-enforced", flag(bounds.fencing_enforced));
-    add("bounds.lease-ms", whole(bounds.lease_ms));
-    add("bounds.thaw-slack-ms", whole(bounds.thaw_slack_ms));
+    add("bounds.lease-ms", integer(bounds.lease_ms));
+    add("bounds.thaw-slack-ms", integer(bounds.thaw_slack_ms));
     add("bounds.strict-revocation", flag(bounds.strict_revocation));
-    add("bounds.revoke-ms", whole(bounds.revoke_ms));
+    add("bounds.revoke-ms", integer(bounds.revoke_ms));
     add("bounds.usage-window-s", float(bounds.usage_window_s));
     add("bounds.usage-tolerance", float(bounds.usage_tolerance));
     add("bounds.usage-late-s", float(bounds.usage_late_s));
     add("cloud-api.address", address(settings.cloud_api.address));
     add("cloud-api.rate-per-s", float(settings.cloud_api.rate_per_s));
     add("cloud-api.duties", list(&settings.cloud_api.platform_roles));
-    add("cloud-api.lag-ms", whole(settings.cloud_api.lag_ms));
+    add("cloud-api.lag-ms", integer(settings.cloud_api.lag_ms));
     add("cloud-api.duty-per-s", float(settings.cloud_api.platform_calls_per_second));
     samples
 }
 
 #[test]
-fn settings_of_a_whole_document_are_as_recorded() {
-    check_samples(&Path::new(FOLDER).join("settings_whole.txt"), &samples(WHOLE));
+fn all_keys_are_parsed_as_recorded() {
+    check_samples(&Path::new(FOLDER).join("settings_whole.txt"), &samples(ALL_KEYS));
 }
 
 #[test]
-fn settings_that_are_left_out_have_the_recorded_defaults() {
-    check_samples(&Path::new(FOLDER).join("settings_defaults.txt"), &samples(SHORTEST));
+fn missing_keys_have_the_recorded_defaults() {
+    check_samples(&Path::new(FOLDER).join("settings_defaults.txt"), &samples(REQUIRED_KEYS));
 }
--- a/crates/settings/tests/settings.rs
+++ b/crates/settings/tests/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of a process: the example of the operators' page, what may be left out, what is refused.
+//! Parsing of the settings file: the example of the operators' documentation, optional keys, and malformed files.
 
 use std::path::{Path, PathBuf};
 
@@ -7,7 +7,7 @@
 
 const PATH: &str = "/etc/orchidvalve/local.conf";
 
-/// The example of the operators' page.
+/// The example of the operators' documentation.
 const EXAMPLE: &str = "\
 node-name=edge-lagos-ikeja-1
 role=my-edge
@@ -73,19 +73,19 @@
     Settings::parse(text, Path::new(PATH))
 }
 
-/// The example without the lines of this key.
+/// Returns the example without the lines of `key`.
 fn without(key: &str) -> String {
     let lines = EXAMPLE.lines().filter(|line| line.split('=').next() != Some(key));
     lines.map(|line| format!("{line}\n")).collect()
 }
 
-/// The example with another value for this key.
+/// Returns the example with the value of `key` replaced.
 fn with(key: &str, value: &str) -> String {
     without(key) + &format!("{key}={value}\n")
 }
 
 #[test]
-fn the_example_of_the_page_is_read_whole() {
+fn the_documented_example_is_parsed() {
     let settings = parse(EXAMPLE).unwrap();
     assert_eq!(settings.node_name, "edge-lagos-ikeja-1");
     assert_eq!(settings.role, "my-edge");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn every_bound_of_the_page_has_its_field() {
+fn every_documented_bound_is_parsed() {
     let expected = Bounds {
         seed_lag_s: 3.0,
         address_reuse_s: 2.0,
@@ -151,9 +151,9 @@
     assert_eq!(parse(EXAMPLE).unwrap().bounds, expected);
 }
 
-/// Each bound is read from its own key: another value changes the bounds, and only they differ.
+/// Changing the key of a bound changes the bounds and no other settings.
 #[rstest]
-fn a_bound_is_read_from_its_key(
+fn each_bound_is_parsed_from_its_own_key(
     #[values(
         "seed-lag-s",
         "address-reuse-s",
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn whether_fencing_is_enforced_is_read() {
+fn fencing_enforced_is_parsed() {
     assert!(parse(&with("bounds.fencing-enforced", "true")).unwrap().bounds.fencing_enforced);
 }
 
@@ -195,13 +195,13 @@
 #[case::unknown_bounds("bounds.new-bound-ms=soon\n")]
 #[case::empty_lines("\n   \n")]
 #[case::comments("# written by the platform\n")]
-fn what_is_not_known_is_skipped(#[case] more: &str) {
+fn unknown_keys_empty_lines_and_comments_are_ignored(#[case] more: &str) {
     let settings = parse(&format!("{more}{EXAMPLE}{more}")).unwrap();
     assert_eq!(settings, parse(EXAMPLE).unwrap());
 }
 
 #[test]
-fn a_value_may_hold_an_equals_sign_and_spaces_around_it() {
+fn a_value_may_contain_an_equals_sign_and_is_trimmed() {
     let settings = parse(&with("node-name", " a=b ")).unwrap();
     assert_eq!(settings.node_name, "a=b");
 }
@@ -214,7 +214,7 @@
     assert_eq!(parse(&with("serves", value)).unwrap().serves, expected);
 }
 
-/// What a machine without disk, without clients or without a platform lacks.
+/// The keys that do not apply to a node without a disk, without clients or without a platform.
 #[rstest]
 #[case::disk("limits.disk-mb")]
 #[case::directory("data-directory")]
@@ -223,18 +223,18 @@
 #[case::control("listen-addresses.control")]
 #[case::relay("listen-addresses.internal")]
 #[case::platform("cloud-api.address")]
-fn what_a_role_does_not_have_may_be_left_out_or_empty(#[case] key: &str) {
+fn optional_keys_may_be_missing_or_empty(#[case] key: &str) {
     let missing = parse(&without(key)).unwrap();
     assert_eq!(missing, parse(&with(key, "")).unwrap());
     assert_ne!(missing, parse(EXAMPLE).unwrap());
 }
 
 #[test]
-fn every_field_but_a_few_has_a_default() {
-    let needed = ["node-name", "ip-address", "zone", "internal-port-range"];
+fn all_keys_except_the_required_ones_have_defaults() {
+    let required = ["node-name", "ip-address", "zone", "internal-port-range"];
     for line in EXAMPLE.lines() {
         let key = line.split('=').next().unwrap();
-        assert_eq!(parse(&without(key)).is_err(), needed.contains(&key), "{key}");
+        assert_eq!(parse(&without(key)).is_err(), required.contains(&key), "{key}");
     }
 }
 
@@ -243,7 +243,7 @@
 #[case("ip-address")]
 #[case("zone")]
 #[case("internal-port-range")]
-fn a_missing_field_is_named_with_file_and_remedy(#[case] key: &str) {
+fn a_missing_key_is_reported_with_file_and_remedy(#[case] key: &str) {
     let error = parse(&without(key)).unwrap_err();
     assert!(matches!(error, SettingsError::Missing { .. }));
     assert_eq!(error.to_string(), format!("{PATH}: {key} is missing: add a line {key}=VALUE"));
@@ -266,7 +266,7 @@
 #[case::one_port("internal-port-range", "7660", "two ports")]
 #[case::ports_reversed("internal-port-range", "7675,7660", "two ports")]
 #[case::ports_empty("internal-port-range", "", "two ports")]
-fn a_malformed_value_is_named_with_file_line_and_remedy(
+fn a_malformed_value_is_reported_with_file_line_and_remedy(
     #[case] key: &str,
     #[case] value: &str,
     #[case] expected: &str,
@@ -275,24 +275,24 @@
     let line = text.lines().count();
     let message = parse(&text).unwrap_err().to_string();
     assert!(
-        message.starts_with(&format!("{PATH}, line {line}: {key}={value} isn't {expected}")),
+        message.starts_with(&format!("{PATH}, line {line}: {key}={value} is not {expected}")),
         "{message}"
     );
     assert!(message.ends_with(": correct it"), "{message}");
 }
 
 #[test]
-fn a_line_without_an_equals_sign_is_named() {
+fn a_line_without_an_equals_sign_is_reported() {
     let error = parse(&format!("role=door\n\nbootstrap\n{EXAMPLE}")).unwrap_err();
     assert_eq!(error.to_string(), format!("{PATH}, line 3: no '=' in it: write key=value"));
 }
 
 #[rstest]
-#[case::whole("3000", 3_000)]
-#[case::with_a_point("3000.0", 3_000)]
+#[case::integer("3000", 3_000)]
+#[case::with_decimal_point("3000.0", 3_000)]
 #[case::rounded("62.5", 63)]
 #[case::zero("0", 0)]
-fn times_may_be_written_as_fractions(#[case] value: &str, #[case] milliseconds: u64) {
+fn milliseconds_may_be_written_as_fractions(#[case] value: &str, #[case] milliseconds: u64) {
     let settings = parse(&with("bounds.lease-ms", value)).unwrap();
     assert_eq!(settings.bounds.lease_ms, milliseconds);
 }
