--- a/crates/batch-store/src/active_job.rs
+++ b/crates/batch-store/src/active_job.rs
@@ -1,4 +1,4 @@
-//! A job while results are missing: which items have one, and which group is assigned to which gateway.
+//! A job with missing results: which items have a result, and which group is assigned to which gateway.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
 
 use crate::gateways::GatewayId;
 
-/// The part of a group's state that decides where it runs.
+/// The state of a group that determines where it runs.
 #[derive(Debug, Default)]
 pub(crate) struct Group {
     items: Vec<u32>,
@@ -17,51 +17,51 @@
 }
 
 impl Group {
-    /// Indices of its items in the job.
+    /// Returns the indices of the group's items in the job.
     pub fn items(&self) -> &[u32] {
         &self.items
     }
 
-    /// Number of its items without a result.
+    /// Returns the number of items without a result.
     pub fn missing_results(&self) -> u32 {
         self.missing_results
     }
 
-    /// The gateway that has a lease on the group.
+    /// Returns the gateway that holds a lease on the group.
     pub fn assigned_to(&self) -> Option<GatewayId> {
         self.assigned_to
     }
 
-    /// Whether it waits for a gateway.
+    /// Returns whether the group has missing results and is assigned to no gateway.
     pub fn is_unassigned(&self) -> bool {
         self.assigned_to.is_none() && self.missing_results > 0
     }
 
-    /// Whether it may be assigned already, by the monotonic clock.
+    /// Returns whether the group may be assigned at `now_ms`, a time of the monotonic clock in milliseconds.
     pub fn is_due(&self, now_ms: u64) -> bool {
         self.not_before_ms <= now_ms
     }
 }
 
-/// What is needed of a job while results are missing.
+/// The state of a job that is needed only while results are missing.
 #[derive(Debug)]
 pub(crate) struct ActiveJob {
     job: Box<Job>,
     item_indices: BTreeMap<CompactString, u32>,
     has_result: Vec<bool>,
-    /// Responses of 500 that gateways have reported, by the index of the item. Not replicated: a new head begins
-    /// without them.
+    /// The number of responses with status 500 that gateways have reported for an item, by the item's index. Not
+    /// replicated: a new head starts with empty counts.
     failures: BTreeMap<u32, u32>,
     groups: Vec<Group>,
-    /// Groups of which every item has a result.
+    /// Number of groups in which every item has a result.
     finished_groups: u32,
     assigned_groups: u32,
-    /// No group before this one waits for a gateway.
+    /// All groups before this index are assigned or finished.
     first_unassigned: usize,
 }
 
 impl ActiveJob {
-    /// A job without results, none of whose groups is assigned.
+    /// Returns a job without results and with all groups unassigned.
     pub fn new(job: Box<Job>) -> ActiveJob {
         let groups = job.groups().into_iter().map(|items| Group {
             missing_results: items.len() as u32,
@@ -84,65 +84,65 @@
         }
     }
 
-    /// The job as it was submitted.
+    /// Returns the job as submitted.
     pub fn job(&self) -> &Job {
         &self.job
     }
 
-    /// All groups, in the order of the job.
+    /// Returns all groups in the order of the job.
     pub fn groups(&self) -> &[Group] {
         &self.groups
     }
 
-    /// Groups that are assigned or finished.
+    /// Returns the number of groups that are assigned or finished.
     pub fn started_groups(&self) -> u32 {
         self.finished_groups + self.assigned_groups
     }
 
-    /// Whether a group waits for a gateway.
+    /// Returns whether a group is neither assigned nor finished.
     pub fn has_unassigned_group(&self) -> bool {
         self.started_groups() < self.groups.len() as u32
     }
 
-    /// Items without a result of up to `max_groups` groups that wait for a gateway.
+    /// Returns the number of items without a result in the first `max_groups` unassigned groups.
     pub fn unassigned_items(&self, max_groups: u32) -> u32 {
         let waiting = self.groups.iter().skip(self.first_unassigned).filter(|group| group.is_unassigned());
         waiting.take(max_groups as usize).map(Group::missing_results).sum()
     }
 
-    /// Index of an item in the job.
+    /// Returns the index of the item `item` in the job.
     pub fn item_index(&self, item: &str) -> Option<u32> {
         self.item_indices.get(item).copied()
     }
 
-    /// Whether the item of this index has a result.
+    /// Returns whether the item at `index` has a result.
     pub fn has_result(&self, index: u32) -> bool {
         self.has_result[index as usize]
     }
 
-    /// Indices of the items without a result.
+    /// Returns the indices of the items without a result.
     pub fn items_without_result(&self) -> impl Iterator<Item = u32> {
         self.has_result.iter().zip(0..).filter(|(has_result, _)| !**has_result).map(|(_, index)| index)
     }
 
-    /// No group before this index waits for a gateway.
+    /// Returns an index before which no group is unassigned.
     pub fn first_unassigned(&self) -> usize {
         self.first_unassigned
     }
 
-    /// Notes that no group before this index waits for a gateway.
+    /// Records that no group before `index` is unassigned.
     pub fn set_first_unassigned(&mut self, index: usize) {
         self.first_unassigned = index;
     }
 
-    /// Assigns a group that waits for a gateway.
+    /// Assigns an unassigned group to a gateway.
     pub fn assign(&mut self, index: usize, gateway: GatewayId) {
         self.groups[index].assigned_to = Some(gateway);
         self.assigned_groups += 1;
     }
 
-    /// Takes a group away from its gateway; it isn't assigned again before `not_before_ms`. Returns how many of its
-    /// items had no result.
+    /// Revokes the assignment of a group, which is not assigned again before `not_before_ms`. Returns the number of its
+    /// items without a result, or 0 if it was not assigned.
     pub fn revoke(&mut self, index: usize, not_before_ms: u64) -> u32 {
         let group = &mut self.groups[index];
         if group.assigned_to.take().is_none() {
@@ -154,8 +154,8 @@
         group.missing_results
     }
 
-    /// Takes all groups away from their gateways, or only those of one of them. Calls `revoked` with the gateway and
-    /// the number of items without a result, for each.
+    /// Revokes the assignments of all groups, or only those of the gateway `only`. Calls `revoked` for each with the
+    /// gateway and the number of items without a result.
     pub fn revoke_all(&mut self, only: Option<GatewayId>, mut revoked: impl FnMut(GatewayId, u32)) {
         for index in 0..self.groups.len() {
             let assigned_to = self.groups[index].assigned_to;
@@ -165,18 +165,19 @@
         }
     }
 
-    /// Notes that an item has failed so often; a gateway that knows less than another takes nothing back.
+    /// Records that an item has failed `count` times. A count below the recorded one is ignored: gateways may report
+    /// different counts.
     pub fn record_failures(&mut self, index: u32, count: u32) {
         let known = self.failures.entry(index).or_default();
         *known = count.max(*known);
     }
 
-    /// How often an item has failed.
+    /// Returns how often an item has failed.
     pub fn failures(&self, index: u32) -> u32 {
         self.failures.get(&index).copied().unwrap_or(0)
     }
 
-    /// Notes that an item has a result. Returns the gateway that worked on it.
+    /// Records that an item has a result. Returns the gateway to which its group was assigned.
     pub fn record_result(&mut self, index: u32) -> Option<GatewayId> {
         self.has_result[index as usize] = true;
         let group = self.job.item(index as usize)?.group() as usize;
@@ -192,7 +193,7 @@
         gateway
     }
 
-    /// Whether every item has a result.
+    /// Returns whether every item has a result.
     pub fn is_finished(&self) -> bool {
         self.finished_groups as usize == self.groups.len()
     }
--- a/crates/batch-store/src/dispatch.rs
+++ b/crates/batch-store/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Dispatch: which group goes to which gateway.
+//! Dispatch of groups: decides which group is assigned to which gateway.
 
 use std::collections::BTreeMap;
 
@@ -17,42 +17,42 @@
 use crate::partition::Partition;
 use crate::timestamp::Timestamp;
 
-/// Groups are started beyond the number that the trainer waits for by one part in this many...
+/// A job starts more groups than the trainer waits for. The margin is the desired count divided by this number...
 const MARGIN_DIVISOR: u32 = 10;
-/// ...and by this many at least.
+/// ...and at least this many groups.
 const MIN_MARGIN: u32 = 2;
-/// Groups that are needed only if others fail are started once this part of the job's time is over.
+/// Spare groups are started after the job's target run time divided by this number.
 const SPARE_WAIT_DIVISOR: u64 = 2;
 
-/// Why a group is started.
+/// The reason for starting a group.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Purpose {
-    /// The trainer waits for it.
+    /// The group is among those that the trainer waits for, or within the margin.
     Required,
-    /// It is needed only if others fail; it gets capacity that would be idle.
+    /// The group is needed only if others fail. It runs on capacity that would otherwise be idle.
     Spare,
 }
 
-/// A job with groups to assign.
+/// A job with unassigned groups.
 struct Candidate {
     deadline_ms: u64,
-    /// From then on spare groups are started.
+    /// Wall clock time in milliseconds from which on spare groups are started.
     spare_from_ms: u64,
     key: JobKey,
 }
 
-/// What one message with groups is about. Messages are sent in the order of their keys.
+/// The recipient and the job of an assignment message. Messages are sent in the order of these keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AssignmentKey {
-    /// The gateway that gets the groups.
+    /// The gateway to which the groups are assigned.
     gateway: GatewayId,
     job: JobKey,
 }
 
-/// Indices of the groups to be sent.
+/// Indices of the groups to be sent, by assignment message.
 type Assignments = BTreeMap<AssignmentKey, Vec<u32>>;
 
-/// Assigns groups to the gateways that have capacity, jobs in the order of their deadlines.
+/// Assigns groups to gateways with free capacity. Jobs with earlier deadlines come first.
 pub(crate) fn dispatch_groups(
     partitions: &mut BTreeMap<u16, Partition>,
     gateways: &mut GatewayTable,
@@ -96,7 +96,7 @@
     candidates
 }
 
-/// Groups of the job that may be assigned or finished for this purpose.
+/// Returns the maximum number of groups of the job that may be assigned or finished, given the purpose.
 fn max_started_groups(active: &ActiveJob, purpose: Purpose) -> u32 {
     match (purpose, active.job().desired_count) {
         (Purpose::Required, desired) if desired > 0 => desired + (desired / MARGIN_DIVISOR).max(MIN_MARGIN),
@@ -104,7 +104,7 @@
     }
 }
 
-/// Items of a job that wait for a gateway and are needed, whatever else fails.
+/// Returns the number of unassigned items that the job needs even if no group fails.
 pub(crate) fn undispatched_items(active: &ActiveJob) -> u32 {
     let max_started = max_started_groups(active, Purpose::Required);
     active.unassigned_items(max_started.saturating_sub(active.started_groups()))
@@ -149,7 +149,7 @@
     }
 }
 
-/// A gateway that a group may be assigned to.
+/// A gateway to which a group may be assigned.
 #[derive(Clone, Copy)]
 struct RankedGateway {
     rank: f64,
@@ -157,8 +157,8 @@
     load: f32,
 }
 
-/// The less loaded of the two gateways that the group's hash ranks first. A new head so chooses mostly the same
-/// gateways as the one before it.
+/// Returns the less loaded of the two gateways that the hash of the group ranks first. Since the ranking depends only
+/// on the group and the gateways, a new head mostly chooses the same gateways as its predecessor.
 fn choose_gateway(
     gateways: &GatewayTable,
     job: &str,
@@ -184,15 +184,15 @@
     least_loaded.map(|ranked| ranked.id)
 }
 
-/// Weighted rendezvous hashing (Thaler and Ravishankar 1998): the lowest rank wins, with a probability in proportion to
-/// the weight.
+/// Returns the rank of a gateway in weighted rendezvous hashing (Thaler and Ravishankar 1998). The lowest rank wins;
+/// each gateway wins with a probability proportional to its weight.
 fn rank(seed: u64, address: NodeAddress, weight: f32) -> f64 {
     let random = (rendezvous::rank(seed, address) >> 11) as f64 / (1u64 << 53) as f64;
     -(1.0 - random).ln() / f64::from(weight)
 }
 
-/// Sends the groups that gateways, or one of them, are assigned once more: a new view gave them a new epoch, or a
-/// message may have been lost. A gateway ignores what it has.
+/// Resends the assignments of all gateways, or of the gateway `only`: a new view changes the epoch of the assignments,
+/// and earlier messages may have been lost. Gateways ignore groups that they already have.
 pub(crate) fn resend_assignments(
     partition: &Partition,
     gateways: &GatewayTable,
@@ -203,8 +203,8 @@
     for (job, _, active) in partition.jobs.iter_active() {
         let mut assigned: BTreeMap<GatewayId, Vec<u32>> = BTreeMap::new();
         for (group, index) in active.groups().iter().zip(0..) {
-            let wanted = |gateway: &GatewayId| only.is_none_or(|only| only == *gateway);
-            if let Some(gateway) = group.assigned_to().filter(wanted) {
+            let is_included = |gateway: &GatewayId| only.is_none_or(|only| only == *gateway);
+            if let Some(gateway) = group.assigned_to().filter(is_included) {
                 assigned.entry(gateway).or_default().push(index);
             }
         }
@@ -225,7 +225,7 @@
     let Some(link) = gateway.and_then(Gateway::link) else { return };
     let Some(state) = partition.jobs.get(job) else { return };
     let Some(active) = state.active() else { return };
-    let terms = AssignedJob {
+    let assigned_job = AssignedJob {
         partition: partition.number(),
         epoch: partition.replica.view().epoch,
         job: job.to_string(),
@@ -237,8 +237,9 @@
         tenant: active.job().tenant.clone(),
     };
     let failures = known_failures(active, groups);
-    let groups = groups.iter().map(|&index| work_group(active, index)).collect();
-    outputs.push(Output::ToGateway { link, message: StoreMessage::AssignGroups { job: terms, groups } });
+    let groups = groups.iter().map(|&index| assigned_group(active, index)).collect();
+    outputs
+        .push(Output::ToGateway { link, message: StoreMessage::AssignGroups { job: assigned_job, groups } });
     if !failures.is_empty() {
         let (partition, job) = (partition.number(), job.to_string());
         let message = StoreMessage::KnownFailures { partition, job, failures };
@@ -246,7 +247,7 @@
     }
 }
 
-/// Items of the groups that have failed at a gateway.
+/// Returns the items of the groups that have failed at a gateway and have no result yet.
 fn known_failures(active: &ActiveJob, groups: &[u32]) -> Vec<ItemFailures> {
     let items = groups.iter().flat_map(|&index| active.groups()[index as usize].items());
     let failed = items.filter(|&&item| !active.has_result(item) && active.failures(item) > 0);
@@ -257,13 +258,13 @@
     failures.collect()
 }
 
-fn work_group(active: &ActiveJob, index: u32) -> AssignedGroup {
+fn assigned_group(active: &ActiveJob, index: u32) -> AssignedGroup {
     let unfinished = active.groups()[index as usize].items().iter().filter(|&&item| !active.has_result(item));
-    let items = unfinished.filter_map(|&item| active.job().item(item as usize)).map(work_item).collect();
+    let items = unfinished.filter_map(|&item| active.job().item(item as usize)).map(assigned_item).collect();
     AssignedGroup { index, items }
 }
 
-fn work_item(item: Item<'_>) -> AssignedItem {
+fn assigned_item(item: Item<'_>) -> AssignedItem {
     AssignedItem {
         id: item.id().to_owned(),
         path: item.path().to_owned(),
--- a/crates/batch-store/src/entry.rs
+++ b/crates/batch-store/src/entry.rs
@@ -5,38 +5,38 @@
 use orchidvalve_batch::Job;
 use orchidvalve_protocol::messages::{ItemOutcome, ItemState};
 
-/// Content of an entry, borrowed from its bytes.
+/// The content of an entry, borrowed from its bytes.
 #[derive(Clone, Debug, PartialEq, Encode, Decode)]
 pub enum EntryRef<'a> {
-    /// The job is kept from now on.
+    /// A job was accepted: from now on the store keeps it.
     JobAccepted {
         /// The encoded [`Job`].
         #[musli(bytes)]
         job: &'a [u8],
-        /// When a gateway first received it, in milliseconds of the wall clock.
+        /// Wall clock time at which a gateway first received the job, in milliseconds since 1970.
         accepted_at_ms: u64,
-        /// Time until all results are due, in milliseconds.
+        /// Time after acceptance by which all results are due, in milliseconds.
         target_run_ms: u64,
-        /// Time after which an item may expire, in milliseconds.
+        /// Time after acceptance after which items may expire, in milliseconds.
         max_queue_ms: u64,
     },
-    /// The item is finished. The position of its result is its order among the job's results.
+    /// An item is finished. Results of a job are numbered in the order of their entries.
     Result {
         /// Id of the job.
         job: &'a str,
         /// Id of the item.
         item: &'a str,
-        /// Whether the text is complete; the item expired otherwise.
+        /// Whether the message is complete; `false` if the item expired.
         completed: bool,
-        /// The text; empty if the item expired.
+        /// The generated message; empty if the item expired.
         #[musli(bytes)]
         message: &'a [u8],
-        /// Versions of the weights that made the text, in rising order.
+        /// Versions of the weights that generated the message, in ascending order.
         weight_versions: Vec<u64>,
-        /// Signature of the scorer's response (`Server-Signature`), if the text was scored.
+        /// Signature of the scorer's response (`Server-Signature`); `None` if the message was not scored.
         score: Option<&'a str>,
     },
-    /// The trainer ended the job.
+    /// The trainer ended a job.
     JobEnded {
         /// Id of the job.
         job: &'a str,
@@ -44,7 +44,7 @@
 }
 
 impl<'a> EntryRef<'a> {
-    /// The entry that records the outcome of an item.
+    /// Returns the entry that records the outcome of an item.
     pub fn result(job: &'a str, outcome: &'a ItemOutcome) -> EntryRef<'a> {
         EntryRef::Result {
             job,
@@ -56,18 +56,18 @@
         }
     }
 
-    /// The bytes that the log keeps.
+    /// Returns the bytes that are stored in the log.
     pub fn encode(&self) -> Vec<u8> {
         orchidvalve_protocol::frames::encode(self)
     }
 
-    /// Reads an entry; None if the bytes are none.
+    /// Decodes an entry. Returns `None` if the bytes are not a valid entry.
     pub fn decode(bytes: &'a [u8]) -> Option<EntryRef<'a>> {
         musli::storage::from_slice(bytes).ok()
     }
 }
 
-/// Reads the outcome out of an entry that records a result; None of any other entry.
+/// Decodes the outcome from an entry that records a result. Returns `None` for any other entry.
 pub fn decode_outcome(bytes: &[u8]) -> Option<ItemOutcome> {
     let EntryRef::Result { item, completed, message, weight_versions, score, .. } = EntryRef::decode(bytes)?
     else {
@@ -82,18 +82,18 @@
     })
 }
 
-/// When a job was accepted, and its limits of time, in milliseconds.
+/// The time of acceptance of a job and its time limits, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct JobTimes {
-    /// Time of day.
+    /// Wall clock time in milliseconds since 1970.
     pub accepted_at_ms: u64,
-    /// Time until all results are due.
+    /// Time after acceptance by which all results are due.
     pub target_run_ms: u64,
-    /// Time after which an item may expire.
+    /// Time after acceptance after which items may expire.
     pub max_queue_ms: u64,
 }
 
-/// What is needed of an entry to apply it, read once when it is appended.
+/// The part of an entry that is needed to apply it, decoded when the entry is appended.
 #[derive(Debug)]
 pub(crate) enum ParsedEntry {
     JobAccepted {
@@ -107,7 +107,7 @@
     JobEnded {
         job: CompactString,
     },
-    /// Bytes that no version of this program wrote; they are replicated and have no effect.
+    /// Bytes that this version cannot decode. They are replicated and have no effect.
     Unknown,
 }
 
--- a/crates/batch-store/src/gateways.rs
+++ b/crates/batch-store/src/gateways.rs
@@ -1,7 +1,7 @@
-//! The gateways that groups are assigned to, and their leases.
+//! The gateways to which groups are assigned, and their leases.
 //!
-//! A gateway keeps its groups as long as messages arrive from it. Without any for [`GATEWAY_TIMEOUT_MS`] it loses them
-//! (lease: Gray and Cheriton 1989).
+//! A gateway holds a lease on its groups that each of its messages renews (Gray and Cheriton 1989). The lease expires
+//! [`GATEWAY_TIMEOUT_MS`] after the last message.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,45 +11,46 @@
 use crate::GATEWAY_TIMEOUT_MS;
 use crate::link::LinkId;
 
-/// One run of a gateway's process, across its links. Numbers aren't used twice.
+/// Identifies one run of a gateway process, whatever links it uses. Ids are never reused.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct GatewayId(u32);
 
-/// A gateway.
+/// A run of a gateway process.
 #[derive(Debug)]
 pub(crate) struct Gateway {
     address: NodeAddress,
     incarnation: u64,
     link: Option<LinkId>,
-    /// The newest link that it has opened; links are numbered in the order in which they were accepted.
-    newest_link: LinkId,
+    /// The latest link that the gateway has opened. Links are numbered in the order in which they are accepted.
+    latest_link: LinkId,
     last_message_ms: u64,
-    /// Whether its lease has expired, so that its groups were assigned to others.
+    /// Whether the lease has expired, so that the groups may be assigned to other gateways.
     timed_out: bool,
-    /// Whether it is among the gateways that run generations, as the control node says.
+    /// Whether the control node lists this gateway among those that run generations.
     runs_generations: bool,
-    /// Share of a core.
-    share: f32,
-    /// Generations that it can have in flight or queued.
+    /// Fraction of a CPU core that the gateway may use.
+    cpu_share: f32,
+    /// Number of generations that the gateway can have in flight or queued.
     capacity: u32,
     items_in_flight: u32,
 }
 
 impl Gateway {
-    /// Smallest weight, so that a gateway without a share of a core can be compared.
+    /// Minimum weight; lets gateways without a CPU share be ranked.
     const MIN_WEIGHT: f32 = 0.01;
 
-    /// Its address, by which it is known across its runs.
+    /// Returns the address, which identifies the gateway across restarts.
     pub fn address(&self) -> NodeAddress {
         self.address
     }
 
-    /// Its link, while one is up.
+    /// Returns the current link; `None` if the gateway is not connected.
     pub fn link(&self) -> Option<LinkId> {
         self.link
     }
 
-    /// Whether another group of `items` fits. A group larger than the capacity fits a gateway without any.
+    /// Returns whether a further group of `items` items fits. An idle gateway accepts a group that exceeds its
+    /// capacity.
     pub fn has_capacity(&self, items: u32) -> bool {
         self.link.is_some()
             && !self.timed_out
@@ -58,59 +59,59 @@
             && (self.items_in_flight == 0 || self.items_in_flight + items <= self.capacity)
     }
 
-    /// Whether less than half of its capacity is taken.
+    /// Returns whether less than half of the capacity is in use.
     pub fn is_idle(&self) -> bool {
         self.items_in_flight * 2 < self.capacity
     }
 
-    /// Generations in flight per share of a core.
+    /// Returns the number of generations in flight divided by the weight.
     pub fn load(&self) -> f32 {
         self.items_in_flight as f32 / self.weight()
     }
 
-    /// Its part of the groups, compared with that of others.
+    /// Returns the gateway's weight in the distribution of groups.
     pub fn weight(&self) -> f32 {
-        self.share.max(Gateway::MIN_WEIGHT)
+        self.cpu_share.max(Gateway::MIN_WEIGHT)
     }
 }
 
-/// The gateway that a message arrived from.
+/// The gateway from which a message was received.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Sender {
     pub id: GatewayId,
-    /// Whether its lease had expired before the message: it may get groups again.
+    /// Whether its lease had expired before this message. From now on the gateway may get groups again.
     pub had_timed_out: bool,
 }
 
-/// What a new link of a gateway means.
+/// The meaning of a new link from a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum LinkStatus {
-    /// The first link of this gateway.
+    /// The first link of a gateway that is not in the table.
     New,
-    /// The same run of the process has called before: it may have missed messages.
+    /// A new link of the same run of the process, which may have missed messages.
     Reconnected(GatewayId),
-    /// This earlier run of the process is over, and its groups are lost.
+    /// The first link of a new run of the process. The given earlier run has ended, and its groups are lost.
     Replaces(GatewayId),
-    /// The gateway has opened a newer link: what arrives on this one was sent before and is ignored.
+    /// The gateway has opened a later link. Messages on this one were sent earlier and are ignored.
     Outdated,
 }
 
-/// All gateways that messages arrived from lately.
+/// The gateways from which messages were received recently.
 #[derive(Debug, Default)]
 pub(crate) struct GatewayTable {
     gateways: BTreeMap<GatewayId, Gateway>,
     links: BTreeMap<LinkId, GatewayId>,
     next_id: GatewayId,
-    /// Gateways that run generations; None as long as no control node has said which.
+    /// Addresses of the gateways that run generations; `None` until a control node has sent the list.
     workers: Option<BTreeSet<NodeAddress>>,
 }
 
 impl GatewayTable {
-    /// Takes up a link. It supersedes earlier ones of the gateway: what arrives on these is ignored.
+    /// Adds a link. It supersedes earlier links of the same gateway, whose messages are ignored from now on.
     pub fn link_up(&mut self, link: LinkId, handshake: &Handshake, now_ms: u64) -> LinkStatus {
         let address = handshake.member.address;
         let known = self.gateways.iter_mut().find(|(_, gateway)| gateway.address == address);
-        if known.as_ref().is_some_and(|(_, gateway)| gateway.newest_link > link) {
+        if known.as_ref().is_some_and(|(_, gateway)| gateway.latest_link > link) {
             return LinkStatus::Outdated;
         }
         if let Some((id, _)) = &known {
@@ -120,10 +121,10 @@
         match known {
             Some((&id, gateway)) if gateway.incarnation == handshake.incarnation => {
                 gateway.link = Some(link);
-                gateway.newest_link = link;
+                gateway.latest_link = link;
                 gateway.last_message_ms = now_ms;
                 gateway.timed_out = false;
-                gateway.share = handshake.cpu_share;
+                gateway.cpu_share = handshake.cpu_share;
                 self.links.insert(link, id);
                 return LinkStatus::Reconnected(id);
             }
@@ -134,11 +135,11 @@
             address,
             incarnation: handshake.incarnation,
             link: Some(link),
-            newest_link: link,
+            latest_link: link,
             last_message_ms: now_ms,
             timed_out: false,
             runs_generations: self.is_worker(address),
-            share: handshake.cpu_share,
+            cpu_share: handshake.cpu_share,
             capacity: 0,
             items_in_flight: 0,
         };
@@ -148,7 +149,7 @@
         status
     }
 
-    /// The link is lost.
+    /// Handles the loss of a link.
     pub fn link_down(&mut self, link: LinkId) {
         if let Some(id) = self.links.remove(&link)
             && let Some(gateway) = self.gateways.get_mut(&id)
@@ -158,7 +159,7 @@
         }
     }
 
-    /// A message arrived on a link. Returns its sender; none for a link that a newer one has superseded.
+    /// Records that a message was received. Returns its sender, or `None` if a later link has superseded this one.
     pub fn message_received(&mut self, link: LinkId, now_ms: u64) -> Option<Sender> {
         let id = *self.links.get(&link)?;
         let gateway = self.gateways.get_mut(&id)?;
@@ -166,8 +167,8 @@
         Some(Sender { id, had_timed_out: std::mem::take(&mut gateway.timed_out) })
     }
 
-    /// The gateways that run generations from now on: no other ones get groups. A gateway that the control nodes don't
-    /// reach may not know that it is none any more, nor which servers could run what it gets.
+    /// Sets the gateways that run generations; no others get groups. A gateway that the control nodes do not reach may
+    /// not know that it was removed from the list, nor which servers could run its groups.
     pub fn set_workers(&mut self, workers: &[NodeAddress]) {
         self.workers = Some(workers.iter().copied().collect());
         let is_listed = |address: &NodeAddress| workers.contains(address);
@@ -178,7 +179,7 @@
         self.workers.as_ref().is_none_or(|workers| workers.contains(&address))
     }
 
-    /// Takes up the capacity that a heartbeat carries. Returns whether there may be more capacity than before.
+    /// Records the capacity from a heartbeat. Returns whether the capacity has risen.
     pub fn set_capacity(&mut self, link: LinkId, capacity: u32) -> bool {
         let Some(gateway) = self.links.get(&link).and_then(|id| self.gateways.get_mut(id)) else {
             return false;
@@ -188,12 +189,12 @@
         is_higher
     }
 
-    /// The gateway of this id.
+    /// Returns the gateway with this id.
     pub fn get(&self, id: GatewayId) -> Option<&Gateway> {
         self.gateways.get(&id)
     }
 
-    /// All gateways, in the order of their ids.
+    /// Iterates over all gateways in the order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = (GatewayId, &Gateway)> {
         self.gateways.iter().map(|(&id, gateway)| (id, gateway))
     }
@@ -208,27 +209,27 @@
         }
     }
 
-    /// The links of all gateways that have one.
+    /// Iterates over the links of all connected gateways.
     pub fn links(&self) -> impl Iterator<Item = LinkId> {
         self.gateways.values().filter_map(|gateway| gateway.link)
     }
 
-    /// Notes that the gateway has more items in flight.
+    /// Adds to the number of items in flight at a gateway.
     pub fn add_items(&mut self, id: GatewayId, items: u32) {
         if let Some(gateway) = self.gateways.get_mut(&id) {
             gateway.items_in_flight += items;
         }
     }
 
-    /// Notes that the gateway has fewer items in flight.
+    /// Subtracts from the number of items in flight at a gateway.
     pub fn release_items(&mut self, id: GatewayId, items: u32) {
         if let Some(gateway) = self.gateways.get_mut(&id) {
             gateway.items_in_flight = gateway.items_in_flight.saturating_sub(items);
         }
     }
 
-    /// Gateways whose lease has expired: they lose their groups. One with a link gets no more until a message arrives
-    /// from it; the caller removes the others.
+    /// Marks the gateways whose lease has expired and returns them. The caller revokes their groups and removes those
+    /// without a link. A gateway with a link gets no groups until its next message.
     pub fn take_timed_out(&mut self, now_ms: u64) -> Vec<GatewayId> {
         let mut timed_out = Vec::new();
         for (&id, gateway) in &mut self.gateways {
--- a/crates/batch-store/src/job_key.rs
+++ b/crates/batch-store/src/job_key.rs
@@ -1,8 +1,8 @@
-//! Keys that name a job or an item.
+//! Keys that identify jobs and items.
 
 use compact_str::CompactString;
 
-/// Names a job: ids are unique within a partition. Ordered by partition, then by id.
+/// Identifies a job by its partition and its id, which is unique within the partition. Ordered by partition, then id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct JobKey {
     /// Number of the partition.
@@ -12,16 +12,16 @@
 }
 
 impl JobKey {
-    /// The key of the job with this id.
+    /// Returns the key of the job with this id.
     pub fn new(partition: u16, job: &str) -> JobKey {
         JobKey { partition, job: CompactString::from(job) }
     }
 }
 
-/// Names an item of a job. Ordered by job, then by id.
+/// Identifies an item of a job. Ordered by job, then item id.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct ItemKey {
-    /// The job that the item belongs to.
+    /// Key of the job that contains the item.
     pub job: JobKey,
     /// Id of the item.
     pub item: CompactString,
--- a/crates/batch-store/src/latest_connections.rs
+++ b/crates/batch-store/src/latest_connections.rs
@@ -1,57 +1,57 @@
-//! The order in which connections of other store nodes were accepted.
+//! Tracks the latest connection from each other store node.
 
 use std::collections::BTreeMap;
 
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
 
-/// What a caller's handshake means for its other connections. `C` names a connection.
+/// The effect of a caller's handshake on its connections. `C` identifies a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ConnectionStatus<C> {
-    /// It is the newest connection of the caller.
-    Newest {
-        /// The one before it, if it is still there; it has to be dropped.
+    /// This is the latest connection of the caller.
+    Latest {
+        /// The previous connection if it is still open; the host has to close it.
         superseded: Option<C>,
     },
-    /// The caller has introduced itself on a newer connection: this one has to be dropped.
+    /// The caller has already introduced itself on a later connection: the host has to close this one.
     Outdated,
 }
 
 /// A connection and its number.
 #[derive(Clone, Copy, Debug)]
 struct NumberedConnection<C> {
-    /// Rises with every connection that is accepted.
+    /// Rises with every accepted connection.
     number: u64,
     connection: C,
 }
 
-/// The newest connection of each caller. Bytes of an older one that are read later were sent before those of the
-/// newer one: taken after them, they would be out of order.
+/// The latest connection of each caller. Bytes read later from an earlier connection were sent before those of the
+/// latest one; handling them would reorder messages.
 #[derive(Debug)]
-pub struct NewestConnections<C> {
-    newest: BTreeMap<NodeAddress, NumberedConnection<C>>,
+pub struct LatestConnections<C> {
+    latest: BTreeMap<NodeAddress, NumberedConnection<C>>,
 }
 
-impl<C> Default for NewestConnections<C> {
-    fn default() -> NewestConnections<C> {
-        NewestConnections { newest: BTreeMap::new() }
+impl<C> Default for LatestConnections<C> {
+    fn default() -> LatestConnections<C> {
+        LatestConnections { latest: BTreeMap::new() }
     }
 }
 
-impl<C: Copy + PartialEq> NewestConnections<C> {
-    /// A caller introduced itself; `number` rises with every connection that is accepted. Another disk at the same
-    /// address is the same caller: the process before it has ended.
+impl<C: Copy + PartialEq> LatestConnections<C> {
+    /// Handles the handshake of a caller; `number` rises with every accepted connection. A caller with the same address
+    /// but another disk counts as the same caller: the process that used the previous disk has ended.
     pub fn introduced(&mut self, number: u64, connection: C, caller: MemberId) -> ConnectionStatus<C> {
-        let known = self.newest.get(&caller.address).copied();
-        if known.is_some_and(|newest| newest.number > number) {
+        let known = self.latest.get(&caller.address).copied();
+        if known.is_some_and(|latest| latest.number > number) {
             return ConnectionStatus::Outdated;
         }
-        self.newest.insert(caller.address, NumberedConnection { number, connection });
+        self.latest.insert(caller.address, NumberedConnection { number, connection });
         let older = known.map(|older| older.connection);
-        ConnectionStatus::Newest { superseded: older.filter(|older| *older != connection) }
+        ConnectionStatus::Latest { superseded: older.filter(|older| *older != connection) }
     }
 
-    /// A connection has ended.
+    /// Handles the end of a connection.
     pub fn closed(&mut self, connection: C) {
-        self.newest.retain(|_, newest| newest.connection != connection);
+        self.latest.retain(|_, latest| latest.connection != connection);
     }
 }
--- a/crates/batch-store/src/lib.rs
+++ b/crates/batch-store/src/lib.rs
@@ -1,9 +1,9 @@
-//! Batch store: jobs and results kept on replicated partitions, groups dispatched to gateways.
+//! Batch store: keeps jobs and results on replicated partitions and dispatches groups of items to gateways.
 //!
-//! [`Store`] is the store without I/O: links, disk and clocks are its host's, which is [`process`]. Every partition is
-//! a chain of replicas ([`orchidvalve_chain_replication`]) over a log of [`entry::EntryRef`]s; jobs and results are
-//! built from committed entries only, so they are the same at all members. The head of a partition accepts jobs,
-//! records results and dispatches groups of generations to gateways under leases; every member answers reads.
+//! [`Store`] performs no I/O: its host, [`process`], provides links, disk and clocks. Every partition is a chain of
+//! replicas ([`orchidvalve_chain_replication`]) over a log of [`entry::EntryRef`]s. Jobs and results are built from
+//! committed entries only, so they are the same at all members. The head of a partition accepts jobs, records results
+//! and dispatches groups to gateways under leases; every member serves reads.
 
 mod active_job;
 mod dispatch;
@@ -13,11 +13,11 @@
 pub mod graceful_shutdown;
 mod job_key;
 mod jobs;
+pub mod latest_connections;
 mod limits;
 mod link;
 mod memory_log;
 mod messages;
-pub mod newest_connections;
 mod output;
 mod partition;
 mod peer_links;
@@ -38,10 +38,10 @@
 pub use store::{Store, StoreSettings, UndispatchedItems};
 pub use timestamp::Timestamp;
 
-// What `Store::new` takes: hosts needn't depend on the write-ahead log for it.
+// Lets hosts call `Store::new` without depending on the write-ahead log.
 pub use orchidvalve_wal::Record;
 
-/// Time without a message after which a gateway loses its groups, in milliseconds.
+/// Time without a message after which the lease of a gateway expires, in milliseconds.
 pub const GATEWAY_TIMEOUT_MS: u64 = 1_500;
 /// Time between two heartbeats to gateways, in milliseconds.
 pub const HEARTBEAT_MS: u64 = 500;
--- a/crates/batch-store/src/messages.rs
+++ b/crates/batch-store/src/messages.rs
@@ -7,20 +7,20 @@
 /// A message from one store node to another.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub enum PeerMessage {
-    /// First on every link: who is calling.
+    /// The first message on every link: identifies the caller.
     Handshake {
-        /// Version of the protocol that the caller speaks.
+        /// Protocol version of the caller.
         version: u16,
         /// Identity of the caller.
         member: MemberId,
     },
-    /// The link is alive.
+    /// Shows that the link is alive.
     Heartbeat,
-    /// A message of the replication chain of a partition.
+    /// A chain replication message of a partition.
     Chain {
         /// Number of the partition.
         partition: u16,
-        /// The message, as chain replication defines it.
+        /// The message.
         message: Message,
     },
 }
--- a/crates/batch-store/src/output.rs
+++ b/crates/batch-store/src/output.rs
@@ -1,4 +1,4 @@
-//! What a store requests of its host.
+//! Actions that a store requests from its host.
 
 use orchidvalve_protocol::identity::MemberId;
 use orchidvalve_protocol::messages::{SessionMessage, StoreMessage};
@@ -7,27 +7,27 @@
 use crate::link::LinkId;
 use crate::messages::PeerMessage;
 
-/// Something that the host of a store has to do. Outputs of one input are carried out in their order.
+/// An action for the host of a store. The host executes the outputs of an input in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Append the record to the write-ahead log. Positions rise by one per record.
+    /// Append the record to the write-ahead log. Positions rise by one for each record.
     Write(Vec<u8>),
-    /// Records before this position aren't needed any more.
+    /// Records before this position are no longer needed.
     ReleaseBefore(Position),
-    /// Send to the gateway at this link.
+    /// Send a message to the gateway on this link.
     ToGateway {
         /// Number of the link, as given with [`crate::Store::gateway_message`].
         link: LinkId,
-        /// What to send.
+        /// The message.
         message: StoreMessage,
     },
-    /// Send to another store node, or drop the message if there is no link.
+    /// Send a message to another store node; drop it if there is no link.
     ToPeer {
-        /// Who is to get it.
+        /// The recipient.
         to: MemberId,
-        /// What to send.
+        /// The message.
         message: PeerMessage,
     },
-    /// Send to the control node that this process has a session with, or drop the message if there is none.
+    /// Send a message to the control node of this process's session; drop it if there is no session.
     ToControl(SessionMessage),
 }
--- a/crates/batch-store/src/partition.rs
+++ b/crates/batch-store/src/partition.rs
@@ -1,4 +1,4 @@
-//! One partition at this store: its replica, its log, and the jobs made of the committed entries.
+//! One partition at this store: its replica, its log, and the jobs built from the committed entries.
 
 mod apply;
 mod log_start;
@@ -22,7 +22,7 @@
 use crate::recovery::RecoveredPartition;
 use crate::uncommitted::UncommittedEntries;
 
-/// An entry that is on its way to the disk.
+/// An entry whose record is not durable yet.
 #[derive(Clone, Copy, Debug)]
 struct UnsyncedEntry {
     position: Position,
@@ -32,12 +32,12 @@
 /// A learner that has caught up.
 #[derive(Clone, Copy, Debug)]
 struct ReadyLearner {
-    /// Epoch of the view in which it has.
+    /// Epoch of the view in which the learner caught up.
     epoch: u64,
     member: MemberId,
 }
 
-/// One partition.
+/// A partition of which this store holds, or held, a copy.
 #[derive(Debug)]
 pub(crate) struct Partition {
     number: u16,
@@ -47,25 +47,25 @@
     pub log: MemoryLog,
     pub jobs: JobTable,
     pub uncommitted: UncommittedEntries,
-    /// Entries that are on their way to the disk, oldest first.
+    /// Entries whose records are not durable yet, oldest first.
     unsynced: VecDeque<UnsyncedEntry>,
     log_starts: LogStartRecords,
-    /// Epoch of the newest view that was ever taken up, also before a restart.
+    /// Epoch of the latest view that was ever accepted, including views accepted before a restart.
     view_epoch: u64,
-    /// Position of the record of this view, until it is durable.
+    /// Position of the record of this view; `None` once the record is durable.
     unsynced_view_record: Option<Position>,
-    /// Since when a view without this store is known, in milliseconds of the monotonic clock.
+    /// Time of the monotonic clock since which the view has not contained this store, in milliseconds.
     left_view_at_ms: Option<u64>,
     /// Epoch in which this store last became the active head.
     active_head_epoch: u64,
-    /// Learners that have caught up in the newest view in which one has.
+    /// Learners that caught up in the latest view in which any did.
     ready_learners: Vec<ReadyLearner>,
-    /// Newest epoch in which this member held everything committed before.
+    /// Latest epoch in which this member held all earlier committed entries.
     complete_epoch: u64,
 }
 
 impl Partition {
-    /// A partition over what was read back from the disk. `nonce` is random.
+    /// Creates a partition from the state recovered from disk. `nonce` is random.
     pub fn new(number: u16, me: MemberId, recovered: RecoveredPartition, nonce: u64) -> Partition {
         let replica = Replica::new(me, recovered.state(), nonce);
         let mut uncommitted = UncommittedEntries::default();
@@ -91,22 +91,22 @@
         }
     }
 
-    /// Its number.
+    /// Returns the partition's number.
     pub fn number(&self) -> u16 {
         self.number
     }
 
-    /// Whether groups are dispatched from here: this is the head and knows the outcome of all earlier entries.
+    /// Returns whether this store dispatches the groups: it is the head and knows the outcome of all earlier entries.
     pub fn is_active_head(&self) -> bool {
         self.replica.is_head() && self.replica.is_recovered()
     }
 
-    /// Whether entries can be appended here: this is the head of a chain that is long enough.
+    /// Returns whether this store can append entries: it is the head of a chain that is long enough to commit.
     pub fn can_propose(&self) -> bool {
         self.replica.is_head() && self.replica.view().can_commit()
     }
 
-    /// Gives the replica one input and carries out its outputs.
+    /// Passes one input to the replica and executes its outputs.
     pub fn drive<R>(
         &mut self,
         sinks: &mut Sinks<'_>,
@@ -120,7 +120,7 @@
         result
     }
 
-    /// Takes up a view whose log began anew in the epoch `reset_epoch`, or 0.
+    /// Accepts a new view. `reset_epoch` is the epoch in which the partition's log was last restarted, or 0.
     pub fn view_changed(&mut self, view: ChainView, reset_epoch: u64, sinks: &mut Sinks<'_>) {
         if view.epoch < self.view_epoch || view.epoch <= self.replica.view().epoch {
             return;
@@ -137,15 +137,15 @@
             if self.has_copy() { None } else { self.left_view_at_ms.or(Some(sinks.now_ms)) };
     }
 
-    /// Whether what is here stems from before the log began anew in this epoch.
+    /// Returns whether the state of this partition is older than the restart of its log in `reset_epoch`.
     pub fn predates(&self, reset_epoch: u64) -> bool {
         self.view_epoch < reset_epoch
     }
 
-    /// Drops everything: all machines that held the partition's log were lost, and another log begins.
+    /// Discards all state: all machines that held the log were lost, and a new log begins.
     fn restart_log(&mut self, sinks: &mut Sinks<'_>) {
         let partition = self.number;
-        log::warn!("store: partition {partition} begins anew");
+        log::warn!("store: partition {partition}: all copies were lost: its log restarts empty");
         self.replica = Replica::new(self.me, RecoveredLog::default(), self.nonce);
         self.clear_log();
         self.ready_learners.clear();
@@ -161,23 +161,23 @@
         self.jobs.clear();
     }
 
-    /// Whether the view in force has a copy here.
+    /// Returns whether this store holds a copy of the partition in the current view.
     fn has_copy(&self) -> bool {
         self.replica.view().predecessor(self.me).is_some() || self.replica.is_head()
     }
 
-    /// Whether this store has had no part in the partition for so long that it can be dropped.
+    /// Returns whether the view has excluded this store for so long that its copy can be dropped.
     pub fn is_abandoned(&self, now_ms: u64) -> bool {
-        const KEPT_MS: u64 = 60_000;
-        self.left_view_at_ms.is_some_and(|left| now_ms.saturating_sub(left) >= KEPT_MS)
+        const RETENTION_MS: u64 = 60_000;
+        self.left_view_at_ms.is_some_and(|left| now_ms.saturating_sub(left) >= RETENTION_MS)
     }
 
-    /// A message of another replica arrived.
+    /// Handles a message from another replica.
     pub fn message(&mut self, from: MemberId, message: Message, sinks: &mut Sinks<'_>) {
         self.drive(sinks, |replica, log, outputs| replica.message_received(from, message, log, outputs));
     }
 
-    /// Appends a new entry and returns its sequence number. None unless this is the head.
+    /// Appends a new entry and returns its sequence number. Returns `None` unless this store is the head.
     pub fn propose(&mut self, entry: &EntryRef<'_>, sinks: &mut Sinks<'_>) -> Option<u64> {
         if !self.replica.is_head() {
             return None;
@@ -186,7 +186,7 @@
         self.drive(sinks, |replica, _, outputs| replica.propose(payload, outputs))
     }
 
-    /// The records up to and including `position` are durable.
+    /// Handles that the write-ahead log is durable up to and including `position`.
     pub fn durable(&mut self, position: Position, sinks: &mut Sinks<'_>) {
         if self.unsynced_view_record.take_if(|record| *record <= position).is_some() {
             self.report_learners(sinks.outputs);
@@ -201,29 +201,32 @@
         }
     }
 
-    /// Reports to the control node which learners are ready in the view in force, and whether this member is complete
-    /// in it; it may have missed an earlier message. Nothing is reported before the view is recorded on the disk: after
-    /// a loss of power this store could take up an earlier view again and commit in it what a learner of this one
-    /// doesn't have.
+    /// Reports to the control node which learners are ready in the current view, and whether this member is complete in
+    /// it. Reports are repeated because earlier ones may have been lost. Nothing is reported before the record of the
+    /// view is durable: after a power failure this store could otherwise return to an earlier view and commit entries
+    /// in it that a learner of the current view lacks.
     pub fn report_learners(&self, outputs: &mut Vec<Output>) {
         if self.unsynced_view_record.is_some() {
             return;
         }
-        let in_force = self.replica.view().epoch;
-        if self.complete_epoch == in_force && in_force > 0 {
-            let ready =
-                SessionMessage::LearnerCaughtUp { partition: self.number, epoch: in_force, member: self.me };
+        let current_epoch = self.replica.view().epoch;
+        if self.complete_epoch == current_epoch && current_epoch > 0 {
+            let ready = SessionMessage::LearnerCaughtUp {
+                partition: self.number,
+                epoch: current_epoch,
+                member: self.me,
+            };
             outputs.push(Output::ToControl(ready));
         }
         for &ReadyLearner { epoch, member } in
-            self.ready_learners.iter().filter(|learner| learner.epoch == in_force)
+            self.ready_learners.iter().filter(|learner| learner.epoch == current_epoch)
         {
             let ready = SessionMessage::LearnerCaughtUp { partition: self.number, epoch, member };
             outputs.push(Output::ToControl(ready));
         }
     }
 
-    /// Carries out one output of the replica.
+    /// Executes one output of the replica.
     fn execute(&mut self, output: ChainOutput, sinks: &mut Sinks<'_>) {
         let partition = self.number;
         match output {
@@ -261,14 +264,14 @@
                 self.ready_learners.push(ReadyLearner { epoch, member });
                 self.report_learners(sinks.outputs);
             }
-            // A chain that is too short may be continued by former members, which don't take part: nothing is
-            // confirmed.
+            // A chain that is too short may be continued by former members, which take no part in the confirmation, so
+            // it proves nothing.
             ChainOutput::Confirmed { .. } if !self.replica.view().can_commit() => {}
             ChainOutput::Confirmed { barrier, .. } => {
                 sinks.add_effect(partition, Effect::BarrierReached { barrier });
             }
             ChainOutput::Synchronized { epoch } => {
-                log::info!("store: partition {partition} is complete here in view {epoch}");
+                log::info!("store: partition {partition}: this copy is complete in view {epoch}");
                 self.complete_epoch = epoch;
                 self.report_learners(sinks.outputs);
             }
--- a/crates/batch-store/src/partition/apply.rs
+++ b/crates/batch-store/src/partition/apply.rs
@@ -1,4 +1,4 @@
-//! The application of committed entries to the jobs of a partition.
+//! Applies committed entries to the jobs of a partition.
 
 use compact_str::CompactString;
 
@@ -9,7 +9,7 @@
 use crate::uncommitted::UncommittedEntry;
 
 impl Partition {
-    /// Applies the entries up to the sequence number `committed`, in order.
+    /// Applies the entries up to and including the sequence number `committed`, in order.
     pub(super) fn apply(&mut self, committed: u64, sinks: &mut Sinks<'_>) {
         while let Some(UncommittedEntry { sequence, entry }) = self.uncommitted.pop(committed) {
             if let Some(effect) = self.apply_entry(sequence, entry, sinks.now_ms) {
--- a/crates/batch-store/src/partition/log_start.rs
+++ b/crates/batch-store/src/partition/log_start.rs
@@ -1,4 +1,4 @@
-//! Records that say from where on a partition's log is needed.
+//! Records that state from which entry on a partition's log is needed.
 
 use std::collections::VecDeque;
 
@@ -10,17 +10,17 @@
 use crate::record_writer::RecordWriter;
 use crate::recovery::LogStartRecord;
 
-/// Records after which one that keeps older records needed is written again.
+/// A log start record that keeps older records from being released is rewritten after this many further records.
 const REWRITE_AFTER_RECORDS: u64 = 1_000;
 
-/// The records that say where the log starts: the newest durable one, and those that aren't durable yet.
+/// The log start records: the latest durable one, followed by those that are not durable yet.
 #[derive(Debug)]
 pub(super) struct LogStartRecords {
     records: VecDeque<LogStartRecord>,
 }
 
 impl LogStartRecords {
-    /// The record that was read back from the disk, if there was one.
+    /// Starts with the record recovered from disk, if any.
     pub fn new(recovered: Option<LogStartRecord>) -> LogStartRecords {
         LogStartRecords { records: recovered.into_iter().collect() }
     }
@@ -29,20 +29,20 @@
         self.records.push_back(record);
     }
 
-    /// The records up to and including `position` are durable: earlier ones aren't needed any more.
+    /// Handles that records up to and including `position` are durable: earlier log start records are no longer needed.
     pub fn durable(&mut self, position: Position) {
         while self.records.get(1).is_some_and(|record| record.position <= position) {
             self.records.pop_front();
         }
     }
 
-    /// Position of the oldest record that is needed on disk; `u64::MAX` if nothing was written.
+    /// Returns the position of the oldest record that is needed on disk; `u64::MAX` if no log start record was written.
     fn oldest_needed(&self) -> Position {
         self.records.front().map_or(u64::MAX, |record| record.oldest_needed)
     }
 
-    /// Whether only an old record of this kind keeps records from being released. `oldest_entry` is the position of the
-    /// oldest entry of the log.
+    /// Returns whether records cannot be released only because the latest log start record is old. `oldest_entry` is
+    /// the position of the oldest log entry.
     fn is_outdated(&self, oldest_entry: Position, writer: &RecordWriter) -> bool {
         self.records.back().is_some_and(|record| {
             record.oldest_needed < oldest_entry
@@ -52,7 +52,7 @@
 }
 
 impl Partition {
-    /// Writes down from where on the log is needed, and the newest view. Returns the record's position.
+    /// Writes a log start record with the first needed entry and the latest view. Returns the record's position.
     pub(super) fn write_log_start(&mut self, sinks: &mut Sinks<'_>) -> u64 {
         let first = self.replica.first();
         let record = DiskRecord::LogStart {
@@ -67,7 +67,7 @@
         position
     }
 
-    /// Drops what no job needs any more. Records below the returned position aren't needed on disk.
+    /// Drops the jobs and entries that are no longer needed. Returns the position of the oldest record needed on disk.
     pub fn release(&mut self, wall_ms: u64, retention_ms: u64, sinks: &mut Sinks<'_>) -> u64 {
         self.jobs.remove_expired(wall_ms, retention_ms);
         let needed = self.jobs.oldest_needed_sequence().unwrap_or(u64::MAX);
--- a/crates/batch-store/src/peer_links.rs
+++ b/crates/batch-store/src/peer_links.rs
@@ -1,4 +1,4 @@
-//! Links between store nodes that share a partition. Every one opens a link to each of the others and sends on it.
+//! Links between store nodes that share a partition. Each node opens a link to every other one and sends on it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,11 +9,11 @@
 
 use crate::messages::PeerMessage;
 
-/// Pause between two heartbeats, in milliseconds.
+/// Time between two heartbeats on a link, in milliseconds.
 const HEARTBEAT_MS: u64 = 300;
-/// A link is opened anew if nothing was received from the peer for this time, in milliseconds.
+/// A link is reopened if nothing was received from the peer for this time, in milliseconds.
 const PEER_TIMEOUT_MS: u64 = 1_000;
-/// When a lost connection is begun anew.
+/// Timing of reconnection attempts.
 const RECONNECT_TIMING: ReconnectTiming = ReconnectTiming { retry_interval_ms: 150, connect_timeout_ms: 300 };
 
 /// A link to another store node. Times are those of the monotonic clock, in milliseconds.
@@ -29,7 +29,7 @@
     }
 }
 
-/// All links of this store to others.
+/// The links from this store node to its peers.
 #[derive(Debug)]
 pub struct PeerLinks {
     me: MemberId,
@@ -37,12 +37,12 @@
 }
 
 impl PeerLinks {
-    /// No links yet; `me` is who calls on them.
+    /// Starts without links; `me` is the identity sent in handshakes.
     pub fn new(me: MemberId) -> PeerLinks {
         PeerLinks { me, links: BTreeMap::new() }
     }
 
-    /// Stores that links are kept to.
+    /// Sets the store nodes to which links are kept. Links to other nodes are closed.
     pub fn set_peers(&mut self, network: &mut Network, peers: &BTreeSet<MemberId>) {
         if self.links.len() == peers.len() && self.links.keys().all(|member| peers.contains(member)) {
             return;
@@ -59,14 +59,14 @@
         }
     }
 
-    /// Something arrived from a peer.
+    /// Records that a message from a peer was received.
     pub fn message_received(&mut self, member: MemberId, now: u64) {
         if let Some(peer) = self.links.get_mut(&member) {
             peer.link.message_received(now);
         }
     }
 
-    /// Opens missing links, drops those that timed out and sends heartbeats. Returns members whose link was dropped.
+    /// Opens missing links, resets those that timed out and sends heartbeats. Returns the peers whose link was reset.
     pub fn maintain(&mut self, network: &mut Network, now: u64) -> Vec<MemberId> {
         let mut dropped = Vec::new();
         for (member, peer) in &mut self.links {
@@ -82,13 +82,13 @@
         dropped
     }
 
-    /// When [`PeerLinks::maintain`] has to be called next.
+    /// Returns the time at which [`PeerLinks::maintain`] has to be called next.
     pub fn next_wakeup(&self) -> u64 {
         let due = self.links.values().map(|peer| peer.link.outgoing.next_wakeup(peer.next_heartbeat_at));
         due.min().unwrap_or(u64::MAX)
     }
 
-    /// A connection is up; the member if it is one of these links.
+    /// Handles an established connection. Returns the peer if the connection belongs to one of these links.
     pub fn connected(
         &mut self,
         network: &mut Network,
@@ -104,14 +104,14 @@
         Some(*member)
     }
 
-    /// A connection ended; the member if it was one of these links.
+    /// Handles a closed connection. Returns the peer if the connection belonged to one of these links.
     pub fn closed(&mut self, network: &mut Network, connection: ConnectionId, now: u64) -> Option<MemberId> {
         let (member, peer) = self.links.iter_mut().find(|(_, peer)| peer.link.outgoing.owns(connection))?;
         peer.link.outgoing.disconnected(network, now);
         Some(*member)
     }
 
-    /// Sends a message if the link is up; it is lost otherwise.
+    /// Sends a message if the link is up, and drops it otherwise.
     pub fn send(&self, network: &mut Network, to: MemberId, message: &PeerMessage) {
         if let Some(peer) = self.links.get(&to) {
             peer.link.outgoing.send(network, message);
--- a/crates/batch-store/src/pending_calls.rs
+++ b/crates/batch-store/src/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of gateways that wait for something.
+//! Calls of gateways that cannot be answered yet.
 
 use std::collections::BTreeMap;
 
@@ -7,31 +7,31 @@
 use crate::job_key::JobKey;
 use crate::link::LinkId;
 
-/// Whom to answer.
+/// The gateway that made a call, and the number of the call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Caller {
-    /// Number of the gateway's link.
+    /// Link of the gateway.
     pub link: LinkId,
-    /// Number of the call, by which the gateway knows the answer.
-    pub call: u64,
+    /// Number of the call; repeated in the response.
+    pub request_id: u64,
 }
 
-/// What a call wants to know once the view is confirmed to be in force.
+/// A query that is answered once the view is confirmed as current.
 #[derive(Clone, Debug)]
 pub(crate) enum Query {
-    /// The results from position `after` on; if there are none, those that come by `deadline_ms`.
+    /// Returns the results from position `after` on. If there are none, waits for one until `deadline_ms`.
     Read { after: u64, deadline_ms: u64, tenant: Option<CompactString> },
-    /// The body of an item.
+    /// Returns the body of an item.
     Body { item: CompactString, tenant: Option<CompactString> },
-    /// Whether the job has ended.
+    /// Ends the job.
     End { tenant: Option<CompactString> },
-    /// Whether outcomes of these items of a job that isn't known here are still wanted. The gateway gets no response but
-    /// an acknowledgement.
+    /// Checks that the job is unknown to the system, so that outcomes of these items are no longer needed. The gateway
+    /// gets no response, only an acknowledgement.
     Outcomes { items: Vec<String> },
 }
 
 impl Query {
-    /// Tenant of the caller, if the call has one.
+    /// Returns the tenant of the caller; `None` if the call has none.
     pub fn tenant(&self) -> Option<&str> {
         match self {
             Query::Read { tenant, .. } | Query::Body { tenant, .. } | Query::End { tenant } => {
@@ -41,13 +41,13 @@
         }
     }
 
-    /// Whether the caller waits for a response to its call.
+    /// Returns whether the caller expects a response.
     fn has_response(&self) -> bool {
         !matches!(self, Query::Outcomes { .. })
     }
 }
 
-/// A call that waits for a barrier.
+/// A call that waits for a barrier to confirm the view.
 #[derive(Debug)]
 pub(crate) struct UnconfirmedCall {
     pub caller: Caller,
@@ -79,30 +79,30 @@
     deadline_ms: u64,
 }
 
-/// Callers that wait for an entry about a job to be committed, each until a deadline.
+/// Callers that wait until an entry about a job is committed, each until its deadline.
 #[derive(Debug, Default)]
 pub(crate) struct CommitWaiters {
     waiters: BTreeMap<JobKey, Vec<CommitWaiter>>,
 }
 
 impl CommitWaiters {
-    /// Adds a caller that waits until a deadline.
+    /// Adds a caller that waits until `deadline_ms`.
     pub fn add(&mut self, partition: u16, job: &str, caller: Caller, deadline_ms: u64) {
         let waiter = CommitWaiter { caller, deadline_ms };
         self.waiters.entry(JobKey::new(partition, job)).or_default().push(waiter);
     }
 
-    /// Takes out all that wait for this job.
+    /// Removes and returns all callers that wait for this job.
     pub fn take(&mut self, partition: u16, job: &CompactString) -> Vec<Caller> {
         let waiters = self.waiters.remove(&JobKey { partition, job: job.clone() }).unwrap_or_default();
         waiters.into_iter().map(|waiter| waiter.caller).collect()
     }
 
-    /// Takes out all that wait for those jobs of this partition that `is_wanted` holds for.
-    pub fn take_if(&mut self, partition: u16, mut is_wanted: impl FnMut(&str) -> bool) -> Vec<Caller> {
+    /// Removes and returns the callers that wait for the jobs of this partition for which `predicate` returns `true`.
+    pub fn take_if(&mut self, partition: u16, mut predicate: impl FnMut(&str) -> bool) -> Vec<Caller> {
         let mut removed = Vec::new();
         self.waiters.retain(|key, waiters| {
-            let matches = key.partition == partition && is_wanted(&key.job);
+            let matches = key.partition == partition && predicate(&key.job);
             if matches {
                 removed.extend(waiters.iter().map(|waiter| waiter.caller));
             }
@@ -111,7 +111,7 @@
         removed
     }
 
-    /// Takes out those whose deadline has passed.
+    /// Removes and returns the callers whose deadline has passed.
     pub fn take_expired(&mut self, now_ms: u64) -> Vec<Caller> {
         let mut expired = Vec::new();
         self.waiters.retain(|_, waiters| {
@@ -135,40 +135,40 @@
     }
 }
 
-/// All calls that wait.
+/// All pending calls of gateways.
 #[derive(Debug, Default)]
 pub(crate) struct PendingCalls {
-    /// Calls that wait for a job to be accepted.
+    /// Callers that wait for a job to be accepted.
     pub submits: CommitWaiters,
-    /// Calls that wait for the end of a job.
+    /// Callers that wait for the end of a job.
     pub ends: CommitWaiters,
     reads: BTreeMap<JobKey, Vec<PendingRead>>,
-    /// By the number of the barrier.
+    /// Calls that wait for a barrier, by the number of the barrier.
     unconfirmed: BTreeMap<u64, UnconfirmedCall>,
     last_barrier: u64,
 }
 
 impl PendingCalls {
-    /// Keeps a call until its barrier is reached; returns the barrier's number.
+    /// Adds a call that waits for a new barrier. Returns the number of the barrier.
     pub fn add_unconfirmed(&mut self, call: UnconfirmedCall) -> u64 {
         self.last_barrier += 1;
         self.unconfirmed.insert(self.last_barrier, call);
         self.last_barrier
     }
 
-    /// Barriers that calls about a partition wait for.
+    /// Returns the numbers of the barriers for which calls about a partition wait.
     pub fn barriers_of_partition(&self, partition: u16) -> Vec<u64> {
         let calls = self.unconfirmed.iter().filter(|(_, call)| call.partition == partition);
         calls.map(|(&barrier, _)| barrier).collect()
     }
 
-    /// Takes out the call that waits for this barrier.
+    /// Removes and returns the call that waits for this barrier.
     pub fn take_confirmed(&mut self, barrier: u64) -> Option<UnconfirmedCall> {
         self.unconfirmed.remove(&barrier)
     }
 
-    /// Takes out the calls whose barrier took too long, or whose partition this store is no member of any more. Returns
-    /// the callers that wait for a response.
+    /// Removes the calls whose deadline has passed, or of whose partition this store is no longer a member. Returns the
+    /// callers that expect a response.
     pub fn take_expired_unconfirmed(&mut self, now_ms: u64, is_member: impl Fn(u16) -> bool) -> Vec<Caller> {
         let mut expired = Vec::new();
         self.unconfirmed.retain(|_, call| {
@@ -181,12 +181,12 @@
         expired
     }
 
-    /// Keeps a read until there are results.
+    /// Adds a read that waits for results.
     pub fn add_read(&mut self, partition: u16, job: CompactString, read: PendingRead) {
         self.reads.entry(JobKey { partition, job }).or_default().push(read);
     }
 
-    /// Takes out the reads of a job whose position is below `total`.
+    /// Removes and returns the reads of a job whose position is below `total`.
     pub fn take_reads_below(&mut self, partition: u16, job: &CompactString, total: u64) -> Vec<PendingRead> {
         let key = JobKey { partition, job: job.clone() };
         let Some(reads) = self.reads.get_mut(&key) else { return Vec::new() };
@@ -197,7 +197,7 @@
         satisfied
     }
 
-    /// Takes out the reads whose deadline has passed.
+    /// Removes and returns the reads whose deadline has passed.
     pub fn take_expired_reads(&mut self, now_ms: u64) -> Vec<ExpiredRead> {
         let mut expired = Vec::new();
         self.reads.retain(|job, reads| {
@@ -208,7 +208,7 @@
         expired
     }
 
-    /// Drops all calls of a link.
+    /// Removes all calls of a link.
     pub fn remove_link(&mut self, link: LinkId) {
         self.submits.remove_link(link);
         self.ends.remove_link(link);
--- a/crates/batch-store/src/process.rs
+++ b/crates/batch-store/src/process.rs
@@ -1,4 +1,4 @@
-//! The process of a store node: sockets, disk and timers around the store.
+//! The process of a store node: provides network, disk and timers to the store.
 
 mod disk_progress;
 mod incoming;
@@ -27,44 +27,45 @@
 use crate::store::{Store, StoreSettings};
 use crate::timestamp::Timestamp;
 
-/// Number of the one listener.
+/// Number of the only listener.
 const INTERNAL_LISTENER: u32 = 1;
-/// Longest wait of the event loop, in milliseconds.
+/// Maximum wait of the event loop, in milliseconds.
 const MAX_WAIT_MS: u64 = 100;
-/// Share of the disk that the write-ahead log may take.
-const RING_SHARE: f64 = 0.9;
-/// Time that results are kept beyond what is promised, in milliseconds.
+/// Fraction of the disk that the write-ahead log may use.
+const WAL_DISK_FRACTION: f64 = 0.9;
+/// Additional time for which results are kept beyond the configured interval, in milliseconds.
 const RETENTION_MARGIN_MS: u64 = 10_000;
-/// Bytes of logs in memory, as a share of the process's limit, above which new jobs are refused.
-const MEMORY_SHARE: f64 = 0.4;
-/// Time until all results of a job are due where its route doesn't say, in milliseconds.
-const DEFAULT_RUN_MS: u64 = 30_000;
-/// Time after which an item may expire where its route doesn't say: never, with room for sums; in milliseconds.
+/// In-memory logs may use this fraction of the process's memory; above it, new jobs are rejected.
+const LOG_MEMORY_FRACTION: f64 = 0.4;
+/// Time by which all results of a job are due if its route does not specify it, in milliseconds.
+const DEFAULT_TARGET_RUN_MS: u64 = 30_000;
+/// Time after which items may expire if the route does not specify it, in milliseconds: never. Low enough to be added
+/// to a time without overflow.
 const NO_QUEUE_LIMIT_MS: u64 = u64::MAX / 4;
 
-/// What a store process is started with.
+/// Options of a store process.
 #[derive(Clone, Debug)]
 pub struct StoreOptions {
-    /// The machine, its addresses and its disk.
+    /// The options shared by all processes with a disk: name, addresses, disk.
     pub machine: MachineOptions,
-    /// Control nodes at which a session may be requested.
+    /// Control nodes with which a session may be opened.
     pub seeds: Vec<NodeAddress>,
-    /// Memory that the process may take.
+    /// Memory that the process may use, in bytes.
     pub memory_bytes: u64,
-    /// Store nodes that may be lost at once.
+    /// Number of store nodes that may fail at the same time.
     pub tolerance: usize,
-    /// Time after its submission for which results of a job are kept, in milliseconds.
+    /// How long the results of a job are kept after its submission, in milliseconds.
     pub status_interval_ms: u64,
 }
 
-/// Limits of jobs by the configuration in force.
+/// Limits of jobs from the current configuration.
 struct RouteLimits(Option<Arc<RouteTable>>);
 
 impl LimitSource for RouteLimits {
     fn limits(&self, hostname: &str, route_prefix: &str) -> Option<JobLimits> {
         let route = self.0.as_ref()?.lookup(hostname, route_prefix)?;
         Some(JobLimits {
-            target_run_ms: route.target_run_ms.unwrap_or(DEFAULT_RUN_MS),
+            target_run_ms: route.target_run_ms.unwrap_or(DEFAULT_TARGET_RUN_MS),
             max_queue_ms: route.max_queue_s.map_or(NO_QUEUE_LIMIT_MS, |s| (s * 1_000.0) as u64),
         })
     }
@@ -85,24 +86,25 @@
     feed: FeedClient,
     peers: PeerLinks,
     incoming: IncomingLinks,
-    /// Version of the configuration that the store goes by.
+    /// Version of the configuration that the store uses.
     configuration: u64,
     disk_progress: DiskProgress,
     load_reports: LoadReports,
     grace_ms: u64,
-    /// Set once the process was requested to stop.
+    /// The graceful shutdown; `None` until the process is requested to stop.
     shutdown: Option<GracefulShutdown>,
-    /// Time of the events that are being handled.
+    /// Time of the events of this turn.
     now: u64,
 }
 
-/// Runs a store process until it is requested to stop, and then until others have its copies or its time is up.
+/// Runs a store process until it is requested to stop and its graceful shutdown is complete.
 ///
 /// # Errors
 ///
-/// The disk or the network can't be used.
+/// Returns an error if the disk or the network fails, or if records on the disk cannot be decoded.
 pub fn run(options: StoreOptions) -> Result<(), ProcessError> {
-    let Some(started) = orchidvalve_bootstrap::start(&options.machine, Role::Store, RING_SHARE)? else {
+    let Some(started) = orchidvalve_bootstrap::start(&options.machine, Role::Store, WAL_DISK_FRACTION)?
+    else {
         return Ok(());
     };
     let mut process = Process::new(options, started)?;
@@ -111,8 +113,8 @@
         let events = process.network.poll(wait)?;
         process.now = process.clock.at(process.network.turn_started_at());
         events.into_iter().for_each(|event| process.handle(event));
-        process.finish_round();
-        if process.may_end() {
+        process.finish_turn();
+        if process.may_exit() {
             process.feed.say_goodbye(&mut process.network);
             process.network.flush();
             return Ok(());
@@ -129,7 +131,7 @@
             me,
             minimum_copies: options.tolerance + 1,
             retention_ms: options.status_interval_ms + RETENTION_MARGIN_MS,
-            memory_limit_bytes: (options.memory_bytes as f64 * MEMORY_SHARE) as usize,
+            memory_limit_bytes: (options.memory_bytes as f64 * LOG_MEMORY_FRACTION) as usize,
         };
         let store = Store::new(settings, Rc::new(RouteLimits(None)), records, ring.next_position(), nonce);
         if store.unreadable_records() > 0 {
@@ -227,7 +229,7 @@
         self.peers.set_peers(&mut self.network, &self.store.peers());
     }
 
-    /// Gives the store one input and carries out its outputs.
+    /// Passes one input to the store and executes its outputs.
     fn input(&mut self, input: impl FnOnce(&mut Store, Timestamp, &mut Vec<Output>)) {
         let (now, mut outputs) = (self.timestamp(), Vec::new());
         input(&mut self.store, now, &mut outputs);
@@ -254,8 +256,8 @@
         }
     }
 
-    /// What is done after each round of events.
-    fn finish_round(&mut self) {
+    /// Performs the work at the end of each turn of the event loop.
+    fn finish_turn(&mut self) {
         self.advance_disk();
         self.feed.maintain(&mut self.network, self.now);
         for member in self.peers.maintain(&mut self.network, self.now) {
@@ -277,17 +279,17 @@
 
     fn health(&self) -> StoreHealth {
         let usage = self.ring.usage();
-        let hangs = self.disk_progress.hangs(self.ring.next_position(), self.now);
+        let unresponsive = self.disk_progress.is_unresponsive(self.ring.next_position(), self.now);
         StoreHealth {
-            disk_failing: usage.disk_error.is_some() || hangs,
+            disk_failing: usage.disk_error.is_some() || unresponsive,
             used_bytes: usage.used_bytes,
             capacity_bytes: usage.capacity,
             draining: self.shutdown.is_some(),
         }
     }
 
-    /// The process was requested to stop at `requested_at`. Announces to the control node at once that it drains, and
-    /// again with every heartbeat.
+    /// Starts the graceful shutdown that was requested at `requested_at`. Reports to the control node at once, and with
+    /// every later heartbeat, that this node is draining.
     fn begin_shutdown(&mut self, requested_at: u64) {
         if self.shutdown.is_some() {
             return;
@@ -302,8 +304,9 @@
         }
     }
 
-    fn may_end(&self) -> bool {
-        let (copy, in_touch) = (self.feed.replica(), self.feed.has_session());
-        self.shutdown.is_some_and(|shutdown| shutdown.is_complete(self.now, self.me, copy.state(), in_touch))
+    fn may_exit(&self) -> bool {
+        let (replica, has_session) = (self.feed.replica(), self.feed.has_session());
+        self.shutdown
+            .is_some_and(|shutdown| shutdown.is_complete(self.now, self.me, replica.state(), has_session))
     }
 }
--- a/crates/batch-store/src/process/disk_progress.rs
+++ b/crates/batch-store/src/process/disk_progress.rs
@@ -1,31 +1,31 @@
-//! How far the disk has come, and whether it hangs.
+//! Tracks the progress of writes to disk and detects an unresponsive disk.
 
 use orchidvalve_wal::Position;
 
-/// A write that takes longer than this is trouble of the disk, in milliseconds.
+/// A write that takes longer than this counts as a disk failure, in milliseconds.
 const SLOW_WRITE_MS: u64 = 1_000;
 
-/// How far the write-ahead log is durable. Times are those of the monotonic clock, in milliseconds.
+/// The progress of the write-ahead log. Times are those of the monotonic clock, in milliseconds.
 pub(super) struct DiskProgress {
     durable_through: u64,
-    /// When the durable position last rose, or the first write after a pause was requested.
+    /// The later of the time at which the durable position last rose and that of the first write after an idle period.
     since: u64,
 }
 
 impl DiskProgress {
-    /// Nothing is durable yet.
+    /// Starts with nothing durable.
     pub fn new(now: u64) -> DiskProgress {
         DiskProgress { durable_through: 0, since: now }
     }
 
-    /// A record is about to get `next_position`.
+    /// Records that a record is about to be written at `next_position`.
     pub fn before_write(&mut self, next_position: Position, now: u64) {
         if next_position == self.durable_through + 1 {
             self.since = now;
         }
     }
 
-    /// The log is durable up to and including `durable_through`. Returns whether that is more than before.
+    /// Records that the log is durable up to and including `durable_through`. Returns whether this position has risen.
     pub fn advance(&mut self, durable_through: u64, now: u64) -> bool {
         let has_risen = durable_through > self.durable_through;
         if has_risen {
@@ -35,8 +35,8 @@
         has_risen
     }
 
-    /// Whether a write takes too long; the next record will get `next_position`.
-    pub fn hangs(&self, next_position: Position, now: u64) -> bool {
+    /// Returns whether a write takes too long; `next_position` is the position of the next record.
+    pub fn is_unresponsive(&self, next_position: Position, now: u64) -> bool {
         let is_writing = next_position > self.durable_through + 1;
         is_writing && now > self.since + SLOW_WRITE_MS
     }
--- a/crates/batch-store/src/process/incoming.rs
+++ b/crates/batch-store/src/process/incoming.rs
@@ -1,4 +1,4 @@
-//! Incoming connections: links of gateways and of other store nodes.
+//! Incoming connections: links from gateways and from other store nodes.
 
 use std::collections::BTreeMap;
 
@@ -7,28 +7,28 @@
 use orchidvalve_protocol::identity::MemberId;
 use orchidvalve_protocol::messages::{GatewayMessage, LinkProtocol, PROTOCOL_VERSION};
 
+use crate::latest_connections::{ConnectionStatus, LatestConnections};
 use crate::link::LinkId;
 use crate::messages::PeerMessage;
-use crate::newest_connections::{ConnectionStatus, NewestConnections};
 use crate::process::Process;
 
-/// An incoming connection. They are numbered in the order in which they were accepted.
+/// An incoming connection. Connections are numbered in the order in which they are accepted.
 #[derive(Clone, Copy, Debug)]
 enum Incoming {
-    /// It hasn't said yet what it is.
+    /// The connection has not sent its protocol byte yet.
     Unknown { number: u64 },
-    /// A link of a gateway; it has the number of its connection.
+    /// A link from a gateway. The link has the number of the connection.
     Gateway { link: LinkId },
-    /// A link of another store node, once it has introduced itself with its identity.
+    /// A link from another store node. `member` is its identity, set by the handshake.
     Peer { number: u64, member: Option<MemberId> },
 }
 
 /// All incoming connections.
 pub(super) struct IncomingLinks {
     connections: BTreeMap<ConnectionId, Incoming>,
-    /// Newest connection of each other store node.
-    newest_peers: NewestConnections<ConnectionId>,
-    /// Connections of gateways, by link.
+    /// The latest connection from each other store node.
+    latest_peers: LatestConnections<ConnectionId>,
+    /// Connections from gateways, by link.
     gateways: BTreeMap<LinkId, ConnectionId>,
     next_number: u64,
 }
@@ -37,7 +37,7 @@
     fn default() -> IncomingLinks {
         IncomingLinks {
             connections: BTreeMap::new(),
-            newest_peers: NewestConnections::default(),
+            latest_peers: LatestConnections::default(),
             gateways: BTreeMap::new(),
             next_number: 1,
         }
@@ -45,7 +45,7 @@
 }
 
 impl IncomingLinks {
-    /// The connection of a gateway's link, while it is up.
+    /// Returns the connection of a gateway's link while it is up.
     pub fn gateway(&self, link: LinkId) -> Option<ConnectionId> {
         self.gateways.get(&link).copied()
     }
@@ -55,15 +55,15 @@
         self.next_number += 1;
     }
 
-    /// Drops a connection; the link if it was one of a gateway.
+    /// Removes a connection. Returns the link if the connection came from a gateway.
     fn remove(&mut self, connection: ConnectionId) -> Option<LinkId> {
-        self.newest_peers.closed(connection);
+        self.latest_peers.closed(connection);
         let Some(Incoming::Gateway { link }) = self.connections.remove(&connection) else { return None };
         self.gateways.remove(&link);
         Some(link)
     }
 
-    /// A connection has said what it is; false if it isn't for a store node.
+    /// Sets the protocol of a connection. Returns `false` if it is not a protocol of store nodes.
     fn identified(&mut self, connection: ConnectionId, number: u64, kind: Option<LinkProtocol>) -> bool {
         match kind {
             Some(LinkProtocol::StoreClient) => {
@@ -77,7 +77,7 @@
                 true
             }
             _ => {
-                log::warn!("store: a caller speaks no protocol of stores; check its addresses");
+                log::warn!("store: unexpected protocol on a connection; check the addresses of the caller");
                 false
             }
         }
@@ -85,19 +85,19 @@
 }
 
 impl Process {
-    /// A connection was accepted.
+    /// Handles an accepted connection.
     pub(super) fn accepted(&mut self, connection: ConnectionId) {
         self.incoming.accepted(connection);
     }
 
-    /// An incoming connection is lost, or has to be dropped.
+    /// Forgets an incoming connection that is closed or has to be closed.
     pub(super) fn drop_incoming(&mut self, connection: ConnectionId) {
         if let Some(link) = self.incoming.remove(connection) {
             self.store.gateway_disconnected(link);
         }
     }
 
-    /// Bytes arrived on an incoming connection: handles all complete messages.
+    /// Handles all complete messages that were received on an incoming connection.
     pub(super) fn internal_data(&mut self, connection: ConnectionId) {
         loop {
             let Some(incoming) = self.incoming.connections.get(&connection).copied() else { return };
@@ -116,14 +116,14 @@
                         Some(length)
                     }
                     Ok(None) => return,
-                    Err(error) => refuse(&error),
+                    Err(error) => log_frame_error(&error),
                 },
                 Incoming::Peer { number, member } => match read_frame::<PeerMessage>(inbox) {
                     Ok(Some((message, length))) => {
                         self.peer_message(connection, number, member, message).then_some(length)
                     }
                     Ok(None) => return,
-                    Err(error) => refuse(&error),
+                    Err(error) => log_frame_error(&error),
                 },
             };
             match consumed {
@@ -137,12 +137,12 @@
         }
     }
 
-    /// Takes up a connection of another store; false if the store has called on a newer one.
+    /// Handles the handshake of another store node. Returns `false` if the node has connected again since.
     fn peer_introduced(&mut self, connection: ConnectionId, number: u64, member: MemberId) -> bool {
-        match self.incoming.newest_peers.introduced(number, connection, member) {
+        match self.incoming.latest_peers.introduced(number, connection, member) {
             ConnectionStatus::Outdated => return false,
-            ConnectionStatus::Newest { superseded: None } => {}
-            ConnectionStatus::Newest { superseded: Some(older) } => {
+            ConnectionStatus::Latest { superseded: None } => {}
+            ConnectionStatus::Latest { superseded: Some(older) } => {
                 self.incoming.connections.remove(&older);
                 self.network.abort(older);
             }
@@ -152,7 +152,7 @@
         true
     }
 
-    /// A message of another store arrived; false if the connection has to be dropped.
+    /// Handles a message from another store node. Returns `false` if the connection has to be closed.
     fn peer_message(
         &mut self,
         connection: ConnectionId,
@@ -178,8 +178,8 @@
     }
 }
 
-/// Says why a connection is dropped.
-fn refuse(error: &FrameError) -> Option<usize> {
+/// Logs a frame error. Returns `None`, which closes the connection.
+fn log_frame_error(error: &FrameError) -> Option<usize> {
     log::warn!("store: {error}");
     None
 }
--- a/crates/batch-store/src/process/load_reports.rs
+++ b/crates/batch-store/src/process/load_reports.rs
@@ -1,4 +1,4 @@
-//! What waits on this store node for servers of services that the system scales, for the head of the control chain.
+//! Reports the demand for servers of scaled services on this store node to the head of the control chain.
 
 use orchidvalve_configuration::RouteTable;
 use orchidvalve_protocol::messages::ServiceLoad;
@@ -7,8 +7,8 @@
 use crate::store::UndispatchedItems;
 
 impl Process {
-    /// Tells the control node of the session what waits, if that is due. Without a service that is scaled nobody needs to
-    /// know.
+    /// Reports the waiting items to the control node of the session if a report is due. No report is sent if no service
+    /// is scaled.
     pub(super) fn report_load(&mut self) {
         if !self.load_reports.is_due(self.now) {
             return;
@@ -33,7 +33,7 @@
     }
 }
 
-/// Items whose route gives most of its requests to the service.
+/// Returns the number of items whose route sends most of its requests to the service.
 fn waiting_for(service: &str, undispatched: &[UndispatchedItems], routes: &RouteTable) -> u32 {
     let is_for_service = |items: &&UndispatchedItems| {
         let route = routes.lookup(&items.hostname, &items.route_prefix);
--- a/crates/batch-store/src/record.rs
+++ b/crates/batch-store/src/record.rs
@@ -1,4 +1,4 @@
-//! Records on the disk of a store node. The partitions of a process share one write-ahead log.
+//! Records on the disk of a store node. All partitions of a process share one write-ahead log.
 
 use musli::{Decode, Encode};
 use orchidvalve_chain_replication::Entry;
@@ -13,37 +13,37 @@
         /// The entry.
         entry: Entry,
     },
-    /// The entries of a partition after this one were dropped.
+    /// The last entries of a partition's log were removed.
     Truncate {
         /// Number of the partition.
         partition: u16,
-        /// Sequence number of the last entry that stays.
+        /// Sequence number of the last entry that remains.
         after: u64,
     },
-    /// The log of a partition begins anew.
+    /// The log of a partition was reset and continues empty at `start`.
     Reset {
         /// Number of the partition.
         partition: u16,
-        /// Sequence number of the first entry to come.
+        /// Sequence number of the first entry to be appended.
         start: u64,
-        /// Epoch of the entry before `start`; 0 if not known.
+        /// Epoch of the entry before `start`; 0 if unknown.
         previous_epoch: u64,
     },
-    /// Entries before `first` aren't needed any more; their records may have been released.
+    /// Entries before `first` are no longer needed; their records may have been released.
     LogStart {
         /// Number of the partition.
         partition: u16,
         /// Sequence number of the first entry that is needed.
         first: u64,
-        /// Epoch of the entry before `first`; 0 if not known.
+        /// Epoch of the entry before `first`; 0 if unknown.
         previous_epoch: u64,
-        /// Epoch of the newest view that this store took up; older ones are refused after a restart.
+        /// Epoch of the latest view that this store accepted; after a restart, earlier views are ignored.
         view_epoch: u64,
     },
 }
 
 impl DiskRecord {
-    /// Whether its numbers can stand in a log, which begins at 1.
+    /// Returns whether the sequence numbers are possible: logs begin at 1.
     pub(crate) fn is_valid(&self) -> bool {
         match self {
             DiskRecord::Append { entry, .. } => entry.sequence > 0,
--- a/crates/batch-store/src/record_writer.rs
+++ b/crates/batch-store/src/record_writer.rs
@@ -1,30 +1,30 @@
-//! Writing of records, which get the positions that the write-ahead log will give them.
+//! Encodes records and predicts the positions that the write-ahead log will assign to them.
 
 use orchidvalve_wal::Position;
 
 use crate::output::Output;
 use crate::record::DiskRecord;
 
-/// Numbers the records as the write-ahead log will.
+/// Numbers records in the same way as the write-ahead log.
 #[derive(Debug)]
 pub(crate) struct RecordWriter {
     next_position: Position,
 }
 
 impl RecordWriter {
-    /// A writer whose first record gets `next_position`.
+    /// Creates a writer that assigns `next_position` to its first record.
     pub fn new(next_position: Position) -> RecordWriter {
         RecordWriter { next_position }
     }
 
-    /// Asks the host to append a record and returns its position.
+    /// Requests that the host append a record. Returns the record's position.
     pub fn append(&mut self, record: &DiskRecord, outputs: &mut Vec<Output>) -> Position {
         outputs.push(Output::Write(orchidvalve_protocol::frames::encode(record)));
         self.next_position += 1;
         self.next_position - 1
     }
 
-    /// Position of the next record.
+    /// Returns the position of the next record.
     pub fn next_position(&self) -> Position {
         self.next_position
     }
--- a/crates/batch-store/src/recovery.rs
+++ b/crates/batch-store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! What is read back from the write-ahead log at a start.
+//! Recovery of partitions from the write-ahead log at the start of the process.
 
 use std::collections::BTreeMap;
 
@@ -8,27 +8,27 @@
 use crate::memory_log::MemoryLog;
 use crate::record::DiskRecord;
 
-/// Position of a record that says where a partition's log starts, and of the oldest record that it needs.
+/// The position of a log start record, and that of the oldest record that it requires.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LogStartRecord {
     pub position: Position,
     pub oldest_needed: Position,
 }
 
-/// A partition as read back from the write-ahead log.
+/// A partition recovered from the write-ahead log.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveredPartition {
     pub log: MemoryLog,
-    /// None while nothing is known of the log's beginning.
+    /// The epochs of the log's entries; `None` if no record about the log's beginning was read.
     runs: Option<EpochRuns>,
-    /// Epoch of the newest view that was ever taken up.
+    /// Epoch of the latest view that was ever accepted.
     pub view_epoch: u64,
-    /// The last record that says where the log starts.
+    /// The last log start record.
     pub log_start: Option<LogStartRecord>,
 }
 
 impl RecoveredPartition {
-    /// What chain replication has to know of the log.
+    /// Returns the state of the log in the form that chain replication needs.
     pub fn state(&self) -> RecoveredLog {
         let Some(runs) = &self.runs else { return RecoveredLog::default() };
         RecoveredLog {
@@ -43,7 +43,7 @@
         let runs =
             self.runs.get_or_insert_with(|| EpochRuns::new(entry.sequence, entry.sequence - 1, Vec::new()));
         if runs.end() + 1 != entry.sequence {
-            // Records in between were released: a later record says where the log starts.
+            // The records in between were released. A later record states where the log starts.
             *runs = EpochRuns::new(entry.sequence, entry.sequence - 1, Vec::new());
             self.log.clear();
         }
@@ -83,22 +83,22 @@
     }
 }
 
-/// What the records of the write-ahead log add up to.
+/// The result of replaying the write-ahead log.
 #[derive(Debug, Default)]
 pub(crate) struct RecoveredRecords {
     pub partitions: BTreeMap<u16, RecoveredPartition>,
-    /// Number of records that couldn't be read: another version wrote them.
+    /// Number of records that cannot be decoded because another version wrote them.
     pub unreadable: usize,
 }
 
-/// Replays the records of the write-ahead log, given in order.
+/// Replays the records of the write-ahead log, which must be in order.
 pub(crate) fn replay(records: impl IntoIterator<Item = Record>) -> RecoveredRecords {
     let mut partitions: BTreeMap<u16, RecoveredPartition> = BTreeMap::new();
     let mut unreadable = 0;
     for Record { position, payload } in records {
         let decoded = orchidvalve_protocol::frames::decode::<DiskRecord>(&payload);
         let Some(record) = decoded.filter(DiskRecord::is_valid) else {
-            log::error!("store: record {position} is of another version");
+            log::error!("store: record {position} cannot be decoded: another version wrote it");
             unreadable += 1;
             continue;
         };
--- a/crates/batch-store/src/store.rs
+++ b/crates/batch-store/src/store.rs
@@ -1,4 +1,4 @@
-//! The store, free of I/O.
+//! The state machine of a store node. It performs no I/O.
 
 mod gateway_calls;
 mod maintenance;
@@ -33,20 +33,20 @@
 use crate::store::results::PendingResults;
 use crate::timestamp::Timestamp;
 
-/// Settings that stay for the life of the process.
+/// Settings that are fixed for the lifetime of the process.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct StoreSettings {
-    /// Identity of this store.
+    /// Identity of this store node.
     pub me: MemberId,
-    /// Durable copies that an acknowledgement needs at least, whatever the placement says.
+    /// Minimum number of durable copies before anything is acknowledged, whatever the placement specifies.
     pub minimum_copies: usize,
-    /// Time after a job was accepted until which its results are kept, once it has ended, in milliseconds.
+    /// How long after its acceptance an ended job is kept, in milliseconds.
     pub retention_ms: u64,
-    /// Bytes of logs in memory above which new jobs are refused.
+    /// Total size of in-memory logs above which new jobs are rejected, in bytes.
     pub memory_limit_bytes: usize,
 }
 
-/// A store with all its partitions. Every input pushes what has to be done to `outputs`.
+/// A store with all its partitions. Each input appends the required actions to `outputs`.
 pub struct Store {
     settings: StoreSettings,
     limits: Rc<dyn LimitSource>,
@@ -56,9 +56,9 @@
     pending_results: PendingResults,
     health: StoreHealth,
     records: RecordWriter,
-    /// Consequences of this input that aren't drawn yet.
+    /// Effects of the current input that are not applied yet.
     effects: Vec<PartitionEffect>,
-    /// Whether there may be groups that can be dispatched.
+    /// Whether there may be groups to dispatch.
     dispatch_due: bool,
     nonce: u64,
     schedule: Schedule,
@@ -66,7 +66,8 @@
 }
 
 impl Store {
-    /// A store over the records that the write-ahead log held; the next one gets `next_position`. `nonce` is random.
+    /// Creates a store from the records of the write-ahead log, whose next record gets `next_position`. `nonce` is
+    /// random.
     pub fn new(
         settings: StoreSettings,
         limits: Rc<dyn LimitSource>,
@@ -96,13 +97,13 @@
         }
     }
 
-    /// Number of records at the start that couldn't be read, since another version wrote them. What they held may have
-    /// been acknowledged, so the host doesn't go on with such a store.
+    /// Returns the number of recovered records that cannot be decoded because another version wrote them. Their content
+    /// may have been acknowledged, so the host must not run a store with such records.
     pub fn unreadable_records(&self) -> usize {
         self.unreadable_records
     }
 
-    /// Other stores that share a partition with this one: a link to each is needed.
+    /// Returns the other stores that share a partition with this one and need a link to it.
     pub fn peers(&self) -> BTreeSet<MemberId> {
         let me = self.settings.me;
         let views = self.partitions.values().map(|partition| partition.replica.view());
@@ -114,17 +115,17 @@
             .collect()
     }
 
-    /// The configuration changed.
+    /// Sets the limits after a change of the configuration.
     pub fn set_limits(&mut self, limits: Rc<dyn LimitSource>) {
         self.limits = limits;
     }
 
-    /// The condition of the disk changed.
+    /// Sets the condition of the disk.
     pub fn set_health(&mut self, health: StoreHealth) {
         self.health = health;
     }
 
-    /// The control state has these placements; the index is the partition's number.
+    /// Accepts the placements of the control state, indexed by partition number.
     pub fn update_placements(&mut self, placements: &[Placement], now: Timestamp, outputs: &mut Vec<Output>) {
         for (number, placement) in (0u16..).zip(placements) {
             self.update_placement(number, placement, now, outputs);
@@ -132,7 +133,7 @@
         self.finish_input(now, outputs);
     }
 
-    /// A link to another store is up.
+    /// Handles a new link to another store.
     pub fn peer_connected(&mut self, peer: MemberId, now: Timestamp, outputs: &mut Vec<Output>) {
         for number in self.partition_numbers() {
             self.with_partition(number, now, outputs, |partition, sinks| {
@@ -142,12 +143,12 @@
         self.finish_input(now, outputs);
     }
 
-    /// The link to another store is lost.
+    /// Handles the loss of the link to another store.
     pub fn peer_disconnected(&mut self, peer: MemberId) {
         self.partitions.values_mut().for_each(|partition| partition.replica.link_down(peer));
     }
 
-    /// A message of another store arrived.
+    /// Handles a message from another store.
     pub fn peer_message(
         &mut self,
         from: MemberId,
@@ -163,7 +164,7 @@
         }
     }
 
-    /// The write-ahead log is durable up to and including `position`.
+    /// Handles that the write-ahead log is durable up to and including `position`.
     pub fn durable(&mut self, position: Position, now: Timestamp, outputs: &mut Vec<Output>) {
         for number in self.partition_numbers() {
             self.with_partition(number, now, outputs, |partition, sinks| partition.durable(position, sinks));
@@ -171,7 +172,7 @@
         self.finish_input(now, outputs);
     }
 
-    /// A gateway called. `link` is the number of its connection: newer ones have higher numbers.
+    /// Handles the handshake of a gateway. `link` is the number of its connection: later ones have higher numbers.
     pub fn gateway_connected(
         &mut self,
         link: LinkId,
@@ -196,21 +197,21 @@
         self.finish_input(now, outputs);
     }
 
-    /// The gateways that run generations have changed.
+    /// Sets the gateways that run generations.
     pub fn set_workers(&mut self, workers: &[NodeAddress], now: Timestamp, outputs: &mut Vec<Output>) {
         self.gateways.set_workers(workers);
         self.dispatch_due = true;
         self.finish_input(now, outputs);
     }
 
-    /// The link to a gateway is lost. Its groups stay assigned to it until its lease expires.
+    /// Handles the loss of the link to a gateway. Its groups remain assigned to it until its lease expires.
     pub fn gateway_disconnected(&mut self, link: LinkId) {
         self.gateways.link_down(link);
         self.calls.remove_link(link);
         self.pending_results.remove_link(link);
     }
 
-    /// A message of a gateway arrived.
+    /// Handles a message from a gateway.
     pub fn gateway_message(
         &mut self,
         link: LinkId,
@@ -225,26 +226,26 @@
             GatewayMessage::Heartbeat { generation_capacity } => {
                 self.dispatch_due |= self.gateways.set_capacity(link, generation_capacity);
             }
-            GatewayMessage::SubmitJob { request_id: call, partition, id, job, received_at_ms } => {
+            GatewayMessage::SubmitJob { request_id, partition, id, job, received_at_ms } => {
                 let submission = JobSubmission { partition, id: &id, job: &job, received_at_ms };
-                self.submit(Caller { link, call }, &submission, now, outputs);
+                self.submit(Caller { link, request_id }, &submission, now, outputs);
             }
-            GatewayMessage::ReadResults { request_id: call, partition, id, after, wait_ms, tenant } => {
+            GatewayMessage::ReadResults { request_id, partition, id, after, wait_ms, tenant } => {
                 let deadline_ms = now.monotonic_ms + u64::from(wait_ms);
                 let query = Query::Read { after, deadline_ms, tenant: tenant.map(CompactString::from) };
-                self.query(Caller { link, call }, partition, &id, query, now, outputs);
+                self.query(Caller { link, request_id }, partition, &id, query, now, outputs);
             }
-            GatewayMessage::ReadItemBody { request_id: call, partition, id, item, tenant } => {
+            GatewayMessage::ReadItemBody { request_id, partition, id, item, tenant } => {
                 let (item, tenant) = (item.into(), tenant.map(CompactString::from));
                 let query = Query::Body { item, tenant };
-                self.query(Caller { link, call }, partition, &id, query, now, outputs);
+                self.query(Caller { link, request_id }, partition, &id, query, now, outputs);
             }
-            GatewayMessage::EndJob { request_id: call, partition, id, tenant } => {
+            GatewayMessage::EndJob { request_id, partition, id, tenant } => {
                 let tenant = tenant.map(CompactString::from);
-                self.end(Caller { link, call }, partition, &id, tenant, now, outputs);
+                self.end(Caller { link, request_id }, partition, &id, tenant, now, outputs);
             }
             GatewayMessage::ReportOutcomes { partition, job, outcomes } => {
-                self.take_outcomes(link, partition, &job, &outcomes, now, outputs);
+                self.record_outcomes(link, partition, &job, &outcomes, now, outputs);
             }
             GatewayMessage::ReturnGroups { partition, epoch, job, groups } => {
                 let gateway = sender.map(|sender| sender.id);
@@ -278,7 +279,7 @@
         Some(action(partition, &mut sinks))
     }
 
-    /// Draws the consequences of what was committed, then dispatches groups and acknowledges results.
+    /// Applies the effects of committed entries, then dispatches groups and sends acknowledgements.
     fn finish_input(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         while !self.effects.is_empty() {
             for PartitionEffect { partition, effect } in std::mem::take(&mut self.effects) {
@@ -295,7 +296,7 @@
         match effect {
             Effect::JobAccepted { job } => {
                 self.dispatch_due = true;
-                self.answer_accepted(number, &job, outputs);
+                self.respond_job_accepted(number, &job, outputs);
             }
             Effect::ResultRecorded { job, item, assigned_to } => {
                 if let Some(gateway) = assigned_to {
@@ -303,25 +304,25 @@
                     self.dispatch_due = true;
                 }
                 self.pending_results.committed(number, &job, item);
-                self.answer_reads(number, &job, outputs);
+                self.respond_to_reads(number, &job, outputs);
             }
             Effect::JobEnded { job, released } => {
                 self.dispatch_due |= !released.is_empty();
                 for items in released {
                     self.gateways.release_items(items.gateway, items.count);
                 }
-                self.answer_ended(number, &job, outputs);
+                self.respond_job_ended(number, &job, outputs);
                 if self.partitions[&number].replica.is_head() {
                     self.cancel(number, &job, None, outputs);
                 }
             }
-            Effect::BarrierReached { barrier } => self.answer_confirmed(barrier, now, outputs),
+            Effect::BarrierReached { barrier } => self.respond_after_barrier(barrier, now, outputs),
             Effect::BecameActiveHead => self.dispatch_due = true,
             Effect::LogReplaced => {}
         }
     }
 
-    /// Tells gateways that the job has ended: the one at a link, or all.
+    /// Sends the cancellation of an ended job to the gateway on `link`, or to all gateways.
     fn cancel(&self, partition: u16, job: &CompactString, link: Option<LinkId>, outputs: &mut Vec<Output>) {
         let links: Vec<LinkId> = link.map_or_else(|| self.gateways.links().collect(), |link| vec![link]);
         outputs.extend(links.into_iter().map(|link| Output::ToGateway {
@@ -334,7 +335,7 @@
         self.limits.limits(&job.hostname, &job.route_prefix).unwrap_or(JobLimits::DEFAULT)
     }
 
-    /// Takes all groups away from a gateway.
+    /// Revokes all assignments of a gateway.
     fn revoke_groups_of(&mut self, gateway: GatewayId) {
         for partition in self.partitions.values_mut() {
             partition.jobs.for_each_active(|active| {
--- a/crates/batch-store/src/store/gateway_calls.rs
+++ b/crates/batch-store/src/store/gateway_calls.rs
@@ -1,7 +1,7 @@
-//! Answers to the calls of gateways.
+//! Responses to the calls of gateways.
 //!
-//! That something exists may be answered at once, since jobs and results stay. That something doesn't exist is
-//! answered only after a barrier: a store that isn't a member of the view in force could have missed it.
+//! The existence of a job or result can be reported at once, since recorded jobs and results are kept. Their absence is
+//! reported only after a barrier: a store that is not a member of the current view may have missed entries.
 
 use compact_str::CompactString;
 use orchidvalve_batch::Job;
@@ -16,27 +16,28 @@
 use crate::store::Store;
 use crate::timestamp::Timestamp;
 
-/// Time within which an entry has to be committed, in milliseconds; after that its outcome is unknown to the caller.
+/// Time within which an entry has to be committed, in milliseconds. After it the response is that the outcome is
+/// unknown.
 const COMMIT_TIMEOUT_MS: u64 = 4_000;
 /// Time within which a barrier has to be reached, in milliseconds.
 const BARRIER_TIMEOUT_MS: u64 = 1_000;
-/// Most bytes of results in one answer, unless a single one is larger.
-const MAX_ANSWER_BYTES: usize = 1_000_000;
-/// Bytes of an answer beside the text of a result, roughly.
+/// Maximum size of the results in one response, in bytes; a single result may exceed it.
+const MAX_RESPONSE_BYTES: usize = 1_000_000;
+/// Approximate size of a result in a response without its message, in bytes.
 const RESULT_OVERHEAD_BYTES: usize = 160;
-/// Share of the disk that new jobs may fill, in percent; the rest is for results of those accepted.
-const JOBS_PERCENT: u64 = 75;
-/// When a refused job may be tried again, in milliseconds.
+/// Percentage of the disk above which new jobs are rejected; the rest is reserved for results of accepted jobs.
+const MAX_DISK_PERCENT_FOR_JOBS: u64 = 75;
+/// Time after which a rejected job may be submitted again, in milliseconds.
 const RETRY_AFTER_MS: u32 = 250;
-/// The same where the store is out of capacity, in milliseconds.
-const RETRY_FULL_AFTER_MS: u32 = 2_000;
+/// Time after which a job may be submitted again if the store is out of capacity, in milliseconds.
+const RETRY_AFTER_FULL_MS: u32 = 2_000;
 
-fn answer(caller: Caller, answer: StoreResponse, outputs: &mut Vec<Output>) {
-    let message = StoreMessage::Response { request_id: caller.call, response: answer };
+fn respond(caller: Caller, response: StoreResponse, outputs: &mut Vec<Output>) {
+    let message = StoreMessage::Response { request_id: caller.request_id, response };
     outputs.push(Output::ToGateway { link: caller.link, message });
 }
 
-/// A job that a gateway submits.
+/// A job submitted by a gateway.
 pub(super) struct JobSubmission<'a> {
     pub partition: u16,
     pub id: &'a str,
@@ -46,7 +47,7 @@
 }
 
 impl Store {
-    /// Accepts a job or refuses it.
+    /// Accepts or rejects a job.
     pub(super) fn submit(
         &mut self,
         caller: Caller,
@@ -55,28 +56,28 @@
         outputs: &mut Vec<Output>,
     ) {
         let &JobSubmission { partition: number, id, job, received_at_ms } = submission;
-        let refused = StoreResponse::Rejected { retry_after_ms: RETRY_AFTER_MS };
+        let rejected = StoreResponse::Rejected { retry_after_ms: RETRY_AFTER_MS };
         let Some(partition) = self.partitions.get(&number) else {
-            return answer(caller, refused, outputs);
+            return respond(caller, rejected, outputs);
         };
         if partition.jobs.get(id).is_some() {
-            return answer(caller, StoreResponse::Accepted, outputs);
+            return respond(caller, StoreResponse::Accepted, outputs);
         }
         let deadline_ms = now.monotonic_ms + COMMIT_TIMEOUT_MS;
         if partition.uncommitted.contains_job(id) {
             return self.calls.submits.add(number, id, caller, deadline_ms);
         }
         if !partition.can_propose() {
-            return answer(caller, refused, outputs);
+            return respond(caller, rejected, outputs);
         }
         if self.is_out_of_capacity() {
-            let full = StoreResponse::Rejected { retry_after_ms: RETRY_FULL_AFTER_MS };
-            return answer(caller, full, outputs);
+            let full = StoreResponse::Rejected { retry_after_ms: RETRY_AFTER_FULL_MS };
+            return respond(caller, full, outputs);
         }
         let decoded = orchidvalve_protocol::frames::decode::<Job>(job).filter(|job| job.id == id);
         let Some(decoded) = decoded else {
-            log::error!("store: job {id} can't be decoded; run the same version on all machines");
-            return answer(caller, refused, outputs);
+            log::error!("store: job {id} cannot be decoded; run the same version on all nodes");
+            return respond(caller, rejected, outputs);
         };
         let limits = self.limits_of(&decoded);
         let entry = EntryRef::JobAccepted {
@@ -93,11 +94,11 @@
         let health = &self.health;
         let memory: usize = self.partitions.values().map(|partition| partition.log.bytes()).sum();
         health.disk_failing
-            || health.used_bytes * 100 > health.capacity_bytes * JOBS_PERCENT
+            || health.used_bytes * 100 > health.capacity_bytes * MAX_DISK_PERCENT_FOR_JOBS
             || memory > self.settings.memory_limit_bytes
     }
 
-    /// Answers a question about a job, at once or after a barrier.
+    /// Responds to a query about a job, either at once or after a barrier.
     pub(super) fn query(
         &mut self,
         caller: Caller,
@@ -108,13 +109,13 @@
         outputs: &mut Vec<Output>,
     ) {
         let job = self.job(number, id);
-        match job.and_then(|job| answer_at_once(job, &query, &*self.limits)) {
-            Some(response) => answer(caller, response, outputs),
+        match job.and_then(|job| response_without_barrier(job, &query, &*self.limits)) {
+            Some(response) => respond(caller, response, outputs),
             None => self.confirm_view(caller, number, id, query, now, outputs),
         }
     }
 
-    /// Ends a job.
+    /// Ends a job and responds once this is committed.
     pub(super) fn end(
         &mut self,
         caller: Caller,
@@ -125,20 +126,20 @@
         outputs: &mut Vec<Output>,
     ) {
         let Some(partition) = self.partitions.get(&number) else {
-            return answer(caller, StoreResponse::Unavailable, outputs);
+            return respond(caller, StoreResponse::Unavailable, outputs);
         };
         let Some(job) = partition.jobs.get(id) else {
             return self.confirm_view(caller, number, id, Query::End { tenant }, now, outputs);
         };
         if job.is_closed_to(tenant.as_deref(), &*self.limits) {
-            return answer(caller, StoreResponse::OtherTenant, outputs);
+            return respond(caller, StoreResponse::OtherTenant, outputs);
         }
         if job.has_ended() {
-            return answer(caller, StoreResponse::Ended, outputs);
+            return respond(caller, StoreResponse::Ended, outputs);
         }
         if !partition.uncommitted.contains_end(id) {
             if !partition.can_propose() {
-                return answer(caller, StoreResponse::Unavailable, outputs);
+                return respond(caller, StoreResponse::Unavailable, outputs);
             }
             let entry = EntryRef::JobEnded { job: id };
             self.with_partition(number, now, outputs, |partition, sinks| partition.propose(&entry, sinks));
@@ -154,7 +155,7 @@
         self.partitions.get(&number).is_some_and(|partition| partition.replica.is_member())
     }
 
-    /// Keeps a call until it is confirmed that the view is still in force (ReadIndex: Ongaro 2014, section 6.4).
+    /// Defers a call until the view is confirmed as current (ReadIndex: Ongaro 2014, section 6.4).
     pub(super) fn confirm_view(
         &mut self,
         caller: Caller,
@@ -165,7 +166,7 @@
         outputs: &mut Vec<Output>,
     ) {
         if !self.is_member(number) {
-            return answer(caller, StoreResponse::Unavailable, outputs);
+            return respond(caller, StoreResponse::Unavailable, outputs);
         }
         let deadline_ms = now.monotonic_ms + BARRIER_TIMEOUT_MS;
         let job = CompactString::from(id);
@@ -176,8 +177,8 @@
         });
     }
 
-    /// The view has changed: what couldn't be confirmed in a chain that was too short may be now.
-    pub(super) fn confirm_view_again(&mut self, number: u16, now: Timestamp, outputs: &mut Vec<Output>) {
+    /// Retries the confirmation of calls after a change of the view, for example if the chain was too short before.
+    pub(super) fn retry_view_confirmation(&mut self, number: u16, now: Timestamp, outputs: &mut Vec<Output>) {
         let barriers = self.calls.barriers_of_partition(number);
         self.with_partition(number, now, outputs, |partition, sinks| {
             partition.drive(sinks, |replica, _, outputs| {
@@ -186,8 +187,8 @@
         });
     }
 
-    /// Answers the call whose barrier is reached.
-    pub(super) fn answer_confirmed(&mut self, barrier: u64, now: Timestamp, outputs: &mut Vec<Output>) {
+    /// Responds to the call whose barrier was reached.
+    pub(super) fn respond_after_barrier(&mut self, barrier: u64, now: Timestamp, outputs: &mut Vec<Output>) {
         let Some(call) = self.calls.take_confirmed(barrier) else { return };
         let UnconfirmedCall { caller, partition: number, job: id, query, .. } = call;
         let Some(partition) = self.partitions.get(&number) else { return };
@@ -200,48 +201,53 @@
                 return;
             }
             let unknown = if is_uncommitted { StoreResponse::Unavailable } else { StoreResponse::NotFound };
-            return answer(caller, unknown, outputs);
+            return respond(caller, unknown, outputs);
         };
-        if let Some(response) = answer_at_once(job, &query, &*self.limits) {
-            return answer(caller, response, outputs);
+        if let Some(response) = response_without_barrier(job, &query, &*self.limits) {
+            return respond(caller, response, outputs);
         }
         match query {
             Query::Read { after, deadline_ms, .. } if deadline_ms <= now.monotonic_ms => {
-                answer(caller, results(job, after), outputs);
+                respond(caller, results(job, after), outputs);
             }
             Query::Read { after, deadline_ms, .. } => {
                 self.calls.add_read(number, id, PendingRead { caller, after, deadline_ms });
             }
             Query::End { tenant } => self.end(caller, number, &id, tenant, now, outputs),
-            // Answered at once, as the job is known.
+            // The response without a barrier above covers this case, since the job is known.
             Query::Body { .. } => {}
-            // The gateway sends them again, now that the job is known.
+            // The gateway reports the outcomes again. By then the job is known.
             Query::Outcomes { .. } => {}
         }
     }
 
-    /// A job was accepted: answers those that wait for it.
-    pub(super) fn answer_accepted(&mut self, number: u16, id: &CompactString, outputs: &mut Vec<Output>) {
+    /// Responds to the submissions of a job that was accepted.
+    pub(super) fn respond_job_accepted(
+        &mut self,
+        number: u16,
+        id: &CompactString,
+        outputs: &mut Vec<Output>,
+    ) {
         for caller in self.calls.submits.take(number, id) {
-            answer(caller, StoreResponse::Accepted, outputs);
+            respond(caller, StoreResponse::Accepted, outputs);
         }
     }
 
-    /// A job ended: answers those that wait for that, and reads that wait for results that won't come.
-    pub(super) fn answer_ended(&mut self, number: u16, id: &CompactString, outputs: &mut Vec<Output>) {
+    /// Responds to the calls that wait for the end of a job, and to reads that wait for results it will not get.
+    pub(super) fn respond_job_ended(&mut self, number: u16, id: &CompactString, outputs: &mut Vec<Output>) {
         for caller in self.calls.ends.take(number, id) {
-            answer(caller, StoreResponse::Ended, outputs);
+            respond(caller, StoreResponse::Ended, outputs);
         }
-        self.answer_reads_below(number, id, u64::MAX, outputs);
+        self.respond_to_reads_below(number, id, u64::MAX, outputs);
     }
 
-    /// Answers the reads that a new result satisfies.
-    pub(super) fn answer_reads(&mut self, number: u16, id: &CompactString, outputs: &mut Vec<Output>) {
+    /// Responds to the reads that a new result satisfies.
+    pub(super) fn respond_to_reads(&mut self, number: u16, id: &CompactString, outputs: &mut Vec<Output>) {
         let Some(job) = self.job(number, id) else { return };
-        self.answer_reads_below(number, id, job.results.len() as u64, outputs);
+        self.respond_to_reads_below(number, id, job.results.len() as u64, outputs);
     }
 
-    fn answer_reads_below(
+    fn respond_to_reads_below(
         &mut self,
         number: u16,
         id: &CompactString,
@@ -252,53 +258,58 @@
             return;
         };
         for read in self.calls.take_reads_below(number, id, position) {
-            answer(read.caller, results(job, read.after), outputs);
+            respond(read.caller, results(job, read.after), outputs);
         }
     }
 
-    /// Answers the reads that have waited long enough, and calls whose commit or barrier took too long.
-    pub(super) fn answer_expired(&mut self, now_ms: u64, outputs: &mut Vec<Output>) {
+    /// Responds to the reads whose wait is over, and to calls whose commit or barrier timed out.
+    pub(super) fn respond_to_expired_calls(&mut self, now_ms: u64, outputs: &mut Vec<Output>) {
         for ExpiredRead { job: JobKey { partition, job: id }, read } in self.calls.take_expired_reads(now_ms)
         {
             let job = self.job(partition, &id).filter(|_| self.is_member(partition));
-            answer(
+            respond(
                 read.caller,
                 job.map_or(StoreResponse::Unavailable, |job| results(job, read.after)),
                 outputs,
             );
         }
         for caller in self.calls.submits.take_expired(now_ms) {
-            answer(caller, StoreResponse::OutcomeUnknown, outputs);
+            respond(caller, StoreResponse::OutcomeUnknown, outputs);
         }
         for caller in self.calls.ends.take_expired(now_ms) {
-            answer(caller, StoreResponse::Unavailable, outputs);
+            respond(caller, StoreResponse::Unavailable, outputs);
         }
         let partitions = &self.partitions;
         let is_member =
             |number| partitions.get(&number).is_some_and(|partition| partition.replica.is_member());
         for caller in self.calls.take_expired_unconfirmed(now_ms, is_member) {
-            answer(caller, StoreResponse::Unavailable, outputs);
+            respond(caller, StoreResponse::Unavailable, outputs);
         }
     }
 
-    /// The view has changed. Calls whose entry may be lost with it are answered at once; a head that stays keeps
-    /// waiting.
-    pub(super) fn answer_view_change(&mut self, number: u16, outputs: &mut Vec<Output>) {
+    /// Handles a change of the view: responds at once to calls whose entry may be lost with it. If this store remains
+    /// the head, calls whose entry is still in the log keep waiting.
+    pub(super) fn respond_on_view_change(&mut self, number: u16, outputs: &mut Vec<Output>) {
         let Some(partition) = self.partitions.get(&number) else { return };
         let stays = partition.replica.is_head();
         let is_lost = |id: &str| !stays || !partition.uncommitted.contains_job(id);
         for caller in self.calls.submits.take_if(number, is_lost) {
-            answer(caller, StoreResponse::OutcomeUnknown, outputs);
+            respond(caller, StoreResponse::OutcomeUnknown, outputs);
         }
         let is_lost = |id: &str| !stays || !partition.uncommitted.contains_end(id);
         for caller in self.calls.ends.take_if(number, is_lost) {
-            answer(caller, StoreResponse::Unavailable, outputs);
+            respond(caller, StoreResponse::Unavailable, outputs);
         }
     }
 }
 
-/// What can be answered about a known job without a barrier: a job keeps its tenant, a result its position and content.
-fn answer_at_once(job: &JobState, query: &Query, limits: &dyn LimitSource) -> Option<StoreResponse> {
+/// Returns the response to a query about a known job if it needs no barrier: neither the tenant of a job nor the
+/// position and content of a result ever change.
+fn response_without_barrier(
+    job: &JobState,
+    query: &Query,
+    limits: &dyn LimitSource,
+) -> Option<StoreResponse> {
     if job.is_closed_to(query.tenant(), limits) {
         return Some(StoreResponse::OtherTenant);
     }
@@ -312,13 +323,13 @@
     }
 }
 
-/// The results from a position on.
+/// Returns the results from position `after` on.
 fn results(job: &JobState, after: u64) -> StoreResponse {
     let mut outcomes = Vec::new();
     let mut bytes = 0;
     for payload in job.results.iter().skip(after as usize) {
         bytes += payload.len() + RESULT_OVERHEAD_BYTES;
-        if bytes > MAX_ANSWER_BYTES && !outcomes.is_empty() {
+        if bytes > MAX_RESPONSE_BYTES && !outcomes.is_empty() {
             break;
         }
         let Some(outcome) = decode_outcome(payload) else { break };
@@ -327,7 +338,7 @@
     StoreResponse::Results { total: job.item_count, next: after + outcomes.len() as u64, outcomes }
 }
 
-/// The body of an item without a result.
+/// Returns the body of an item that has no result yet.
 fn body(job: &JobState, item: &str) -> StoreResponse {
     let found = job.active().and_then(|active| active.job().item(active.item_index(item)? as usize));
     found.map_or(StoreResponse::NotFound, |item| StoreResponse::Body(item.body().to_vec()))
--- a/crates/batch-store/src/store/maintenance.rs
+++ b/crates/batch-store/src/store/maintenance.rs
@@ -1,4 +1,4 @@
-//! What a store does as time passes.
+//! Periodic work of a store.
 
 use orchidvalve_protocol::messages::StoreMessage;
 
@@ -9,22 +9,22 @@
 use crate::store::Store;
 use crate::timestamp::Timestamp;
 
-/// Shortest time between two ticks that do anything, in milliseconds.
+/// Minimum time between two ticks that perform work, in milliseconds.
 const TICK_MS: u64 = 90;
-/// Time between two looks for items that have expired and groups to dispatch, in milliseconds.
+/// Time between two checks for expired leases, expired items and groups to dispatch, in milliseconds.
 const MAINTENANCE_MS: u64 = 250;
-/// Time between two releases of records that aren't needed any more, in milliseconds.
+/// Time between two releases of records that are no longer needed, in milliseconds.
 const RELEASE_MS: u64 = 5_000;
-/// Time after which the learners that caught up are reported again, in milliseconds.
+/// Time between two reports of the learners that have caught up, in milliseconds.
 const REPORT_MS: u64 = 1_000;
-/// Time beyond the one after which items may expire, in milliseconds: the wall clocks of the gateway that received the
-/// job and of this store may be two seconds apart if one of them was being set when its process started. Expiry that
-/// comes late breaks no promise, expiry that comes early does.
+/// Additional time before items expire, in milliseconds. The wall clocks of this store and of the gateway that received
+/// the job may differ by two seconds if one of them was being set when its process started. Late expiry breaks no
+/// promise, but early expiry does.
 const EXPIRY_SLACK_MS: u64 = 3_000;
-/// Most items of a job that expire at a time.
+/// Maximum number of items of a job that expire at once.
 const EXPIRY_BATCH: usize = 64;
 
-/// When periodic work is due next, by the monotonic clock in milliseconds.
+/// The next due times of periodic work, by the monotonic clock in milliseconds.
 #[derive(Debug, Default)]
 pub(super) struct Schedule {
     tick_ms: u64,
@@ -34,7 +34,7 @@
     release_ms: u64,
 }
 
-/// Whether something is due; if it is, the time of the next one is set.
+/// Returns whether work is due. If so, sets the next due time.
 fn take_due(due_ms: &mut u64, now_ms: u64, period_ms: u64) -> bool {
     let is_due = now_ms >= *due_ms;
     if is_due {
@@ -44,7 +44,7 @@
 }
 
 impl Store {
-    /// Time passed; to be called at least some ten times per second. More calls cost next to nothing.
+    /// Performs the periodic work that is due. To be called at least ten times per second; additional calls are cheap.
     pub fn tick(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         let now_ms = now.monotonic_ms;
         if !take_due(&mut self.schedule.tick_ms, now_ms, TICK_MS) {
@@ -58,7 +58,7 @@
                 partition.drive(sinks, |replica, log, outputs| replica.tick(now_ms, log, outputs));
             });
         }
-        self.answer_expired(now_ms, outputs);
+        self.respond_to_expired_calls(now_ms, outputs);
         if take_due(&mut self.schedule.heartbeat_ms, now_ms, HEARTBEAT_MS) {
             let links = self.gateways.links();
             outputs.extend(links.map(|link| Output::ToGateway { link, message: StoreMessage::Heartbeat }));
@@ -83,7 +83,7 @@
         }
     }
 
-    /// Records the items of jobs that have waited too long as expired.
+    /// Proposes expired results for the items of jobs whose maximum queue time has passed.
     fn expire_items(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         let mut expired: Vec<ItemKey> = Vec::new();
         for (&number, partition) in self.partitions.iter().filter(|(_, partition)| partition.is_active_head())
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Drops what isn't needed any more, in memory and on disk.
+    /// Removes data that is no longer needed from memory and disk.
     fn release(&mut self, now: Timestamp, outputs: &mut Vec<Output>) {
         let retention_ms = self.settings.retention_ms;
         self.partitions.retain(|_, partition| !partition.is_abandoned(now.monotonic_ms));
--- a/crates/batch-store/src/store/results.rs
+++ b/crates/batch-store/src/store/results.rs
@@ -1,4 +1,4 @@
-//! Results that gateways report, and groups that they return.
+//! Results reported by gateways, and groups returned by them.
 
 use std::collections::BTreeMap;
 
@@ -14,23 +14,23 @@
 use crate::store::Store;
 use crate::timestamp::Timestamp;
 
-/// Time for which a returned group isn't assigned again, in milliseconds.
+/// Time before a returned group is assigned again, in milliseconds.
 const RETURNED_GROUP_BACKOFF_MS: u64 = 300;
 
-/// What one acknowledgement is about. Messages are sent in the order of their keys.
+/// The recipient and the job of an acknowledgement. Acknowledgements are sent in the order of these keys.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct AcknowledgementKey {
-    /// Link of the gateway that gets it.
+    /// Link of the gateway that reported the results.
     link: LinkId,
     job: JobKey,
 }
 
-/// Results that gateways have reported and that aren't acknowledged to them.
+/// Results that were reported by gateways and are not acknowledged yet.
 #[derive(Debug, Default)]
 pub(super) struct PendingResults {
-    /// Links that wait for the commit of a result.
+    /// Links on which each uncommitted result was reported.
     uncommitted: BTreeMap<ItemKey, Vec<LinkId>>,
-    /// Ids of the items to be acknowledged at the end of this input.
+    /// Ids of the items to acknowledge at the end of the current input.
     committed: BTreeMap<AcknowledgementKey, Vec<String>>,
 }
 
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A result is committed: it is to be acknowledged to all gateways that reported it.
+    /// Schedules the acknowledgement of a committed result to all gateways that reported it.
     pub fn committed(&mut self, number: u16, job: &CompactString, item: CompactString) {
         let key = ItemKey { job: JobKey { partition: number, job: job.clone() }, item };
         for link in self.uncommitted.remove(&key).unwrap_or_default() {
@@ -56,13 +56,13 @@
         self.committed.entry(key).or_default().push(item.to_owned());
     }
 
-    /// Outcomes that nobody wants any more are to be acknowledged.
+    /// Schedules the acknowledgement of outcomes that are no longer needed.
     pub fn acknowledge_all(&mut self, link: LinkId, number: u16, job: &str, items: Vec<String>) {
         let key = AcknowledgementKey { link, job: JobKey::new(number, job) };
         self.committed.entry(key).or_default().extend(items);
     }
 
-    /// Sends the acknowledgements, one message for each link and job.
+    /// Sends the scheduled acknowledgements, one message per link and job.
     pub fn send_acknowledgements(&mut self, outputs: &mut Vec<Output>) {
         for (AcknowledgementKey { link, job }, items) in std::mem::take(&mut self.committed) {
             let JobKey { partition, job } = job;
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A link is lost: nothing is acknowledged on it any more.
+    /// Forgets the results reported on a lost link, which cannot be acknowledged any more.
     pub fn remove_link(&mut self, link: LinkId) {
         self.uncommitted.retain(|_, links| {
             links.retain(|&other| other != link);
@@ -79,28 +79,29 @@
         });
     }
 
-    /// This store is the head of a partition no more: gateways send their results to another one.
+    /// Forgets the results of a partition of which this store is no longer the head. Gateways report them to the new
+    /// head.
     pub fn remove_partition(&mut self, number: u16) {
         self.uncommitted.retain(|key, _| key.job.partition != number);
     }
 }
 
-/// What to do with a result.
+/// How a reported result is handled.
 enum ResultAction {
     Propose,
-    /// It is proposed already.
+    /// The result is proposed already.
     AwaitCommit,
-    /// It is recorded, or nobody wants it any more.
+    /// The result is recorded, or no longer needed.
     Acknowledge,
-    /// The job isn't known here: nobody wants the result any more if this store is still the head.
-    Confirm,
-    /// This store isn't the head that dispatches the job, or not yet: the gateway sends it again.
+    /// The job is unknown here. If the view is current, the result is no longer needed.
+    ConfirmView,
+    /// This store is not the active head of the partition, or not yet. The gateway reports the result again.
     Ignore,
 }
 
 impl Store {
-    /// A gateway reported results of items.
-    pub(super) fn take_outcomes(
+    /// Records the results of items that a gateway reported.
+    pub(super) fn record_outcomes(
         &mut self,
         link: LinkId,
         number: u16,
@@ -113,7 +114,7 @@
         for outcome in outcomes {
             match self.result_action(number, job, &outcome.item) {
                 ResultAction::Ignore => continue,
-                ResultAction::Confirm => {
+                ResultAction::ConfirmView => {
                     unknown.push(outcome.item.clone());
                     continue;
                 }
@@ -132,7 +133,7 @@
             self.pending_results.add(link, number, job, &outcome.item);
         }
         if !unknown.is_empty() {
-            let caller = Caller { link, call: 0 };
+            let caller = Caller { link, request_id: 0 };
             self.confirm_view(caller, number, job, Query::Outcomes { items: unknown }, now, outputs);
         }
     }
@@ -142,7 +143,7 @@
         else {
             return ResultAction::Ignore;
         };
-        let Some(state) = partition.jobs.get(job) else { return ResultAction::Confirm };
+        let Some(state) = partition.jobs.get(job) else { return ResultAction::ConfirmView };
         let Some(active) = state.active() else { return ResultAction::Acknowledge };
         match active.item_index(item) {
             None => ResultAction::Acknowledge,
@@ -152,7 +153,7 @@
         }
     }
 
-    /// Servers answered items with 500: the next gateway is told if their group moves.
+    /// Records how often servers responded to items with status 500, for the next gateway that gets their group.
     pub(super) fn record_failures(&mut self, number: u16, job: &str, failures: &[ItemFailures]) {
         let partition = self.partitions.get_mut(&number);
         let Some(active) = partition.and_then(|partition| partition.jobs.active_mut(job)) else { return };
@@ -163,7 +164,7 @@
         }
     }
 
-    /// A gateway returned groups that were assigned to it in the view of this epoch.
+    /// Handles groups that a gateway returns; they were assigned in the view with this epoch.
     pub(super) fn return_groups(
         &mut self,
         gateway: Option<GatewayId>,
--- a/crates/batch-store/src/store/undispatched.rs
+++ b/crates/batch-store/src/store/undispatched.rs
@@ -1,21 +1,21 @@
-//! What waits on this store for a gateway.
+//! Items that wait on this store for a gateway.
 
 use crate::dispatch;
 use crate::store::Store;
 
-/// Items of jobs of one route that are needed and wait for a gateway.
+/// The number of required items of a route that wait for a gateway.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct UndispatchedItems {
-    /// Host of the route.
+    /// Hostname of the route.
     pub hostname: String,
     /// Path prefix of the route.
     pub route_prefix: String,
-    /// Number of the items.
+    /// Number of items.
     pub count: u32,
 }
 
 impl Store {
-    /// What waits for a gateway, of each open job that this store dispatches.
+    /// Returns the waiting items of each active job that this store dispatches.
     pub fn undispatched_items(&self) -> Vec<UndispatchedItems> {
         let headed = self.partitions.values().filter(|partition| partition.is_active_head());
         let open = headed.flat_map(|partition| partition.jobs.iter_active());
--- a/crates/batch-store/src/store/views.rs
+++ b/crates/batch-store/src/store/views.rs
@@ -1,4 +1,4 @@
-//! What a store does when the placement of a partition changes.
+//! Changes of the placement of a partition.
 
 use orchidvalve_chain_replication::ChainView;
 use orchidvalve_control_state::Placement;
@@ -12,11 +12,11 @@
 use crate::store::Store;
 use crate::timestamp::Timestamp;
 
-/// Time for which the ends of jobs are sent to gateways that connect, in milliseconds.
+/// Gateways that connect get the cancellations of jobs that ended within this time, in milliseconds.
 const RESEND_CANCEL_MS: u64 = 60_000;
 
 impl Store {
-    /// Takes up the placement of one partition, if this store has or had a part in it.
+    /// Accepts the placement of a partition if this store is in it or holds a copy.
     pub(super) fn update_placement(
         &mut self,
         number: u16,
@@ -52,10 +52,10 @@
         }
     }
 
-    /// Draws the consequences of a new view of a partition.
+    /// Applies the consequences of a new view of a partition.
     fn view_changed(&mut self, number: u16, was_head: bool, now: Timestamp, outputs: &mut Vec<Output>) {
-        self.answer_view_change(number, outputs);
-        self.confirm_view_again(number, now, outputs);
+        self.respond_on_view_change(number, outputs);
+        self.retry_view_confirmation(number, now, outputs);
         let Some(partition) = self.partitions.get_mut(&number) else { return };
         match (was_head, partition.replica.is_head()) {
             (true, true) => dispatch::resend_assignments(partition, &self.gateways, None, now, outputs),
@@ -69,7 +69,8 @@
         self.dispatch_due = true;
     }
 
-    /// Tells the gateway at a link, or all, which jobs ended lately, since an earlier message may have been lost.
+    /// Sends the cancellations of recently ended jobs to the gateway on `link`, or to all gateways, since earlier
+    /// messages may have been lost.
     pub(super) fn cancel_ended(&self, link: Option<LinkId>, now_ms: u64, outputs: &mut Vec<Output>) {
         let headed = self.partitions.iter().filter(|(_, partition)| partition.replica.is_head());
         for (&number, partition) in headed {
@@ -81,7 +82,7 @@
     }
 }
 
-/// Takes all groups of a partition away from their gateways.
+/// Revokes the assignments of all groups of a partition.
 fn revoke_all_groups(partition: &mut Partition, gateways: &mut GatewayTable) {
     partition.jobs.for_each_active(|active| {
         active.revoke_all(None, |gateway, items| gateways.release_items(gateway, items));
--- a/crates/batch-store/src/uncommitted.rs
+++ b/crates/batch-store/src/uncommitted.rs
@@ -1,4 +1,4 @@
-//! Entries that are appended but not committed.
+//! Entries that are appended but not yet committed.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -6,22 +6,22 @@
 
 use crate::entry::ParsedEntry;
 
-/// An entry and its sequence number.
+/// A decoded entry and its sequence number.
 #[derive(Debug)]
 pub(crate) struct UncommittedEntry {
     pub sequence: u64,
     pub entry: ParsedEntry,
 }
 
-/// Entries that aren't committed, with an index of what they would do.
+/// Uncommitted entries, with an index of the effects that they will have.
 #[derive(Debug, Default)]
 pub(crate) struct UncommittedEntries {
     entries: VecDeque<UncommittedEntry>,
-    /// Number of entries that would have this effect.
+    /// Number of uncommitted entries with this effect.
     index: BTreeMap<EffectKey, u32>,
 }
 
-/// What an entry would do once it is committed.
+/// The effect of an entry once it is committed.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum EffectKey {
     AcceptJob(CompactString),
@@ -45,7 +45,7 @@
 }
 
 impl UncommittedEntries {
-    /// Appends the entry of this sequence number.
+    /// Appends an entry with this sequence number.
     pub fn push(&mut self, sequence: u64, entry: ParsedEntry) {
         if let Some(key) = EffectKey::of(&entry) {
             *self.index.entry(key).or_default() += 1;
@@ -53,32 +53,32 @@
         self.entries.push_back(UncommittedEntry { sequence, entry });
     }
 
-    /// Drops the entries after this sequence number.
+    /// Removes the entries after sequence number `after`.
     pub fn truncate(&mut self, after: u64) {
         while let Some(dropped) = self.entries.pop_back_if(|last| last.sequence > after) {
             self.remove_from_index(&dropped.entry);
         }
     }
 
-    /// Takes out the next entry if its sequence number is at most `committed`.
+    /// Removes and returns the next entry if its sequence number is at most `committed`.
     pub fn pop(&mut self, committed: u64) -> Option<UncommittedEntry> {
         let next = self.entries.pop_front_if(|first| first.sequence <= committed)?;
         self.remove_from_index(&next.entry);
         Some(next)
     }
 
-    /// Whether an entry would accept this job.
+    /// Returns whether an uncommitted entry accepts this job.
     pub fn contains_job(&self, job: &str) -> bool {
         self.index.contains_key(&EffectKey::AcceptJob(CompactString::from(job)))
     }
 
-    /// Whether an entry would record a result of this item.
+    /// Returns whether an uncommitted entry records a result of this item.
     pub fn contains_result(&self, job: &str, item: &str) -> bool {
         let (job, item) = (CompactString::from(job), CompactString::from(item));
         self.index.contains_key(&EffectKey::RecordResult { job, item })
     }
 
-    /// Whether an entry would end this job.
+    /// Returns whether an uncommitted entry ends this job.
     pub fn contains_end(&self, job: &str) -> bool {
         self.index.contains_key(&EffectKey::EndJob(CompactString::from(job)))
     }
--- a/crates/batch-store/tests/acknowledgements.rs
+++ b/crates/batch-store/tests/acknowledgements.rs
@@ -1,5 +1,5 @@
-//! What a store has acknowledged outlives the loss of as many disks as may be lost at once, while all other machines
-//! lose power at the same moment: it lies on one disk more than that, synced, before anything is acknowledged.
+//! Acknowledged writes survive the loss of as many disks as the tolerance allows while all other nodes lose power at
+//! the same moment, because they are synced to one disk more than the tolerance before they are acknowledged.
 
 mod support;
 
@@ -13,17 +13,17 @@
 const JOB: &str = "j";
 const ITEM: &str = "j-0-0";
 
-/// What is acknowledged.
+/// The kind of write that is acknowledged.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Kind {
     Job,
-    /// To the gateway that made the text, and to whoever reads it.
+    /// Acknowledged to the gateway that reported the result, and to every caller that reads it.
     Result,
     End,
 }
 
-/// Calls for what is acknowledged; whether it has been is said by [`acknowledged`].
-fn ask(world: &mut World, kind: Kind) -> u64 {
+/// Makes the calls for a write. [`acknowledged`] returns whether it was acknowledged.
+fn make_call(world: &mut World, kind: Kind) -> u64 {
     match kind {
         Kind::Job => world.submit(GATEWAY, 0, JOB, job(JOB, 1, 2, 1)),
         Kind::Result => {
@@ -36,16 +36,16 @@
 
 fn acknowledged(world: &World, kind: Kind, call: u64) -> bool {
     match kind {
-        Kind::Job => world.answer(GATEWAY, call) == Some(&StoreResponse::Accepted),
+        Kind::Job => world.response(GATEWAY, call) == Some(&StoreResponse::Accepted),
         Kind::Result => {
-            let read = matches!(world.answer(GATEWAY, call), Some(StoreResponse::Results { outcomes, .. }) if !outcomes.is_empty());
-            read || world.gateways[&GATEWAY].recorded.contains(&ITEM.to_owned())
+            let read = matches!(world.response(GATEWAY, call), Some(StoreResponse::Results { outcomes, .. }) if !outcomes.is_empty());
+            read || world.gateways[&GATEWAY].acknowledged.contains(&ITEM.to_owned())
         }
-        Kind::End => world.answer(GATEWAY, call) == Some(&StoreResponse::Ended),
+        Kind::End => world.response(GATEWAY, call) == Some(&StoreResponse::Ended),
     }
 }
 
-fn prepared(kind: Kind) -> World {
+fn world_with_job(kind: Kind) -> World {
     let mut world = World::placed(STORES, TOLERANCE + 1);
     world.gateway_connected(GATEWAY, 1);
     if kind != Kind::Job {
@@ -55,15 +55,15 @@
     world
 }
 
-/// Delivers all messages between stores; nothing is written to disks by that.
+/// Delivers all messages between stores without syncing any disk.
 fn deliver(world: &mut World) {
     for (from, to, message) in std::mem::take(&mut world.network) {
         world.deliver(from, to, message);
     }
 }
 
-/// Delivers messages and syncs disks, one step after the other, until it is acknowledged; in each step of these, the
-/// disk of `slow` is synced only if no other one can be.
+/// Alternately delivers messages and syncs disks until the write is acknowledged. The disk of `slow` is synced only if
+/// no other progress is possible.
 fn until_acknowledged(world: &mut World, kind: Kind, call: u64, slow: usize) {
     for _ in 0..100 {
         if acknowledged(world, kind, call) {
@@ -80,11 +80,11 @@
             world.sync(slow);
         }
     }
-    panic!("{kind:?} isn't acknowledged");
+    panic!("{kind:?} is not acknowledged");
 }
 
-/// At the moment of the acknowledgement all disks but that of `kept` are lost, and its machine loses power.
-fn lose_all_but(world: &mut World, kept: usize) {
+/// Simulates the loss of all disks except that of `kept`, whose node loses power.
+fn lose_disks_except(world: &mut World, kept: usize) {
     world.network.clear();
     for index in 0..usize::from(STORES) {
         if index == kept {
@@ -95,8 +95,8 @@
     }
 }
 
-/// The store that has its disk still copies it to the others, which are new members.
-fn repair(world: &mut World, kept: usize) {
+/// Restores the chain: the store with the surviving disk copies it to the others, which are new members.
+fn restore_chain(world: &mut World, kept: usize) {
     let survivor = world.stores[kept].me;
     let others: Vec<_> = world.stores.iter().map(|store| store.me).filter(|me| *me != survivor).collect();
     world.place(2, &[survivor], &others);
@@ -108,24 +108,24 @@
 }
 
 #[rstest]
-fn acknowledged_writes_survive_the_loss_of_disks_beside_a_loss_of_power_everywhere(
+fn acknowledged_writes_survive_disk_losses_during_a_power_failure(
     #[values(Kind::Job, Kind::Result, Kind::End)] kind: Kind,
     #[values(0, 1, 2)] kept: usize,
     #[values(0, 1, 2)] slow: usize,
 ) {
-    let mut world = prepared(kind);
-    let call = ask(&mut world, kind);
+    let mut world = world_with_job(kind);
+    let call = make_call(&mut world, kind);
     until_acknowledged(&mut world, kind, call, slow);
-    lose_all_but(&mut world, kept);
-    repair(&mut world, kept);
+    lose_disks_except(&mut world, kept);
+    restore_chain(&mut world, kept);
     let read = world.read(GATEWAY, kept, JOB, 0, 0);
     let body = world.item_body(GATEWAY, kept, JOB, "j-0-1");
     world.run();
     match kind {
         Kind::Job => {
-            assert_eq!(world.answer(GATEWAY, body), Some(&StoreResponse::Body(b"hello".to_vec())));
+            assert_eq!(world.response(GATEWAY, body), Some(&StoreResponse::Body(b"hello".to_vec())));
         }
-        Kind::Result => assert_eq!(result_items(world.answer(GATEWAY, read)), [ITEM]),
+        Kind::Result => assert_eq!(result_items(world.response(GATEWAY, read)), [ITEM]),
         Kind::End => {
             let assigned = world.gateways[&GATEWAY].assigned.len();
             world.gateway_connected(2, 1);
@@ -137,19 +137,19 @@
     }
 }
 
-/// An item that expired is listed as expired, and that outlives the loss of the same disks.
+/// An item that expired remains expired after the loss of disks.
 #[rstest]
 fn an_expired_item_stays_expired(#[values(0, 1, 2)] kept: usize) {
-    let mut world = prepared(Kind::Result);
+    let mut world = world_with_job(Kind::Result);
     world.advance(support::MAX_QUEUE_MS + 4_000);
     let read = world.read(GATEWAY, 0, JOB, 0, 0);
     world.run();
-    assert_eq!(result_items(world.answer(GATEWAY, read)).len(), 2);
-    lose_all_but(&mut world, kept);
-    repair(&mut world, kept);
+    assert_eq!(result_items(world.response(GATEWAY, read)).len(), 2);
+    lose_disks_except(&mut world, kept);
+    restore_chain(&mut world, kept);
     let read = world.read(GATEWAY, kept, JOB, 0, 0);
     world.run();
-    match world.answer(GATEWAY, read) {
+    match world.response(GATEWAY, read) {
         Some(StoreResponse::Results { outcomes, .. }) => {
             assert_eq!(outcomes.len(), 2);
             assert!(outcomes.iter().all(|outcome| outcome.state == ItemState::Expired));
@@ -158,21 +158,21 @@
     }
 }
 
-/// A partition that began anew has forgotten its jobs. A gateway that has an outcome of one of them would send it again
-/// for ever.
+/// A partition whose log was restarted has lost its jobs. Without an acknowledgement, a gateway with an outcome for one
+/// of them would send it forever.
 #[test]
-fn outcomes_of_a_job_that_nobody_knows_are_acknowledged() {
+fn outcomes_of_an_unknown_job_are_acknowledged() {
     let mut world = World::placed(STORES, TOLERANCE + 1);
     world.gateway_connected(GATEWAY, 1);
     world.report(GATEWAY, 0, "forgotten", &["a", "b"]);
     world.run();
-    assert_eq!(world.gateways[&GATEWAY].recorded, ["a", "b"]);
-    assert!(world.gateways[&GATEWAY].answers.is_empty(), "no call was made");
+    assert_eq!(world.gateways[&GATEWAY].acknowledged, ["a", "b"]);
+    assert!(world.gateways[&GATEWAY].responses.is_empty(), "no call was made");
 }
 
-/// A head that was left behind doesn't know what its successors have accepted.
+/// A former head that was partitioned does not know which jobs its successors have accepted.
 #[test]
-fn outcomes_of_a_job_that_is_not_known_are_kept_where_the_view_cannot_be_confirmed() {
+fn outcomes_of_an_unknown_job_are_not_acknowledged_in_an_unconfirmed_view() {
     let mut world = World::placed(STORES, TOLERANCE + 1);
     world.gateway_connected(GATEWAY, 1);
     for index in 1..usize::from(STORES) {
@@ -180,16 +180,16 @@
     }
     world.report(GATEWAY, 0, "unknown", &["a"]);
     world.advance(5_000);
-    assert!(world.gateways[&GATEWAY].recorded.is_empty());
-    assert!(world.gateways[&GATEWAY].answers.is_empty(), "no call was made");
+    assert!(world.gateways[&GATEWAY].acknowledged.is_empty());
+    assert!(world.gateways[&GATEWAY].responses.is_empty(), "no call was made");
 }
 
-/// Sent to a store that isn't the head, they are sent again to the head.
+/// Outcomes that reach a store other than the head are not acknowledged, so the gateway sends them to the head.
 #[test]
 fn outcomes_at_another_member_are_not_acknowledged() {
     let mut world = World::placed(STORES, TOLERANCE + 1);
     world.gateway_connected(GATEWAY, 1);
     world.report(GATEWAY, 1, "unknown", &["a"]);
     world.run();
-    assert!(world.gateways[&GATEWAY].recorded.is_empty());
+    assert!(world.gateways[&GATEWAY].acknowledged.is_empty());
 }
--- a/crates/batch-store/tests/golden_disk.rs
+++ b/crates/batch-store/tests/golden_disk.rs
@@ -1,5 +1,5 @@
-//! A disk that an earlier build wrote: the same inputs write the same records, and the records are read back as what
-//! they stand for, also with a torn end.
+//! Checks records that an earlier build wrote: the same inputs still write the same records, and the recorded records
+//! are recovered to the same state, also if the last one is torn.
 
 mod support;
 
@@ -19,16 +19,17 @@
 const GATEWAY: u64 = 1;
 const ACCEPTED_AT_MS: u64 = 1_700_000_100_000;
 
-/// What is written now.
+/// The records that the current version writes.
 const DISK: &str = "disk.txt";
-/// What was written before jobs had tenants.
+/// Records written before jobs had tenants.
 const DISK_WITHOUT_TENANTS: &str = "disk-of-wire-version-5.txt";
 
 fn path(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// The disk of a store that took a job, results of it, and the end of another one, in its first partition.
+/// Returns the disk of a store that accepted a job with results and another job that ended, both in its first
+/// partition.
 fn written_by_a_store() -> Vec<Vec<u8>> {
     let mut world = World::placed(1, 1);
     world.gateway_connected(GATEWAY, 1);
@@ -61,7 +62,7 @@
     EntryRef::result(id, &outcome(item)).encode()
 }
 
-/// Records of two further partitions: one whose journal was cut back, and one that begins late.
+/// Returns records of two other partitions: one whose log was truncated, and one whose log starts late.
 fn written_by_chains() -> Vec<Vec<u8>> {
     let append = |partition: u16, sequence: u64, epoch: u64, payload: Vec<u8>| DiskRecord::Append {
         partition,
@@ -92,7 +93,7 @@
     check_samples(&path(DISK), &samples);
 }
 
-/// A store over these records that was given a view of each partition in which it is alone.
+/// Starts a store with these records and gives it a view of each partition in which it is the only member.
 fn started(records: Vec<Vec<u8>>) -> World {
     let mut world = World::new(1, 1);
     let disk = (1..).zip(records).map(|(position, payload)| Record { position, payload }).collect();
@@ -116,7 +117,7 @@
     };
     world.send_to_store(GATEWAY, 0, read);
     world.run();
-    world.answer(GATEWAY, call).cloned().expect("an answer")
+    world.response(GATEWAY, call).cloned().expect("an response")
 }
 
 fn results(total: u32, items: &[&str]) -> StoreResponse {
@@ -125,10 +126,10 @@
 }
 
 #[rstest]
-#[case::whole(0, &["d-1-0", "d-0-0"], 14)]
+#[case::intact(0, &["d-1-0", "d-0-0"], 14)]
 #[case::torn_by_a_byte(1, &["d-1-0"], 13)]
 #[case::torn_by_twenty_bytes(20, &["d-1-0"], 13)]
-fn the_recorded_disk_is_read_back(
+fn the_recorded_disk_is_recovered(
     #[values(DISK, DISK_WITHOUT_TENANTS)] file: &str,
     #[case] torn_bytes: usize,
     #[case] latest_results: &[&str],
@@ -139,16 +140,16 @@
     last.truncate(last.len() - torn_bytes);
     let recorded = records.len();
     let mut world = started(records);
-    // The view of each partition is noted at once: from where on its journal is needed, and what came before.
-    let noted: Vec<DiskRecord> =
+    // Each partition records its view at once, with the start of its log and the epoch before it.
+    let view_records: Vec<DiskRecord> =
         world.stores[0].writes.iter().map(|record| decode(&record.payload).expect("a record")).collect();
-    let base = |partition: u16, first: u64, previous_epoch: u64| DiskRecord::LogStart {
+    let log_start = |partition: u16, first: u64, previous_epoch: u64| DiskRecord::LogStart {
         partition,
         first,
         previous_epoch,
         view_epoch: 7,
     };
-    assert_eq!(noted, [base(0, 1, 0), base(1, 1, 0), base(2, 11, 4)]);
+    assert_eq!(view_records, [log_start(0, 1, 0), log_start(1, 1, 0), log_start(2, 11, 4)]);
     assert_eq!(world.stores[0].writes[0].position, recorded as u64 + 1);
     world.run();
     assert_eq!(read(&mut world, 0, "a"), results(4, &["a-0-1", "a-1-0", "a-0-0"]));
@@ -157,7 +158,7 @@
     assert_eq!(read(&mut world, 2, "d"), results(2, latest_results));
     assert_eq!(read(&mut world, 2, "old"), StoreResponse::NotFound);
     assert_eq!(read(&mut world, 2, "forgotten"), StoreResponse::NotFound);
-    // What comes next goes behind it.
+    // New entries are appended after the recovered ones.
     let call = world.next_call();
     let end = GatewayMessage::EndJob { request_id: call, partition: 2, id: "d".to_owned(), tenant: None };
     world.send_to_store(GATEWAY, 0, end);
@@ -166,5 +167,5 @@
     let entry = Entry { sequence: next_sequence, epoch: 7, payload };
     assert_eq!(written, Some(Some(DiskRecord::Append { partition: 2, entry })));
     world.run();
-    assert_eq!(world.answer(GATEWAY, call), Some(&StoreResponse::Ended));
+    assert_eq!(world.response(GATEWAY, call), Some(&StoreResponse::Ended));
 }
--- a/crates/batch-store/tests/golden_inputs.rs
+++ b/crates/batch-store/tests/golden_inputs.rs
@@ -1,5 +1,5 @@
-//! A store answers random inputs with the recorded outputs, to the byte: all messages of gateways, several partitions,
-//! views in any order, other stores that are played by the test, and times long enough for every limit of time.
+//! A store responds to random inputs with the recorded outputs, byte for byte. The inputs cover all gateway messages,
+//! several partitions, views in any order, simulated peers, and times beyond every time limit.
 
 mod support;
 
@@ -32,7 +32,7 @@
 const PER_GROUP: usize = 2;
 const START_WALL_MS: u64 = 1_700_000_000_000;
 
-/// Limits of the one route that is known; the jobs of `support::job` are of it, or not.
+/// Limits of the route of the jobs of `support::job`, which may be unknown.
 struct OneRoute {
     is_known: bool,
 }
@@ -48,27 +48,27 @@
     }
 }
 
-/// One store, and everything around it.
+/// A store and its simulated environment.
 struct Run {
     random: Pcg64Mcg,
     trace: Trace,
     store: Store,
     me: MemberId,
     now: u64,
-    /// Records on the disk, and those that aren't there yet.
+    /// Records on the disk, followed by those that are not synced yet.
     disk: Vec<Record>,
     writes: Vec<Record>,
     next_position: u64,
     starts: u64,
     placements: Vec<Placement>,
-    /// Latest messages of the store to other stores.
+    /// The latest messages that the store sent to other stores.
     sent: Vec<(MemberId, PeerMessage)>,
-    /// Groups that were assigned to gateways: link, partition, epoch, job, group.
+    /// Groups assigned to gateways: link, partition, epoch, job, group.
     assigned: Vec<(u64, u16, u64, String, u32)>,
     next_call: u64,
     links: [u64; GATEWAYS as usize],
     next_link: u64,
-    /// Outputs by [`kind`].
+    /// Number of outputs by [`kind`].
     outputs: [usize; KINDS],
 }
 
@@ -116,7 +116,7 @@
                     self.next_position += 1;
                 }
                 Output::ReleaseBefore(position) => self.disk.retain(|kept| kept.position >= position),
-                Output::ToGateway { link, message } => self.note_assigned(link.0, message),
+                Output::ToGateway { link, message } => self.record_assignments(link.0, message),
                 Output::ToPeer { to, message } => {
                     self.sent.push((to, message));
                     self.sent.drain(..self.sent.len().saturating_sub(6));
@@ -129,10 +129,16 @@
         }
     }
 
-    fn note_assigned(&mut self, link: u64, message: StoreMessage) {
-        if let StoreMessage::AssignGroups { job: terms, groups } = message {
+    fn record_assignments(&mut self, link: u64, message: StoreMessage) {
+        if let StoreMessage::AssignGroups { job: assigned_job, groups } = message {
             for group in groups {
-                self.assigned.push((link, terms.partition, terms.epoch, terms.job.clone(), group.index));
+                self.assigned.push((
+                    link,
+                    assigned_job.partition,
+                    assigned_job.epoch,
+                    assigned_job.job.clone(),
+                    group.index,
+                ));
             }
             self.assigned.drain(..self.assigned.len().saturating_sub(12));
         }
@@ -141,25 +147,25 @@
     fn step(&mut self) {
         match self.random.random_range(0..100) {
             0..8 => self.place(),
-            8..22 => self.pass_time(),
+            8..22 => self.advance_time(),
             22..34 => self.sync(),
             34..40 => self.gateway_connected(),
             40..42 => self.gateway_disconnected(),
             42..80 => self.gateway_message(),
             80..96 => self.peer_message(),
-            96 => self.links_of_peers(),
+            96 => self.reconnect_peer(),
             97 => self.set_workers(),
-            98 => self.change_conditions(),
+            98 => self.change_health_and_limits(),
             _ => self.restart(),
         }
     }
 
-    /// Some partition gets a newer view, or all views are sent again.
+    /// Gives a random partition a newer view, or repeats all views.
     fn place(&mut self) {
         let number = self.random.random_range(0..usize::from(PARTITIONS));
         let mut members: Vec<MemberId> = (1..=3).map(member).collect();
         members.rotate_left(self.random.random_range(0..3));
-        // Mostly alone or the head: what this store does then is most of its work.
+        // Mostly the head or the only member, since this exercises most of the store.
         if self.random.random_bool(0.7) {
             members.retain(|other| *other != self.me);
             members.insert(0, self.me);
@@ -167,16 +173,16 @@
         members.truncate(self.random.random_range(1..=3));
         let learners = if self.random.random_bool(0.3) { vec![member(4)] } else { Vec::new() };
         let epoch = self.placements[number].epoch + u64::from(self.random.random_bool(0.8));
-        let begins_anew = self.random.random_bool(0.03);
+        let resets_log = self.random.random_bool(0.03);
         let copies = self.random.random_range(1..=members.len() as u32);
-        let reset_epoch = if begins_anew { epoch } else { self.placements[number].reset_epoch };
+        let reset_epoch = if resets_log { epoch } else { self.placements[number].reset_epoch };
         self.placements[number] =
             Placement { epoch, members, learners, copies, reset_epoch, ..Placement::default() };
         let placements = self.placements.clone();
         self.input(|store, now, outputs| store.update_placements(&placements, now, outputs));
     }
 
-    fn pass_time(&mut self) {
+    fn advance_time(&mut self) {
         self.now += match self.random.random_range(0..40) {
             0 => 70_000,
             1..4 => 5_000,
@@ -217,12 +223,12 @@
             incarnation: self.random.random_range(1..=2),
             cpu_share: f32::from(gateway) + 0.5,
         };
-        // Sometimes an older link is read late.
+        // Sometimes the handshake of an older link is read late.
         let link = if self.random.random_bool(0.1) { self.links[usize::from(gateway)] } else { link };
         self.links[usize::from(gateway)] = link;
-        self.tell(link, GatewayMessage::Handshake(handshake));
+        self.send(link, GatewayMessage::Handshake(handshake));
         let generation_capacity = self.random.random_range(0..12);
-        self.tell(link, GatewayMessage::Heartbeat { generation_capacity });
+        self.send(link, GatewayMessage::Heartbeat { generation_capacity });
     }
 
     fn gateway_disconnected(&mut self) {
@@ -234,7 +240,7 @@
         self.links[self.random.random_range(0..usize::from(GATEWAYS))]
     }
 
-    fn tell(&mut self, link: u64, message: GatewayMessage) {
+    fn send(&mut self, link: u64, message: GatewayMessage) {
         self.input(|store, now, outputs| store.gateway_message(LinkId(link), message, now, outputs));
     }
 
@@ -289,26 +295,26 @@
                     return;
                 };
                 let returned = GatewayMessage::ReturnGroups { partition, epoch, job, groups: vec![group] };
-                return self.tell(to, returned);
+                return self.send(to, returned);
             }
         };
-        self.tell(link, message);
+        self.send(link, message);
     }
 
-    /// What another store would answer to the latest message, or something at the wrong time.
+    /// Responds to one of the latest messages as another store would, or with a message at the wrong time.
     fn peer_message(&mut self) {
         let Some((from, message)) = self.sent.choose(&mut self.random).cloned() else { return };
         let PeerMessage::Chain { partition, message } = message else { return };
         let epoch = message.epoch();
-        let answer = match message {
+        let response = match message {
             _ if self.random.random_bool(0.1) => Message::Confirm { epoch, round: self.next_call },
             Message::Position { position_id, end, .. } => {
                 let reset = self.random.random_bool(0.2);
                 if reset {
                     Message::Reset { epoch, position_id, start: end + 3, previous_epoch: 0 }
                 } else {
-                    let runs_on = self.random.random_range(0..3);
-                    let entries = (1..=runs_on).map(|more| self.foreign_entry(end + more, epoch)).collect();
+                    let count = self.random.random_range(0..3);
+                    let entries = (1..=count).map(|more| self.random_entry(end + more, epoch)).collect();
                     let committed = end + self.random.random_range(0..3);
                     let (previous_sequence, previous_epoch) = (end, 0);
                     let epoch_base = Some(end);
@@ -340,11 +346,11 @@
             Message::Confirm { round, .. } => Message::Confirmed { epoch, round, committed: 0 },
             Message::Confirmed { round, .. } => Message::Confirm { epoch, round: round + 1 },
         };
-        let message = PeerMessage::Chain { partition, message: answer };
+        let message = PeerMessage::Chain { partition, message: response };
         self.input(|store, now, outputs| store.peer_message(from, message, now, outputs));
     }
 
-    fn foreign_entry(&mut self, sequence: u64, epoch: u64) -> Entry {
+    fn random_entry(&mut self, sequence: u64, epoch: u64) -> Entry {
         let (_, id) = self.any_job();
         let payload = match self.random.random_range(0..4) {
             0 => vec![0xff, 1],
@@ -359,7 +365,7 @@
         Entry { sequence, epoch, payload: Rc::from(payload) }
     }
 
-    fn links_of_peers(&mut self) {
+    fn reconnect_peer(&mut self) {
         let peer = member(self.random.random_range(2..=4));
         self.store.peer_disconnected(peer);
         if self.random.random_bool(0.8) {
@@ -373,7 +379,7 @@
         self.input(|store, now, outputs| store.set_workers(&workers, now, outputs));
     }
 
-    fn change_conditions(&mut self) {
+    fn change_health_and_limits(&mut self) {
         let health = StoreHealth {
             disk_failing: self.random.random_bool(0.2),
             used_bytes: self.random.random_range(1..90),
@@ -386,7 +392,7 @@
 }
 
 #[test]
-fn a_store_answers_random_inputs_as_recorded() {
+fn a_store_responds_to_random_inputs_as_recorded() {
     let (mut kinds, mut outputs) = ([0; 5], [0; KINDS]);
     let run = |seed: u64| {
         let mut run = Run::new(seed);
@@ -406,7 +412,7 @@
 
 const KINDS: usize = 24;
 
-/// A number for each kind of output, from 0.
+/// Returns a number for each kind of output, counted from 0.
 fn kind(output: &Output) -> usize {
     match output {
         Output::Write(_) => 0,
@@ -417,7 +423,7 @@
             StoreMessage::AssignGroups { .. } | StoreMessage::KnownFailures { .. } => 4,
             StoreMessage::CancelJob { .. } => 5,
             StoreMessage::AcknowledgeOutcomes { .. } => 6,
-            StoreMessage::Response { response: answer, .. } => match answer {
+            StoreMessage::Response { response, .. } => match response {
                 StoreResponse::Accepted => 7,
                 StoreResponse::Rejected { .. } => 8,
                 StoreResponse::OutcomeUnknown => 9,
@@ -427,7 +433,7 @@
                 StoreResponse::Results { .. } => 13,
                 StoreResponse::Body(_) => 14,
                 StoreResponse::Ended => 15,
-                StoreResponse::OtherTenant => panic!("no call carries a key"),
+                StoreResponse::OtherTenant => panic!("no call has a tenant"),
             },
         },
         Output::ToPeer { message, .. } => match message {
@@ -439,12 +445,12 @@
             PeerMessage::Chain { message: Message::Reset { .. }, .. } => 21,
             PeerMessage::Chain { message: Message::Confirm { .. }, .. } => 22,
             PeerMessage::Chain { message: Message::Confirmed { .. }, .. } => 23,
-            PeerMessage::Handshake { .. } | PeerMessage::Heartbeat => panic!("the host sends these"),
+            PeerMessage::Handshake { .. } | PeerMessage::Heartbeat => panic!("only the host sends these"),
         },
     }
 }
 
-/// Counts what is left on the disks, to see that the runs get somewhere.
+/// Counts the kinds of records left on the disk, to check that the runs make progress.
 fn count_kind(kinds: &mut [usize; 5], record: &[u8]) {
     use orchidvalve_batch_store::DiskRecord;
     match decode::<DiskRecord>(record) {
--- a/crates/batch-store/tests/golden_samples.rs
+++ b/crates/batch-store/tests/golden_samples.rs
@@ -1,5 +1,5 @@
-//! One value of every message between stores, every record of their disks and every entry has the recorded bytes, and
-//! comes back from them.
+//! A sample of every message between stores, every disk record and every log entry encodes to the recorded bytes, and
+//! decodes from them.
 
 use std::fmt::Debug;
 use std::net::Ipv4Addr;
@@ -21,7 +21,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Checks the bytes of all values, and that the recorded bytes stand for them.
+/// Checks the encoding of all values, and that the recorded bytes decode to them.
 fn check<T>(path: &Path, values: &[(&str, T)])
 where
     T: Debug + PartialEq + Encode<Binary> + for<'de> Decode<'de, Binary, Global>,
@@ -102,7 +102,7 @@
         weight_versions: vec![3, 4],
         score: Some("stamp".to_owned()),
     };
-    let given_up = ItemOutcome {
+    let expired = ItemOutcome {
         item: "item-8".to_owned(),
         state: ItemState::Expired,
         message: Vec::new(),
@@ -118,7 +118,7 @@
     let values = [
         ("job", accepted),
         ("outcome", EntryRef::result("job-1", &outcome)),
-        ("outcome-of-one-that-was-given-up", EntryRef::result("job-1", &given_up)),
+        ("outcome-of-one-that-was-given-up", EntryRef::result("job-1", &expired)),
         ("end-of-job", EntryRef::JobEnded { job: "job-1" }),
     ];
     let path = path("entries.txt");
@@ -130,5 +130,5 @@
     }
     let outcomes: Vec<Option<ItemOutcome>> =
         recorded.iter().map(|(_, bytes)| decode_outcome(bytes)).collect();
-    assert_eq!(outcomes, [None, Some(outcome), Some(given_up), None]);
+    assert_eq!(outcomes, [None, Some(outcome), Some(expired), None]);
 }
--- a/crates/batch-store/tests/golden_simulation.rs
+++ b/crates/batch-store/tests/golden_simulation.rs
@@ -1,4 +1,4 @@
-//! Every output of the stores in the simulation is the recorded one, to the byte.
+//! The outputs of the stores in the simulation equal the recorded ones, byte for byte.
 
 mod store_simulation;
 mod support;
@@ -11,13 +11,13 @@
 const SEEDS: u64 = 30;
 
 #[test]
-fn stores_put_out_what_was_recorded() {
+fn stores_produce_the_recorded_outputs() {
     let hashes: Vec<(String, u64)> = (0..SEEDS).map(|seed| (format!("seed-{seed}"), outputs(seed))).collect();
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/simulation.txt");
     check_hashes(&path, &hashes);
 }
 
-/// Hash of all outputs of one run.
+/// Returns the hash of all outputs of one run.
 fn outputs(seed: u64) -> u64 {
     let mut simulation = Simulation::new(seed);
     simulation.world.trace = Some(Trace::new());
--- a/crates/batch-store/tests/groups.rs
+++ b/crates/batch-store/tests/groups.rs
@@ -1,4 +1,4 @@
-//! Groups assigned to gateways.
+//! Assignment of groups to gateways.
 
 mod support;
 
@@ -45,7 +45,7 @@
     world.gateway_connected(1, 1);
     world.submit(1, 0, "j", job("j", 20, 1, 4));
     world.run();
-    // Four and a margin of two; then nothing, since more than half of the room is taken.
+    // Four required groups and a margin of two. Then nothing, since more than half of the capacity is in use.
     world.advance(TARGET_RUN_MS / 2);
     world.run();
     assert_eq!(groups_of(&world, 1).len(), 6);
@@ -60,7 +60,7 @@
     world.gateway_connected(1, 1);
     world.submit(1, 0, "j", job("j", 20, 1, 1));
     world.run();
-    // One and a margin of two, though the gateway is idle.
+    // One required group and a margin of two, although the gateway is idle.
     assert_eq!(groups_of(&world, 1).len(), 3);
     world.advance(TARGET_RUN_MS / 2 - 300);
     world.run();
@@ -95,7 +95,7 @@
     }
 }
 
-/// Only gateways that the control nodes list as workers get groups, whatever other ones take themselves for.
+/// Only gateways that the control nodes list as workers get groups, whatever role others claim.
 #[test]
 fn only_gateways_that_run_generations_get_groups() {
     let mut world = World::placed(2, 2);
@@ -111,7 +111,7 @@
     assert_eq!(counts(&world), [0, 4, 0]);
     set_workers(&mut world, &[3, 4]);
     assert_eq!(counts(&world), [0, 4, 4]);
-    // One that comes is known already.
+    // A gateway that connects later is listed already.
     world.submit(1, 0, "k", job("k", 4, 2, 0));
     world.gateway_connected(4, 1);
     assert_eq!(groups_of(&world, 4).len(), 4);
@@ -233,9 +233,9 @@
     assert_eq!(epochs, [1, 2]);
 }
 
-/// The next gateway goes on counting where the one before it stopped.
+/// The next gateway continues counting failures where the previous one stopped.
 #[test]
-fn failures_of_items_go_with_a_group_to_its_next_gateway() {
+fn failures_of_items_are_sent_to_the_next_gateway_of_their_group() {
     let mut world = World::placed(2, 2);
     world.gateway_connected(1, 1);
     world.submit(1, 0, "j", job("j", 1, 2, 1));
@@ -248,7 +248,7 @@
         world.send_to_store(1, 0, message);
     }
     world.run();
-    assert!(world.gateways[&1].known_failures.is_empty(), "it knows them itself");
+    assert!(world.gateways[&1].known_failures.is_empty(), "the gateway reported them itself");
     let groups = vec![0];
     let returned = GatewayMessage::ReturnGroups { partition: 0, epoch: 1, job: "j".to_owned(), groups };
     world.send_to_store(1, 0, returned);
@@ -257,33 +257,33 @@
     assert_eq!(world.gateways[&1].known_failures, known);
 }
 
-/// Number of needed items that wait at the only store, by route.
-fn waiting(world: &World) -> Vec<(String, String, u32)> {
+/// Returns the number of required items that wait at the first store, by route.
+fn undispatched_items(world: &World) -> Vec<(String, String, u32)> {
     let items = world.stores[0].store.undispatched_items().into_iter();
     items.map(|items| (items.hostname, items.route_prefix, items.count)).collect()
 }
 
 #[test]
-fn needed_items_that_wait_for_a_gateway_are_known_by_route() {
+fn required_items_that_wait_for_a_gateway_are_counted_by_route() {
     let mut world = World::placed(2, 2);
     world.gateway_connected(1, 1);
-    assert_eq!(waiting(&world), []);
+    assert_eq!(undispatched_items(&world), []);
     world.submit(1, 0, "j", job("j", 10, 3, 0));
     world.run();
     assert_eq!(groups_of(&world, 1), [0, 1]);
-    assert_eq!(waiting(&world), [("host".to_owned(), "/jobs".to_owned(), 24)]);
+    assert_eq!(undispatched_items(&world), [("host".to_owned(), "/jobs".to_owned(), 24)]);
     world.report(1, 0, "j", &["j-0-0", "j-0-1", "j-0-2"]);
     world.run();
-    assert_eq!(waiting(&world), [("host".to_owned(), "/jobs".to_owned(), 21)]);
+    assert_eq!(undispatched_items(&world), [("host".to_owned(), "/jobs".to_owned(), 21)]);
     assert_eq!(world.stores[1].store.undispatched_items(), [], "only the head dispatches");
 }
 
 #[test]
-fn spare_groups_are_not_among_what_waits() {
+fn spare_groups_are_not_counted_as_waiting() {
     let mut world = World::placed(2, 2);
     world.gateway_connected(1, 1);
     world.submit(1, 0, "j", job("j", 20, 1, 4));
     world.run();
     assert_eq!(groups_of(&world, 1).len(), 6);
-    assert_eq!(waiting(&world), []);
+    assert_eq!(undispatched_items(&world), []);
 }
