--- a/crates/batch-store/tests/jobs.rs
+++ b/crates/batch-store/tests/jobs.rs
@@ -1,4 +1,4 @@
-//! Jobs, results and reads at a chain of stores.
+//! Jobs, results and reads on a chain of stores.
 
 mod support;
 
@@ -16,27 +16,27 @@
     let mut world = World::placed(2, 2);
     world.gateway_connected(1, 1);
     let call = world.submit(1, 0, "j", job("j", 1, 2, 1));
-    assert_eq!(world.answer(1, call), None);
+    assert_eq!(world.response(1, call), None);
     world.sync(0);
-    assert_eq!(world.answer(1, call), None);
+    assert_eq!(world.response(1, call), None);
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::Accepted));
     let again = world.submit(1, 0, "j", job("j", 1, 2, 1));
-    assert_eq!(world.answer(1, again), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, again), Some(&StoreResponse::Accepted));
     let elsewhere = world.submit(1, 1, "j", job("j", 1, 2, 1));
-    assert_eq!(world.answer(1, elsewhere), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, elsewhere), Some(&StoreResponse::Accepted));
 }
 
 #[test]
-fn a_job_that_is_pending_isnt_appended_twice() {
+fn a_pending_job_is_not_appended_twice() {
     let mut world = World::placed(2, 2);
     world.gateway_connected(1, 1);
     let first = world.submit(1, 0, "j", job("j", 1, 2, 1));
     let second = world.submit(1, 0, "j", job("j", 1, 2, 1));
     assert_eq!(world.stores[0].writes.len(), 1);
     world.run();
-    assert_eq!(world.answer(1, first), Some(&StoreResponse::Accepted));
-    assert_eq!(world.answer(1, second), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, first), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, second), Some(&StoreResponse::Accepted));
 }
 
 #[rstest]
@@ -44,37 +44,37 @@
 #[case::disk_failing(0, StoreHealth { disk_failing: true, used_bytes: 1, capacity_bytes: 100, draining: false }, 2)]
 #[case::disk_low(0, StoreHealth { disk_failing: false, used_bytes: 76, capacity_bytes: 100, draining: false }, 2)]
 #[case::chain_too_short(0, StoreHealth { disk_failing: false, used_bytes: 1, capacity_bytes: 100, draining: false }, 3)]
-fn a_refused_job_was_not_appended(#[case] index: usize, #[case] health: StoreHealth, #[case] minimum: usize) {
+fn a_rejected_job_is_not_appended(#[case] index: usize, #[case] health: StoreHealth, #[case] minimum: usize) {
     let mut world = World::placed(2, minimum);
     world.gateway_connected(1, 1);
     world.stores[index].store.set_health(health);
     let call = world.submit(1, index, "j", job("j", 1, 2, 1));
-    assert!(matches!(world.answer(1, call), Some(StoreResponse::Rejected { .. })));
+    assert!(matches!(world.response(1, call), Some(StoreResponse::Rejected { .. })));
     assert!(world.stores[index].writes.is_empty());
 }
 
 #[test]
-fn a_head_that_is_replaced_answers_pending_submissions_as_unclear() {
+fn a_replaced_head_reports_an_unknown_outcome_of_pending_submissions() {
     let mut world = World::placed(2, 2);
     world.gateway_connected(1, 1);
     let call = world.submit(1, 0, "j", job("j", 1, 2, 1));
     let next = Placement { epoch: 2, members: vec![member(2)], learners: vec![], ..Placement::default() };
     world.place_at(0, &next);
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::OutcomeUnknown));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::OutcomeUnknown));
 }
 
 #[test]
-fn a_commit_that_takes_too_long_is_unclear() {
+fn a_commit_that_times_out_has_an_unknown_outcome() {
     let mut world = World::placed(2, 2);
     world.gateway_connected(1, 1);
     world.stores[1].running = false;
     let call = world.submit(1, 0, "j", job("j", 1, 2, 1));
     world.advance(5_000);
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::OutcomeUnknown));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::OutcomeUnknown));
     world.stores[1].running = true;
     world.advance(3_000);
     let again = world.submit(1, 0, "j", job("j", 1, 2, 1));
-    assert_eq!(world.answer(1, again), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, again), Some(&StoreResponse::Accepted));
 }
 
 fn with_job(groups: usize, per_group: usize, desired: u32) -> World {
@@ -96,15 +96,19 @@
     for index in 0..3 {
         let call = world.read(1, index, "j", 0, 0);
         world.run();
-        assert_eq!(result_items(world.answer(1, call)), ["j-0-1", "j-0-0", "j-0-2"]);
+        assert_eq!(result_items(world.response(1, call)), ["j-0-1", "j-0-0", "j-0-2"]);
         let call = world.read(1, index, "j", 2, 0);
         world.run();
-        let answer = world.answer(1, call);
-        assert!(matches!(answer, Some(StoreResponse::Results { total: 3, next: 3, .. })));
-        assert_eq!(result_items(answer), ["j-0-2"]);
+        let response = world.response(1, call);
+        assert!(matches!(response, Some(StoreResponse::Results { total: 3, next: 3, .. })));
+        assert_eq!(result_items(response), ["j-0-2"]);
     }
-    let recorded = &world.gateways[&1].recorded;
-    assert!(["j-0-0", "j-0-1", "j-0-2"].iter().all(|item| recorded.iter().any(|recorded| recorded == item)));
+    let acknowledged = &world.gateways[&1].acknowledged;
+    assert!(
+        ["j-0-0", "j-0-1", "j-0-2"]
+            .iter()
+            .all(|item| acknowledged.iter().any(|acknowledged| acknowledged == item))
+    );
 }
 
 #[test]
@@ -112,21 +116,21 @@
     let mut world = with_job(1, 2, 1);
     let call = world.read(1, 2, "j", 0, 1_000);
     world.advance(500);
-    assert_eq!(world.answer(1, call), None);
+    assert_eq!(world.response(1, call), None);
     world.report(1, 0, "j", &["j-0-1"]);
     world.run();
-    assert_eq!(result_items(world.answer(1, call)), ["j-0-1"]);
+    assert_eq!(result_items(world.response(1, call)), ["j-0-1"]);
     let call = world.read(1, 2, "j", 1, 1_000);
     world.advance(1_100);
-    assert!(result_items(world.answer(1, call)).is_empty());
+    assert!(result_items(world.response(1, call)).is_empty());
 }
 
 #[test]
-fn an_answer_is_bounded_in_bytes() {
+fn a_response_is_bounded_in_bytes() {
     let mut world = with_job(1, 4, 1);
     let outcomes = (0..4)
-        .map(|place| {
-            let mut outcome = support::outcome(&format!("j-0-{place}"));
+        .map(|position| {
+            let mut outcome = support::outcome(&format!("j-0-{position}"));
             outcome.message = vec![b'x'; 400_000];
             outcome
         })
@@ -135,7 +139,7 @@
     world.run();
     let call = world.read(1, 1, "j", 1, 0);
     world.run();
-    assert_eq!(result_items(world.answer(1, call)), ["j-0-1", "j-0-2"]);
+    assert_eq!(result_items(world.response(1, call)), ["j-0-1", "j-0-2"]);
 }
 
 #[test]
@@ -143,7 +147,7 @@
     let mut world = with_job(1, 2, 1);
     let call = world.read(1, 1, "unknown", 0, 0);
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::NotFound));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::NotFound));
     world.stores[2].running = false;
     let read = world.read(1, 1, "unknown", 0, 0);
     let end = world.end(1, 1, "unknown");
@@ -151,7 +155,7 @@
     let empty = world.read(1, 1, "j", 0, 0);
     world.advance(1_200);
     for call in [read, end, body, empty] {
-        assert_eq!(world.answer(1, call), Some(&StoreResponse::Unavailable));
+        assert_eq!(world.response(1, call), Some(&StoreResponse::Unavailable));
     }
 }
 
@@ -162,7 +166,7 @@
     world.run();
     world.stores[0].running = false;
     let call = world.read(1, 1, "j", 0, 0);
-    assert_eq!(result_items(world.answer(1, call)), ["j-0-1"]);
+    assert_eq!(result_items(world.response(1, call)), ["j-0-1"]);
 }
 
 #[test]
@@ -170,15 +174,15 @@
     let mut world = with_job(1, 2, 1);
     let call = world.item_body(1, 2, "j", "j-0-1");
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::Body(b"hello".to_vec())));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::Body(b"hello".to_vec())));
     let call = world.item_body(1, 2, "j", "nothing");
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::NotFound));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::NotFound));
     world.end(1, 0, "j");
     world.run();
     let call = world.item_body(1, 2, "j", "j-0-1");
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::NotFound));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::NotFound));
 }
 
 #[test]
@@ -188,17 +192,17 @@
     world.report(1, 0, "j", &["j-0-0"]);
     world.run();
     let call = world.end(1, 0, "j");
-    assert_eq!(world.answer(1, call), None);
+    assert_eq!(world.response(1, call), None);
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::Ended));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::Ended));
     assert!(world.gateways.values().all(|gateway| gateway.cancelled.contains(&"j".to_owned())));
     let again = world.end(2, 2, "j");
-    assert_eq!(world.answer(2, again), Some(&StoreResponse::Ended));
+    assert_eq!(world.response(2, again), Some(&StoreResponse::Ended));
     world.report(2, 0, "j", &["j-0-1"]);
     world.run();
-    assert!(world.gateways[&2].recorded.contains(&"j-0-1".to_owned()));
+    assert!(world.gateways[&2].acknowledged.contains(&"j-0-1".to_owned()));
     let read = world.read(1, 1, "j", 0, 1_000);
-    assert_eq!(result_items(world.answer(1, read)), ["j-0-0"]);
+    assert_eq!(result_items(world.response(1, read)), ["j-0-0"]);
 }
 
 #[test]
@@ -214,15 +218,15 @@
 fn items_expire_at_their_deadline() {
     let mut world = with_job(1, 2, 1);
     world.report(1, 0, "j", &["j-0-1"]);
-    // The gateway's time of day may have been two seconds behind the store's when it took the job.
+    // When the gateway received the job, its wall clock may have been two seconds behind the store's.
     world.advance(MAX_QUEUE_MS + 2_000);
     let call = world.read(1, 1, "j", 0, 0);
     world.run();
-    assert_eq!(result_items(world.answer(1, call)).len(), 1);
+    assert_eq!(result_items(world.response(1, call)).len(), 1);
     world.advance(1_500);
     let call = world.read(1, 1, "j", 1, 0);
     world.run();
-    match world.answer(1, call) {
+    match world.response(1, call) {
         Some(StoreResponse::Results { outcomes, .. }) => {
             assert_eq!(outcomes.len(), 1);
             assert_eq!((outcomes[0].item.as_str(), outcomes[0].state), ("j-0-0", ItemState::Expired));
@@ -232,7 +236,7 @@
 }
 
 #[test]
-fn everything_is_recovered_after_a_loss_of_power() {
+fn jobs_and_results_are_recovered_after_a_power_failure() {
     let mut world = with_job(2, 2, 2);
     world.report(1, 0, "j", &["j-1-1"]);
     world.run();
@@ -246,8 +250,8 @@
         let read = world.read(1, index, "j", 0, 0);
         let body = world.item_body(1, index, "j", "j-0-0");
         world.run();
-        assert_eq!(result_items(world.answer(1, read)), ["j-1-1"]);
-        assert_eq!(world.answer(1, body), Some(&StoreResponse::Body(b"hello".to_vec())));
+        assert_eq!(result_items(world.response(1, read)), ["j-1-1"]);
+        assert_eq!(world.response(1, body), Some(&StoreResponse::Body(b"hello".to_vec())));
     }
 }
 
@@ -265,11 +269,11 @@
     world.advance(1_000);
     world.place(4, &[disk(1, 2)], &[]);
     let call = world.read(1, 0, "j", 0, 0);
-    assert_eq!(result_items(world.answer(1, call)), ["j-0-1"]);
+    assert_eq!(result_items(world.response(1, call)), ["j-0-1"]);
 }
 
 #[test]
-fn a_store_refuses_views_older_than_one_it_took_up_before_a_restart() {
+fn a_restarted_store_ignores_views_older_than_the_last_accepted_one() {
     let mut world = with_job(1, 2, 1);
     world.place(5, &[member(1), member(2), member(3)], &[]);
     world.restart(0);
@@ -279,11 +283,11 @@
     );
     world.gateway_connected(1, 1);
     let call = world.read(1, 0, "j", 0, 0);
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::Unavailable));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::Unavailable));
 }
 
 #[test]
-fn a_result_that_is_in_the_log_twice_has_one_position() {
+fn a_result_that_is_logged_twice_has_one_position() {
     let document = job("j", 1, 2, 1);
     let outcomes = ["j-0-1", "j-0-1", "j-0-0", "j-0-1"].map(support::outcome);
     let accepted = EntryRef::JobAccepted {
@@ -302,18 +306,18 @@
     world.place(2, &[member(1)], &[]);
     world.gateway_connected(1, 1);
     let call = world.read(1, 0, "j", 0, 0);
-    assert_eq!(result_items(world.answer(1, call)), ["j-0-1", "j-0-0"]);
+    assert_eq!(result_items(world.response(1, call)), ["j-0-1", "j-0-0"]);
 }
 
 #[test]
-fn records_are_released_once_a_job_is_ended_and_old() {
+fn records_of_ended_jobs_are_released_after_the_retention_time() {
     let mut world = with_job(1, 2, 1);
     world.report(1, 0, "j", &["j-0-0", "j-0-1"]);
     world.submit(1, 0, "k", job("k", 1, 2, 1));
     world.end(1, 0, "j");
     world.advance(RETENTION_MS - 10_000);
     let call = world.read(1, 1, "j", 0, 0);
-    assert_eq!(result_items(world.answer(1, call)).len(), 2);
+    assert_eq!(result_items(world.response(1, call)).len(), 2);
     let before = world.stores[0].disk.len();
     world.advance(30_000);
     assert!(world.stores[0].disk.len() < before);
@@ -326,16 +330,16 @@
     let call = world.read(1, 1, "j", 0, 0);
     let kept = world.item_body(1, 1, "k", "k-0-0");
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::NotFound));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::NotFound));
     let again = world.submit(1, 0, "k", job("k", 1, 2, 1));
     world.run();
-    assert_eq!(world.answer(1, again), Some(&StoreResponse::Accepted));
-    // Its items expired long ago, so that no body is asked for any more.
-    assert_eq!(world.answer(1, kept), Some(&StoreResponse::NotFound));
+    assert_eq!(world.response(1, again), Some(&StoreResponse::Accepted));
+    // The items expired long ago, so their bodies are no longer available.
+    assert_eq!(world.response(1, kept), Some(&StoreResponse::NotFound));
 }
 
-/// The last member of a chain that is too short, cut off while former members go on without it, must not say that
-/// a job is unknown: its own word is no proof that its view is in force.
+/// The last member of a chain that is too short is partitioned while former members continue without it. It must not
+/// report that a job is unknown: it cannot confirm alone that its view is current.
 #[test]
 fn a_member_of_a_chain_that_is_too_short_reaches_no_barrier() {
     let mut world = World::placed(3, 2);
@@ -347,32 +351,32 @@
     world.place_at(1, &others);
     let submitted = world.submit(1, 0, "j", job("j", 1, 2, 1));
     world.run();
-    assert_eq!(world.answer(1, submitted), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, submitted), Some(&StoreResponse::Accepted));
     let read = world.read(1, 2, "j", 0, 0);
     let body = world.item_body(1, 2, "j", "j-0-0");
     let end = world.end(1, 2, "j");
     world.run();
-    assert_eq!([read, body, end].map(|call| world.answer(1, call)), [None; 3]);
+    assert_eq!([read, body, end].map(|call| world.response(1, call)), [None; 3]);
     world.advance(1_200);
-    assert_eq!([read, body, end].map(|call| world.answer(1, call)), [Some(&StoreResponse::Unavailable); 3]);
+    assert_eq!([read, body, end].map(|call| world.response(1, call)), [Some(&StoreResponse::Unavailable); 3]);
 }
 
 #[test]
-fn calls_that_wait_in_a_chain_that_is_too_short_are_answered_once_it_is_long_enough() {
+fn pending_calls_get_responses_once_a_short_chain_is_long_enough() {
     let mut world = with_job(1, 2, 1);
     world.place(2, &[member(1)], &[member(2)]);
     let (read, unknown) = (world.read(1, 0, "j", 0, 0), world.read(1, 0, "k", 0, 0));
     world.run();
-    assert_eq!([read, unknown].map(|call| world.answer(1, call)), [None; 2]);
+    assert_eq!([read, unknown].map(|call| world.response(1, call)), [None; 2]);
     world.place(3, &[member(1), member(2)], &[]);
-    assert_eq!(result_items(world.answer(1, read)), Vec::<&str>::new());
-    assert_eq!(world.answer(1, unknown), Some(&StoreResponse::NotFound));
+    assert_eq!(result_items(world.response(1, read)), Vec::<&str>::new());
+    assert_eq!(world.response(1, unknown), Some(&StoreResponse::NotFound));
 }
 
-/// Stores and control machines may have been started with different tolerances: what control counts as too short
-/// for a commit must be too short for the stores, too.
+/// Stores and control nodes may be started with different tolerances. A chain that is too short by the placement must
+/// be too short for the stores as well.
 #[test]
-fn a_chain_shorter_than_its_placement_asks_for_commits_nothing() {
+fn a_chain_shorter_than_its_placement_requires_commits_nothing() {
     let mut world = World::placed(3, 2);
     world.gateway_connected(1, 1);
     let placement =
@@ -381,16 +385,16 @@
     world.place_at(1, &placement);
     world.run();
     let call = world.submit(1, 0, "j", job("j", 1, 2, 1));
-    assert!(matches!(world.answer(1, call), Some(StoreResponse::Rejected { .. })));
+    assert!(matches!(world.response(1, call), Some(StoreResponse::Rejected { .. })));
 }
 
-/// All machines that held the partition came back with other disks: its journal begins anew on others, of which one
-/// still has something of the former one.
-fn begun_anew() -> World {
+/// All machines that held the partition came back with other disks. Its log restarts on other stores, one of which
+/// still has entries of the former log.
+fn world_with_restarted_log() -> World {
     let mut world = with_job(1, 8, 1);
     world.report(1, 0, "j", &["j-0-1"]);
     world.run();
-    let anew = Placement {
+    let restarted = Placement {
         epoch: 2,
         members: vec![member(2), member(1)],
         learners: vec![member(3)],
@@ -398,7 +402,7 @@
         ..Placement::default()
     };
     for index in 0..3 {
-        world.place_at(index, &anew);
+        world.place_at(index, &restarted);
     }
     world.run();
     world
@@ -406,36 +410,36 @@
 
 #[test]
 fn jobs_of_a_partition_whose_log_was_restarted_are_unknown() {
-    let mut world = begun_anew();
+    let mut world = world_with_restarted_log();
     for index in 0..2 {
         let (read, end) = (world.read(1, index, "j", 0, 0), world.end(1, index, "j"));
         world.run();
-        assert_eq!([read, end].map(|call| world.answer(1, call)), [Some(&StoreResponse::NotFound); 2]);
+        assert_eq!([read, end].map(|call| world.response(1, call)), [Some(&StoreResponse::NotFound); 2]);
     }
     world.gateways.get_mut(&1).unwrap().assigned.clear();
     world.advance(2_000);
-    assert_eq!(world.gateways[&1].assigned.len(), 0, "nothing of the former jobs runs any more");
+    assert_eq!(world.gateways[&1].assigned.len(), 0, "no group of the former jobs is dispatched");
 }
 
 #[test]
-fn a_restart_of_the_store_recovers_nothing_of_the_former_log() {
-    let mut world = begun_anew();
+fn a_restarted_store_recovers_no_entry_of_the_former_log() {
+    let mut world = world_with_restarted_log();
     world.restart(0);
     world.restart(1);
     world.place(3, &[member(1), member(2)], &[]);
     world.gateway_connected(1, 1);
     let call = world.read(1, 0, "j", 0, 0);
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::NotFound));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::NotFound));
 }
 
 #[test]
 fn the_head_of_a_partition_whose_log_was_restarted_dispatches_again() {
     let mut world = with_job(1, 8, 1);
-    let anew =
+    let restarted =
         Placement { epoch: 2, members: vec![member(1), member(2)], reset_epoch: 2, ..Placement::default() };
-    world.place_at(0, &anew);
-    world.place_at(1, &anew);
+    world.place_at(0, &restarted);
+    world.place_at(1, &restarted);
     world.run();
     world.gateways.get_mut(&1).unwrap().assigned.clear();
     world.submit(1, 0, "k", job("k", 1, 8, 1));
@@ -445,13 +449,13 @@
 
 #[test]
 fn a_partition_whose_log_was_restarted_accepts_and_keeps_jobs() {
-    let mut world = begun_anew();
+    let mut world = world_with_restarted_log();
     let call = world.submit(1, 1, "j", job("j", 1, 8, 1));
     world.run();
-    assert_eq!(world.answer(1, call), Some(&StoreResponse::Accepted));
+    assert_eq!(world.response(1, call), Some(&StoreResponse::Accepted));
     assert!(
         world.gateways[&1].assigned.iter().any(|(terms, _)| terms.epoch == 2),
-        "the gateway has room for it"
+        "the gateway has capacity for it"
     );
     world.report(1, 1, "j", &["j-0-0"]);
     world.run();
@@ -461,22 +465,22 @@
     world.gateway_connected(1, 1);
     let call = world.read(1, 0, "j", 0, 0);
     world.run();
-    assert_eq!(result_items(world.answer(1, call)), ["j-0-0"]);
+    assert_eq!(result_items(world.response(1, call)), ["j-0-0"]);
 }
 
 #[test]
-fn a_store_that_comes_back_with_the_former_log_drops_it() {
+fn a_store_that_returns_with_the_former_log_drops_it() {
     let mut world = with_job(1, 2, 1);
     world.report(1, 0, "j", &["j-0-1"]);
     world.run();
-    let anew =
+    let restarted =
         Placement { epoch: 2, members: vec![member(1), member(2)], reset_epoch: 2, ..Placement::default() };
-    world.place_at(0, &anew);
-    world.place_at(1, &anew);
+    world.place_at(0, &restarted);
+    world.place_at(1, &restarted);
     world.submit(1, 0, "j", job("j", 1, 2, 1));
     world.run();
     world.restart(2);
-    let grown = Placement { epoch: 3, members: vec![member(1), member(2), member(3)], ..anew };
+    let grown = Placement { epoch: 3, members: vec![member(1), member(2), member(3)], ..restarted };
     for index in 0..3 {
         world.place_at(index, &grown);
     }
@@ -486,13 +490,13 @@
     world.gateway_connected(1, 1);
     let call = world.read(1, 2, "j", 0, 0);
     world.run();
-    assert_eq!(result_items(world.answer(1, call)), ["j-0-0"]);
+    assert_eq!(result_items(world.response(1, call)), ["j-0-0"]);
 }
 
-/// A store that lost power just after it took up a view may take up the one before it again, where its former
-/// partners wait. What it says of the later view must hold even then.
+/// A store that loses power right after it accepted a view may return to the previous view, in which its former peers
+/// wait. Its reports about the later view must hold even then.
 #[test]
-fn nothing_is_reported_of_a_view_before_it_is_on_the_disk() {
+fn a_view_is_not_reported_before_its_record_is_durable() {
     let mut world = with_job(1, 2, 1);
     world.to_control.clear();
     let alone = Placement {
@@ -520,7 +524,7 @@
 }
 
 #[test]
-fn a_call_of_a_closed_link_gets_no_answer() {
+fn a_call_on_a_closed_link_gets_no_response() {
     let mut world = with_job(1, 2, 1);
     let call = world.read(1, 0, "j", 0, 2_000);
     world.run();
@@ -528,5 +532,5 @@
     world.gateway_connected(1, 1);
     world.report(1, 0, "j", &["j-0-1"]);
     world.advance(2_500);
-    assert_eq!(world.answer(1, call), None);
+    assert_eq!(world.response(1, call), None);
 }
--- a/crates/batch-store/tests/mutations.rs
+++ b/crates/batch-store/tests/mutations.rs
@@ -1,4 +1,4 @@
-//! One message at a time is dropped, doubled, delayed or sent again later; bytes are cut short and changed.
+//! Drops, duplicates, delays or replays one message at a time, and truncates or corrupts bytes.
 
 mod support;
 
@@ -22,20 +22,20 @@
     ItemBody,
     End,
     Outcomes,
-    Returned,
+    ReturnGroups,
     Failures,
     StoreHeartbeat,
-    Answer,
+    Response,
     Assign,
     Cancel,
-    Recorded,
+    Acknowledgement,
     KnownFailures,
     Chain,
-    /// Sent by the process, not by the store in the tests.
+    /// Sent by the process, not by the store under test.
     PeerLink,
 }
 
-/// Every kind of message that the scenario sends; [`kind`] doesn't compile without a case for each.
+/// Every kind of message that the scenario sends. The match in [`kind`] does not compile if one is missing.
 const KINDS: [Kind; 16] = [
     Kind::Handshake,
     Kind::GatewayHeartbeat,
@@ -44,13 +44,13 @@
     Kind::ItemBody,
     Kind::End,
     Kind::Outcomes,
-    Kind::Returned,
+    Kind::ReturnGroups,
     Kind::Failures,
     Kind::StoreHeartbeat,
-    Kind::Answer,
+    Kind::Response,
     Kind::Assign,
     Kind::Cancel,
-    Kind::Recorded,
+    Kind::Acknowledgement,
     Kind::KnownFailures,
     Kind::Chain,
 ];
@@ -65,15 +65,15 @@
             GatewayMessage::ReadItemBody { .. } => Kind::ItemBody,
             GatewayMessage::EndJob { .. } => Kind::End,
             GatewayMessage::ReportOutcomes { .. } => Kind::Outcomes,
-            GatewayMessage::ReturnGroups { .. } => Kind::Returned,
+            GatewayMessage::ReturnGroups { .. } => Kind::ReturnGroups,
             GatewayMessage::ReportFailures { .. } => Kind::Failures,
         },
         Message::ToGateway { message, .. } => match message {
             StoreMessage::Heartbeat => Kind::StoreHeartbeat,
-            StoreMessage::Response { .. } => Kind::Answer,
+            StoreMessage::Response { .. } => Kind::Response,
             StoreMessage::AssignGroups { .. } => Kind::Assign,
             StoreMessage::CancelJob { .. } => Kind::Cancel,
-            StoreMessage::AcknowledgeOutcomes { .. } => Kind::Recorded,
+            StoreMessage::AcknowledgeOutcomes { .. } => Kind::Acknowledgement,
             StoreMessage::KnownFailures { .. } => Kind::KnownFailures,
         },
         Message::Peer { message, .. } => match message {
@@ -83,8 +83,13 @@
     }
 }
 
-/// Does something until it has worked, as a gateway does whose messages may be lost.
-fn until(world: &mut World, what: &str, mut attempt: impl FnMut(&mut World), done: impl Fn(&World) -> bool) {
+/// Retries `attempt` until `done` returns `true`, as a gateway does whose messages may be lost.
+fn retry_until(
+    world: &mut World,
+    what: &str,
+    mut attempt: impl FnMut(&mut World),
+    done: impl Fn(&World) -> bool,
+) {
     for _ in 0..20 {
         attempt(world);
         world.run();
@@ -99,30 +104,30 @@
     panic!("{what} never worked");
 }
 
-fn answered(world: &World, wanted: impl Fn(&StoreResponse) -> bool) -> bool {
-    world.gateways[&1].answers.iter().any(|(_, answer)| wanted(answer))
+fn got_response(world: &World, matches_response: impl Fn(&StoreResponse) -> bool) -> bool {
+    world.gateways[&1].responses.iter().any(|(_, response)| matches_response(response))
 }
 
 fn is_assigned(world: &World, group: u32) -> bool {
     world.gateways[&1].assigned.iter().any(|(_, assigned)| assigned.index == group)
 }
 
-/// A scenario in which every kind of message is sent; message number `target` is mutated.
-fn play(target: usize, mutation: Mutation) -> World {
+/// Runs a scenario in which every kind of message is sent, and mutates the message with number `target`.
+fn run_scenario(target: usize, mutation: Mutation) -> World {
     let mut world = World::placed(2, 2);
     (world.message_fault.target, world.message_fault.mutation) = (target, mutation);
     world.gateways.entry(1).or_default();
-    until(
+    retry_until(
         &mut world,
         "submitting",
         |world| {
             world.gateway_connected(1, 1);
             world.submit(1, 0, "j", job("j", 2, 2, 2));
         },
-        |world| answered(world, |answer| *answer == StoreResponse::Accepted),
+        |world| got_response(world, |response| *response == StoreResponse::Accepted),
     );
-    // A link on which a message is lost is closed: the gateway connects again.
-    until(
+    // A link on which a message was lost is closed, and the gateway reconnects.
+    retry_until(
         &mut world,
         "assigning",
         |world| world.gateway_connected(1, 1),
@@ -137,31 +142,31 @@
     world.send_to_store(1, 0, returned);
     world.advance(600);
     let report = |world: &mut World| world.report(1, 0, "j", &["j-0-1", "j-1-0"]);
-    until(&mut world, "reporting", report, |world| {
+    retry_until(&mut world, "reporting", report, |world| {
         ["j-0-1", "j-1-0"]
             .iter()
-            .all(|item| world.gateways[&1].recorded.iter().any(|recorded| recorded == item))
+            .all(|item| world.gateways[&1].acknowledged.iter().any(|recorded| recorded == item))
     });
     world.release_delayed();
     let read = |world: &mut World| {
         world.read(1, 1, "j", 0, 0);
         world.item_body(1, 1, "j", "j-0-0");
     };
-    until(&mut world, "reading", read, |world| {
-        answered(world, |answer| matches!(answer, StoreResponse::Results { next: 2, .. }))
-            && answered(world, |answer| *answer == StoreResponse::Body(b"hello".to_vec()))
+    retry_until(&mut world, "reading", read, |world| {
+        got_response(world, |response| matches!(response, StoreResponse::Results { next: 2, .. }))
+            && got_response(world, |response| *response == StoreResponse::Body(b"hello".to_vec()))
     });
-    // Once the job is ended, a body that is asked for late is rightly not found.
-    assert!(!answered(&world, |answer| *answer == StoreResponse::NotFound));
-    until(
+    // A body that is requested after the end of the job is not found, which is correct then.
+    assert!(!got_response(&world, |response| *response == StoreResponse::NotFound));
+    retry_until(
         &mut world,
         "ending",
         |world| {
             world.end(1, 0, "j");
         },
-        |world| answered(world, |answer| *answer == StoreResponse::Ended),
+        |world| got_response(world, |response| *response == StoreResponse::Ended),
     );
-    until(
+    retry_until(
         &mut world,
         "cancelling",
         |world| world.gateway_connected(1, 1),
@@ -172,14 +177,14 @@
     world
 }
 
-fn check(world: &mut World) {
+fn check_results(world: &mut World) {
     world.message_fault.target = usize::MAX;
     for index in 0..2 {
         let call = world.read(1, index, "j", 0, 0);
         world.run();
-        assert_eq!(result_items(world.answer(1, call)), ["j-0-1", "j-1-0"]);
+        assert_eq!(result_items(world.response(1, call)), ["j-0-1", "j-1-0"]);
     }
-    assert!(!answered(world, |answer| matches!(answer, StoreResponse::Rejected { .. })));
+    assert!(!got_response(world, |response| matches!(response, StoreResponse::Rejected { .. })));
 }
 
 #[rstest]
@@ -188,18 +193,18 @@
 #[case::delay(Mutation::Delay)]
 #[case::replay(Mutation::Replay)]
 fn one_mutated_message_changes_no_outcome(#[case] mutation: Mutation) {
-    let mut untouched = play(usize::MAX, Mutation::None);
+    let mut untouched = run_scenario(usize::MAX, Mutation::None);
     let kinds: Vec<Kind> = untouched.message_fault.seen.iter().map(kind).collect();
     let seen: BTreeSet<Kind> = kinds.iter().copied().collect();
     assert_eq!(seen, BTreeSet::from(KINDS), "the scenario has to send every kind of message");
-    check(&mut untouched);
+    check_results(&mut untouched);
     for target in 0..kinds.len() {
-        check(&mut play(target, mutation));
+        check_results(&mut run_scenario(target, mutation));
     }
 }
 
-/// PendingCalls `take` with everything that decodes after bytes were cut off or a bit was flipped.
-fn damage<T>(message: &T, mut take: impl FnMut(T))
+/// Calls `take` with every value that decodes after the bytes were truncated or a bit was flipped.
+fn for_each_damaged<T>(message: &T, mut take: impl FnMut(T))
 where
     T: Encode<Binary> + for<'de> Decode<'de, Binary, Global>,
 {
@@ -216,7 +221,7 @@
 
 #[test]
 fn damaged_bytes_do_no_harm() {
-    let untouched = play(usize::MAX, Mutation::None);
+    let untouched = run_scenario(usize::MAX, Mutation::None);
     let mut tried = BTreeSet::new();
     for message in untouched.message_fault.seen {
         if !tried.insert(kind(&message)) {
@@ -228,10 +233,10 @@
         world.run();
         match message {
             Message::ToStore { gateway, index, message } => {
-                damage(&message, |damaged| world.send_to_store(gateway, index, damaged));
+                for_each_damaged(&message, |damaged| world.send_to_store(gateway, index, damaged));
             }
             Message::Peer { from, to, message } => {
-                damage(&message, |damaged| world.deliver(from, to, damaged));
+                for_each_damaged(&message, |damaged| world.deliver(from, to, damaged));
             }
             Message::ToGateway { .. } => {}
         }
@@ -250,7 +255,7 @@
     let records = world.stores[0].disk.clone();
     for place in 0..records.len() {
         let record: DiskRecord = decode(&records[place].payload).unwrap();
-        damage(&record, |damaged| {
+        for_each_damaged(&record, |damaged| {
             let mut records = records.clone();
             records[place].payload = encode(&damaged);
             Process::start(member(1), records, 1, 5);
@@ -260,7 +265,7 @@
 
 #[test]
 fn messages_read_back_as_they_were_written() {
-    for message in play(usize::MAX, Mutation::None).message_fault.seen {
+    for message in run_scenario(usize::MAX, Mutation::None).message_fault.seen {
         match message {
             Message::ToStore { message, .. } => assert_eq!(decode(&encode(&message)), Some(message)),
             Message::ToGateway { message, .. } => assert_eq!(decode(&encode(&message)), Some(message)),
@@ -271,7 +276,7 @@
     assert_eq!(decode(&encode(&introduce)), Some(introduce));
 }
 
-/// What another version wrote may have been acknowledged: the host is told and doesn't go on.
+/// Records of another version may have been acknowledged, so the host must not run the store.
 #[test]
 fn records_that_cannot_be_read_are_counted() {
     let mut world = World::placed(1, 1);
--- a/crates/batch-store/tests/records/entries.rs
+++ b/crates/batch-store/tests/records/entries.rs
@@ -1,10 +1,10 @@
-//! Entries of a partition's journal. They borrow from their bytes, so their parts are drawn first.
+//! Generated log entries. Entries borrow from their bytes, so their fields are generated first.
 
 use orchidvalve_batch_store::entry::EntryRef;
 
 use crate::generate_enum;
 
-/// The parts of an [`EntryRef`], owned.
+/// The fields of an [`EntryRef`], owned.
 #[derive(Clone, Debug)]
 pub enum EntryParts {
     JobAccepted {
@@ -32,7 +32,7 @@
     JobEnded { job },
 });
 
-/// All entries that [`EntryParts`] stands for, by a match that a new variant or field breaks.
+/// Returns the owned fields of an entry. The match does not compile if a variant or field is missing.
 pub fn parts_of(entry: &EntryRef<'_>) -> EntryParts {
     match entry {
         EntryRef::JobAccepted { job, accepted_at_ms, target_run_ms, max_queue_ms } => {
--- a/crates/batch-store/tests/records/main.rs
+++ b/crates/batch-store/tests/records/main.rs
@@ -1,5 +1,5 @@
-//! Every message between stores, every record of their disks and every entry of a journal, each variant with each
-//! field: what comes back, and what is refused.
+//! Encoding and decoding of every message between stores, every disk record and every log entry, with each variant and
+//! field.
 
 #[path = "../../../protocol/tests/messages/checks.rs"]
 mod checks;
--- a/crates/batch-store/tests/records/strategies.rs
+++ b/crates/batch-store/tests/records/strategies.rs
@@ -1,4 +1,4 @@
-//! All messages between stores, all records on their disks, and the parts of both.
+//! Generators of all messages between stores and of all disk records.
 
 use orchidvalve_batch_store::{DiskRecord, PeerMessage};
 
--- a/crates/batch-store/tests/simulation.rs
+++ b/crates/batch-store/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! Random runs of three stores and two gateways with losses of power, cut links and changing placements.
+//! Random runs of three stores and two gateways with power failures, lost links and changing placements.
 
 mod store_simulation;
 mod support;
--- a/crates/batch-store/tests/store_simulation/mod.rs
+++ b/crates/batch-store/tests/store_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Random runs of three stores and two gateways with losses of power, cut links and changing placements.
+//! Random runs of three stores and two gateways with power failures, lost links and changing placements.
 
 #![allow(dead_code)]
 
@@ -24,7 +24,7 @@
     Submit {
         job: String,
     },
-    /// `known` results from `after` on had been read before this was asked.
+    /// Before this call, `known` results from `after` on had been read.
     Read {
         job: String,
         after: u64,
@@ -42,20 +42,20 @@
     pub random: Pcg64Mcg,
     pub world: World,
     pub placement: Placement,
-    /// Members that hold everything committed.
+    /// Members that hold all committed entries.
     pub complete_members: BTreeSet<MemberId>,
     pub disks: u64,
-    /// Calls without an answer, and whether their job had been accepted when they were made.
+    /// Calls without a response, and whether their job had been accepted when they were made.
     pub pending: BTreeMap<u64, (PendingCall, bool)>,
     pub jobs: Vec<String>,
     pub accepted: BTreeSet<String>,
     pub ended: BTreeSet<String>,
-    /// Jobs of which some try was not refused.
+    /// Jobs of which at least one submission was not rejected.
     pub not_rejected: BTreeSet<String>,
-    /// What was read at each position of a job.
+    /// The result read at each position of a job.
     pub read: BTreeMap<(String, u64), ItemOutcome>,
     pub reads: usize,
-    /// No member leaves any more.
+    /// Whether the run is ending: no more members leave.
     pub ending: bool,
 }
 
@@ -103,7 +103,7 @@
             976..990 => self.change_placement(),
             _ => self.update_placement(index),
         }
-        self.check_answers();
+        self.check_responses();
     }
 
     pub fn submit(&mut self, gateway: u64, index: usize) {
@@ -116,16 +116,16 @@
         self.track_call(call, &id.clone(), PendingCall::Submit { job: id });
     }
 
-    pub fn track_call(&mut self, call: u64, id: &str, asked: PendingCall) {
+    pub fn track_call(&mut self, call: u64, id: &str, pending_call: PendingCall) {
         let accepted = self.accepted.contains(id);
-        self.pending.insert(call, (asked, accepted));
+        self.pending.insert(call, (pending_call, accepted));
     }
 
-    /// Reports some item that was assigned to the gateway.
+    /// Reports a random item that was assigned to the gateway.
     pub fn report(&mut self, gateway: u64, index: usize) {
         let assigned = &self.world.gateways[&gateway].assigned;
         let Some((terms, group)) = assigned.choose(&mut self.random).cloned() else { return };
-        assert!(self.not_rejected.contains(&terms.job), "{} was refused and runs", terms.job);
+        assert!(self.not_rejected.contains(&terms.job), "{} was rejected but runs", terms.job);
         let Some(item) = group.items.choose(&mut self.random) else { return };
         self.world.report(gateway, index, &terms.job, &[&item.id]);
     }
@@ -155,7 +155,7 @@
         self.track_call(call, &id.clone(), PendingCall::End { job: id });
     }
 
-    /// Delivers the oldest message of some link.
+    /// Delivers the oldest message of a random link.
     pub fn deliver(&mut self) {
         let links: BTreeSet<(MemberId, MemberId)> =
             self.world.network.iter().map(|(from, to, _)| (*from, *to)).collect();
@@ -180,14 +180,14 @@
         let (one, two) = (self.world.stores[index].me, self.world.stores[(index + 1) % 3].me);
         let between = |from: MemberId, to: MemberId| (from, to) == (one, two) || (from, to) == (two, one);
         self.world.network.retain(|(from, to, _): &(_, _, PeerMessage)| !between(*from, *to));
-        for (place, peer) in [(index, two), ((index + 1) % 3, one)] {
-            self.world.stores[place].store.peer_disconnected(peer);
-            self.world.input(place, |store, now, outputs| store.peer_connected(peer, now, outputs));
+        for (store, peer) in [(index, two), ((index + 1) % 3, one)] {
+            self.world.stores[store].store.peer_disconnected(peer);
+            self.world.input(store, |store, now, outputs| store.peer_connected(peer, now, outputs));
         }
     }
 
     pub fn restart(&mut self, index: usize) {
-        self.forget_messages(self.world.stores[index].me);
+        self.drop_messages(self.world.stores[index].me);
         self.world.restart(index);
         self.update_placement(index);
         self.connect_gateways(index);
@@ -199,11 +199,11 @@
         }
     }
 
-    pub fn forget_messages(&mut self, me: MemberId) {
+    pub fn drop_messages(&mut self, me: MemberId) {
         self.world.network.retain(|(from, to, _)| *from != me && *to != me);
     }
 
-    /// A disk is lost, if enough others are complete.
+    /// Replaces the disk of a store if enough others are complete.
     pub fn wipe(&mut self, index: usize) {
         let me = self.world.stores[index].me;
         let others = self.complete_members.iter().filter(|&&other| other != me).count();
@@ -211,7 +211,7 @@
             return;
         }
         self.complete_members.remove(&me);
-        self.forget_messages(me);
+        self.drop_messages(me);
         self.disks += 1;
         let renewed = disk(index as u8 + 1, self.disks);
         self.world.stores[index] = Process::start(renewed, Vec::new(), 2, self.disks);
@@ -219,7 +219,7 @@
         self.change_placement();
     }
 
-    /// The next placement: lost members are out, ready learners are in, others become learners.
+    /// Decides the next placement: removes lost members, adds ready learners, and makes the other stores learners.
     pub fn change_placement(&mut self) {
         let here: Vec<MemberId> = self.world.stores.iter().map(|process| process.me).collect();
         let epoch = self.placement.epoch;
@@ -250,23 +250,23 @@
         self.world.place_at(index, &placement);
     }
 
-    pub fn check_answers(&mut self) {
+    pub fn check_responses(&mut self) {
         for gateway in 1..=GATEWAYS {
-            let answers = std::mem::take(&mut self.world.gateways.get_mut(&gateway).unwrap().answers);
-            for (call, answer) in answers {
-                let Some((asked, accepted)) = self.pending.remove(&call) else { continue };
-                self.check_answer(asked, accepted, answer);
+            let responses = std::mem::take(&mut self.world.gateways.get_mut(&gateway).unwrap().responses);
+            for (call, response) in responses {
+                let Some((pending_call, accepted)) = self.pending.remove(&call) else { continue };
+                self.check_response(pending_call, accepted, response);
             }
         }
-        let pending = self.pending.values().filter_map(|(asked, _)| match asked {
+        let pending = self.pending.values().filter_map(|(pending_call, _)| match pending_call {
             PendingCall::Submit { job } => Some(job.clone()),
             _ => None,
         });
         self.not_rejected.extend(pending);
     }
 
-    pub fn check_answer(&mut self, asked: PendingCall, accepted: bool, answer: StoreResponse) {
-        match (asked, answer) {
+    pub fn check_response(&mut self, pending_call: PendingCall, accepted: bool, response: StoreResponse) {
+        match (pending_call, response) {
             (PendingCall::Submit { job }, StoreResponse::Accepted) => {
                 self.not_rejected.insert(job.clone());
                 self.accepted.insert(job);
@@ -277,30 +277,32 @@
             (PendingCall::Submit { .. }, StoreResponse::Rejected { .. })
             | (_, StoreResponse::Unavailable) => {}
             (PendingCall::Read { job, .. }, StoreResponse::NotFound) => {
-                assert!(!accepted, "{job} is lost");
+                assert!(!accepted, "{job} was lost");
             }
             (PendingCall::Read { job, after, known }, StoreResponse::Results { total, next, outcomes }) => {
                 assert_eq!(total as usize, GROUPS * PER_GROUP);
                 assert_eq!(next, after + outcomes.len() as u64);
-                // A member that is behind may tell fewer, but has something where there was something.
-                assert!(known == 0 || !outcomes.is_empty(), "{job} has nothing after {after} any more");
+                // A member that lags may return fewer results, but not none if there was one.
+                assert!(known == 0 || !outcomes.is_empty(), "{job} has no results after {after} any more");
                 self.check_results(&job, after, outcomes);
             }
             (PendingCall::End { job }, StoreResponse::Ended) => {
                 self.ended.insert(job);
             }
             (PendingCall::End { job }, StoreResponse::NotFound) => {
-                assert!(!accepted, "{job} is lost");
+                assert!(!accepted, "{job} was lost");
             }
             (PendingCall::Body { .. }, StoreResponse::Body(body)) => assert_eq!(body, b"hello"),
             (PendingCall::Body { job }, StoreResponse::NotFound) => {
-                let listed_or_ended =
-                    self.pending.values().any(|(asked, _)| matches!(asked, PendingCall::End { .. }))
-                        || !self.ended.is_empty()
-                        || self.is_read(&job);
-                assert!(listed_or_ended || !accepted, "an item of {job} is lost");
+                let finished_or_ended = self
+                    .pending
+                    .values()
+                    .any(|(pending_call, _)| matches!(pending_call, PendingCall::End { .. }))
+                    || !self.ended.is_empty()
+                    || self.is_read(&job);
+                assert!(finished_or_ended || !accepted, "an item of {job} was lost");
             }
-            (asked, answer) => panic!("{asked:?} was answered {answer:?}"),
+            (pending_call, response) => panic!("{pending_call:?} got the response {response:?}"),
         }
     }
 
@@ -312,25 +314,25 @@
         for (position, outcome) in (after..).zip(outcomes) {
             self.reads += 1;
             let key = (job.to_owned(), position);
-            let twice = self.read.iter().any(|((of, other), result_items)| {
-                of == job && *other != position && result_items.item == outcome.item
+            let twice = self.read.iter().any(|((of, other), recorded)| {
+                of == job && *other != position && recorded.item == outcome.item
             });
-            assert!(!twice, "{} stands at two positions", outcome.item);
-            let result_items = self.read.entry(key).or_insert_with(|| outcome.clone());
-            assert_eq!(*result_items, outcome, "position {position} of {job} changed");
+            assert!(!twice, "{} has two positions", outcome.item);
+            let recorded = self.read.entry(key).or_insert_with(|| outcome.clone());
+            assert_eq!(*recorded, outcome, "position {position} of {job} changed");
         }
     }
 
-    /// Members are complete once everything has come to rest with all of them in the view.
+    /// Runs until nothing is left to do. All members of the view are complete then.
     pub fn run_until_idle(&mut self) {
         for index in 0..3 {
             self.update_placement(index);
         }
-        for place in 0..3 {
-            self.reconnect_peers(place);
+        for store in 0..3 {
+            self.reconnect_peers(store);
         }
         self.world.advance(2_500);
-        self.check_answers();
+        self.check_responses();
         self.complete_members.extend(&self.placement.members);
     }
 
@@ -346,8 +348,8 @@
             for index in 0..3 {
                 let call = self.read_from(1, index, id.clone(), 0);
                 self.world.run();
-                lists.push(self.world.answer(1, call).cloned());
-                self.check_answers();
+                lists.push(self.world.response(1, call).cloned());
+                self.check_responses();
             }
             assert!(lists[0].is_some() && lists[0] != Some(StoreResponse::Unavailable));
             assert!(lists.iter().all(|list| *list == lists[0]), "the members list {id} differently");
--- a/crates/batch-store/tests/support/mod.rs
+++ b/crates/batch-store/tests/support/mod.rs
@@ -1,5 +1,5 @@
-//! Stores and gateways in memory: a network that keeps the order of each link, disks whose writes become durable
-//! when the test says so, clocks that the test moves.
+//! In-memory stores and gateways: a network that keeps the order of messages on each link, disks whose writes become
+//! durable when the test syncs them, and clocks that the test advances.
 
 #![allow(dead_code)]
 
@@ -33,8 +33,8 @@
     MemberId { address: NodeAddress::new(Ipv4Addr::new(10, 0, 0, number), 7000), disk }
 }
 
-/// A tenant that the configuration doesn't have any more.
-pub const GONE_TENANT: &str = "gone";
+/// A tenant that was removed from the configuration.
+pub const REMOVED_TENANT: &str = "gone";
 
 struct Limits;
 
@@ -44,11 +44,11 @@
     }
 
     fn has_tenant(&self, name: &str) -> bool {
-        name != GONE_TENANT
+        name != REMOVED_TENANT
     }
 }
 
-/// A job of `groups` groups with `per_group` items each, named `ID-GROUP-ITEM`.
+/// Returns an encoded job of `groups` groups with `per_group` items each, named `ID-GROUP-ITEM`.
 pub fn job(id: &str, groups: usize, per_group: usize, desired: u32) -> Vec<u8> {
     let item = |group: usize, place: usize| {
         format!(
@@ -76,13 +76,13 @@
     }
 }
 
-/// A store's process with its ring.
+/// The process of a store and its disk.
 pub struct Process {
     pub me: MemberId,
     pub store: Store,
-    /// What is on the disk.
+    /// Durable records.
     pub disk: Vec<Record>,
-    /// What is on its way to the disk.
+    /// Records that are not synced yet.
     pub writes: Vec<Record>,
     next_position: u64,
     pub running: bool,
@@ -108,18 +108,18 @@
     }
 }
 
-/// What a gateway has seen.
+/// The messages that a gateway has received.
 #[derive(Default)]
 pub struct Gateway {
     pub number: u64,
-    pub answers: Vec<(u64, StoreResponse)>,
+    pub responses: Vec<(u64, StoreResponse)>,
     pub assigned: Vec<(AssignedJob, AssignedGroup)>,
     pub cancelled: Vec<String>,
-    pub recorded: Vec<String>,
+    pub acknowledged: Vec<String>,
     pub known_failures: Vec<ItemFailures>,
 }
 
-/// A message on its way.
+/// A message in transit.
 #[derive(Clone)]
 pub enum Message {
     ToStore { gateway: u64, index: usize, message: GatewayMessage },
@@ -127,19 +127,19 @@
     Peer { from: MemberId, to: MemberId, message: PeerMessage },
 }
 
-/// What becomes of one message.
+/// The mutation of one message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutation {
     None,
     Drop,
     Double,
-    /// It comes when the test releases it.
+    /// The message arrives when the test releases it.
     Delay,
-    /// It comes at once, and again when the test releases it.
+    /// The message arrives at once, and again when the test releases it.
     Replay,
 }
 
-/// Mutates one of all messages.
+/// Mutates the message with number `target`.
 pub struct MessageFault {
     pub target: usize,
     pub mutation: Mutation,
@@ -149,12 +149,12 @@
 
 pub struct World {
     pub message_fault: MessageFault,
-    /// All outputs of all stores, encoded, where a test asks for it.
+    /// All outputs of all stores, encoded; `None` unless a test records them.
     pub trace: Option<Trace>,
     pub stores: Vec<Process>,
     pub gateways: BTreeMap<u64, Gateway>,
     pub to_control: Vec<SessionMessage>,
-    /// Messages between stores, in the order of sending.
+    /// Messages between stores, in the order in which they were sent.
     pub network: Vec<(MemberId, MemberId, PeerMessage)>,
     pub now: u64,
     pub minimum: usize,
@@ -184,7 +184,7 @@
         }
     }
 
-    /// A world whose only partition lies on all stores, in their order.
+    /// Returns a world whose only partition is placed on all stores, in their order.
     pub fn placed(stores: u8, minimum: usize) -> World {
         let mut world = World::new(stores, minimum);
         let members: Vec<MemberId> = world.stores.iter().map(|process| process.me).collect();
@@ -214,7 +214,7 @@
         self.input(index, |store, now, outputs| store.update_placements(&placements, now, outputs));
     }
 
-    /// Gives one input to a store and carries out what it puts out.
+    /// Passes one input to a store and executes its outputs.
     pub fn input(&mut self, index: usize, input: impl FnOnce(&mut Store, Timestamp, &mut Vec<Output>)) {
         let now = self.timestamp();
         let process = &mut self.stores[index];
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Delivers a message, or what the test makes of it.
+    /// Delivers a message, subject to its mutation.
     fn send(&mut self, message: Message) {
         let number = self.message_fault.seen.len();
         self.message_fault.seen.push(message.clone());
@@ -288,27 +288,27 @@
                     });
                 }
             }
-            Message::ToGateway { gateway, message } => self.receive_at_gateway(gateway, message),
+            Message::ToGateway { gateway, message } => self.deliver_to_gateway(gateway, message),
         }
     }
 
-    fn receive_at_gateway(&mut self, gateway: u64, message: StoreMessage) {
+    fn deliver_to_gateway(&mut self, gateway: u64, message: StoreMessage) {
         let gateway = self.gateways.entry(gateway).or_default();
         match message {
             StoreMessage::Heartbeat => {}
-            StoreMessage::Response { request_id: call, response: answer } => {
-                gateway.answers.push((call, answer));
+            StoreMessage::Response { request_id: call, response } => {
+                gateway.responses.push((call, response));
             }
             StoreMessage::AssignGroups { job: terms, groups } => {
                 gateway.assigned.extend(groups.into_iter().map(|group| (terms.clone(), group)));
             }
             StoreMessage::CancelJob { job, .. } => gateway.cancelled.push(job),
-            StoreMessage::AcknowledgeOutcomes { items, .. } => gateway.recorded.extend(items),
+            StoreMessage::AcknowledgeOutcomes { items, .. } => gateway.acknowledged.extend(items),
             StoreMessage::KnownFailures { failures, .. } => gateway.known_failures.extend(failures),
         }
     }
 
-    /// Brings all writes of a store to its disk.
+    /// Makes all writes of a store durable. Returns whether there were any.
     pub fn sync(&mut self, index: usize) -> bool {
         let process = &mut self.stores[index];
         let Some(last) = process.writes.last().map(|record| record.position) else { return false };
@@ -320,18 +320,18 @@
         true
     }
 
-    /// Delivers everything and brings all writes to the disks until nothing is left to do.
+    /// Delivers messages and syncs disks until nothing is left to do.
     pub fn run(&mut self) {
         loop {
-            let mut moved = false;
+            let mut progressed = false;
             for (from, to, message) in std::mem::take(&mut self.network) {
-                moved = true;
+                progressed = true;
                 self.deliver(from, to, message);
             }
             for index in 0..self.stores.len() {
-                moved |= self.sync(index);
+                progressed |= self.sync(index);
             }
-            if !moved {
+            if !progressed {
                 return;
             }
         }
@@ -341,7 +341,7 @@
         self.send(Message::Peer { from, to, message });
     }
 
-    /// Moves the clocks on, with ticks and heartbeats of all gateways, and delivers everything.
+    /// Advances the clocks with ticks and heartbeats of all gateways, and delivers everything.
     pub fn advance(&mut self, milliseconds: u64) {
         for _ in 0..milliseconds / 100 {
             self.now += 100;
@@ -355,7 +355,7 @@
         }
     }
 
-    /// A gateway's links to all stores come up. Each store sees them as link `gateway * 10 + index`.
+    /// Connects a gateway to all stores. Each store sees link number `gateway * 10 + index`.
     pub fn gateway_connected(&mut self, gateway: u64, incarnation: u64) {
         self.gateways.entry(gateway).or_default();
         for index in 0..self.stores.len() {
@@ -447,15 +447,15 @@
         );
     }
 
-    pub fn answer(&self, gateway: u64, call: u64) -> Option<&StoreResponse> {
+    pub fn response(&self, gateway: u64, call: u64) -> Option<&StoreResponse> {
         self.gateways[&gateway]
-            .answers
+            .responses
             .iter()
-            .find(|(answered, _)| *answered == call)
-            .map(|(_, answer)| answer)
+            .find(|(responded, _)| *responded == call)
+            .map(|(_, response)| response)
     }
 
-    /// Power is lost: what isn't durable is gone. The process starts anew on its disk and learns no view yet.
+    /// Simulates a power failure: writes that are not durable are lost. The process restarts and knows no view yet.
     pub fn restart(&mut self, index: usize) {
         self.nonce += 1;
         let process = &mut self.stores[index];
@@ -463,7 +463,7 @@
     }
 }
 
-/// Adds an output in the bytes in which it is sent or stored.
+/// Adds an output to the trace, as the bytes that are sent or stored.
 pub fn add_output(trace: &mut Trace, output: &Output) {
     match output {
         Output::Write(record) => {
@@ -491,9 +491,9 @@
     }
 }
 
-/// The items that an answer lists.
-pub fn result_items(answer: Option<&StoreResponse>) -> Vec<&str> {
-    match answer {
+/// Returns the items that a response lists.
+pub fn result_items(response: Option<&StoreResponse>) -> Vec<&str> {
+    match response {
         Some(StoreResponse::Results { outcomes, .. }) => {
             outcomes.iter().map(|outcome| outcome.item.as_str()).collect()
         }
--- a/crates/batch-store/tests/tenants.rs
+++ b/crates/batch-store/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Jobs of tenants: who may read and end them, and what gateways are told of them.
+//! Jobs of tenants: who may read and end them, and how gateways learn the tenant.
 
 mod support;
 
@@ -6,11 +6,11 @@
 use orchidvalve_protocol::frames::encode;
 use orchidvalve_protocol::messages::{GatewayMessage, StoreResponse};
 use rstest::rstest;
-use support::{GONE_TENANT, World, member, result_items};
+use support::{REMOVED_TENANT, World, member, result_items};
 
 const OWNER: &str = "cuka620";
 const OTHER: &str = "seje681";
-/// Numbers of the calls of these tests; those of the support begin at 1.
+/// Numbers of the calls made here start here; those of the support module start at 1.
 const FIRST_CALL: u64 = 1_000;
 
 fn job_of(tenant: Option<&str>) -> Vec<u8> {
@@ -24,7 +24,7 @@
     encode(&Job::parse(body.as_bytes(), &origin).unwrap())
 }
 
-/// What a caller does with a job.
+/// A call about a job.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Call {
     Read,
@@ -43,7 +43,7 @@
         world.gateway_connected(1, 1);
         let call = world.submit(1, 0, "j", job_of(tenant));
         world.run();
-        assert_eq!(world.answer(1, call), Some(&StoreResponse::Accepted));
+        assert_eq!(world.response(1, call), Some(&StoreResponse::Accepted));
         Stores { world, last_call: FIRST_CALL }
     }
 
@@ -62,11 +62,11 @@
         };
         self.world.send_to_store(1, index, message);
         self.world.run();
-        self.world.answer(1, request_id).cloned()
+        self.world.response(1, request_id).cloned()
     }
 }
 
-// Guards against UNASKED: a job could be read and ended with another tenant's key.
+// Guards against UNASKED: a job could be read and ended with the key of another tenant.
 #[rstest]
 fn a_job_is_closed_to_callers_of_another_tenant(
     #[values(Call::Read, Call::Body, Call::End)] call: Call,
@@ -74,28 +74,28 @@
 ) {
     let mut stores = Stores::with_job(Some(OWNER));
     assert_eq!(stores.call(index, "j", call, Some(OTHER)), Some(StoreResponse::OtherTenant));
-    // It goes on, and its owner's calls are answered.
+    // The job continues, and the calls of its owner succeed.
     let body = stores.call(index, "j", Call::Body, Some(OWNER));
     assert_eq!(body, Some(StoreResponse::Body(b"hello".to_vec())));
     assert!(matches!(stores.call(0, "j", Call::Read, Some(OWNER)), Some(StoreResponse::Results { .. })));
     assert_eq!(stores.call(0, "j", Call::End, Some(OWNER)), Some(StoreResponse::Ended));
 }
 
-// Guards against DENIED: jobs and callers without a tenant (no tenants in the configuration, or public routes).
+// Guards against DENIED: jobs or callers have no tenant if the configuration has none or the route is public.
 #[rstest]
 #[case::job_without(None, Some(OTHER))]
 #[case::caller_without(Some(OWNER), None)]
 #[case::both_without(None, None)]
-fn without_a_tenant_a_job_is_open(#[case] owner: Option<&str>, #[case] caller: Option<&str>) {
+fn a_job_or_caller_without_a_tenant_is_allowed(#[case] owner: Option<&str>, #[case] caller: Option<&str>) {
     let mut stores = Stores::with_job(owner);
     assert_eq!(stores.call(1, "j", Call::Body, caller), Some(StoreResponse::Body(b"hello".to_vec())));
     assert!(matches!(stores.call(1, "j", Call::Read, caller), Some(StoreResponse::Results { .. })));
     assert_eq!(stores.call(0, "j", Call::End, caller), Some(StoreResponse::Ended));
 }
 
-// Guards against DENIED: a store that doesn't know the job says nothing of its tenant.
+// Guards against DENIED: a store that does not know a job does not know its tenant either.
 #[rstest]
-fn a_job_that_is_not_known_is_not_found_whoever_asks(
+fn an_unknown_job_is_not_found_for_any_caller(
     #[values(Call::Read, Call::Body, Call::End)] call: Call,
     #[values(Some(OWNER), Some(OTHER), None)] caller: Option<&str>,
 ) {
@@ -103,7 +103,7 @@
     assert_eq!(stores.call(0, "unknown", call, caller), Some(StoreResponse::NotFound));
 }
 
-// Guards against UNASKED: completed and ended jobs, and those read from the disk, keep their tenant.
+// Guards against UNASKED: completed, ended and recovered jobs keep their tenant.
 #[rstest]
 #[case::complete(false)]
 #[case::ended(true)]
@@ -128,36 +128,35 @@
     assert_eq!(result_items(results.as_ref()).len(), if ended { 0 } else { 2 });
 }
 
-// Guards against LOST and TWICE: a job that is sent again, also with another key of its tenant, is taken once.
+// Guards against LOST and TWICE: a job that is submitted again, even with another key, is accepted only once.
 #[test]
-fn a_job_that_is_sent_again_stays_taken_once_and_keeps_its_tenant() {
+fn a_resubmitted_job_is_accepted_once_and_keeps_its_tenant() {
     let mut stores = Stores::with_job(Some(OWNER));
     for tenant in [Some(OWNER), Some(OTHER), None] {
         let again = stores.world.submit(1, 0, "j", job_of(tenant));
         stores.world.run();
-        assert_eq!(stores.world.answer(1, again), Some(&StoreResponse::Accepted));
+        assert_eq!(stores.world.response(1, again), Some(&StoreResponse::Accepted));
     }
     assert_eq!(stores.call(0, "j", Call::Read, Some(OTHER)), Some(StoreResponse::OtherTenant));
     assert!(matches!(stores.call(0, "j", Call::Read, Some(OWNER)), Some(StoreResponse::Results { .. })));
 }
 
-// Guards against UNASKED: items reached servers without the tenant of their job.
+// Guards against UNASKED: servers received items without the tenant of their job.
 #[rstest]
 #[case::of_a_tenant(Some(OWNER))]
 #[case::of_none(None)]
-fn gateways_are_told_the_tenant_of_assigned_groups(#[case] tenant: Option<&str>) {
+fn assigned_groups_carry_the_tenant_of_their_job(#[case] tenant: Option<&str>) {
     let stores = Stores::with_job(tenant);
     let assigned = &stores.world.gateways[&1].assigned;
     assert!(!assigned.is_empty());
     assert!(assigned.iter().all(|(job, _)| job.tenant.as_deref() == tenant));
 }
 
-// Guards against LOST of incident keys-and-duties: a trainer whose tenant was renamed could not read or end its jobs.
+// Guards against LOST (incident keys-and-duties): after a rename of its tenant, a trainer could not read or end its
+// jobs.
 #[rstest]
-fn a_job_of_a_tenant_that_is_gone_is_open_to_its_successor(
-    #[values(Call::Read, Call::Body, Call::End)] call: Call,
-) {
-    let mut stores = Stores::with_job(Some(GONE_TENANT));
-    let answer = stores.call(0, "j", call, Some(OTHER));
-    assert!(answer.is_some() && answer != Some(StoreResponse::OtherTenant), "{answer:?}");
+fn a_job_of_a_removed_tenant_is_open_to_others(#[values(Call::Read, Call::Body, Call::End)] call: Call) {
+    let mut stores = Stores::with_job(Some(REMOVED_TENANT));
+    let response = stores.call(0, "j", call, Some(OTHER));
+    assert!(response.is_some() && response != Some(StoreResponse::OtherTenant), "{response:?}");
 }
--- a/crates/server/tests/golden_placed_stores.rs
+++ b/crates/server/tests/golden_placed_stores.rs
@@ -1,4 +1,4 @@
-//! Every output of stores under the real duty of placement is the recorded one, to the byte, and so are the placements.
+//! The outputs and placements of stores placed by the control plane equal the recorded ones, byte for byte.
 
 mod placement_simulation;
 #[path = "../../batch-store/tests/support/mod.rs"]
@@ -14,14 +14,14 @@
 const ROUNDS: usize = 120;
 
 #[test]
-fn random_faults_go_as_recorded() {
+fn random_faults_produce_the_recorded_outputs() {
     let hashes: Vec<(String, u64)> =
         (0..SEEDS).map(|seed| (format!("seed-{seed}"), run_with_faults(seed))).collect();
     let path = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden/placed_stores.txt");
     check_hashes(&path, &hashes);
 }
 
-/// Hash of all outputs of a run with crashes, wiped disks, shutdowns and partitions.
+/// Returns the hash of all outputs of a run with crashes, wiped disks, shutdowns and network partitions.
 fn run_with_faults(seed: u64) -> u64 {
     let mut simulation = Simulation::new(seed);
     simulation.world.trace = Some(Trace::new());
--- a/crates/server/tests/placed_stores.rs
+++ b/crates/server/tests/placed_stores.rs
@@ -1,5 +1,6 @@
-//! Stores under the real duty of placement, in virtual time: losses right after a repair, planned ends, wiped disks
-//! and control heads that know no reports. What was accepted or read stays, and the partition is usable again soon.
+//! Stores placed by the real placement role of the control plane, in virtual time: failures right after a repair,
+//! planned shutdowns, wiped disks and control heads without reports. Accepted and read data is kept, and the partition
+//! becomes usable again within a time limit.
 
 mod placement_simulation;
 #[path = "../../batch-store/tests/support/mod.rs"]
@@ -12,14 +13,14 @@
 use rand::Rng;
 use rstest::rstest;
 
-/// Median and longest of measured times.
+/// Returns the median and maximum of measured times.
 fn spread(mut times: Vec<u64>) -> (u64, u64) {
     times.sort_unstable();
     (times[times.len() / 2], times[times.len() - 1])
 }
 
 #[test]
-fn a_second_loss_right_after_a_repair_loses_no_data_and_the_partition_recovers() {
+fn a_second_loss_after_a_repair_loses_no_data() {
     let (mut repairs, mut second_repairs) = (Vec::new(), Vec::new());
     for seed in 0..100 {
         let mut simulation = Simulation::new(seed);
@@ -28,7 +29,7 @@
         simulation.crash(first, None);
         repairs.push(simulation.time_to_acceptance(5_000));
         simulation.run_until(5_000, Simulation::is_fully_replicated);
-        // The one that held everything before the repair goes, up to some 0.2 s after the view.
+        // The member that held everything before the repair fails, up to about 0.2 s after the view changed.
         let delay = simulation.random.random_range(0..5);
         simulation.run_for(delay * STEP_MS);
         simulation.crash(simulation.member(0), None);
@@ -49,14 +50,14 @@
         simulation.run_for(1_000);
         for index in 0..STORES {
             simulation.terminate(index);
-            let begun = simulation.world.now;
+            let started_at = simulation.world.now;
             while simulation.world.stores[index].running {
                 simulation.generate_traffic();
                 simulation.step();
                 assert!(!simulation.placement().is_undersized(), "seed {seed}: {:?}", simulation.placement());
             }
-            waits.push(simulation.world.now - begun);
-            // The session of the ended process, its restart, and a gap of a second.
+            waits.push(simulation.world.now - started_at);
+            // Wait for the end of the session, the restart of the process, and about one more second.
             for _ in 0..(2_000 / STEP_MS) {
                 simulation.generate_traffic();
                 simulation.step();
@@ -70,7 +71,7 @@
     assert!(longest < GRACE_MS - 1_500, "{longest} ms: the copies were not made in time");
 }
 
-/// The last member of a chain that is too short gets SIGTERM: it stays until another has everything.
+/// The last member of a chain that is too short gets SIGTERM. It keeps running until another store has everything.
 #[test]
 fn a_store_that_shuts_down_with_the_only_copy_waits_until_it_is_copied() {
     for seed in 0..50 {
@@ -88,8 +89,8 @@
     }
 }
 
-/// A member that control took for lost is back, with everything that the short chain of the other one holds, and gets
-/// SIGTERM before a successor has copied it: it doesn't go with one of two copies.
+/// A former member returns after its session ended. It holds everything that the short chain holds, and gets SIGTERM
+/// before a successor has copied the partition. It must not exit with one of two copies.
 #[test]
 fn a_former_member_that_shuts_down_stays_while_its_chain_is_undersized() {
     let mut waited = 0;
@@ -110,7 +111,7 @@
     assert!(waited > 50, "{waited} steps");
 }
 
-/// Both members shut down at once: neither waits for the other.
+/// Both members shut down at the same time and must not wait for each other.
 #[test]
 fn two_stores_that_shut_down_at_once_end_in_time() {
     for seed in 0..50 {
@@ -119,24 +120,24 @@
         let leaving = [simulation.member(0), simulation.member(1)];
         leaving.into_iter().for_each(|index| simulation.terminate(index));
         let is_gone = |simulation: &Simulation, index: usize| !simulation.world.stores[index].running;
-        let begun = simulation.world.now;
+        let started_at = simulation.world.now;
         let mut ended = BTreeSet::new();
         while ended.len() < leaving.len() {
             simulation.generate_traffic();
             simulation.step();
             ended.extend(leaving.into_iter().filter(|index| is_gone(&simulation, *index)));
-            assert!(simulation.world.now < begun + GRACE_MS - 1_500, "seed {seed}: {ended:?}");
+            assert!(simulation.world.now < started_at + GRACE_MS - 1_500, "seed {seed}: {ended:?}");
             assert!(!simulation.placement().is_undersized(), "seed {seed}: {:?}", simulation.placement());
         }
         simulation.check_final_state();
     }
 }
 
-/// Stores shut down a second apart, whether or not the one before is back, and one of them loses its disk
-/// beside that, which is one loss.
+/// Stores shut down one second apart, even if the previous one has not returned. One of them may also lose its disk,
+/// which counts as one failure.
 #[rstest]
 #[case::without_a_wipe(false)]
-#[case::beside_a_wipe(true)]
+#[case::with_a_wipe(true)]
 fn shutdowns_a_second_apart_lose_nothing(#[case] wipes: bool) {
     let mut accepted = 0;
     for seed in 0..50 {
@@ -161,34 +162,34 @@
     assert!(accepted > 200, "only {accepted} jobs were accepted");
 }
 
-/// All that held the partition come back with other disks: more than the tolerance. It is usable again.
+/// All stores that hold the partition lose their disks, which exceeds the tolerance. The partition is usable again.
 #[test]
-fn a_partition_whose_holders_are_all_wiped_is_usable_again() {
+fn a_partition_whose_copies_are_all_lost_is_usable_again() {
     for seed in 0..20 {
         let mut simulation = Simulation::new(seed);
         simulation.run_for(1_000);
-        // One store has an old copy that it no longer needs.
+        // Shut one store down, so that it keeps an old copy that is no longer needed.
         simulation.terminate(simulation.member(0));
         simulation.run_for(4_000);
-        for place in 0..COPIES {
-            let index = simulation.member(place);
+        for position in 0..COPIES {
+            let index = simulation.member(position);
             simulation.crash(index, Some(500));
             simulation.machines[index].wiped = true;
         }
-        // What was accepted before is lost, and answered as not found.
-        let former = simulation.forget_accepted();
+        // Previously accepted jobs are lost and must be reported as not found.
+        let former = simulation.take_accepted();
         simulation.run_until(15_000, |simulation| simulation.placement().reset_epoch > 0);
         simulation.time_to_acceptance(5_000);
         simulation.check_final_state();
         for id in former {
             let call = simulation.world.read(GATEWAY, simulation.member(0), &id, 0, 0);
             simulation.world.run();
-            assert_eq!(simulation.world.answer(GATEWAY, call), Some(&StoreResponse::NotFound), "{id}");
+            assert_eq!(simulation.world.response(GATEWAY, call), Some(&StoreResponse::NotFound), "{id}");
         }
     }
 }
 
-/// A member that has just joined lacks what was committed meanwhile, and both others are lost: it waits for them.
+/// A new member lacks recently committed entries and both other members are lost. It must wait for them.
 #[test]
 fn a_member_that_has_not_caught_up_does_not_continue_alone() {
     for seed in 0..150 {
@@ -196,8 +197,8 @@
         simulation.run_for(1_000);
         let complete = [simulation.member(0), simulation.member(1)];
         simulation.terminate(complete[0]);
-        let begun = simulation.world.now;
-        while simulation.placement().members.len() == COPIES && simulation.world.now < begun + 5_000 {
+        let started_at = simulation.world.now;
+        while simulation.placement().members.len() == COPIES && simulation.world.now < started_at + 5_000 {
             simulation.submit();
             simulation.submit();
             simulation.step();
@@ -208,10 +209,10 @@
     }
 }
 
-/// A member has just joined, both others lose power, and the one that is seen to be gone last loses its disk as well: the
-/// one that was seen to be gone first comes back with everything.
+/// After a new member has joined, both others lose power. The one that is detected last also loses its disk. The one
+/// that was detected first returns with everything.
 #[test]
-fn a_lost_member_still_counts_before_its_successor_is_complete() {
+fn a_lost_member_counts_until_its_successor_is_complete() {
     for seed in 0..50 {
         let mut simulation = Simulation::new(seed);
         simulation.run_for(1_000);
@@ -228,7 +229,7 @@
     }
 }
 
-/// The last member is lost while the former one, who holds everything as well, is on its way back.
+/// The last member is lost while a former member, which also holds everything, is restarting.
 #[test]
 fn a_former_member_continues_when_the_last_one_is_lost() {
     for seed in 0..50 {
@@ -246,10 +247,10 @@
     }
 }
 
-/// The last member is partitioned from control, but not from gateways, while the former one goes on: it must not tell gateways
-/// that what was accepted since is unknown.
+/// The last member is partitioned from the control nodes, but not from gateways, while a former member continues. It
+/// must not report to gateways that recently accepted jobs are unknown.
 #[test]
-fn a_partitioned_member_of_a_short_chain_denies_nothing() {
+fn a_partitioned_member_of_a_short_chain_reports_no_job_as_unknown() {
     for seed in 0..50 {
         let mut simulation = Simulation::new(seed);
         simulation.run_for(1_000);
@@ -271,7 +272,7 @@
     }
 }
 
-/// Anything at any time, as long as one machine that holds everything keeps its disk.
+/// Random faults at any time, as long as one node that holds everything keeps its disk.
 #[test]
 fn random_faults_lose_nothing() {
     let mut accepted = 0;
--- a/crates/server/tests/placement_simulation/mod.rs
+++ b/crates/server/tests/placement_simulation/mod.rs
@@ -1,4 +1,4 @@
-//! Stores under the real duty of placement, in virtual time.
+//! Simulation of stores placed by the real placement role of the control plane, in virtual time.
 
 #![allow(dead_code)]
 
@@ -22,30 +22,30 @@
 pub const STORES: usize = 4;
 pub const COPIES: usize = 2;
 pub const GATEWAY: u64 = 1;
-/// From the loss of a process to the end of its session, as control machines count it.
+/// Time from the loss of a process until control nodes end its session.
 pub const DETECTION_MS: u64 = 950;
-/// From the start of a process to its session.
+/// Time from the start of a process until it has a session.
 pub const SESSION_MS: u64 = 150;
 pub const GRACE_MS: u64 = 8_000;
-/// How long no placement is made while control has no head.
+/// Time without placements while the control chain has no head.
 pub const HEADLESS_MS: u64 = 1_200;
 pub const GATEWAY_HEARTBEAT_MS: u64 = 400;
 
-/// What a store's machine is doing beside its process.
+/// The state of a store's node outside its process.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Machine {
-    /// When the process started, or was lost.
+    /// Time at which the process started or was lost.
     pub since: u64,
     pub returns_at: Option<u64>,
     pub wiped: bool,
     pub shutdown: Option<GracefulShutdown>,
-    /// Since when and until when it is partitioned from control, but not from gateways and stores.
+    /// Start and end of a network partition from the control nodes. Gateways and other stores remain reachable.
     pub partitioned: Option<(u64, u64)>,
-    /// Epoch of the placement that it knows.
+    /// Epoch of the latest placement that the store has received.
     pub known_epoch: u64,
 }
 
-/// Calls without an answer: what was asked, and whether the job had been accepted by then.
+/// A call without a response. `was_accepted` is whether the job had been accepted when the call was made.
 #[derive(Clone, Debug)]
 pub enum PendingCall {
     Submit { job: String, at: u64 },
@@ -59,7 +59,7 @@
     pub roles: SingletonRoles,
     pub head_since: u64,
     pub state: ControlState,
-    /// Reports that the control head has received.
+    /// Number of reports that the control head has received.
     pub reports_received: usize,
     pub disks: u64,
     pub pending: BTreeMap<u64, PendingCall>,
@@ -84,7 +84,7 @@
 }
 
 impl Simulation {
-    /// A settled system whose partition lies on the first two stores.
+    /// Creates an idle system whose partition is placed on the first two stores.
     pub fn new(seed: u64) -> Simulation {
         let mut world = World::new(STORES as u8, COPIES);
         world.gateway_connected(GATEWAY, 1);
@@ -142,8 +142,8 @@
             incarnation: self.machines[index].since,
             cpu_share: 1.0,
         };
-        let leaving = self.machines[index].shutdown.is_some();
-        let health = StoreHealth { draining: leaving, capacity_bytes: 100, ..StoreHealth::default() };
+        let draining = self.machines[index].shutdown.is_some();
+        let health = StoreHealth { draining, capacity_bytes: 100, ..StoreHealth::default() };
         Session { health: Some(health), ..Session::new(&handshake) }
     }
 
@@ -161,7 +161,7 @@
         table
     }
 
-    /// The control head takes in reports and places the partition.
+    /// Lets the control head process reports and place the partition.
     pub fn place(&mut self) {
         if self.world.now < self.head_since {
             return;
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Another control machine becomes the head after a while; it has received no report.
+    /// Makes another control node the head after [`HEADLESS_MS`]. It has not received earlier reports.
     pub fn change_control_head(&mut self) {
         self.head_since = self.world.now + HEADLESS_MS;
         self.roles = new_roles(self.head_since);
@@ -204,7 +204,7 @@
         for _ in 0..4 {
             self.deliver();
         }
-        self.check_answers();
+        self.check_responses();
         self.world.message_fault.seen.clear();
     }
 
@@ -218,25 +218,25 @@
         }
         self.machines[index].partitioned.take_if(|(_, until)| *until <= now);
         let machine = &self.machines[index];
-        let is_in_touch = machine.partitioned.is_none() && now >= machine.since + SESSION_MS;
+        let has_session = machine.partitioned.is_none() && now >= machine.since + SESSION_MS;
         let placement = self.placement().clone();
-        if is_in_touch && self.machines[index].known_epoch < placement.epoch && self.random.random_bool(0.7) {
+        if has_session && self.machines[index].known_epoch < placement.epoch && self.random.random_bool(0.7) {
             self.machines[index].known_epoch = placement.epoch;
             self.world.place_at(index, &placement);
         }
         self.world.input(index, orchidvalve_batch_store::Store::tick);
         let me = self.world.stores[index].me;
         let shutdown = self.machines[index].shutdown;
-        if shutdown.is_some_and(|shutdown| shutdown.is_complete(now, me, &self.state, is_in_touch)) {
+        if shutdown.is_some_and(|shutdown| shutdown.is_complete(now, me, &self.state, has_session)) {
             self.crash(index, Some(1_000));
         }
     }
 
     pub fn deliver(&mut self) {
-        let mut held_back = BTreeSet::new();
+        let mut delayed = BTreeSet::new();
         for (from, to, message) in std::mem::take(&mut self.world.network) {
-            if held_back.contains(&(from, to)) || self.random.random_bool(0.1) {
-                held_back.insert((from, to));
+            if delayed.contains(&(from, to)) || self.random.random_bool(0.1) {
+                delayed.insert((from, to));
                 self.world.network.push((from, to, message));
             } else {
                 self.world.deliver(from, to, message);
@@ -249,7 +249,7 @@
         }
     }
 
-    /// Power is lost.
+    /// Simulates a power failure.
     pub fn crash(&mut self, index: usize, returns_after: Option<u64>) {
         let me = self.world.stores[index].me;
         self.world.network.retain(|(from, to, _)| *from != me && *to != me);
@@ -281,7 +281,7 @@
         self.machines[index].partitioned.get_or_insert((now, now + milliseconds));
     }
 
-    /// SIGTERM.
+    /// Simulates SIGTERM.
     pub fn terminate(&mut self, index: usize) {
         if self.world.stores[index].running && self.machines[index].shutdown.is_none() {
             self.machines[index].shutdown = Some(GracefulShutdown::new(self.world.now, GRACE_MS));
@@ -322,16 +322,16 @@
         call
     }
 
-    pub fn check_answers(&mut self) {
-        let answers = std::mem::take(&mut self.world.gateways.get_mut(&GATEWAY).unwrap().answers);
-        for (call, answer) in answers {
-            match (self.pending.remove(&call), answer) {
+    pub fn check_responses(&mut self) {
+        let responses = std::mem::take(&mut self.world.gateways.get_mut(&GATEWAY).unwrap().responses);
+        for (call, response) in responses {
+            match (self.pending.remove(&call), response) {
                 (Some(PendingCall::Submit { job, at }), StoreResponse::Accepted) => {
                     self.accepted.insert(job);
                     self.accepted_at.push(at);
                 }
                 (Some(PendingCall::Read { job, was_accepted, .. }), StoreResponse::NotFound) => {
-                    assert!(!was_accepted, "{job} is lost: {:?}", self.placement());
+                    assert!(!was_accepted, "{job} was lost: {:?}", self.placement());
                 }
                 (Some(PendingCall::Read { job, after, .. }), StoreResponse::Results { outcomes, .. }) => {
                     self.check_results(&job, after, outcomes);
@@ -343,8 +343,8 @@
 
     pub fn check_results(&mut self, job: &str, after: u64, outcomes: Vec<ItemOutcome>) {
         for (position, outcome) in (after..).zip(outcomes) {
-            let result_items = self.read.entry((job.to_owned(), position)).or_insert_with(|| outcome.clone());
-            assert_eq!(*result_items, outcome, "position {position} of {job} changed");
+            let recorded = self.read.entry((job.to_owned(), position)).or_insert_with(|| outcome.clone());
+            assert_eq!(*recorded, outcome, "position {position} of {job} changed");
         }
     }
 
@@ -368,15 +368,15 @@
         }
     }
 
-    /// Runs until the condition holds; how long that took.
+    /// Runs until the condition holds. Returns the elapsed time.
     pub fn run_until(&mut self, limit: u64, mut condition: impl FnMut(&Simulation) -> bool) -> u64 {
-        let begun = self.world.now;
+        let started_at = self.world.now;
         while !condition(self) {
-            assert!(self.world.now < begun + limit, "not within {limit} ms: {:?}", self.placement());
+            assert!(self.world.now < started_at + limit, "not within {limit} ms: {:?}", self.placement());
             self.generate_traffic();
             self.step();
         }
-        self.world.now - begun
+        self.world.now - started_at
     }
 
     pub fn is_fully_replicated(&self) -> bool {
@@ -384,18 +384,18 @@
         placement.members.len() == COPIES && placement.learners.is_empty()
     }
 
-    /// Time from now until a submission that comes later than now is accepted.
+    /// Returns the time until a job is accepted that was submitted from now on.
     pub fn time_to_acceptance(&mut self, limit: u64) -> u64 {
-        let begun = self.world.now;
-        self.run_until(limit, |simulation| simulation.accepted_at.last().is_some_and(|at| *at >= begun))
+        let started_at = self.world.now;
+        self.run_until(limit, |simulation| simulation.accepted_at.last().is_some_and(|at| *at >= started_at))
     }
 
-    /// Index of a member, by its place in the chain.
-    pub fn member(&self, place: usize) -> usize {
-        self.index_of(self.placement().members[place]).unwrap()
+    /// Returns the store index of the member at a position of the chain.
+    pub fn member(&self, position: usize) -> usize {
+        self.index_of(self.placement().members[position]).unwrap()
     }
 
-    /// All members list every accepted job alike, and all results that were read.
+    /// Checks that all members return the same results of every accepted job, including all results read before.
     pub fn check_final_state(&mut self) {
         for index in 0..STORES {
             if !self.world.stores[index].running && self.machines[index].returns_at.is_none() {
@@ -404,33 +404,34 @@
         }
         self.run_until(30_000, |simulation| {
             let all_run = simulation.world.stores.iter().all(|process| process.running);
-            let none_leaves = simulation.machines.iter().all(|machine| machine.shutdown.is_none());
-            all_run && none_leaves && simulation.is_fully_replicated()
+            let none_drains = simulation.machines.iter().all(|machine| machine.shutdown.is_none());
+            all_run && none_drains && simulation.is_fully_replicated()
         });
         for _ in 0..60 {
             self.step();
         }
         for id in self.accepted.clone() {
             let calls: Vec<u64> =
-                (0..COPIES).map(|place| self.read(self.member(place), id.clone(), 0)).collect();
+                (0..COPIES).map(|position| self.read(self.member(position), id.clone(), 0)).collect();
             self.world.run();
-            let answers: Vec<StoreResponse> =
-                calls.iter().filter_map(|call| self.world.answer(GATEWAY, *call).cloned()).collect();
-            assert!(matches!(answers[0], StoreResponse::Results { .. }), "{id}: {answers:?}");
-            assert!(answers.iter().all(|answer| *answer == answers[0]), "{id}: {answers:?}");
-            self.check_answers();
+            let responses: Vec<StoreResponse> =
+                calls.iter().filter_map(|call| self.world.response(GATEWAY, *call).cloned()).collect();
+            assert!(matches!(responses[0], StoreResponse::Results { .. }), "{id}: {responses:?}");
+            assert!(responses.iter().all(|response| *response == responses[0]), "{id}: {responses:?}");
+            self.check_responses();
         }
     }
 }
 
 impl Simulation {
-    pub fn forget_accepted(&mut self) -> BTreeSet<String> {
+    /// Forgets all expectations. Returns the jobs that were accepted.
+    pub fn take_accepted(&mut self) -> BTreeSet<String> {
         self.read.clear();
         self.pending.clear();
         std::mem::take(&mut self.accepted)
     }
 
-    /// At times some process crashes, shuts down or is partitioned from control, or control gets another head.
+    /// Sometimes crashes or terminates a process, partitions it from the control nodes, or replaces the control head.
     pub fn inject_random_fault(&mut self) {
         let index = self.random.random_range(0..STORES);
         match self.random.random_range(0..100) {
@@ -442,12 +443,12 @@
         }
     }
 
-    /// A process is lost for a while, and its disk too if that leaves another machine that holds everything.
+    /// Crashes a process for a while. Its disk may be lost as well if another node holds everything.
     pub fn crash_randomly(&mut self, index: usize) {
         let away = self.random.random_range(1..80) * STEP_MS;
         let me = self.world.stores[index].me;
-        let keeps = |holder: &&MemberId| **holder != me && self.index_of(**holder).is_some();
-        let is_held_elsewhere = self.placement().complete_replicas.iter().any(|holder| keeps(&holder));
+        let keeps = |replica: &&MemberId| **replica != me && self.index_of(**replica).is_some();
+        let is_held_elsewhere = self.placement().complete_replicas.iter().any(|replica| keeps(&replica));
         let another_is_wiped = self.machines.iter().any(|machine| machine.wiped);
         let wiped = is_held_elsewhere && !another_is_wiped && self.random.random_bool(0.4);
         self.crash(index, Some(away));
