--- a/crates/batch/src/job/builder.rs
+++ b/crates/batch/src/job/builder.rs
@@ -1,4 +1,4 @@
-//! Checks the JSON form of a batch job and lays it out in the buffers of a [`Job`].
+//! Validates the JSON form of a batch job and copies it into the buffers of a [`Job`].
 
 use std::collections::HashMap;
 
@@ -10,18 +10,18 @@
 use super::document::{ItemDocument, JobDocument, ScorerDocument, Text};
 use super::{HeaderEntry, ItemEntry, Job, JobError, JobOrigin, NO_SCORER, ScorerEntry, Span};
 
-/// The standard alphabet (RFC 4648), padded or not.
+/// Base64 with the standard alphabet (RFC 4648); padding is optional.
 const BASE64: GeneralPurpose = GeneralPurpose::new(
     &STANDARD,
     GeneralPurposeConfig::new().with_decode_padding_mode(DecodePaddingMode::Indifferent),
 );
 
-/// Longest id in bytes.
+/// Maximum length of an id in bytes.
 const MAX_ID_BYTES: usize = 256;
-/// Longest document in bytes; keeps all positions in the buffers within 32 bits.
+/// Maximum size of a document in bytes. Keeps all positions in the buffers within 32 bits.
 const MAX_DOCUMENT_BYTES: usize = 1 << 30;
 
-/// Headers that the sender sets itself, or that concern one connection only.
+/// Headers that the sender sets itself or that apply to a single connection.
 const RESERVED_HEADERS: [&str; 9] = [
     "attempt-id",
     "connection",
@@ -34,7 +34,7 @@
     "upgrade",
 ];
 
-/// Why the value of a field is refused, and what to send instead.
+/// The reason why a field is rejected, and what to send instead.
 #[derive(Clone, Copy, Debug, Display)]
 enum FieldError {
     #[display("is too large; split it into several batch jobs")]
@@ -56,23 +56,23 @@
 }
 
 impl FieldError {
-    /// The error at a path of the document.
+    /// Returns the error for the field at `path` of the document.
     fn at(self, path: String) -> JobError {
         JobError::Malformed { path, reason: self.to_string() }
     }
 }
 
-/// Why a field of a scorer is refused.
+/// The reason why a field of a scorer is rejected.
 struct ScorerFieldError {
     field: &'static str,
     error: FieldError,
 }
 
-/// Lays out a document that was read from `document_bytes` bytes.
+/// Builds a job from a document that was parsed from `document_bytes` bytes.
 ///
 /// # Errors
 ///
-/// A field has a value that can't be sent, or two items have the same id.
+/// Returns an error if a field has a value that cannot be sent, or if two items have the same id.
 pub fn build(
     document: &JobDocument<'_>,
     origin: &JobOrigin<'_>,
@@ -86,25 +86,25 @@
     }
     let mut builder = Builder::new(document, document_bytes);
     for (index, item) in document.requests.iter().enumerate() {
-        builder.push(index, item)?;
+        builder.push_item(index, item)?;
     }
     Ok(builder.finish(document, origin))
 }
 
-/// A body that was decoded already, with its encoded form, by which an equal one is recognised.
+/// A decoded body and its encoded form, by which an equal body is recognised.
 #[derive(Clone, Copy, Default)]
 struct DecodedBody<'d> {
     encoded: &'d str,
     span: Span,
 }
 
-/// What later items of a group may share with its first one.
+/// The first bodies of a group. Later items with equal bodies share them.
 struct Group<'d> {
     body: DecodedBody<'d>,
     scorer_body: DecodedBody<'d>,
 }
 
-/// The buffers of a job as they grow, and what is looked up while they do.
+/// The growing buffers of a job, and the indices used while building it.
 struct Builder<'d> {
     text: String,
     bodies: Vec<u8>,
@@ -113,9 +113,9 @@
     items: Vec<ItemEntry>,
     groups: Vec<Group<'d>>,
     group_numbers: HashMap<&'d str, u32>,
-    /// Index of the item with each id.
+    /// The index of each item by its id.
     ids: HashMap<&'d str, usize>,
-    /// Texts that are likely to come again, and where they are.
+    /// The positions of texts that are likely to occur again.
     interned: HashMap<&'d str, Span>,
 }
 
@@ -135,7 +135,7 @@
         }
     }
 
-    fn push(&mut self, index: usize, item: &'d ItemDocument<'_>) -> Result<(), JobError> {
+    fn push_item(&mut self, index: usize, item: &'d ItemDocument<'_>) -> Result<(), JobError> {
         let path_of = |field: &str| format!("requests[{index}].{field}");
         check_id(item.instance_id.as_str()).map_err(|error| error.at(path_of("instance-id")))?;
         check_path(item.path.as_str()).map_err(|error| error.at(path_of("path")))?;
@@ -168,7 +168,7 @@
         Ok(())
     }
 
-    /// Number of a group by name; an item without one is a group of its own.
+    /// Returns the number of the group `name`. An item without a group gets a group of its own.
     fn group(&mut self, name: Option<&'d Text<'_>>) -> u32 {
         let next = self.groups.len() as u32;
         let number = match name {
@@ -193,7 +193,7 @@
         Ok(Span { start, length: self.headers.len() as u32 - start })
     }
 
-    /// Index of the scorer in the list.
+    /// Adds a scorer. Returns its index in the list of scorers.
     fn push_scorer(&mut self, scorer: &'d ScorerDocument<'_>, group: u32) -> Result<u32, ScorerFieldError> {
         let at = |field| move |error| ScorerFieldError { field, error };
         check_id(scorer.instance_id.as_str()).map_err(at("instance-id"))?;
@@ -209,10 +209,10 @@
         Ok(self.scorers.len() as u32 - 1)
     }
 
-    /// Decodes a body into the buffer, unless it equals the one that the group's first item has there.
-    fn push_body(&mut self, encoded: &'d str, group: u32, of_scorer: bool) -> Result<Span, FieldError> {
+    /// Decodes a body into the buffer, unless it equals the first body of the group, whose position is returned then.
+    fn push_body(&mut self, encoded: &'d str, group: u32, is_scorer_body: bool) -> Result<Span, FieldError> {
         let group = &mut self.groups[group as usize];
-        let first = if of_scorer { &mut group.scorer_body } else { &mut group.body };
+        let first = if is_scorer_body { &mut group.scorer_body } else { &mut group.body };
         if first.encoded == encoded {
             return Ok(first.span);
         }
@@ -231,7 +231,7 @@
         Span { start, length: text.len() as u32 }
     }
 
-    /// Adds a text that is likely to come again, once.
+    /// Adds a text that is likely to occur again, unless it was added before. Returns its position.
     fn intern(&mut self, text: &'d str) -> Span {
         if let Some(span) = self.interned.get(text) {
             return *span;
@@ -253,7 +253,7 @@
             tenant: origin.tenant.map(str::to_owned),
             step: document.step,
             model: document.model.as_ref().map(|model| model.as_str().to_owned()),
-            // A trainer's first steps may allow versions before the first one: that allows all.
+            // A trainer may send a negative version for its first steps, which allows all versions.
             min_weights_version: document.min_weights_version.map_or(0, |version| version.max(0) as u64),
             desired_count: document.desired_count.unwrap_or(0),
             group_count: self.groups.len() as u32,
@@ -279,7 +279,7 @@
     }
 }
 
-/// A header that changes neither the framing of the message nor what the sender says of itself.
+/// Checks that a header changes neither the framing of the message nor what the sender sets itself.
 fn check_header(name: &str, value: &str) -> Result<(), FieldError> {
     let is_token = |byte: u8| byte.is_ascii_alphanumeric() || b"!#$%&'*+-.^_`|~".contains(&byte);
     if name.is_empty() || !name.bytes().all(is_token) {
--- a/crates/batch/src/job/document.rs
+++ b/crates/batch/src/job/document.rs
@@ -1,4 +1,4 @@
-//! The JSON form of a batch job. Texts are borrowed from the bytes wherever they hold no escapes.
+//! The JSON form of a batch job. Strings are borrowed from the input where they contain no escapes.
 
 use std::borrow::Cow;
 use std::fmt;
@@ -8,7 +8,7 @@
 
 use super::JobError;
 
-/// A text of the document, borrowed where it holds no escapes.
+/// A string of the document, borrowed from the input if it contains no escapes.
 pub struct Text<'a>(pub Cow<'a, str>);
 
 impl Text<'_> {
@@ -17,11 +17,11 @@
     }
 }
 
-/// Headers in the order of the document.
+/// The headers of a request in the order of the document.
 #[derive(Default)]
 pub struct Headers<'a>(pub Vec<(Text<'a>, Text<'a>)>);
 
-/// A batch job.
+/// A batch job document.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "an object: a batch job")]
 pub struct JobDocument<'a> {
@@ -34,7 +34,7 @@
     pub requests: Vec<ItemDocument<'a>>,
 }
 
-/// One of its requests.
+/// A request of a batch job.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "an object: a request of the batch job")]
 pub struct ItemDocument<'a> {
@@ -53,7 +53,7 @@
     pub scorer_url: Option<ScorerDocument<'a>>,
 }
 
-/// The request that scores an item's text.
+/// The request that scores the text of an item.
 #[derive(Deserialize)]
 #[serde(rename_all = "kebab-case", expecting = "an object: the request that scores the text")]
 pub struct ScorerDocument<'a> {
@@ -67,16 +67,16 @@
     pub body: Text<'a>,
 }
 
-/// Reads a whole document. The path of an error is only looked for once there is one.
+/// Parses a document. The path of an error is determined only if there is one.
 ///
 /// # Errors
 ///
-/// The bytes are no batch job.
+/// Returns an error if the bytes are not a valid batch job document.
 pub fn read(body: &[u8]) -> Result<JobDocument<'_>, JobError> {
     serde_json::from_slice(body).map_err(|error| locate(body, &error))
 }
 
-/// The error with its path: the document is read once more, with paths.
+/// Returns the error with its path, by parsing the document again with path tracking.
 fn locate(body: &[u8], error: &serde_json::Error) -> JobError {
     let mut deserializer = serde_json::Deserializer::from_slice(body);
     let located = serde_path_to_error::deserialize::<_, JobDocument<'_>>(&mut deserializer);
--- a/crates/batch/src/job/mod.rs
+++ b/crates/batch/src/job/mod.rs
@@ -1,8 +1,8 @@
-//! Batch jobs: many requests submitted together and run later.
+//! Batch jobs: requests that are submitted together and run later.
 //!
-//! A [`Job`] keeps all texts in one buffer and all bodies in another, and what repeats (bodies within a group,
-//! headers) only once, so that it takes few allocations and little room on the wire and on disk. Items are read
-//! through the view [`Item`].
+//! A [`Job`] stores all texts in one buffer and all bodies in another. Repeated values (the bodies within a group,
+//! header names and values) are stored once. A job thus needs few allocations and little space on the wire and on disk.
+//! Items are read through the view [`Item`].
 
 mod builder;
 mod document;
@@ -10,48 +10,48 @@
 use derive_more::{Display, Error};
 use musli::{Decode, Encode};
 
-/// Why a batch job is refused.
+/// The reason why a batch job is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum JobError {
-    /// The bytes are not one whole batch job.
+    /// The bytes are not a valid batch job document.
     #[display("{path}: {reason}")]
     Malformed {
-        /// Path in the document.
+        /// Path of the invalid value in the document.
         path: String,
-        /// What is wrong there and what to send instead.
+        /// What is wrong with the value, and what to send instead.
         reason: String,
     },
     /// Two items have the same id.
     #[display("{path}: the id stands at {other} already; give every item of a batch job an id of its own")]
     DuplicateItem {
-        /// Path of the later id.
+        /// Path of the second id.
         path: String,
-        /// Path of the earlier item.
+        /// Path of the first item with the id.
         other: String,
     },
 }
 
 impl JobError {
-    /// Status code of the response.
+    /// Returns the status code of the HTTP response.
     pub fn status(&self) -> u16 {
         400
     }
 }
 
-/// What the request that submits a batch job says about it outside its body.
+/// The properties of a batch job that its submission carries outside the body.
 #[derive(Clone, Copy, Debug)]
 pub struct JobOrigin<'a> {
-    /// `Attempt-Id` of the request: id of the batch job.
+    /// `Attempt-Id` of the request, which becomes the id of the batch job.
     pub id: &'a str,
-    /// `Host` of the request.
+    /// `Host` header of the request.
     pub hostname: &'a str,
-    /// `path-prefix` of the route that the request took.
+    /// `path-prefix` of the route that matched the request.
     pub route_prefix: &'a str,
-    /// Tenant whose key the request carried; None where the configuration has no tenants.
+    /// Tenant to which the API key of the request belongs; `None` if the configuration has no tenants.
     pub tenant: Option<&'a str>,
 }
 
-/// A part of one of the buffers of a [`Job`], by position.
+/// A range of one of the buffers of a [`Job`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Encode, Decode)]
 #[musli(packed)]
 struct Span {
@@ -66,7 +66,7 @@
     }
 }
 
-/// A header, by its texts.
+/// A header, as ranges of the text buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 struct HeaderEntry {
@@ -74,7 +74,7 @@
     value: Span,
 }
 
-/// A request that scores a text, by its texts and its body.
+/// A scorer request, as ranges of the text and body buffers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 struct ScorerEntry {
@@ -84,40 +84,40 @@
     body: Span,
 }
 
-/// An item, by its texts, its body, and its headers and scorer in their lists.
+/// An item, as ranges of the buffers and lists of its [`Job`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Encode, Decode)]
 #[musli(packed)]
 struct ItemEntry {
     id: Span,
     path: Span,
-    /// Part of the list of headers.
+    /// Range of the list of headers.
     headers: Span,
     body: Span,
     token_usage: u32,
     group: u32,
-    /// Index in the list of scorers, or [`NO_SCORER`]; an `Option` cannot be told apart in a packed encoding.
+    /// Index in the list of scorers, or [`NO_SCORER`]. A packed encoding cannot represent an `Option`.
     scorer: u32,
 }
 
-/// Index that stands for no scorer.
+/// Scorer index of items without a scorer.
 const NO_SCORER: u32 = u32::MAX;
 
-/// A batch job as it was submitted, bodies decoded.
+/// A batch job as submitted, with decoded bodies.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct Job {
     /// Id of the batch job.
     pub id: String,
-    /// Host of its route.
+    /// Hostname of the job's route.
     pub hostname: String,
-    /// Path prefix of its route.
+    /// Path prefix of the job's route.
     pub route_prefix: String,
-    /// Step of the trainer, from 0; none for batch jobs that are not a trainer's.
+    /// Step of the trainer, counted from 0; `None` if the job does not come from a trainer.
     pub step: Option<u64>,
-    /// Model that makes the tokens.
+    /// Name of the model that generates the tokens.
     pub model: Option<String>,
-    /// Oldest version of the weights that may make the tokens; 0 allows all.
+    /// Minimum version of the weights that may generate the tokens; 0 allows all versions.
     pub min_weights_version: u64,
-    /// Whole groups that the trainer waits for; 0 if it waits for none in particular.
+    /// Number of complete groups that the trainer waits for; 0 if it waits for no particular number.
     pub desired_count: u32,
     group_count: u32,
     text: String,
@@ -126,73 +126,73 @@
     headers: Vec<HeaderEntry>,
     scorers: Vec<ScorerEntry>,
     items: Vec<ItemEntry>,
-    /// Tenant that submitted it; None where the configuration had no tenants then.
+    /// Tenant that submitted the job; `None` if the configuration had no tenants at that time.
     #[musli(default)]
     pub tenant: Option<String>,
 }
 
-/// One request of a batch job.
+/// A view of one request of a batch job.
 #[derive(Clone, Copy, Debug)]
 pub struct Item<'a> {
     job: &'a Job,
     entry: &'a ItemEntry,
 }
 
-/// The request that scores an item's text.
+/// The request that scores the text of an item.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Scorer<'a> {
     /// Id of the request, sent as `Attempt-Id`.
     pub id: &'a str,
-    /// Host of its route.
+    /// Hostname of the request's route.
     pub hostname: &'a str,
-    /// Path that it is sent to.
+    /// Path of the request.
     pub path: &'a str,
     /// Decoded body.
     pub body: &'a [u8],
 }
 
 impl Job {
-    /// Reads the body of the request that submits a batch job.
+    /// Parses the body of a request that submits a batch job.
     ///
     /// # Errors
     ///
-    /// The bytes are no batch job, or one item of it is malformed.
+    /// Returns an error if the bytes are not a valid batch job document, or if an item is invalid.
     pub fn parse(body: &[u8], origin: &JobOrigin<'_>) -> Result<Job, JobError> {
         let document = document::read(body)?;
         builder::build(&document, origin, body.len())
     }
 
-    /// Number of items.
+    /// Returns the number of items.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Whether there is no item; never so for a job that was parsed.
+    /// Returns whether the job has no items, which is never the case for a parsed job.
     pub fn is_empty(&self) -> bool {
         self.items.is_empty()
     }
 
-    /// The item at an index of the list, counted from 0.
+    /// Returns the item at `index`, counted from 0.
     pub fn item(&self, index: usize) -> Option<Item<'_>> {
         self.items.get(index).map(|entry| Item { job: self, entry })
     }
 
-    /// All items in the order of the list.
+    /// Iterates over all items in order.
     pub fn items(&self) -> impl ExactSizeIterator<Item = Item<'_>> {
         self.items.iter().map(|entry| Item { job: self, entry })
     }
 
-    /// Index of the item with an id.
+    /// Returns the index of the item with this id.
     pub fn position(&self, id: &str) -> Option<usize> {
         self.items().position(|item| item.id() == id)
     }
 
-    /// Number of groups. Items without a group are a group each.
+    /// Returns the number of groups. Each item without a group counts as a group.
     pub fn group_count(&self) -> usize {
         self.group_count as usize
     }
 
-    /// Indices of the items of each group, groups in the order in which they first appear.
+    /// Returns the item indices of each group. Groups are in the order in which they first appear.
     pub fn groups(&self) -> Vec<Vec<u32>> {
         let mut groups = vec![Vec::new(); self.group_count()];
         for (index, entry) in self.items.iter().enumerate() {
@@ -203,7 +203,7 @@
         groups
     }
 
-    /// Bytes that the job takes in memory, roughly.
+    /// Returns the approximate memory use of the job in bytes.
     pub fn memory_bytes(&self) -> usize {
         self.text.capacity()
             + self.bodies.capacity()
@@ -223,44 +223,44 @@
 }
 
 impl<'a> Item<'a> {
-    /// Id of the item, sent as `Attempt-Id`.
+    /// Returns the id of the item, which is sent as `Attempt-Id`.
     pub fn id(&self) -> &'a str {
         self.job.text(self.entry.id)
     }
 
-    /// Path that the request is sent to.
+    /// Returns the path of the request.
     pub fn path(&self) -> &'a str {
         self.job.text(self.entry.path)
     }
 
-    /// Headers of the request, name and value.
+    /// Iterates over the headers of the request as pairs of name and value.
     pub fn headers(&self) -> impl Iterator<Item = (&'a str, &'a str)> + use<'a> {
         let job = self.job;
         let entries = job.headers.get(self.entry.headers.range()).unwrap_or_default();
         entries.iter().map(|header| (job.text(header.name), job.text(header.value)))
     }
 
-    /// Value of a header; the case of the name does not matter.
+    /// Returns the value of a header. The name is compared without regard to case.
     pub fn header(&self, name: &str) -> Option<&'a str> {
         self.headers().find(|(present, _)| present.eq_ignore_ascii_case(name)).map(|(_, value)| value)
     }
 
-    /// Decoded body of the request.
+    /// Returns the decoded body of the request.
     pub fn body(&self) -> &'a [u8] {
         self.job.body(self.entry.body)
     }
 
-    /// Tokens of the prompt and the most out together.
+    /// Returns the sum of the prompt tokens and the maximum number of output tokens.
     pub fn token_usage(&self) -> u32 {
         self.entry.token_usage
     }
 
-    /// Number of the item's group, counted from 0 in the order in which groups first appear.
+    /// Returns the number of the item's group, counted from 0 in the order in which groups first appear.
     pub fn group(&self) -> u32 {
         self.entry.group
     }
 
-    /// The request that scores the text, if there is one.
+    /// Returns the request that scores the text; `None` if the text is not scored.
     pub fn scorer(&self) -> Option<Scorer<'a>> {
         let entry = self.job.scorers.get(self.entry.scorer as usize)?;
         Some(Scorer {
--- a/crates/batch/src/json.rs
+++ b/crates/batch/src/json.rs
@@ -1,8 +1,8 @@
-//! Writing of JSON texts and numbers (RFC 8259).
+//! Writes JSON strings and numbers (RFC 8259).
 
 use std::io::Write;
 
-/// Writes a JSON text. Bytes that are not UTF-8 become replacement characters.
+/// Writes a JSON string. Invalid UTF-8 sequences are replaced by U+FFFD.
 pub fn write_text(out: &mut Vec<u8>, text: &[u8]) {
     out.push(b'"');
     match std::str::from_utf8(text) {
@@ -38,11 +38,11 @@
     }
 }
 
-/// Number of bytes before the first one that has to be escaped. Eight bytes are looked at at once (Mycroft's test for a
-/// zero byte in a word).
+/// Returns the number of bytes before the first one that must be escaped. Checks eight bytes at a time (Mycroft's test
+/// for a zero byte in a word).
 fn plain_length(text: &[u8]) -> usize {
     let (words, _) = text.as_chunks::<8>();
-    let plain_words = words.iter().take_while(|word| !holds_special(u64::from_le_bytes(**word))).count();
+    let plain_words = words.iter().take_while(|word| !contains_special(u64::from_le_bytes(**word))).count();
     let start = plain_words * 8;
     let rest = &text[start..];
     start + rest.iter().position(|byte| is_special(*byte)).unwrap_or(rest.len())
@@ -52,8 +52,8 @@
     byte < 0x20 || byte == b'"' || byte == b'\\'
 }
 
-/// Whether one of eight bytes has to be escaped.
-fn holds_special(word: u64) -> bool {
+/// Returns whether one of the eight bytes in `word` must be escaped.
+fn contains_special(word: u64) -> bool {
     const ONES: u64 = u64::from_ne_bytes([0x01; 8]);
     const HIGH_BITS: u64 = u64::from_ne_bytes([0x80; 8]);
     let below = |word: u64, bound: u8| word.wrapping_sub(ONES * u64::from(bound)) & !word & HIGH_BITS;
@@ -61,7 +61,7 @@
     below(word, 0x20) | equal(b'"') | equal(b'\\') != 0
 }
 
-/// Writes a number.
+/// Writes a JSON number.
 pub(crate) fn write_number(out: &mut Vec<u8>, number: u64) {
     // Writing into a Vec cannot fail.
     let _ = write!(out, "{number}");
--- a/crates/batch/src/lib.rs
+++ b/crates/batch/src/lib.rs
@@ -1,7 +1,7 @@
-//! Batch jobs, their items and results: reading, checking, writing.
+//! Batch jobs, their items and their results: parsing, validation and encoding.
 //!
-//! Nothing here does I/O, reads a clock or draws random numbers: documents come in as bytes, and pages of results go
-//! out into buffers of the caller.
+//! Nothing here performs I/O, reads a clock or draws random numbers. Documents are parsed from bytes, and pages of
+//! results are written to buffers of the caller.
 
 pub mod job;
 mod json;
--- a/crates/batch/src/results.rs
+++ b/crates/batch/src/results.rs
@@ -1,4 +1,4 @@
-//! Results of the items of batch jobs, and the page that lists them.
+//! Results of the items of batch jobs, and the JSON page that lists them.
 
 use compact_str::CompactString;
 use musli::{Decode, Encode};
@@ -7,25 +7,25 @@
 use crate::json::write_number;
 pub use crate::json::write_text;
 
-/// The result of one item. It never changes once it is listed.
+/// The result of an item. It never changes once it is listed.
 #[derive(Clone, Debug, PartialEq, Eq, Encode, Decode)]
 pub struct ItemResult {
     /// Id of the item.
     #[musli(with = crate::text)]
     pub id: CompactString,
-    /// How the item ended.
+    /// Whether the item was completed or has expired.
     pub state: ItemState,
-    /// Data of all events in order, separated by line feeds; empty if the item expired.
+    /// The data of all events in order, separated by line feeds; empty if the item expired.
     #[musli(bytes)]
     pub message: Vec<u8>,
-    /// Versions of the weights that made an event of the text, in rising order.
+    /// Versions of the weights that generated events of the message, in ascending order.
     pub weight_versions: Vec<u64>,
-    /// Signature of the scorer's response (`Server-Signature`), if the text was scored.
+    /// Signature of the scorer's response (`Server-Signature`); `None` if the message was not scored.
     pub score: Option<String>,
 }
 
 impl ItemResult {
-    /// Result of an item that was given up at its deadline.
+    /// Returns the result of an item that expired at its deadline.
     pub fn expired(id: &str) -> ItemResult {
         ItemResult {
             id: CompactString::from(id),
@@ -37,13 +37,13 @@
     }
 }
 
-/// Longest page in bytes, unless a single result is larger.
+/// Maximum size of a page in bytes. A page with a single result may exceed it.
 pub const MAX_PAGE_BYTES: usize = 1_000_000;
-/// Bytes kept for the end of the page.
+/// Bytes reserved for the end of the page.
 const CLOSING_BYTES: usize = 64;
 
-/// Writes a page of results as JSON: those of `results` that fit, the first of them at position `after` of a job of
-/// `total` items. Returns how many were written.
+/// Writes a page of results as JSON. `results` begins at position `after` of a job with `total` items. Returns the
+/// number of results that fit and were written.
 pub fn write_results_page<'a>(
     out: &mut Vec<u8>,
     total: u64,
@@ -53,7 +53,7 @@
     write_results_page_within(out, MAX_PAGE_BYTES, total, after, results)
 }
 
-/// As [`write_results_page`], with another longest size in bytes.
+/// Writes a page like [`write_results_page`] with a maximum size of `max_bytes`.
 pub fn write_results_page_within<'a>(
     out: &mut Vec<u8>,
     max_bytes: usize,
--- a/crates/batch/src/text.rs
+++ b/crates/batch/src/text.rs
@@ -3,11 +3,11 @@
 use compact_str::CompactString;
 use musli::{Decoder, Encoder};
 
-/// Writes the text as a string.
+/// Encodes the text as a string.
 ///
 /// # Errors
 ///
-/// The encoder fails.
+/// Returns an error if the encoder fails.
 pub fn encode<E>(text: &CompactString, encoder: E) -> Result<(), E::Error>
 where
     E: Encoder,
@@ -15,11 +15,11 @@
     encoder.encode_string(text.as_str())
 }
 
-/// Reads a string; short texts are kept without an allocation.
+/// Decodes a string. Short texts need no allocation.
 ///
 /// # Errors
 ///
-/// There is no string.
+/// Returns an error if the input is not a string.
 pub fn decode<'de, D>(decoder: D) -> Result<CompactString, D::Error>
 where
     D: Decoder<'de>,
--- a/crates/batch/tests/golden_batch.rs
+++ b/crates/batch/tests/golden_batch.rs
@@ -1,4 +1,4 @@
-//! Batch jobs and their results: encoded samples, and what random documents and pages are, by seeds.
+//! Encoded samples of batch jobs and results, and the parsing of random documents and pages, by seed.
 
 use std::path::Path;
 
@@ -91,22 +91,25 @@
     let path = Path::new(FOLDER).join("batch.txt");
     check_samples(&path, &samples);
     let recorded = read_samples(&path);
-    assert!(decode::<Job>(&recorded[0].1) == Some(trainers_job()), "the trainer's job comes back");
-    assert!(decode::<Job>(&recorded[1].1) == Some(plain_job()), "the plain job comes back");
-    assert!(decode::<ItemResult>(&recorded[2].1).as_ref() == Some(&both[0]), "the result comes back");
-    assert!(decode::<ItemResult>(&recorded[3].1).as_ref() == Some(&both[1]), "the expired result comes back");
+    assert!(decode::<Job>(&recorded[0].1) == Some(trainers_job()), "the encoded trainer job differs");
+    assert!(decode::<Job>(&recorded[1].1) == Some(plain_job()), "the encoded plain job differs");
+    assert!(decode::<ItemResult>(&recorded[2].1).as_ref() == Some(&both[0]), "the encoded result differs");
+    assert!(
+        decode::<ItemResult>(&recorded[3].1).as_ref() == Some(&both[1]),
+        "the encoded expired result differs"
+    );
 }
 
 fn pick<T: Clone>(random: &mut Pcg64Mcg, choices: &[T]) -> T {
     choices.choose(random).expect("a choice").clone()
 }
 
-fn rarely(random: &mut Pcg64Mcg) -> bool {
+fn one_in_a_hundred(random: &mut Pcg64Mcg) -> bool {
     random.random_bool(0.01)
 }
 
 fn random_body(random: &mut Pcg64Mcg) -> Value {
-    if rarely(random) {
+    if one_in_a_hundred(random) {
         return pick(random, &[json!("?"), json!(5), json!("YWJ")]);
     }
     let length = random.random_range(0..20);
@@ -115,7 +118,7 @@
 }
 
 fn random_item(random: &mut Pcg64Mcg, number: u32) -> Value {
-    let number = if rarely(random) { 0 } else { number };
+    let number = if one_in_a_hundred(random) { 0 } else { number };
     let mut item = json!({
         "instance-id": format!("item-{number}"), "path": format!("/batch/{}", random.random_range(0..3)),
         "body": random_body(random), "token-usage": random.random_range(0..5_000),
@@ -124,10 +127,10 @@
         item["group"] = json!(format!("group-{}", random.random_range(0..3)));
     }
     if random.random_bool(0.6) {
-        let model = if rarely(random) { "a\nb" } else { pick(random, &["large", "small"]) };
+        let model = if one_in_a_hundred(random) { "a\nb" } else { pick(random, &["large", "small"]) };
         item["headers"] = json!({"Model": model, "X-N": random.random_range(0..3).to_string()});
     }
-    if rarely(random) {
+    if one_in_a_hundred(random) {
         item["headers"] = pick(random, &[json!({"Host": "x"}), json!([]), json!({"": "x"}), json!({"A": 1})]);
     }
     if random.random_bool(0.5) {
@@ -136,7 +139,7 @@
             "path": "/score", "body": random_body(random),
         });
     }
-    if rarely(random) {
+    if one_in_a_hundred(random) {
         let name = pick(random, &["instance-id", "path", "body", "token-usage", "group", "scorer-url"]);
         item[name] = pick(random, &[json!(null), json!(""), json!(-1), json!({}), json!("two words")]);
     }
@@ -144,15 +147,15 @@
 }
 
 fn random_document(random: &mut Pcg64Mcg) -> Vec<u8> {
-    let count = if rarely(random) { 0 } else { random.random_range(1..9) };
+    let count = if one_in_a_hundred(random) { 0 } else { random.random_range(1..9) };
     let items: Vec<Value> = (0..count).map(|number| random_item(random, number)).collect();
     let mut document = json!({"unknown": [1], "requests": items});
     let step = pick(random, &[json!(7), json!(0), json!(null)]);
-    let oldest = pick(random, &[json!(6), json!(-3), json!(null)]);
+    let min_version = pick(random, &[json!(6), json!(-3), json!(null)]);
     for (name, value) in [
         ("step", step),
         ("model", json!("large")),
-        ("min-weights-version", oldest),
+        ("min-weights-version", min_version),
         ("desired-count", json!(2)),
     ] {
         if random.random_bool(0.6) {
@@ -170,7 +173,7 @@
     trace.add(&encode(job));
     trace.add_number(job.len() as u64);
     for group in job.groups() {
-        group.iter().for_each(|place| trace.add_number(u64::from(*place)));
+        group.iter().for_each(|index| trace.add_number(u64::from(*index)));
         trace.add_number(u64::MAX);
     }
     for item in job.items() {
@@ -192,7 +195,7 @@
     }
 }
 
-fn jobs(seed: u64) -> u64 {
+fn jobs_hash(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut trace = Trace::new();
     for _ in 0..DOCUMENTS {
@@ -231,7 +234,7 @@
     }
 }
 
-fn pages(seed: u64) -> u64 {
+fn pages_hash(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut trace = Trace::new();
     for _ in 0..PAGES {
@@ -257,8 +260,8 @@
 fn random_jobs_and_pages_are_as_recorded() {
     let mut hashes = Vec::new();
     for seed in 1..=SEEDS {
-        hashes.push((format!("jobs-seed-{seed}"), jobs(seed)));
-        hashes.push((format!("pages-seed-{seed}"), pages(seed)));
+        hashes.push((format!("jobs-seed-{seed}"), jobs_hash(seed)));
+        hashes.push((format!("pages-seed-{seed}"), pages_hash(seed)));
     }
     check_hashes(&Path::new(FOLDER).join("batch_documents.txt"), &hashes);
 }
--- a/crates/batch/tests/job.rs
+++ b/crates/batch/tests/job.rs
@@ -1,4 +1,4 @@
-//! Reading of batch jobs.
+//! Parsing of batch jobs.
 
 use base64::Engine;
 use base64::engine::general_purpose::{STANDARD, STANDARD_NO_PAD};
@@ -35,7 +35,7 @@
     Job::parse(document.to_string().as_bytes(), &ORIGIN)
 }
 
-/// The document with the value at `pointer` set, or removed if there is no value.
+/// Returns the document with the value at `pointer` set, or removed if `value` is `None`.
 fn with(pointer: &str, value: Option<Value>) -> Value {
     let mut document = valid();
     let (parent, field) = pointer.rsplit_once('/').unwrap();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn groups_stand_in_the_order_of_their_first_items() {
+fn groups_are_in_the_order_of_their_first_items() {
     let job = parse(&valid()).unwrap();
     assert_eq!(job.group_count(), 2);
     assert_eq!(job.groups(), [vec![0, 2], vec![1]]);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn bodies_of_a_group_are_kept_once() {
+fn equal_bodies_of_a_group_are_stored_once() {
     let prompt = vec![7; 50_000];
     let requests: Vec<Value> = (0..8).map(|n| item(&format!("i-{n}"), "g", &prompt)).collect();
     let shared = parse(&json!({"requests": requests})).unwrap();
@@ -117,7 +117,7 @@
 #[case(-4, 0)]
 #[case(0, 0)]
 #[case(9, 9)]
-fn the_oldest_version_may_lie_before_the_first(#[case] sent: i64, #[case] expected: u64) {
+fn negative_minimum_versions_count_as_zero(#[case] sent: i64, #[case] expected: u64) {
     let job = parse(&with("/min-weights-version", Some(json!(sent)))).unwrap();
     assert_eq!(job.min_weights_version, expected);
 }
@@ -145,13 +145,13 @@
     "/requests/1/scorer-url",
 ];
 
-/// `/requests/1/path` as `requests[1].path`.
+/// Converts a JSON pointer such as `/requests/1/path` to a path such as `requests[1].path`.
 fn as_path(pointer: &str) -> String {
     pointer[1..].replace("/1/", "[1].").replace('/', ".")
 }
 
-/// The object that holds a value.
-fn parent_path(pointer: &str) -> String {
+/// Returns the path of the object that contains the value at `pointer`.
+fn path_of_parent(pointer: &str) -> String {
     match as_path(pointer).rsplit_once('.') {
         Some((parent, _)) => parent.to_owned(),
         None => "document".to_owned(),
@@ -159,10 +159,10 @@
 }
 
 #[test]
-fn required_fields_are_missed_by_path() {
+fn missing_required_fields_are_reported_by_path() {
     for pointer in REQUIRED {
         let error = parse(&with(pointer, None)).expect_err(pointer).to_string();
-        assert!(error.starts_with(&parent_path(pointer)), "{pointer}: {error}");
+        assert!(error.starts_with(&path_of_parent(pointer)), "{pointer}: {error}");
         let field = pointer.rsplit('/').next().unwrap();
         assert!(error.contains(&format!("missing field `{field}`")), "{pointer}: {error}");
         assert!(parse(&with(pointer, Some(Value::Null))).is_err(), "{pointer}");
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn optional_fields_may_be_left_out() {
+fn optional_fields_may_be_missing() {
     for pointer in OPTIONAL {
         assert!(parse(&with(pointer, None)).is_ok(), "{pointer}");
     }
@@ -181,7 +181,7 @@
 #[case::flag(json!(true))]
 #[case::fraction(json!(-1.5))]
 #[case::object(json!({"wrong": [1]}))]
-fn values_of_a_wrong_kind_are_rejected_by_path(#[case] wrong: Value) {
+fn values_of_a_wrong_type_are_rejected_by_path(#[case] wrong: Value) {
     for pointer in REQUIRED.iter().chain(&OPTIONAL) {
         let error = parse(&with(pointer, Some(wrong.clone()))).expect_err(pointer);
         assert!(error.to_string().starts_with(&as_path(pointer)), "{pointer}: {error}");
@@ -227,7 +227,7 @@
 #[case("a b")]
 #[case("a:b")]
 #[case("a\r\nb")]
-fn headers_that_would_change_the_message_are_rejected(#[case] name: &str) {
+fn reserved_and_malformed_headers_are_rejected(#[case] name: &str) {
     let error = parse(&with("/requests/1/headers", Some(json!({name: "1"})))).unwrap_err().to_string();
     assert!(error.starts_with("requests[1].headers."), "{error}");
 }
@@ -249,7 +249,7 @@
 }
 
 #[test]
-fn unknown_fields_are_skipped() {
+fn unknown_fields_are_ignored() {
     let mut document = with("/requests/1/of-tomorrow", Some(json!({"a": [1, null]})));
     document["of-tomorrow"] = json!("x");
     assert_eq!(parse(&document).unwrap(), parse(&valid()).unwrap());
@@ -263,13 +263,13 @@
 
 #[test]
 fn every_truncated_text_is_rejected() {
-    let whole = valid().to_string().into_bytes();
-    for length in 0..whole.len() {
-        assert!(Job::parse(&whole[..length], &ORIGIN).is_err(), "{length}");
+    let document = valid().to_string().into_bytes();
+    for length in 0..document.len() {
+        assert!(Job::parse(&document[..length], &ORIGIN).is_err(), "{length}");
     }
-    let mut more = whole;
-    more.extend_from_slice(b"{}");
-    let error = Job::parse(&more, &ORIGIN).unwrap_err().to_string();
+    let mut extended = document;
+    extended.extend_from_slice(b"{}");
+    let error = Job::parse(&extended, &ORIGIN).unwrap_err().to_string();
     assert!(error.starts_with("document: trailing characters"), "{error}");
 }
 
@@ -281,14 +281,14 @@
 }
 
 #[test]
-fn padding_of_bodies_may_be_left_out() {
+fn padding_of_bodies_is_optional() {
     let body = STANDARD_NO_PAD.encode(b"abcd");
     let job = parse(&with("/requests/1/body", Some(json!(body)))).unwrap();
     assert_eq!(job.item(1).unwrap().body(), b"abcd");
 }
 
 #[test]
-fn a_stored_job_comes_back_and_a_truncated_one_does_not() {
+fn a_stored_job_decodes_and_a_truncated_one_does_not() {
     let job = parse(&valid()).unwrap();
     let bytes = storage::to_vec(&job).unwrap();
     assert_eq!(storage::from_slice::<Job>(&bytes).unwrap(), job);
@@ -297,14 +297,14 @@
     }
 }
 
-/// A stored job with a flipped bit is refused or read without harm.
+/// Decoding a stored job with a flipped bit fails or returns a job that can be read without a panic.
 #[test]
-fn a_stored_job_with_a_flipped_bit_does_no_harm() {
+fn a_stored_job_with_a_flipped_bit_is_handled() {
     let bytes = storage::to_vec(&parse(&valid()).unwrap()).unwrap();
-    for place in 0..bytes.len() {
+    for position in 0..bytes.len() {
         for bit in 0..8 {
             let mut changed = bytes.clone();
-            changed[place] ^= 1 << bit;
+            changed[position] ^= 1 << bit;
             if let Ok(job) = storage::from_slice::<Job>(&changed) {
                 for item in job.items() {
                     let _ = (item.id(), item.path(), item.body(), item.headers().count(), item.scorer());
@@ -317,9 +317,9 @@
     }
 }
 
-/// Random jobs, read and stored, hold what was sent.
+/// Random jobs keep all values when they are parsed and stored.
 #[test]
-fn random_jobs_hold_what_was_sent() {
+fn random_jobs_keep_all_values() {
     for seed in 0..40 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let bodies: Vec<Vec<u8>> =
@@ -355,7 +355,7 @@
 #[case::a_scorer("/requests/1/scorer-url", json!("x"), "an object: the request that scores the text")]
 #[case::headers("/requests/1/headers", json!(true), "an object of header names and values")]
 #[case::a_text("/requests/1/path", json!(3), "a text")]
-fn errors_say_what_was_expected_in_the_words_of_the_page(
+fn errors_describe_the_expected_value_in_documented_terms(
     #[case] pointer: &str,
     #[case] value: Value,
     #[case] expected: &str,
--- a/crates/batch/tests/results.rs
+++ b/crates/batch/tests/results.rs
@@ -1,4 +1,4 @@
-//! Answers that list results.
+//! Pages of results.
 
 use musli::storage;
 use orchidvalve_batch::results::{MAX_PAGE_BYTES, write_results_page, write_results_page_within, write_text};
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn an_empty_page_stays_at_its_position() {
+fn an_empty_page_repeats_its_position() {
     let mut page = Vec::new();
     assert_eq!(write_results_page(&mut page, 40, 12, &[]), 0);
     assert_eq!(parse(&page), json!({"total": 40, "next-token": 12, "results": []}));
 }
 
 #[test]
-fn pages_are_bounded_but_hold_one_result_at_least() {
+fn pages_are_bounded_but_hold_at_least_one_result() {
     let results: Vec<ItemResult> =
         (0..6).map(|n| completed(&format!("i-{n}"), &"x".repeat(300_000))).collect();
     let mut page = Vec::new();
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn every_bound_gives_a_whole_page() {
+fn every_size_limit_gives_a_valid_page() {
     let results: Vec<ItemResult> = (0..5).map(|n| completed(&format!("i-{n}"), "some\ttext")).collect();
     let mut before = 1;
     for bound in 0..1_000 {
@@ -83,27 +83,27 @@
 #[case("\u{0}\u{1}\u{8}\u{b}\u{c}\u{1f}\u{7f}\r\n\t")]
 #[case("Zürich 日本 🚂 \u{2028}\u{2029}\u{feff}")]
 #[case("/slash</script>")]
-fn texts_come_back_as_written(#[case] text: &str) {
+fn texts_parse_as_written(#[case] text: &str) {
     let mut out = Vec::new();
     write_text(&mut out, text.as_bytes());
     assert_eq!(parse(&out), json!(text));
 }
 
-/// Every byte that may have to be escaped, at every place of a longer text.
+/// Every byte that may have to be escaped, at every position of a longer text.
 #[test]
-fn special_characters_are_escaped_at_every_place() {
+fn special_characters_are_escaped_at_every_position() {
     for special in (0..0x80_u8).map(char::from).chain(['é', '🚂']) {
-        for place in 0..20 {
-            let text: String = (0..20).map(|at| if at == place { special } else { '~' }).collect();
+        for position in 0..20 {
+            let text: String = (0..20).map(|index| if index == position { special } else { '~' }).collect();
             let mut out = Vec::new();
             write_text(&mut out, text.as_bytes());
-            assert_eq!(parse(&out), json!(text), "{special:?} at {place}");
+            assert_eq!(parse(&out), json!(text), "{special:?} at {position}");
         }
     }
 }
 
 #[test]
-fn random_texts_come_back_as_written() {
+fn random_texts_parse_as_written() {
     let mut random = Pcg64Mcg::seed_from_u64(3);
     for _ in 0..2_000 {
         let length = random.random_range(0..40);
@@ -120,14 +120,14 @@
 }
 
 #[test]
-fn bytes_that_are_no_text_still_give_valid_json() {
+fn invalid_utf8_gives_valid_json() {
     let mut out = Vec::new();
     write_text(&mut out, b"a\xff\"b");
     assert_eq!(parse(&out), json!("a\u{fffd}\"b"));
 }
 
 #[test]
-fn results_survive_storage() {
+fn results_decode_as_encoded() {
     let mut binary = completed("an-id-longer-than-twenty-four-bytes-in-all", "text");
     binary.message = vec![0xff, 0, 1];
     for result in [binary, completed("", ""), ItemResult::expired("e")] {
