--- a/crates/configuration/src/lib.rs
+++ b/crates/configuration/src/lib.rs
@@ -1,7 +1,7 @@
-//! The operator's configuration: reading, checking, changing and writing it.
+//! The operator's configuration: parsing, validation, changes and serialization.
 //!
-//! A [`Configuration`] always holds a checked document, together with the [`RouteTable`] compiled from it. Fields
-//! that are not known here are kept as they were sent.
+//! A [`Configuration`] always holds a valid document and the [`RouteTable`] compiled from it. Unknown fields are kept
+//! as they were sent.
 
 mod patch;
 pub mod reader;
@@ -22,116 +22,116 @@
 
 pub(crate) const VERSION_FIELD: &str = "config-version";
 
-/// Longest configuration, in bytes of JSON. A checkpoint with it has to fit, with room to spare, into what may wait on
-/// a link between control nodes (16 MiB) and, twice, on a disk of 64 MB.
+/// Maximum size of a configuration in bytes of JSON. A checkpoint that contains it must fit with a margin into the
+/// buffer of a link between control nodes (16 MiB) and, twice, on a disk of 64 MB.
 pub const MAX_DOCUMENT_BYTES: usize = 8 << 20;
 
-/// Why a configuration or a change of it is refused.
+/// The reason why a configuration or a change to it is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error, From)]
 pub enum ConfigurationError {
-    /// The bytes are not one whole JSON document.
+    /// The body is not a single JSON document.
     #[display("the body is not a whole JSON document ({reason}); send it again in full")]
     #[from(skip)]
     NotJson {
-        /// What the JSON parser says.
+        /// Error message of the JSON parser.
         reason: String,
     },
-    /// A value is missing or of the wrong kind.
+    /// A value is missing or has the wrong type.
     #[display("{_0}")]
     Unreadable(ReadError),
-    /// A route names a service that the configuration does not have.
+    /// A route refers to a service that the configuration does not contain.
     #[display("{path}: there is no service \"{service}\"; add it under services or name one of those")]
     #[from(skip)]
     UnknownService {
-        /// Path of the name in the document.
+        /// Path of the reference in the document.
         path: String,
-        /// The name.
+        /// The unknown service name.
         service: String,
     },
-    /// Two routes have the same host and path prefix.
+    /// Two routes have the same hostname and path prefix.
     #[display("{path}: host and path-prefix are those of {other} already; change or remove one of them")]
     #[from(skip)]
     DuplicateRoute {
-        /// Path of the later route.
+        /// Path of the second route.
         path: String,
-        /// Path of the earlier one.
+        /// Path of the first route.
         other: String,
     },
     /// Two items of a list have the same name.
     #[display("{path}: the name \"{name}\" stands twice in the list; rename or remove one of them")]
     #[from(skip)]
     DuplicateName {
-        /// Path of the later name.
+        /// Path of the second name.
         path: String,
-        /// The name.
+        /// The duplicate name.
         name: String,
     },
-    /// No service of a route has a weight.
+    /// All services of a route have weight 0.
     #[display("{path}: the weights sum to 0; give at least one service a weight above 0")]
     #[from(skip)]
     ZeroWeights {
         /// Path of the traffic split.
         path: String,
     },
-    /// A time-out of zero.
+    /// A timeout is zero.
     #[display("{path}: must be above 0; give the milliseconds a request may be held")]
     #[from(skip)]
     ZeroTimeout {
-        /// Path of the time-out.
+        /// Path of the timeout.
         path: String,
     },
-    /// Two tenants share an API key, which isn't named here: it is a secret.
+    /// Two tenants have the same API key. The error does not contain the key, since it is a secret.
     #[display("{path}: the same key stands at {other} already; give each tenant keys of its own")]
     #[from(skip)]
     SharedKey {
-        /// Path of the later key.
+        /// Path of the second occurrence of the key.
         path: String,
-        /// Path of the earlier one.
+        /// Path of the first occurrence.
         other: String,
     },
-    /// The fewest servers of a service are more than the most.
+    /// The minimum number of servers of a service exceeds the maximum.
     #[display("{path}: min-count {min} is above max-count {max}; exchange or change them")]
     #[from(skip)]
     ScalingBounds {
-        /// Path of the service's scaling.
+        /// Path of the `scaling` object of the service.
         path: String,
-        /// Fewest servers in a zone.
+        /// Minimum number of servers in a zone.
         min: u32,
-        /// Most servers in a zone.
+        /// Maximum number of servers in a zone.
         max: u32,
     },
-    /// The version does not rise.
+    /// The version is not above the current version.
     #[display("config-version: {sent} is not above the current version {current}; send a higher one")]
     #[from(skip)]
     VersionNotAbove {
-        /// Version that was sent.
+        /// The version that was sent.
         sent: u64,
         /// Version of the current configuration; 0 if there is none.
         current: u64,
     },
-    /// The document is too long to be kept and passed on.
+    /// The document exceeds [`MAX_DOCUMENT_BYTES`].
     #[display(
         "the configuration has {bytes} bytes, {MAX_DOCUMENT_BYTES} at most; leave out what isn't needed"
     )]
     #[from(skip)]
     TooLong {
-        /// Length of the document.
+        /// Size of the document in bytes.
         bytes: usize,
     },
-    /// Named items are to be changed, but there is no configuration yet.
+    /// A patch was sent, but there is no configuration to apply it to.
     #[display("there is no configuration to change; send a whole one with PUT first")]
     #[from(skip)]
     NothingToChange,
 }
 
 impl ConfigurationError {
-    /// Status code of the response to the operator.
+    /// Returns the status code of the response to the operator.
     pub fn status(&self) -> u16 {
         400
     }
 }
 
-/// A checked configuration. Cloning copies the document; share it behind an `Arc`.
+/// A valid configuration. Cloning copies the document, so share it in an `Arc`.
 #[derive(Clone)]
 pub struct Configuration {
     version: u64,
@@ -141,24 +141,25 @@
 }
 
 impl Configuration {
-    /// Reads a whole configuration (`PUT`) that is to replace `current`.
+    /// Parses a complete configuration (`PUT`) that replaces `current`.
     ///
     /// # Errors
     ///
-    /// It is invalid, or its version isn't above the current one.
+    /// Returns an error if the configuration is invalid or its version is not above the current one.
     pub fn replace(
         body: &[u8],
         current: Option<&Configuration>,
     ) -> Result<Configuration, ConfigurationError> {
         check_length(body.len())?;
-        Configuration::above(parse(body)?, fingerprint(body), current)
+        Configuration::replace_document(parse(body)?, fingerprint(body), current)
     }
 
-    /// Reads a change of named items (`PATCH`) and applies it to `current`.
+    /// Parses a patch of named items (`PATCH`) and applies it to `current`.
     ///
     /// # Errors
     ///
-    /// There is no current configuration, the change or what it leads to is invalid, or its version isn't above.
+    /// Returns an error if there is no current configuration, if the patch or its result is invalid, or if the version
+    /// is not above the current one.
     pub fn patch(body: &[u8], current: Option<&Configuration>) -> Result<Configuration, ConfigurationError> {
         let change = parse(body)?;
         let base = current.ok_or(ConfigurationError::NothingToChange)?;
@@ -170,16 +171,16 @@
         Ok(configuration)
     }
 
-    /// Reads a configuration written with [`Configuration::to_json`]; `fingerprint` is that of the original.
-    ///
+    /// Restores a configuration from the output of [`Configuration::to_json`]. `fingerprint` is the fingerprint of the
+    /// stored configuration.
     /// # Errors
     ///
-    /// The bytes are no valid configuration.
+    /// Returns an error if the bytes are not a valid configuration.
     pub fn restore(json: &[u8], fingerprint: u64) -> Result<Configuration, ConfigurationError> {
         Configuration::build(parse(json)?, fingerprint)
     }
 
-    fn above(
+    fn replace_document(
         document: Value,
         fingerprint: u64,
         current: Option<&Configuration>,
@@ -194,56 +195,56 @@
         Ok(Configuration { version, fingerprint, document, routes })
     }
 
-    /// The operator's number of this configuration, above 0.
+    /// Returns the version that the operator assigned, which is above 0.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Fingerprint of the body that brought this configuration, see [`fingerprint`].
+    /// Returns the [`fingerprint`] of the request body that created this configuration.
     pub fn fingerprint(&self) -> u64 {
         self.fingerprint
     }
 
-    /// Whether this configuration was made by a request with exactly this body: that request is a repeat, to be
-    /// answered as it was the first time.
+    /// Returns whether a request with exactly this body created this configuration. Such a request is a repetition and
+    /// gets the same response as the first one.
     pub fn is_from_body(&self, body: &[u8]) -> bool {
         self.fingerprint == fingerprint(body)
     }
 
-    /// The document as it was sent, with all changes applied.
+    /// Returns the document as sent, with all patches applied.
     pub fn document(&self) -> &Value {
         &self.document
     }
 
-    /// The whole document as JSON, for the operator and for storing.
+    /// Returns the document as JSON, for the operator and for storage.
     pub fn to_json(&self) -> Vec<u8> {
         self.document.to_string().into_bytes()
     }
 
-    /// The routes compiled from the document.
+    /// Returns the routes compiled from the document.
     pub fn routes(&self) -> &Arc<RouteTable> {
         &self.routes
     }
 }
 
-/// The document holds the tenants' keys, and is left out.
+/// Omits the document, which contains the API keys of tenants.
 impl fmt::Debug for Configuration {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let mut shown = formatter.debug_struct("Configuration");
-        shown.field("version", &self.version).field("fingerprint", &self.fingerprint);
-        shown.field("routes", &self.routes).finish_non_exhaustive()
+        let mut output = formatter.debug_struct("Configuration");
+        output.field("version", &self.version).field("fingerprint", &self.fingerprint);
+        output.field("routes", &self.routes).finish_non_exhaustive()
     }
 }
 
-/// Two configurations are equal if their documents are; how they came about does not matter.
+/// Two configurations are equal if their documents are equal, whatever requests created them.
 impl PartialEq for Configuration {
     fn eq(&self, other: &Configuration) -> bool {
         self.document == other.document
     }
 }
 
-/// Fingerprint of a request's body (64-bit FNV-1a, RFC 9923): tells a repeated request from another one with the same
-/// version.
+/// Returns the fingerprint of a request body (64-bit FNV-1a, RFC 9923). It distinguishes a repeated request from
+/// another one with the same version.
 pub fn fingerprint(body: &[u8]) -> u64 {
     const OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/configuration/src/patch.rs
+++ b/crates/configuration/src/patch.rs
@@ -1,4 +1,4 @@
-//! Patches: changes of named items of a configuration.
+//! Patches, which change named items of a configuration.
 
 use serde_json::{Map, Value};
 
@@ -9,12 +9,12 @@
 const REMOVE_FIELD: &str = "remove";
 const NAME_FIELD: &str = "name";
 
-/// Applies a patch to a document: first `remove`, then `upsert`; every other field of the patch replaces the document's
-/// field of that name. Items are replaced where they stand, new ones go to the end.
+/// Applies a patch to a document: first `remove`, then `upsert`. Every other field of the patch replaces the field of
+/// the same name in the document. Existing items are replaced in place, and new items are appended.
 ///
 /// # Errors
 ///
-/// The document or the patch isn't of the expected kind.
+/// Returns an error if the document or the patch does not have the expected types.
 pub fn apply(document: Value, change: &Value) -> Result<Value, ConfigurationError> {
     let Value::Object(mut fields) = document else {
         return Err(ValueReader::root(&document).error("must be a JSON object").into());
@@ -50,7 +50,7 @@
     Ok(())
 }
 
-/// Adds or replaces the items of a list by name. An object such as `limits` is replaced whole.
+/// Adds or replaces items of a list by name. An object such as `limits` is replaced as a whole.
 fn upsert(
     fields: &mut Map<String, Value>,
     list: &str,
--- a/crates/configuration/src/reader.rs
+++ b/crates/configuration/src/reader.rs
@@ -1,32 +1,32 @@
-//! Reader of JSON documents by path: every error names the path in the document and what to send instead.
+//! Typed access to JSON documents. Every error states the path in the document and what to send instead.
 
 use std::fmt;
 
 use derive_more::{Display, Error};
 use serde_json::{Map, Value};
 
-/// A value that is missing or of the wrong kind.
+/// A value is missing or has the wrong type.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("{path}: {reason}")]
 pub struct ReadError {
-    /// Path in the document, such as `routes[3].timeout-ms`.
+    /// Path of the value in the document, such as `routes[3].timeout-ms`.
     pub path: String,
-    /// What is wrong there and what to send instead.
+    /// What is wrong with the value, and what to send instead.
     pub reason: String,
 }
 
-/// How a value is reached from its parent.
+/// The relation of a value to its parent.
 #[derive(Clone, Copy)]
 enum Step<'p> {
-    /// It is the whole document.
+    /// The value is the document itself.
     Root,
-    /// It is a field of an object.
+    /// The value is a field of an object.
     Field(&'p str),
-    /// It is an item of a list, counted from 0.
+    /// The value is an item of a list, counted from 0.
     Item(usize),
 }
 
-/// One value of a document together with its path. Cheap to make: the path is only written out in errors.
+/// A value of a document together with its path. Cheap to create: the path is built only for errors.
 #[derive(Clone, Copy)]
 pub struct ValueReader<'v, 'p> {
     value: &'v Value,
@@ -35,17 +35,17 @@
 }
 
 impl<'v, 'p> ValueReader<'v, 'p> {
-    /// A reader of a whole document.
+    /// Creates a reader of a document.
     pub fn root(value: &'v Value) -> ValueReader<'v, 'p> {
         ValueReader { value, parent: None, step: Step::Root }
     }
 
-    /// The value itself.
+    /// Returns the value.
     pub fn value(&self) -> &'v Value {
         self.value
     }
 
-    /// Path of this value in the document; `document` for the whole of it.
+    /// Returns the path of the value in the document; `document` for the document itself.
     pub fn path(&self) -> String {
         match self.step {
             Step::Root => "document".to_owned(),
@@ -53,12 +53,12 @@
         }
     }
 
-    /// An error at this value.
+    /// Returns an error for this value.
     pub fn error(&self, reason: impl Into<String>) -> ReadError {
         ReadError { path: self.path(), reason: reason.into() }
     }
 
-    /// An error at the field `name` of this object, whether it is there or not.
+    /// Returns an error for the field `name` of this object, which need not exist.
     pub fn field_error(&self, name: &str, reason: impl Into<String>) -> ReadError {
         let path = match self.step {
             Step::Root => name.to_owned(),
@@ -67,20 +67,20 @@
         ReadError { path, reason: reason.into() }
     }
 
-    /// The fields of an object.
+    /// Returns the fields of an object.
     ///
     /// # Errors
     ///
-    /// It is another kind of value.
+    /// Returns an error if the value is not an object.
     pub fn object(&self) -> Result<&'v Map<String, Value>, ReadError> {
         self.value.as_object().ok_or_else(|| self.error("must be a JSON object"))
     }
 
-    /// A field that may be left out; `null` counts as left out.
+    /// Returns an optional field; `None` if it is missing or `null`.
     ///
     /// # Errors
     ///
-    /// This value is no object.
+    /// Returns an error if this value is not an object.
     pub fn optional<'c>(&'c self, name: &'c str) -> Result<Option<ValueReader<'v, 'c>>, ReadError>
     where
         'p: 'c,
@@ -89,11 +89,11 @@
         Ok(field.map(|value| ValueReader { value, parent: Some(self), step: Step::Field(name) }))
     }
 
-    /// A field that must be there.
+    /// Returns a required field.
     ///
     /// # Errors
     ///
-    /// This value is no object, or the field is missing or `null`.
+    /// Returns an error if this value is not an object, or if the field is missing or `null`.
     pub fn field<'c>(&'c self, name: &'c str) -> Result<ValueReader<'v, 'c>, ReadError>
     where
         'p: 'c,
@@ -101,11 +101,11 @@
         self.optional(name)?.ok_or_else(|| self.field_error(name, "is missing; send this field"))
     }
 
-    /// The values of a list, each with its path.
+    /// Iterates over the items of a list.
     ///
     /// # Errors
     ///
-    /// It is another kind of value.
+    /// Returns an error if the value is not a list.
     pub fn items<'c>(&'c self) -> Result<impl Iterator<Item = ValueReader<'v, 'c>>, ReadError>
     where
         'p: 'c,
@@ -118,20 +118,20 @@
         }))
     }
 
-    /// A text.
+    /// Returns a string.
     ///
     /// # Errors
     ///
-    /// It is another kind of value.
+    /// Returns an error if the value is not a string.
     pub fn text(&self) -> Result<&'v str, ReadError> {
         self.value.as_str().ok_or_else(|| self.error("must be a text"))
     }
 
-    /// A text of at least one character.
+    /// Returns a string of at least one character.
     ///
     /// # Errors
     ///
-    /// It is empty or another kind of value.
+    /// Returns an error if the value is empty or not a string.
     pub fn non_empty_text(&self) -> Result<&'v str, ReadError> {
         match self.text()? {
             "" => Err(self.error("must not be empty")),
@@ -139,11 +139,11 @@
         }
     }
 
-    /// A whole number of zero or more; `7.0` counts as whole.
+    /// Returns an integer of at least 0. A float without a fraction such as `7.0` is accepted.
     ///
     /// # Errors
     ///
-    /// It is below zero, has a fraction, or is another kind of value.
+    /// Returns an error if the value is negative, has a fraction, or is not a number.
     pub fn unsigned(&self) -> Result<u64, ReadError> {
         if let Some(number) = self.value.as_u64() {
             return Ok(number);
@@ -156,20 +156,20 @@
         }
     }
 
-    /// A whole number of zero or more that fits 32 bits.
+    /// Returns an integer of at least 0 that fits 32 bits.
     ///
     /// # Errors
     ///
-    /// It is below zero, has a fraction, is too large, or is another kind of value.
+    /// Returns an error if the value is negative, has a fraction, is too large, or is not a number.
     pub fn unsigned_32(&self) -> Result<u32, ReadError> {
         u32::try_from(self.unsigned()?).map_err(|_| self.error("must be below 4294967296"))
     }
 
-    /// A number of zero or more.
+    /// Returns a number of at least 0.
     ///
     /// # Errors
     ///
-    /// It is below zero or another kind of value.
+    /// Returns an error if the value is negative or not a number.
     pub fn number(&self) -> Result<f64, ReadError> {
         match self.value.as_f64() {
             Some(number) if number >= 0.0 && number.is_finite() => Ok(number),
@@ -177,20 +177,20 @@
         }
     }
 
-    /// `true` or `false`.
+    /// Returns a boolean.
     ///
     /// # Errors
     ///
-    /// It is another kind of value.
+    /// Returns an error if the value is not a boolean.
     pub fn flag(&self) -> Result<bool, ReadError> {
         self.value.as_bool().ok_or_else(|| self.error("must be true or false"))
     }
 }
 
-/// Greatest float up to which every whole number is exact (2 to the power of 53).
+/// The largest float up to which every integer is exact (2^53).
 const MAX_WHOLE_FLOAT: f64 = 9_007_199_254_740_992.0;
 
-/// Writes out the path of a value.
+/// Displays the path of a value.
 struct PathDisplay<'r, 'v, 'p>(&'r ValueReader<'v, 'p>);
 
 impl fmt::Display for PathDisplay<'_, '_, '_> {
--- a/crates/configuration/src/route_table.rs
+++ b/crates/configuration/src/route_table.rs
@@ -1,4 +1,4 @@
-//! Routes, services and limits of a configuration, compiled for quick look-ups.
+//! Routes, services and limits of a configuration, compiled for fast lookup.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
@@ -9,58 +9,58 @@
 use super::Configuration;
 use super::tenant_table::TenantTable;
 
-/// What may be done with the requests of a route.
+/// How often the requests of a route may run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RouteType {
     /// Requests may run more than once.
     Idempotent,
-    /// Requests run at most once for each try; also stands for types that are not known.
+    /// Requests run at most once per attempt of the client. Also used for unknown types.
     NonIdempotent,
-    /// Answers are series of events; run at most once unless the route is resumable.
+    /// Responses are event streams. Requests run at most once, unless the route is resumable.
     Streaming,
     /// Batch jobs and their items.
     RolloutControl,
 }
 
-/// A rule that sends the requests of a host and path prefix to services.
+/// A rule that assigns the requests of a host and path prefix to services.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Index of the route in [`RouteTable::routes`].
+    /// Index in [`RouteTable::routes`].
     pub index: usize,
-    /// Name that the operator gave it; unique.
+    /// Unique name given by the operator.
     pub name: CompactString,
-    /// Host that it is for, in lower case, without a port.
+    /// Host of the requests, in lower case and without a port.
     pub hostname: CompactString,
-    /// Beginning of the paths that it is for; begins and ends with a slash.
+    /// Prefix of the paths of requests; begins and ends with a slash.
     pub path_prefix: CompactString,
-    /// What may be done with its requests.
+    /// How often the requests may run.
     pub route_type: RouteType,
-    /// Longest time a request may be held, in milliseconds; above 0.
+    /// Maximum time to respond to a request, in milliseconds; above 0.
     pub timeout_ms: Option<u64>,
-    /// Latency target, within which a response earns its full value, in milliseconds.
+    /// Latency target within which a response has its full value, in milliseconds.
     pub target_latency_ms: Option<u64>,
-    /// Time after the first send of a batch job by which its results are due, in milliseconds.
+    /// Time after the first submission of a batch job by which its results are due, in milliseconds.
     pub target_run_ms: Option<u64>,
-    /// Time after the first send of a batch job from which on an item may be given up, in seconds.
+    /// Time after the first submission of a batch job after which its items may expire, in seconds.
     pub max_queue_s: Option<f64>,
-    /// Rank of the route; 0 is the highest.
+    /// Priority of the requests; 0 is the highest.
     pub priority: u32,
-    /// Services and their shares.
+    /// Services of the route and their weights.
     pub split: TrafficSplit,
-    /// Most servers that a request may be attempted at; at least 1.
+    /// Maximum number of servers at which a request is attempted; at least 1.
     pub max_attempts: u32,
-    /// Streams may be resumed at another server.
+    /// Whether event streams may be resumed at another server.
     pub resumable: bool,
-    /// Texts must be made under one version of the weights.
+    /// Whether a text must be generated with a single version of the weights.
     pub single_version: bool,
-    /// Requests share prefixes of their prompts, so that affinity to a server pays.
+    /// Whether prompts share prefixes, so that affinity to a server is beneficial.
     pub sticky: bool,
-    /// Requests need no API key, also where the configuration has tenants.
+    /// Whether requests need no API key even if the configuration has tenants.
     pub public: bool,
 }
 
 impl Route {
-    /// Whether a request may be sent again after it may have run.
+    /// Returns whether a request may be repeated although it may have run.
     pub fn is_repeatable(&self) -> bool {
         match self.route_type {
             RouteType::Idempotent | RouteType::RolloutControl => true,
@@ -70,122 +70,122 @@
     }
 }
 
-/// The weight of a service in a split, in parts.
+/// The scaled weight of a service in a traffic split.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct ServiceWeight {
-    /// Index of the service.
+    /// Index in [`RouteTable::services`].
     pub(super) service: usize,
     pub(super) weight: u64,
 }
 
-/// A service of a split.
+/// A service of a traffic split.
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Share {
-    /// Index of the service.
+struct SplitEntry {
+    /// Index in [`RouteTable::services`].
     service: usize,
-    /// Sum of the weights up to and with this service.
+    /// Sum of the weights up to and including this service.
     cumulative_weight: u64,
 }
 
-/// Services of a route with their weights; at least one weight is above 0.
+/// The services of a route and their weights, at least one of which is above 0.
 #[derive(Clone, Debug, PartialEq)]
 pub struct TrafficSplit {
-    /// Services without weight are left out.
-    shares: Vec<Share>,
+    /// The services with a weight above 0.
+    entries: Vec<SplitEntry>,
 }
 
 impl TrafficSplit {
-    /// Makes a split of services and weights; `None` if the weights sum to 0.
+    /// Creates a split. Returns `None` if the weights sum to 0.
     pub(super) fn new(weights: &[ServiceWeight]) -> Option<TrafficSplit> {
         let mut sum = 0_u64;
-        let mut shares = Vec::with_capacity(weights.len());
-        for ServiceWeight { service, weight } in weights.iter().filter(|share| share.weight > 0) {
+        let mut entries = Vec::with_capacity(weights.len());
+        for ServiceWeight { service, weight } in weights.iter().filter(|entry| entry.weight > 0) {
             sum += weight;
-            shares.push(Share { service: *service, cumulative_weight: sum });
+            entries.push(SplitEntry { service: *service, cumulative_weight: sum });
         }
-        (sum > 0).then_some(TrafficSplit { shares })
+        (sum > 0).then_some(TrafficSplit { entries })
     }
 
-    /// Indices of the services that get requests.
+    /// Iterates over the indices of the services with a weight above 0.
     pub fn services(&self) -> impl Iterator<Item = usize> {
-        self.shares.iter().map(|share| share.service)
+        self.entries.iter().map(|entry| entry.service)
     }
 
-    /// The service with the greatest weight.
+    /// Returns the index of the service with the highest weight.
     pub fn main_service(&self) -> usize {
         let mut weight_before = 0;
         let mut main = ServiceWeight { service: 0, weight: 0 };
-        for share in &self.shares {
-            let weight = share.cumulative_weight - weight_before;
+        for entry in &self.entries {
+            let weight = entry.cumulative_weight - weight_before;
             if weight > main.weight {
-                main = ServiceWeight { service: share.service, weight };
+                main = ServiceWeight { service: entry.service, weight };
             }
-            weight_before = share.cumulative_weight;
+            weight_before = entry.cumulative_weight;
         }
         main.service
     }
 
     fn pick(&self, random: u64) -> usize {
-        match self.shares.as_slice() {
+        match self.entries.as_slice() {
             [only] => only.service,
-            shares => {
-                let sum = shares.last().map_or(1, |share| share.cumulative_weight);
+            entries => {
+                let sum = entries.last().map_or(1, |entry| entry.cumulative_weight);
                 let point = random % sum;
-                shares.iter().find(|share| point < share.cumulative_weight).map_or(0, |share| share.service)
+                entries.iter().find(|entry| point < entry.cumulative_weight).map_or(0, |entry| entry.service)
             }
         }
     }
 }
 
-/// A group of servers that do the same work.
+/// A group of servers that perform the same work.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Name that routes name it by; unique.
+    /// Unique name by which routes refer to the service.
     pub name: CompactString,
-    /// Path of health checks.
+    /// Path of health check requests.
     pub health_path: CompactString,
-    /// Connections that one server accepts from all callers together.
+    /// Maximum number of connections that a server accepts from all callers together; `None` if it is not limited.
     pub max_connections: Option<u32>,
-    /// What is known of the language models that the servers run, if they do.
+    /// Properties of the inference engine; `None` if the servers run no language models.
     pub engine: Option<Engine>,
-    /// Bounds of the number of servers, where the system orders how many there are.
+    /// Bounds of the number of servers; `None` if the system does not scale the service.
     pub scaling: Option<Scaling>,
 }
 
 /// Bounds of the number of servers of a service in each zone.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Scaling {
-    /// Fewest servers in a zone.
+    /// Minimum number of servers in a zone.
     pub min_count: u32,
-    /// Most servers in a zone.
+    /// Maximum number of servers in a zone.
     pub max_count: u32,
-    /// Time until a new server serves, in seconds.
+    /// Time until a new server is ready, in seconds.
     pub boot_s: f64,
 }
 
-/// Facts of the servers that run language models.
+/// Properties of servers that run language models.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Engine {
-    /// Requests that run at the same time.
+    /// Number of requests that a server runs at the same time.
     pub slots: u32,
-    /// Size of the prefix cache and the running requests together, in tokens.
+    /// Capacity of the key-value cache for the prefix cache and running requests together, in tokens.
     pub kv_cache_tokens: u64,
-    /// Bytes that a token takes in that memory.
+    /// Size of a token in the key-value cache, in bytes.
     pub kv_token_bytes: u64,
-    /// Names of the models.
+    /// Names of the models that the servers run.
     pub models: Vec<CompactString>,
 }
 
-/// Bounds of what clients may send.
+/// Limits of client connections and requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Limits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: u64,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time in which the head of a request has to come, in milliseconds.
+    /// Maximum time until the head of a request is complete, in milliseconds.
     pub header_timeout_ms: u64,
-    /// Longest time without a request on a connection that is kept, in milliseconds.
+    /// Maximum time that a persistent connection may be idle, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -200,7 +200,7 @@
     }
 }
 
-/// An immutable table of all routes. It is shared and swapped whole.
+/// An immutable table of all routes, which is shared and replaced as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteTable {
     version: u64,
@@ -211,16 +211,16 @@
     tenants: Option<TenantTable>,
 }
 
-/// Routes of one host by path prefix.
+/// The routes of a host by path prefix.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct HostRoutes {
     by_prefix: HashMap<CompactString, usize>,
-    /// Slashes in the prefix that has most of them: bounds the work for a path.
+    /// Maximum number of slashes in a prefix; bounds the work of a lookup.
     most_slashes: usize,
 }
 
 impl RouteTable {
-    /// The table of a configuration.
+    /// Returns the table of a configuration.
     pub fn compile(configuration: &Configuration) -> Arc<RouteTable> {
         Arc::clone(configuration.routes())
     }
@@ -242,38 +242,38 @@
         RouteTable { version, routes, services, limits, hosts, tenants }
     }
 
-    /// Version of the configuration that the table was compiled from.
+    /// Returns the version of the configuration from which the table was compiled.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// Routes in the order of the configuration.
+    /// Returns the routes in the order of the configuration.
     pub fn routes(&self) -> &[Route] {
         &self.routes
     }
 
-    /// Services in the order of the configuration.
+    /// Returns the services in the order of the configuration.
     pub fn services(&self) -> &[Service] {
         &self.services
     }
 
-    /// Bounds of what clients may send.
+    /// Returns the limits of client connections and requests.
     pub fn limits(&self) -> &Limits {
         &self.limits
     }
 
-    /// The tenants, whose keys requests have to carry; None where the configuration has none, and nobody needs a key.
+    /// Returns the tenants; `None` if the configuration has none, in which case requests need no API key.
     pub fn tenants(&self) -> Option<&TenantTable> {
         self.tenants.as_ref()
     }
 
-    /// Index of a service by name.
+    /// Returns the index of the service with this name.
     pub fn service_index(&self, name: &str) -> Option<usize> {
         self.services.iter().position(|service| service.name == name)
     }
 
-    /// The route of a request: of those of the host (`Host` header; port and case do not matter), the one with
-    /// the longest prefix that begins the path. A query in `target` plays no part.
+    /// Returns the route of a request: among the routes of the host, the one with the longest prefix of the path.
+    /// `host` is the `Host` header, whose port and case are ignored; so is the query of `target`.
     pub fn lookup(&self, host: &str, target: &str) -> Option<&Route> {
         let routes = self.hosts.get(&*normalize_host(host))?;
         let path = target.split(['?', '#']).next().unwrap_or_default();
@@ -287,27 +287,27 @@
         longest.and_then(|index| self.routes.get(index))
     }
 
-    /// Routes of a host (`Host` header; port and case do not matter), in no particular order.
+    /// Iterates over the routes of a host in no particular order. The port and case of `host` are ignored.
     pub fn routes_of_host(&self, host: &str) -> impl Iterator<Item = &Route> {
         let routes = self.hosts.get(&*normalize_host(host));
         let indices = routes.into_iter().flat_map(|routes| routes.by_prefix.values());
         indices.filter_map(|index| self.routes.get(*index))
     }
 
-    /// Rank of a tenant's requests on a route: the tenant's, or else the route's; 0 is the highest. `tenant` is None
-    /// for requests of no tenant.
+    /// Returns the priority of a tenant's requests on a route: the tenant's, or else the route's; 0 is the highest.
+    /// `tenant` is `None` for requests without a tenant.
     pub fn priority(&self, route: &Route, tenant: Option<&str>) -> u32 {
         let tenant = self.tenants.as_ref().zip(tenant).and_then(|(tenants, name)| tenants.by_name(name));
         tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority)
     }
 
-    /// Picks a service of a route by weight; `random` is uniform over all of `u64`.
+    /// Chooses a service of a route at random by weight. `random` must be uniform over all of `u64`.
     pub fn pick(&self, route: &Route, random: u64) -> usize {
         route.split.pick(random)
     }
 }
 
-/// A host as it is compared: in lower case and without a port.
+/// Normalizes a host for comparison: lower case and without a port.
 pub(super) fn normalize_host(host: &str) -> Cow<'_, str> {
     let host = match host.rsplit_once(':') {
         Some((name, port)) if port.bytes().all(|byte| byte.is_ascii_digit()) => name,
--- a/crates/configuration/src/table_builder.rs
+++ b/crates/configuration/src/table_builder.rs
@@ -1,4 +1,4 @@
-//! Reads a configuration's document into a [`RouteTable`] and refuses what is invalid.
+//! Compiles a configuration document into a [`RouteTable`] and rejects invalid documents.
 
 use std::collections::{HashMap, HashSet};
 
@@ -13,18 +13,18 @@
 use super::{ConfigurationError, VERSION_FIELD};
 use crate::reader::{ReadError, ValueReader};
 
-/// Path of health checks where a service names none.
+/// Path of health checks if a service does not specify one.
 const DEFAULT_HEALTH_PATH: &str = "/health";
-/// Parts into which a weight of one is divided, so that fractions of weights count.
-const WEIGHT_PARTS: f64 = 1_000.0;
-/// Greatest weight; keeps the sum of all weights within 64 bits.
+/// Weights are multiplied by this number and rounded up to integers, so that fractions of weights are kept.
+const WEIGHT_SCALE: f64 = 1_000.0;
+/// Maximum weight; keeps the sum of all weights within 64 bits.
 const MAX_WEIGHT: f64 = 1e9;
 
-/// Reads and checks a whole document.
+/// Parses and validates a document.
 ///
 /// # Errors
 ///
-/// The first error in the order of the document's fields: version, services, routes, limits, tenants.
+/// Returns the first error in the order of the sections: version, services, routes, limits, tenants.
 pub fn build(document: &Value) -> Result<RouteTable, ConfigurationError> {
     let root = ValueReader::root(document);
     let version = root.field(VERSION_FIELD)?.unsigned()?;
@@ -43,7 +43,7 @@
         let name = read_name(&entry, &mut names)?;
         let health_path = entry.optional("health-path")?.map(|path| path.text()).transpose()?;
         let max_connections =
-            entry.optional("max-connections")?.map(|most| most.unsigned_32()).transpose()?;
+            entry.optional("max-connections")?.map(|limit| limit.unsigned_32()).transpose()?;
         let engine = entry.optional("engine")?.map(|engine| read_engine(&engine)).transpose()?;
         services.push(Service {
             name,
@@ -87,7 +87,7 @@
     Ok(Some(Scaling { min_count, max_count, boot_s: boot_s.unwrap_or(0.0) }))
 }
 
-/// The tenants; None where the document has no list of them.
+/// Parses the tenants; `None` if the document has no list of them.
 fn read_tenants(root: &ValueReader<'_, '_>) -> Result<Option<TenantTable>, ConfigurationError> {
     let Some(list) = root.optional("tenants")? else { return Ok(None) };
     let mut names = HashSet::new();
@@ -97,13 +97,13 @@
     for entry in list.items()? {
         let name = read_name(&entry, &mut names)?;
         check_header_value(&entry.field("name")?)?;
-        let priority = entry.optional("priority")?.map(|rank| rank.unsigned_32()).transpose()?;
+        let priority = entry.optional("priority")?.map(|priority| priority.unsigned_32()).transpose()?;
         if let Some(keys) = entry.optional("api-keys")? {
             for key in keys.items()? {
                 let text = key.non_empty_text()?;
-                // A key that a tenant has twice is no conflict.
-                let holder = by_key.insert(CompactString::from(text), tenants.len());
-                if holder.is_some_and(|holder| holder != tenants.len()) {
+                // A key that is listed twice for the same tenant is not an error.
+                let previous = by_key.insert(CompactString::from(text), tenants.len());
+                if previous.is_some_and(|previous| previous != tenants.len()) {
                     let other = paths.remove(text).unwrap_or_default();
                     return Err(ConfigurationError::SharedKey { path: key.path(), other });
                 }
@@ -115,7 +115,7 @@
     Ok(Some(TenantTable::new(tenants, by_key)))
 }
 
-/// Names of tenants are sent as values of a header (RFC 9110, section 5.5).
+/// Checks that the name of a tenant can be sent as a header value (RFC 9110, section 5.5).
 fn check_header_value(name: &ValueReader<'_, '_>) -> Result<(), ReadError> {
     let is_visible = |byte: u8| (0x20..=0x7e).contains(&byte);
     if name.text()?.bytes().all(is_visible) {
@@ -151,9 +151,9 @@
     services: &HashMap<&str, usize>,
 ) -> Result<Route, ConfigurationError> {
     let hostname = entry.field("hostname")?.non_empty_text()?;
-    let max_queue_s = entry.optional("max-queue-s")?.map(|most| most.number()).transpose()?;
-    let priority = entry.optional("priority")?.map(|rank| rank.unsigned_32()).transpose()?;
-    let max_attempts = entry.optional("max-attempts")?.map(|most| most.unsigned_32()).transpose()?;
+    let max_queue_s = entry.optional("max-queue-s")?.map(|limit| limit.number()).transpose()?;
+    let priority = entry.optional("priority")?.map(|priority| priority.unsigned_32()).transpose()?;
+    let max_attempts = entry.optional("max-attempts")?.map(|limit| limit.unsigned_32()).transpose()?;
     Ok(Route {
         index,
         name,
@@ -219,20 +219,20 @@
     entry: &ValueReader<'_, '_>,
     services: &HashMap<&str, usize>,
 ) -> Result<TrafficSplit, ConfigurationError> {
-    let single = match entry.optional("service")? {
+    let single_service = match entry.optional("service")? {
         Some(service) => Some(read_service(&service, services)?),
         None => None,
     };
     let Some(list) = entry.optional("traffic-split")? else {
-        let service = single.ok_or_else(|| {
+        let service = single_service.ok_or_else(|| {
             entry.field_error("service", "is missing; name a service, or several under traffic-split")
         })?;
-        return split_of(entry, &[ServiceWeight { service, weight: WEIGHT_PARTS as u64 }]);
+        return split_of(entry, &[ServiceWeight { service, weight: WEIGHT_SCALE as u64 }]);
     };
     let mut weights = Vec::new();
-    for share in list.items()? {
-        let service = read_service(&share.field("service")?, services)?;
-        let weight = read_weight(&share.field("weight")?)?;
+    for part in list.items()? {
+        let service = read_service(&part.field("service")?, services)?;
+        let weight = read_weight(&part.field("weight")?)?;
         weights.push(ServiceWeight { service, weight });
     }
     split_of(&list, &weights)
@@ -256,13 +256,13 @@
         .ok_or_else(|| ConfigurationError::UnknownService { path: name.path(), service: text.to_owned() })
 }
 
-/// A weight in parts; a weight above 0 has at least one part.
+/// Parses a weight and scales it to an integer. A weight above 0 remains above 0.
 fn read_weight(weight: &ValueReader<'_, '_>) -> Result<u64, ReadError> {
     let number = weight.number()?;
     if number > MAX_WEIGHT {
         return Err(weight.error("must be at most 1000000000"));
     }
-    Ok((number * WEIGHT_PARTS).ceil() as u64)
+    Ok((number * WEIGHT_SCALE).ceil() as u64)
 }
 
 fn read_limits(root: &ValueReader<'_, '_>) -> Result<Limits, ReadError> {
@@ -286,7 +286,7 @@
     entry.optional(name)?.map(|number| rounded_up(&number)).transpose()
 }
 
-/// A number of zero or more, rounded up to a whole one.
+/// Returns a number of at least 0, rounded up to an integer.
 fn rounded_up(number: &ValueReader<'_, '_>) -> Result<u64, ReadError> {
     Ok(number.number()?.ceil() as u64)
 }
--- a/crates/configuration/tests/configuration.rs
+++ b/crates/configuration/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! Reading, refusing and changing configurations.
+//! Parsing, validation and patching of configurations.
 
 use orchidvalve_configuration::MAX_DOCUMENT_BYTES;
 use orchidvalve_configuration::{Configuration, ConfigurationError};
@@ -7,7 +7,7 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 
-/// A valid configuration with one field of every kind.
+/// Returns a valid configuration with a field of every type.
 fn valid() -> Value {
     json!({
         "config-version": 7,
@@ -55,7 +55,7 @@
     put(&valid()).unwrap()
 }
 
-/// The document with the value at `pointer` set, or removed if there is no value.
+/// Returns the document with the value at `pointer` set, or removed if `value` is `None`.
 fn with(pointer: &str, value: Option<Value>) -> Value {
     let mut document = valid();
     let (parent, field) = pointer.rsplit_once('/').unwrap();
@@ -77,13 +77,13 @@
 }
 
 #[test]
-fn a_valid_configuration_comes_back_as_sent() {
+fn a_valid_configuration_keeps_its_document() {
     let configuration = current();
     assert_eq!(configuration.version(), 7);
     assert_eq!(configuration.document(), &valid());
     let read_back: Value = serde_json::from_slice(&configuration.to_json()).unwrap();
     assert_eq!(read_back, valid());
-    // The order of fields is kept as well.
+    // The order of the fields is kept as well.
     assert_eq!(configuration.to_json(), bytes(&valid()));
 }
 
@@ -103,7 +103,7 @@
 #[case::equal(7, Some(7), false)]
 #[case::below(7, Some(8), false)]
 #[case::zero(0, None, false)]
-fn versions_have_to_rise(#[case] sent: u64, #[case] current: Option<u64>, #[case] accepted: bool) {
+fn versions_must_rise(#[case] sent: u64, #[case] current: Option<u64>, #[case] accepted: bool) {
     let current = current.map(|version| put(&with("/config-version", Some(json!(version)))).unwrap());
     let document = with("/config-version", Some(json!(sent)));
     let result = Configuration::replace(&bytes(&document), current.as_ref());
@@ -179,7 +179,7 @@
     assert!(matches!(put(&document), Err(ConfigurationError::DuplicateRoute { .. })));
 }
 
-/// Fields that a configuration cannot be without.
+/// Values that a configuration must contain.
 const REQUIRED: [&str; 21] = [
     "/config-version",
     "/routes",
@@ -198,14 +198,14 @@
     "/routes/1/service",
     "/services/0/name",
     "/services/1/name",
-    // Both services are named by a route.
+    // Routes refer to both services.
     "/services/0",
     "/services/1",
     "/services/0/engine/models/0/name",
     "/services/0/engine/models/1/name",
 ];
 
-/// Every place of a value in a document.
+/// Appends the JSON pointers of all values in a document.
 fn pointers(value: &Value, prefix: &str, all: &mut Vec<String>) {
     let mut visit = |key: String, child: &Value| {
         let pointer = format!("{prefix}/{key}");
@@ -228,7 +228,7 @@
     all
 }
 
-/// `/routes/0/name` as `routes[0].name`.
+/// Converts a JSON pointer such as `/routes/0/name` to a path such as `routes[0].name`.
 fn as_path(pointer: &str) -> String {
     let mut path = String::new();
     for step in pointer.split('/').skip(1) {
@@ -242,23 +242,23 @@
 }
 
 #[test]
-fn only_required_fields_are_missed() {
+fn only_missing_required_values_are_rejected() {
     for pointer in all_pointers() {
         let result = put(&with(&pointer, None));
         assert_eq!(result.is_err(), REQUIRED.contains(&pointer.as_str()), "{pointer}: {result:?}");
         if let Err(ConfigurationError::Unreadable(error)) = result {
-            let place = as_path(&pointer);
-            let alternative = place.replace("traffic-split", "service");
-            assert!(error.path == place || error.path == alternative, "{pointer}: {error}");
+            let path = as_path(&pointer);
+            let alternative = path.replace("traffic-split", "service");
+            assert!(error.path == path || error.path == alternative, "{pointer}: {error}");
         }
     }
 }
 
-/// Fields that are kept but not read.
-fn is_free(pointer: &str) -> bool {
+/// Returns whether a value is kept but not interpreted.
+fn is_uninterpreted(pointer: &str) -> bool {
     ["/unknown", "/routes/0/operator-note", "/services/0/protocol", "/services/0/tls"]
         .iter()
-        .any(|free| pointer.starts_with(free))
+        .any(|prefix| pointer.starts_with(prefix))
         || pointer.ends_with("/link-mbps")
         || pointer.ends_with("/stride")
 }
@@ -267,10 +267,10 @@
 #[case::text_list(json!(["wrong"]))]
 #[case::negative(json!(-3))]
 #[case::object(json!({"wrong": 1}))]
-fn values_of_a_wrong_kind_are_rejected_at_their_path(#[case] wrong: Value) {
+fn values_of_a_wrong_type_are_rejected_by_path(#[case] wrong: Value) {
     for pointer in all_pointers() {
         let object_for_object = wrong.is_object() && pointer == "/limits" || pointer.ends_with("/engine");
-        if is_free(&pointer) || object_for_object && wrong.is_object() {
+        if is_uninterpreted(&pointer) || object_for_object && wrong.is_object() {
             continue;
         }
         let document = with(&pointer, Some(wrong.clone()));
@@ -280,15 +280,15 @@
 }
 
 #[test]
-fn free_fields_may_hold_anything() {
-    for pointer in all_pointers().iter().filter(|pointer| is_free(pointer)) {
+fn uninterpreted_fields_may_hold_any_value() {
+    for pointer in all_pointers().iter().filter(|pointer| is_uninterpreted(pointer)) {
         let document = with(pointer, Some(json!(["any", -1, null])));
         assert_eq!(put(&document).unwrap().document(), &document);
     }
 }
 
 #[test]
-fn every_truncated_text_is_unreadable() {
+fn every_truncated_document_is_rejected() {
     let whole = bytes(&valid());
     for length in 0..whole.len() {
         let result = Configuration::replace(&whole[..length], None);
@@ -321,7 +321,7 @@
 }
 
 #[test]
-fn a_patch_works_for_services_limits_and_other_lists() {
+fn a_patch_changes_services_limits_and_other_lists() {
     let patch = json!({
         "config-version": 8,
         "upsert": {
@@ -382,9 +382,9 @@
     })
 }
 
-/// A chain of changes gives what a whole configuration with the same content gives.
+/// A sequence of patches gives the same configuration as a complete one with the same content.
 #[test]
-fn patches_and_whole_configurations_agree() {
+fn patches_and_complete_configurations_agree() {
     for seed in 0..50 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut expected = valid();
@@ -392,7 +392,7 @@
         for _ in 0..20 {
             let version = configuration.version() + random.random_range(1..4);
             let upserts: Vec<Value> = (0..random.random_range(0..4))
-                .map(|place| random_route(&mut random, place * 5 % 7))
+                .map(|index| random_route(&mut random, index * 5 % 7))
                 .collect();
             let removed: Vec<String> =
                 (0..random.random_range(0..3)).map(|_| format!("r-{}", random.random_range(7..10))).collect();
@@ -400,7 +400,7 @@
                 "config-version": version, "upsert": {"routes": upserts}, "remove": {"routes": removed}
             });
             configuration = Configuration::patch(&bytes(&patch), Some(&configuration)).unwrap();
-            apply_plainly(&mut expected, version, &upserts, &removed);
+            apply_to_document(&mut expected, version, &upserts, &removed);
             let whole = put(&expected).unwrap();
             assert_eq!(configuration, whole, "seed {seed}");
             assert_eq!(configuration.routes(), whole.routes(), "seed {seed}");
@@ -409,13 +409,13 @@
     }
 }
 
-fn apply_plainly(document: &mut Value, version: u64, upserts: &[Value], removed: &[String]) {
+fn apply_to_document(document: &mut Value, version: u64, upserts: &[Value], removed: &[String]) {
     document["config-version"] = json!(version);
     let routes = document["routes"].as_array_mut().unwrap();
     routes.retain(|route| !removed.iter().any(|name| route["name"] == json!(name)));
     for route in upserts {
         match routes.iter().position(|present| present["name"] == route["name"]) {
-            Some(place) => routes[place] = route.clone(),
+            Some(index) => routes[index] = route.clone(),
             None => routes.push(route.clone()),
         }
     }
@@ -434,7 +434,7 @@
     let fits = Configuration::replace(&padded(1, MAX_DOCUMENT_BYTES - 200), None).unwrap();
     let too_long = Configuration::replace(&padded(1, MAX_DOCUMENT_BYTES), None);
     assert!(matches!(too_long, Err(ConfigurationError::TooLong { .. })), "{too_long:?}");
-    // A small patch may make it grow beyond.
+    // A small patch can make the document exceed the limit as well.
     let note = "y".repeat(400);
     let patch =
         serde_json::json!({"config-version": 2, "upsert": {"services": [{"name": "red", "note": note}]}});
--- a/crates/configuration/tests/golden_configuration.rs
+++ b/crates/configuration/tests/golden_configuration.rs
@@ -1,5 +1,4 @@
-//! Configurations: fingerprints that are compared across processes, and what random documents and patches are read
-//! as, by seeds.
+//! Fingerprints, which are compared across processes, and the parsing of random documents and patches, by seed.
 
 use std::path::Path;
 
@@ -43,13 +42,13 @@
     choices.choose(random).expect("a choice").clone()
 }
 
-/// Mostly the value that fits, at times none or another one.
+/// Usually sets a field to one of the valid values; sometimes omits it or sets another value.
 fn field(random: &mut Pcg64Mcg, entry: &mut Value, name: &str, values: &[Value]) {
     if random.random_bool(0.4) {
         return;
     }
-    let odd = [json!(null), json!(-1), json!("odd"), json!(1.5), json!([1]), json!({"a": 1}), json!(0)];
-    let value = if random.random_bool(0.985) { pick(random, values) } else { pick(random, &odd) };
+    let others = [json!(null), json!(-1), json!("odd"), json!(1.5), json!([1]), json!({"a": 1}), json!(0)];
+    let value = if random.random_bool(0.985) { pick(random, values) } else { pick(random, &others) };
     entry[name] = value;
 }
 
@@ -62,9 +61,9 @@
         route["service"] = json!(pick(random, &["blue", "green"]));
     } else {
         let weights = [json!(90), json!(10), json!(0.2), json!(0.00001), json!(0), json!(1e9)];
-        let share = |random: &mut Pcg64Mcg| json!({"service": pick(random, &["blue", "green"]), "weight": pick(random, &weights)});
+        let part = |random: &mut Pcg64Mcg| json!({"service": pick(random, &["blue", "green"]), "weight": pick(random, &weights)});
         let count = random.random_range(1..4);
-        let shares: Vec<Value> = (0..count).map(|_| share(random)).collect();
+        let shares: Vec<Value> = (0..count).map(|_| part(random)).collect();
         route["traffic-split"] = json!(shares);
     }
     let types = ["idempotent", "non_idempotent", "streaming", "rollout_control", "of_tomorrow"];
@@ -145,7 +144,7 @@
     patch
 }
 
-/// Number of an error, and what it says besides its words.
+/// Adds the number of an error and its values, but not its text.
 fn add_error(trace: &mut Trace, error: &ConfigurationError) {
     let (number, path) = match error {
         ConfigurationError::NotJson { .. } => (1, ""),
@@ -238,7 +237,7 @@
     }
 }
 
-fn trace_of(seed: u64) -> u64 {
+fn trace_hash(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut trace = Trace::new();
     let mut current: Option<Configuration> = None;
@@ -270,8 +269,8 @@
 }
 
 #[test]
-fn random_documents_and_patches_are_read_as_recorded() {
+fn random_documents_and_patches_are_parsed_as_recorded() {
     let hashes: Vec<(String, u64)> =
-        (1..=SEEDS).map(|seed| (format!("seed-{seed}"), trace_of(seed))).collect();
+        (1..=SEEDS).map(|seed| (format!("seed-{seed}"), trace_hash(seed))).collect();
     check_hashes(&Path::new(FOLDER).join("configurations.txt"), &hashes);
 }
--- a/crates/configuration/tests/reader.rs
+++ b/crates/configuration/tests/reader.rs
@@ -1,4 +1,4 @@
-//! Paths and kinds in errors of the reader of documents.
+//! Paths and types in the errors of `ValueReader`.
 
 use orchidvalve_configuration::reader::ValueReader;
 use rstest::rstest;
@@ -11,17 +11,17 @@
     let routes = root.field("routes").unwrap();
     let route = routes.items().unwrap().nth(1).unwrap();
     let split = route.field("split").unwrap();
-    let share = split.items().unwrap().next().unwrap();
-    let weight = share.field("weight").unwrap();
+    let part = split.items().unwrap().next().unwrap();
+    let weight = part.field("weight").unwrap();
     assert_eq!(weight.path(), "routes[1].split[0].weight");
     let error = weight.unsigned().unwrap_err();
     assert_eq!(error.to_string(), "routes[1].split[0].weight: must be a whole number of zero or more");
-    let error = share.field("service").err().unwrap();
+    let error = part.field("service").err().unwrap();
     assert_eq!(error.path, "routes[1].split[0].service");
 }
 
 #[test]
-fn the_root_has_a_name_and_its_fields_have_none_before_them() {
+fn the_path_of_the_root_is_document_and_fields_omit_it() {
     let document = json!([]);
     let root = ValueReader::root(&document);
     assert_eq!(root.path(), "document");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn lists_in_lists_have_plain_paths() {
+fn nested_lists_have_index_paths() {
     let document = json!([[1, 2], ["x"]]);
     let root = ValueReader::root(&document);
     let inner = root.items().unwrap().nth(1).unwrap();
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn null_counts_as_left_out() {
+fn null_counts_as_missing() {
     let document = json!({"a": null});
     let root = ValueReader::root(&document);
     assert!(root.optional("a").unwrap().is_none());
@@ -58,7 +58,7 @@
 #[case(json!("7"), None)]
 #[case(json!(true), None)]
 #[case(json!([7]), None)]
-fn whole_numbers(#[case] value: Value, #[case] expected: Option<u64>) {
+fn integers(#[case] value: Value, #[case] expected: Option<u64>) {
     assert_eq!(ValueReader::root(&value).unsigned().ok(), expected);
 }
 
@@ -74,7 +74,7 @@
 #[rstest]
 #[case(json!(4_294_967_295_u64), true)]
 #[case(json!(4_294_967_296_u64), false)]
-fn numbers_of_32_bits(#[case] value: Value, #[case] fits: bool) {
+fn integers_of_32_bits(#[case] value: Value, #[case] fits: bool) {
     assert_eq!(ValueReader::root(&value).unsigned_32().is_ok(), fits);
 }
 
@@ -82,7 +82,7 @@
 #[case(json!("x"), true, true)]
 #[case(json!(""), true, false)]
 #[case(json!(1), false, false)]
-fn texts(#[case] value: Value, #[case] text: bool, #[case] non_empty: bool) {
+fn strings(#[case] value: Value, #[case] text: bool, #[case] non_empty: bool) {
     assert_eq!(ValueReader::root(&value).text().is_ok(), text);
     assert_eq!(ValueReader::root(&value).non_empty_text().is_ok(), non_empty);
 }
@@ -92,6 +92,6 @@
 #[case(json!(false), Some(false))]
 #[case(json!(1), None)]
 #[case(json!("true"), None)]
-fn flags(#[case] value: Value, #[case] expected: Option<bool>) {
+fn booleans(#[case] value: Value, #[case] expected: Option<bool>) {
     assert_eq!(ValueReader::root(&value).flag().ok(), expected);
 }
--- a/crates/configuration/tests/route_table.rs
+++ b/crates/configuration/tests/route_table.rs
@@ -1,4 +1,4 @@
-//! Look-ups of routes and shares of services.
+//! Lookup of routes and choice of services.
 
 use std::sync::Arc;
 
@@ -54,7 +54,7 @@
 #[case("", "/one/x", None)]
 #[case("c.example", "/", Some("all"))]
 #[case("c.example", "/anything/at/all", Some("all"))]
-fn the_longest_prefix_of_the_host_is_taken(
+fn the_longest_matching_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] target: &str,
     #[case] expected: Option<&str>,
@@ -65,9 +65,9 @@
     assert!(found.is_none_or(|route| std::ptr::eq(route, &table.routes()[route.index])));
 }
 
-/// The look-up agrees with a plain search through all routes.
+/// The lookup agrees with a linear search of all routes.
 #[test]
-fn look_ups_agree_with_a_plain_search() {
+fn lookups_agree_with_a_linear_search() {
     let mut random = Pcg64Mcg::seed_from_u64(11);
     let segments = ["a", "b", "ab", "c"];
     let path = |random: &mut Pcg64Mcg, most: usize| {
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn fields_of_routes_and_services_are_read() {
+fn fields_of_routes_and_services_are_parsed() {
     let table = table(json!([{
         "name": "batch", "hostname": "A.example", "path-prefix": "/b/", "route-type": "rollout_control",
         "timeout-ms": 8000, "target-latency-ms": 500, "target-run-ms": 4000, "max-queue-s": 7.5, "priority": 1,
@@ -131,7 +131,7 @@
 #[case(json!("rollout_control"), RouteType::RolloutControl, true)]
 #[case(json!("of_tomorrow"), RouteType::NonIdempotent, false)]
 #[case(Value::Null, RouteType::NonIdempotent, false)]
-fn unknown_types_are_not_repeated(
+fn unknown_route_types_count_as_non_idempotent(
     #[case] name: Value,
     #[case] expected: RouteType,
     #[case] repeatable: bool,
--- a/crates/configuration/tests/tenants.rs
+++ b/crates/configuration/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Tenants and their keys, routes that need none, and bounds of the number of servers.
+//! Tenants and their API keys, public routes, and bounds of scaling.
 
 use orchidvalve_configuration::{Configuration, ConfigurationError, RouteTable, Scaling, Tenant};
 use rstest::rstest;
@@ -27,7 +27,7 @@
     Configuration::replace(document.to_string().as_bytes(), None)
 }
 
-fn holder<'t>(routes: &'t RouteTable, key: &str) -> Option<&'t str> {
+fn tenant_of_key<'t>(routes: &'t RouteTable, key: &str) -> Option<&'t str> {
     routes.tenants().expect("tenants").of_key(key).map(|tenant| tenant.name.as_str())
 }
 
@@ -40,8 +40,8 @@
 #[case::beginning("key-", None)]
 #[case::longer("key-1 ", None)]
 #[case::empty("", None)]
-fn a_key_belongs_to_the_tenant_that_has_exactly_it(#[case] key: &str, #[case] tenant: Option<&str>) {
-    assert_eq!(holder(put(&document()).unwrap().routes(), key), tenant);
+fn a_key_must_match_exactly(#[case] key: &str, #[case] tenant: Option<&str>) {
+    assert_eq!(tenant_of_key(put(&document()).unwrap().routes(), key), tenant);
 }
 
 #[test]
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn a_configuration_without_tenants_needs_no_keys_and_one_without_any_left_does() {
+fn a_missing_tenant_list_differs_from_an_empty_one() {
     let mut none = document();
     none.as_object_mut().unwrap().remove("tenants");
     assert!(put(&none).unwrap().routes().tenants().is_none());
@@ -64,14 +64,14 @@
 }
 
 #[test]
-fn routes_are_public_only_where_they_say_so() {
+fn routes_are_public_only_if_configured() {
     let configuration = put(&document()).unwrap();
     let public: Vec<bool> = configuration.routes().routes().iter().map(|route| route.public).collect();
     assert_eq!(public, [true, false]);
 }
 
 #[test]
-fn services_are_scaled_within_their_bounds() {
+fn scaling_bounds_are_parsed() {
     let configuration = put(&document()).unwrap();
     let scaling: Vec<_> =
         configuration.routes().services().iter().map(|service| service.scaling.clone()).collect();
@@ -81,7 +81,7 @@
 #[rstest]
 #[case::of_two_tenants("/tenants/1/api-keys/0", json!("key-2"), "tenants[1].api-keys[0]", "tenants[0].api-keys[1]")]
 #[case::of_tenants_apart("/tenants/2/api-keys", json!(["key-1"]), "tenants[2].api-keys[0]", "tenants[0].api-keys[0]")]
-fn a_shared_key_is_refused_and_not_shown(
+fn a_shared_key_is_rejected_and_not_disclosed(
     #[case] pointer: &str,
     #[case] value: Value,
     #[case] path: &str,
@@ -98,10 +98,10 @@
 }
 
 #[test]
-fn a_key_that_a_tenant_has_twice_is_no_conflict() {
+fn a_key_listed_twice_for_a_tenant_is_accepted() {
     let mut document = document();
     document["tenants"][0]["api-keys"] = json!(["key-1", "key-1"]);
-    assert_eq!(holder(put(&document).unwrap().routes(), "key-1"), Some("first"));
+    assert_eq!(tenant_of_key(put(&document).unwrap().routes(), "key-1"), Some("first"));
 }
 
 #[rstest]
@@ -118,11 +118,7 @@
 #[case::public("/routes/0/public", json!("yes"), "routes[0].public")]
 #[case::scaling_bounds("/services/0/scaling/min-count", json!(7), "services[0].scaling")]
 #[case::scaling_most("/services/0/scaling", json!({"min-count": 1}), "services[0].scaling.max-count")]
-fn what_cannot_be_read_is_refused_by_its_path(
-    #[case] pointer: &str,
-    #[case] value: Value,
-    #[case] path: &str,
-) {
+fn invalid_values_are_rejected_by_path(#[case] pointer: &str, #[case] value: Value, #[case] path: &str) {
     let mut document = document();
     *document.pointer_mut(pointer).unwrap() = value;
     let message = put(&document).unwrap_err().to_string();
@@ -130,7 +126,7 @@
 }
 
 #[test]
-fn keys_are_added_moved_and_taken_away_by_patches() {
+fn patches_add_move_and_remove_keys() {
     let first = put(&document()).unwrap();
     let patch = json!({
         "config-version": 9,
@@ -142,26 +138,26 @@
         "remove": {"tenants": ["without keys"]},
     });
     let second = Configuration::patch(patch.to_string().as_bytes(), Some(&first)).unwrap();
-    assert_eq!(holder(second.routes(), "key-1"), Some("second"));
-    assert_eq!(holder(second.routes(), "key-2"), Some("first"));
-    assert_eq!(holder(second.routes(), "key-5"), Some("third"));
+    assert_eq!(tenant_of_key(second.routes(), "key-1"), Some("second"));
+    assert_eq!(tenant_of_key(second.routes(), "key-2"), Some("first"));
+    assert_eq!(tenant_of_key(second.routes(), "key-5"), Some("third"));
     assert!(second.routes().tenants().unwrap().by_name("without keys").is_none());
     let patch = json!({"config-version": 10, "remove": {"tenants": ["second"]}});
     let third = Configuration::patch(patch.to_string().as_bytes(), Some(&second)).unwrap();
-    assert_eq!(holder(third.routes(), "key-1"), None, "a tenant's last keys go with it");
-    assert_eq!(holder(second.routes(), "key-1"), Some("second"), "the table before stays as it was");
+    assert_eq!(tenant_of_key(third.routes(), "key-1"), None, "the keys of a removed tenant are removed");
+    assert_eq!(tenant_of_key(second.routes(), "key-1"), Some("second"), "the previous table is unchanged");
 }
 
 #[test]
-fn keys_are_not_in_the_debugging_output() {
+fn debug_output_of_routes_contains_no_keys() {
     let configuration = put(&document()).unwrap();
-    let shown = format!("{:?}", configuration.routes());
-    assert!(shown.contains("second") && !shown.contains("key-"), "{shown}");
+    let output = format!("{:?}", configuration.routes());
+    assert!(output.contains("second") && !output.contains("key-"), "{output}");
 }
 
-// Guards against UNASKED: a key that stands in a log can be used by who reads it.
+// Guards against UNASKED: whoever reads a log could use a key that it contains.
 #[test]
-fn no_key_stands_in_what_can_be_logged() {
+fn debug_output_of_a_configuration_contains_no_keys() {
     let configuration = put(&document()).unwrap();
     let text = format!("{configuration:?}");
     assert!(text.contains("first") && !text.contains("key-1"), "{text}");
@@ -170,12 +166,9 @@
 #[rstest]
 #[case::of_the_tenant(Some("first"), 1)]
 #[case::tenant_without_one(Some("second"), 4)]
-#[case::tenant_that_is_gone(Some("fourth"), 4)]
+#[case::removed_tenant(Some("fourth"), 4)]
 #[case::no_tenant(None, 4)]
-fn the_priority_of_a_tenant_comes_before_that_of_the_route(
-    #[case] tenant: Option<&str>,
-    #[case] expected: u32,
-) {
+fn the_priority_of_a_tenant_overrides_that_of_the_route(#[case] tenant: Option<&str>, #[case] expected: u32) {
     let mut document = document();
     document["routes"][1]["priority"] = json!(4);
     let configuration = put(&document).unwrap();
@@ -184,7 +177,7 @@
 }
 
 #[rstest]
-#[case::as_it_stands("a.example", 2)]
+#[case::as_configured("a.example", 2)]
 #[case::other_case_and_port("A.Example:8080", 2)]
 #[case::unknown("b.example", 0)]
 fn routes_are_found_by_their_host(#[case] host: &str, #[case] expected: usize) {
