--- a/crates/bootstrap/src/error.rs
+++ b/crates/bootstrap/src/error.rs
@@ -1,28 +1,28 @@
-//! Why a process that keeps a disk ends.
+//! Errors that end a process with a disk.
 
 use std::io;
 
 use derive_more::{Display, Error, From};
 use orchidvalve_wal::OpenError;
 
-/// Why a process that keeps a disk ends.
+/// The reason why a process with a disk ends with an error.
 #[derive(Debug, Display, Error, From)]
 pub enum ProcessError {
-    /// The data directory can't be used.
-    #[display("the disk can't be used: {_0}")]
+    /// The data directory cannot be used.
+    #[display("the disk cannot be used: {_0}")]
     Disk(OpenError),
-    /// The disk holds records that this version can't read. Without them it can't be known what was promised and
-    /// acknowledged.
+    /// The disk holds records that this version cannot decode. Without them the process does not know what it has
+    /// promised and acknowledged.
     #[display(
-        "{count} records on the disk can't be read; run the version that wrote them, or empty the data directory \
-         once the other machines are whole"
+        "{count} records on the disk cannot be decoded; run the version that wrote them, or empty the data directory \
+         once all other nodes have complete copies"
     )]
     #[from(ignore)]
     UnreadableRecords {
-        /// Their number.
+        /// Number of records that cannot be decoded.
         count: usize,
     },
-    /// The event loop or a listener failed.
-    #[display("the network failed: {_0}; check that the addresses are this machine's and free")]
+    /// The event loop or a listener has failed.
+    #[display("the network failed: {_0}; check that the addresses belong to this machine and are free")]
     Network(io::Error),
 }
--- a/crates/bootstrap/src/lib.rs
+++ b/crates/bootstrap/src/lib.rs
@@ -1,9 +1,9 @@
-//! Start of the processes that keep a disk, which are control and store: event loop, ring of records, identity.
+//! Start of the processes with a disk (control nodes and store nodes): event loop, ring of records and identity.
 //!
-//! [`MachineOptions`] are what both are started with. [`start`] reads back the ring and says under which identity the
-//! process takes part. While the disk is full, refuses or hangs, the process stays and tries again; only what doesn't
-//! pass by itself ends it. Nothing listens until then: the process is no member, confirms nothing, and its callers are
-//! refused by the kernel at once and turn to others.
+//! Both roles share [`MachineOptions`]. [`start`] recovers the records from the ring and determines the identity of the
+//! process. While the disk is full, rejects writes or is unresponsive, the process keeps running and retries; only
+//! permanent errors end it. The process does not listen until the ring is open: it takes no part in the system and
+//! acknowledges nothing, and the kernel refuses connections at once, so that callers try other nodes.
 
 mod error;
 mod open_ring;
--- a/crates/bootstrap/src/open_ring.rs
+++ b/crates/bootstrap/src/open_ring.rs
@@ -1,4 +1,4 @@
-//! Opens the ring while the event loop goes on: on a thread of its own, again and again while the disk fails.
+//! Opens the ring on a separate thread while the event loop runs, and retries while the disk fails.
 
 use std::panic::resume_unwind;
 use std::sync::mpsc::{Receiver, TryRecvError, channel};
@@ -15,28 +15,28 @@
 use crate::error::ProcessError;
 use crate::options::MachineOptions;
 
-/// Longest wait of the event loop, in milliseconds.
-const LONGEST_WAIT_MS: u64 = 250;
-/// An attempt under way at the order to stop is waited for during the grace divided by this. The rest is left for
-/// handing over what the ring holds.
-const GRACE_DIVISOR_FOR_OPEN: u64 = 2;
+/// Maximum wait of the event loop, in milliseconds.
+const MAX_WAIT_MS: u64 = 250;
+/// After a stop request, the process waits for a pending attempt for the grace period divided by this number. The rest
+/// of the grace period remains for handing over the content of the ring.
+const GRACE_DIVISOR: u64 = 2;
 
 type OpenResult = Result<(Ring, Recovery), OpenError>;
 
-/// A ring that could be opened.
+/// An open ring.
 pub(crate) struct OpenedRing {
     pub(crate) ring: Ring,
     pub(crate) recovery: Recovery,
-    /// When the process was asked to stop, if it was meanwhile.
+    /// Time of the stop request, if one was received before the ring was open.
     pub(crate) shutdown_requested_at: Option<u64>,
 }
 
-/// Opens the ring of this machine; waits while its disk is full, refuses or hangs. `None` if the process was told to
-/// stop before the ring was open.
+/// Opens the ring of this node, and retries while its disk is full, rejects writes or is unresponsive. Returns `None`
+/// if the process was requested to stop before the ring was open.
 ///
 /// # Errors
 ///
-/// The ring can't be opened for a reason that doesn't pass by itself, or the event loop failed.
+/// Returns an error if the ring cannot be opened for a permanent reason, or if the event loop fails.
 pub(crate) fn open_ring(
     machine: &MachineOptions,
     role: Role,
@@ -50,7 +50,7 @@
         if let Some(opened) = opener.poll_result(now)? {
             return Ok(Some(opened));
         }
-        opener.report_hang(now);
+        opener.report_unresponsive_disk(now);
         match opener.retry.step(now) {
             OpenStep::Attempt => {
                 let directory = machine.data_directory.clone();
@@ -59,19 +59,19 @@
                 opener.attempt = Some(Attempt::begin(open, network.waker())?);
             }
             OpenStep::Wait { until } => {
-                let wait = until.saturating_sub(now).min(LONGEST_WAIT_MS);
+                let wait = until.saturating_sub(now).min(MAX_WAIT_MS);
                 let events = network.poll(Duration::from_millis(wait))?;
                 opener.handle_events(&events, clock.now());
             }
             OpenStep::GiveUp => {
-                log::info!("{role}: told to stop before the disk could be used: stopping");
+                log::info!("{role}: stopping before the disk could be used");
                 return Ok(None);
             }
         }
     }
 }
 
-/// The attempts, the one under way, and the order to stop.
+/// The state of opening the ring: the role, the retries, the pending attempt and the stop request.
 struct RingOpener {
     role: Role,
     grace_ms: u64,
@@ -85,22 +85,25 @@
         RingOpener { role, grace_ms, retry: OpenRetry::new(now), shutdown_requested_at: None, attempt: None }
     }
 
-    /// Takes note of the order to stop. Nothing else can come yet: the process has no listeners and no links.
+    /// Records a stop request. Other events cannot occur yet: the process has no listeners and no links.
     fn handle_events(&mut self, events: &[Event], now: u64) {
         let shutdown_requested = events.iter().any(|event| matches!(event, Event::Terminate));
         if shutdown_requested && self.shutdown_requested_at.is_none() {
             self.shutdown_requested_at = Some(now);
-            self.retry.stop(now + self.grace_ms / GRACE_DIVISOR_FOR_OPEN);
+            self.retry.stop(now + self.grace_ms / GRACE_DIVISOR);
         }
     }
 
-    fn report_hang(&mut self, now: u64) {
+    fn report_unresponsive_disk(&mut self, now: u64) {
         if self.retry.begins_to_hang(now) {
-            log::warn!("{}: the disk doesn't answer: check it; this process waits for it", self.role);
+            log::warn!(
+                "{}: the disk is unresponsive: check it; this process keeps waiting for it",
+                self.role
+            );
         }
     }
 
-    /// The ring, if the attempt under way has opened it.
+    /// Returns the ring if the pending attempt has opened it.
     fn poll_result(&mut self, now: u64) -> Result<Option<OpenedRing>, ProcessError> {
         let Some(result) = self.attempt.as_mut().and_then(Attempt::result) else { return Ok(None) };
         self.attempt = None;
@@ -123,7 +126,9 @@
             FailureOutcome::Final => return Err(error),
             FailureOutcome::Retry { first_report: Some(error) } => {
                 let role = self.role;
-                log::warn!("{role}: the disk can't be used yet: {error}; this process tries again by itself");
+                log::warn!(
+                    "{role}: the disk cannot be used yet: {error}; this process retries automatically"
+                );
             }
             FailureOutcome::Retry { first_report: None } => {}
         }
@@ -131,7 +136,7 @@
     }
 }
 
-/// An attempt on its own thread: a disk that hangs must not keep the event loop from its signals.
+/// An attempt to open the ring on a separate thread, so that an unresponsive disk does not block the event loop.
 struct Attempt {
     results: Receiver<OpenResult>,
     thread: Option<JoinHandle<()>>,
@@ -146,7 +151,7 @@
         let ring_waker = waker.clone();
         let work = move || {
             let result = open(Box::new(move || ring_waker.wake()));
-            // Nobody takes it if the process has given up.
+            // Sending fails if the process has stopped waiting for the ring.
             let _ = sender.send(result);
             waker.wake();
         };
@@ -155,7 +160,7 @@
         Ok(Attempt { results, thread: Some(thread.map_err(failed)?) })
     }
 
-    /// The result, once there is one. A panic of the thread goes on in this one.
+    /// Returns the result if the attempt is complete. A panic of the thread is propagated.
     fn result(&mut self) -> Option<OpenResult> {
         match self.results.try_recv() {
             Ok(result) => Some(result),
--- a/crates/bootstrap/src/options.rs
+++ b/crates/bootstrap/src/options.rs
@@ -1,35 +1,35 @@
-//! What every process that keeps a disk is started with.
+//! Options shared by all processes with a disk.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
 
 use orchidvalve_protocol::identity::NodeAddress;
 
-/// The machine of a process, its addresses and its disk.
+/// Name, addresses and disk of a node.
 #[derive(Clone, Debug)]
 pub struct MachineOptions {
-    /// Name of the machine, as the operator knows it.
+    /// Name of the node as chosen by the operator.
     pub name: String,
-    /// Zone of the machine.
+    /// Zone of the node.
     pub zone: String,
-    /// Share of a core that the process may use.
+    /// Fraction of a CPU core that the process may use.
     pub share: f32,
-    /// Where the system's own processes call.
+    /// Address at which the system's other processes reach this one.
     pub internal_address: SocketAddrV4,
-    /// Where their calls arrive: another address only behind a relay.
+    /// Address at which their connections arrive; differs from `internal_address` only behind a relay.
     pub internal_listener: SocketAddrV4,
-    /// Address that connections to others leave from; the kernel chooses one where there is none.
+    /// Source address of outgoing connections; `None` lets the kernel choose.
     pub source: Option<Ipv4Addr>,
-    /// Where the ring keeps its files.
+    /// Directory of the ring's files.
     pub data_directory: PathBuf,
-    /// Size of the disk.
+    /// Size of the disk in bytes.
     pub disk_bytes: u64,
-    /// Time that the process has to end after it was told to, in milliseconds.
+    /// Time within which the process has to exit after a stop request, in milliseconds.
     pub grace_ms: u64,
 }
 
 impl MachineOptions {
-    /// Address by which the system's own processes know this one.
+    /// Returns the address that identifies this process to the system's other processes.
     pub fn node_address(&self) -> NodeAddress {
         NodeAddress::new(*self.internal_address.ip(), self.internal_address.port())
     }
--- a/crates/bootstrap/src/start.rs
+++ b/crates/bootstrap/src/start.rs
@@ -1,4 +1,4 @@
-//! The start of a process up to where its role begins.
+//! The common start of a process, before its role begins.
 
 use orchidvalve_net::Network;
 use orchidvalve_net::clock::Clock;
@@ -10,28 +10,28 @@
 use crate::open_ring::{OpenedRing, open_ring};
 use crate::options::MachineOptions;
 
-/// A process whose ring is open and that doesn't listen yet.
+/// A process with an open ring that does not listen yet.
 pub struct StartedProcess {
     /// The clock of the process.
     pub clock: Clock,
-    /// The event loop, woken by the ring. Signals arrive here.
+    /// The event loop, which the ring wakes. It also reports signals.
     pub network: Network,
     /// The ring of records.
     pub ring: Ring,
-    /// What the ring held, in the order in which it was written.
+    /// The records recovered from the ring, in the order in which they were written.
     pub records: Vec<Record>,
-    /// How the process introduces itself. It holds its identity and the number of this start.
+    /// The handshake of the process, with its identity and the incarnation of this start.
     pub handshake: Handshake,
-    /// When the process was asked to stop, if it was while the ring was being opened.
+    /// Time of the stop request, if one was received while the ring was being opened.
     pub shutdown_requested_at: Option<u64>,
 }
 
-/// Opens the event loop and the ring; `ring_share` is the share of the disk that the ring may take. Waits while the
-/// disk fails. `None` if the process was asked to stop before the ring was open.
+/// Starts the event loop and opens the ring, which may use the fraction `ring_share` of the disk. Retries while the
+/// disk fails. Returns `None` if the process was requested to stop before the ring was open.
 ///
 /// # Errors
 ///
-/// The event loop can't be used, or the disk for a reason that doesn't pass by itself.
+/// Returns an error if the event loop cannot be used, or if the disk cannot be used for a permanent reason.
 pub fn start(
     machine: &MachineOptions,
     role: Role,
--- a/crates/server/src/main.rs
+++ b/crates/server/src/main.rs
@@ -1,5 +1,5 @@
-//! The system's program: `orchidvalve-server control`, `orchidvalve-server door` (a gateway) and
-//! `orchidvalve-server store`, each started with a settings file that the environment names.
+//! The program of the system's processes: `orchidvalve-server control`, `orchidvalve-server door` (a gateway) and
+//! `orchidvalve-server store`. An environment variable names the settings file.
 
 use std::process::ExitCode;
 
@@ -10,11 +10,11 @@
 
 use roles::{Role, role};
 
-/// Runs one process of the system. Its settings stand in the file that ORCHIDVALVE_BOOT names.
+/// Runs a process of the system with the settings file that the environment variable ORCHIDVALVE_BOOT names.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options, version)]
 struct Arguments {
-    /// Logs debugging lines as well
+    /// Log debug messages as well
     #[bpaf(short, long)]
     verbose: bool,
     #[bpaf(external)]
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -1,4 +1,4 @@
-//! From the settings of a machine to the options of each process.
+//! Conversion of the settings of a node to the options of each process.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::path::PathBuf;
@@ -12,40 +12,40 @@
 use orchidvalve_protocol::identity::NodeAddress;
 use orchidvalve_settings::Settings;
 
-/// Published names of the roles.
+/// Names of the roles on the command line.
 const CONTROL: &str = "control";
 const GATEWAY: &str = "door";
 const STORE: &str = "store";
 
-/// Disk of a machine whose settings don't say how large it is.
+/// Assumed disk size in MiB if the settings do not specify it.
 const DEFAULT_DISK_MB: u64 = 64;
 
-/// A setting that a role needs isn't there.
+/// A setting that the role requires is missing.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("settings: {key} is missing for the role {role}: add it to the file")]
 pub struct MissingSetting {
-    /// Key of the setting.
+    /// Key of the missing setting.
     pub key: &'static str,
-    /// Published name of the role.
+    /// Name of the role on the command line.
     pub role: &'static str,
 }
 
-/// Every process that takes the system's own traffic does so at the first internal port.
+/// Returns the port for traffic between the system's processes: the first internal port.
 fn internal_port(settings: &Settings) -> u16 {
     settings.internal_ports.first
 }
 
-/// Address that other processes of the system learn.
+/// Returns the address at which other processes of the system reach this one.
 fn internal_address(settings: &Settings) -> SocketAddrV4 {
     SocketAddrV4::new(settings.ip, internal_port(settings))
 }
 
-/// Address that is listened at: another one only where a relay listens at the address that others learn.
+/// Returns the address to listen at. It differs from the address that others use only if a relay listens there.
 fn internal_listener(settings: &Settings) -> SocketAddrV4 {
     settings.listen.internal.unwrap_or(internal_address(settings))
 }
 
-/// Address that connections to others leave from: chosen here only where a relay has to distinguish the machines.
+/// Returns the source address of outgoing connections. It is set only if a relay has to distinguish the nodes.
 fn source(settings: &Settings) -> Option<Ipv4Addr> {
     settings.listen.internal.map(|internal| *internal.ip())
 }
@@ -55,7 +55,7 @@
     settings.seed_nodes.iter().map(|seed| NodeAddress::new(*seed.ip(), port)).collect()
 }
 
-/// Options of the control role.
+/// Returns the options of a control node.
 pub fn control_options(settings: &Settings) -> Result<ControlOptions, MissingSetting> {
     let missing = |key| MissingSetting { key, role: CONTROL };
     Ok(ControlOptions {
@@ -74,7 +74,7 @@
     })
 }
 
-/// Options of the control role on a machine without a data directory, which can't keep the control state.
+/// Returns the options of a control node without a data directory, which cannot store the control state.
 pub fn observer_options(settings: &Settings) -> Result<ObserverOptions, MissingSetting> {
     let missing = MissingSetting { key: "listen-addresses.control", role: CONTROL };
     Ok(ObserverOptions {
@@ -89,7 +89,7 @@
     })
 }
 
-/// Options of the role of a gateway.
+/// Returns the options of a gateway.
 pub fn gateway_options(settings: &Settings) -> Result<GatewayOptions, MissingSetting> {
     let missing = |key| MissingSetting { key, role: GATEWAY };
     Ok(GatewayOptions {
@@ -105,7 +105,7 @@
     })
 }
 
-/// Options of the store role.
+/// Returns the options of a store node.
 pub fn store_options(settings: &Settings) -> Result<StoreOptions, MissingSetting> {
     Ok(StoreOptions {
         machine: machine_options(settings, STORE)?,
@@ -116,7 +116,7 @@
     })
 }
 
-/// What a process that keeps a disk is started with, whatever its role.
+/// Returns the options shared by all roles with a disk.
 fn machine_options(settings: &Settings, role: &'static str) -> Result<MachineOptions, MissingSetting> {
     Ok(MachineOptions {
         name: settings.node_name.clone(),
@@ -131,12 +131,12 @@
     })
 }
 
-/// Length of a window of usage, in milliseconds.
+/// Returns the length of a usage window in milliseconds.
 fn usage_window_ms(settings: &Settings) -> u64 {
     (settings.bounds.usage_window_s * 1_000.0) as u64
 }
 
-/// Grace period for a shutdown, in milliseconds.
+/// Returns the grace period of a shutdown in milliseconds.
 fn grace_ms(settings: &Settings) -> u64 {
     (settings.bounds.grace_s * 1_000.0) as u64
 }
--- a/crates/server/src/roles.rs
+++ b/crates/server/src/roles.rs
@@ -1,4 +1,4 @@
-//! The processes of the roles.
+//! Runs the process of each role.
 
 use bpaf::Bpaf;
 use derive_more::{Display, Error, From};
@@ -9,29 +9,29 @@
 
 use crate::options::{MissingSetting, control_options, gateway_options, observer_options, store_options};
 
-/// What the process does.
+/// The role of the process.
 #[derive(Clone, Copy, Debug, Bpaf)]
 pub enum Role {
-    /// Keeps the configuration and places work: a machine of the control plane
+    /// Run a control node, which keeps the configuration and decides placements
     #[bpaf(command)]
     Control,
-    /// Takes requests of clients and runs generations: a machine of the data plane
+    /// Run a gateway, which accepts requests of clients and runs generations
     #[bpaf(command("door"))]
     Gateway,
-    /// Keeps batch jobs and their results
+    /// Run a store node, which keeps batch jobs and their results
     #[bpaf(command)]
     Store,
-    /// Reads the settings, says what is wrong with them, and ends
+    /// Check the settings, print the first error in them, and exit
     #[bpaf(command)]
     Check,
 }
 
-/// Why a process ends.
+/// The reason why a process ends with an error.
 #[derive(Debug, Display, Error, From)]
 pub enum RunError {
-    /// The settings can't be read.
+    /// The settings cannot be read.
     Settings(SettingsError),
-    /// The settings don't fit the role.
+    /// The settings lack a key that the role requires.
     Missing(MissingSetting),
     /// The control node failed.
     #[display("control: {_0}")]
@@ -45,18 +45,18 @@
     Store(ProcessError),
 }
 
-/// Runs the process of a role until it ends.
+/// Runs the process of a role until it exits.
 ///
 /// # Errors
 ///
-/// The settings don't fit the role, or the process failed.
+/// Returns an error if the settings are invalid for the role, or if the process fails.
 pub fn run(role: Role) -> Result<(), RunError> {
     let settings = Settings::load_from_environment()?;
     match role {
         Role::Control if settings.data_directory.is_none() => {
-            let observed =
+            let result =
                 orchidvalve_control_plane::observer::run(&observer_options(&settings)?, random_incarnation());
-            observed.map_err(|error| RunError::Control(error.into()))
+            result.map_err(|error| RunError::Control(error.into()))
         }
         Role::Control => {
             orchidvalve_control_plane::process::run(control_options(&settings)?).map_err(RunError::Control)
--- a/crates/server/tests/disk_unavailable_at_start.rs
+++ b/crates/server/tests/disk_unavailable_at_start.rs
@@ -1,6 +1,6 @@
-//! A process whose disk takes no writes at its start stays, and goes on by itself once the disk does.
+//! A process whose disk accepts no writes at the start keeps running and continues once the disk accepts them.
 //!
-//! The disk that takes no writes is a limit on the size of files, which can be raised while the process runs.
+//! The test simulates such a disk by a limit on the size of files, which can be raised while the process runs.
 
 use std::io::{BufRead, BufReader, Lines};
 use std::net::{Ipv4Addr, TcpListener};
@@ -10,10 +10,10 @@
 use rstest::rstest;
 use rustix::process::{Pid, Resource, Rlimit, Signal, getrlimit, kill_process, prlimit};
 
-/// Starts the program with room for no byte in a file; the signal that tells of it is ignored, so writes fail.
-const WITHOUT_ROOM: &str = "trap '' XFSZ; ulimit -S -f 0; exec \"$0\" \"$1\"";
-const WAITS: &str = "the disk can't be used yet: ";
-const STARTS: &str = "starts with 0 records on disk";
+/// Starts the program with a file size limit of 0. The signal SIGXFSZ is ignored, so that writes fail instead.
+const WITHOUT_SPACE: &str = "trap '' XFSZ; ulimit -S -f 0; exec \"$0\" \"$1\"";
+const DISK_UNAVAILABLE: &str = "the disk cannot be used yet: ";
+const STARTED: &str = "starts with 0 records on disk";
 
 fn free_port() -> u16 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
@@ -30,7 +30,7 @@
     )
 }
 
-/// A process of the system whose files may hold no byte. It ends with this value.
+/// A process whose files must be empty. Dropping this value ends the process.
 struct WaitingProcess {
     child: Child,
     log: Lines<BufReader<ChildStderr>>,
@@ -46,7 +46,7 @@
         std::fs::write(&path, settings(&folder.join("data"))).unwrap();
         let program = env!("CARGO_BIN_EXE_orchidvalve-server");
         let mut child = Command::new("sh")
-            .args(["-c", WITHOUT_ROOM, program, role])
+            .args(["-c", WITHOUT_SPACE, program, role])
             .env("ORCHIDVALVE_BOOT", path)
             .stderr(Stdio::piped())
             .spawn()
@@ -59,7 +59,7 @@
         Pid::from_child(&self.child)
     }
 
-    /// Reads the log up to a line with this text; the lines before it.
+    /// Reads the log until a line contains `text`. Returns the lines before it.
     fn read_until(&mut self, text: &str) -> Vec<String> {
         let mut before = Vec::new();
         for line in self.log.by_ref() {
@@ -72,7 +72,7 @@
         panic!("the process ended without '{text}': {before:?}");
     }
 
-    fn make_room(&self) {
+    fn raise_file_size_limit(&self) {
         let hard_limit = getrlimit(Resource::Fsize).maximum;
         prlimit(Some(self.pid()), Resource::Fsize, Rlimit { current: hard_limit, maximum: hard_limit })
             .unwrap();
@@ -88,22 +88,22 @@
 }
 
 #[rstest]
-fn a_process_starts_by_itself_once_its_disk_has_room(#[values("control", "store")] role: &str) {
-    let mut process = WaitingProcess::start(role, "room");
-    process.read_until(WAITS);
+fn a_process_starts_once_its_disk_accepts_writes(#[values("control", "store")] role: &str) {
+    let mut process = WaitingProcess::start(role, "start");
+    process.read_until(DISK_UNAVAILABLE);
     assert!(process.child.try_wait().unwrap().is_none());
-    process.make_room();
-    let meanwhile = process.read_until(STARTS);
-    assert!(meanwhile.iter().all(|line| !line.contains(WAITS)), "told of more than once: {meanwhile:?}");
-    assert!(meanwhile.iter().any(|line| line.contains("the disk can be used after")), "{meanwhile:?}");
+    process.raise_file_size_limit();
+    let lines = process.read_until(STARTED);
+    assert!(lines.iter().all(|line| !line.contains(DISK_UNAVAILABLE)), "logged more than once: {lines:?}");
+    assert!(lines.iter().any(|line| line.contains("the disk can be used after")), "{lines:?}");
 }
 
 #[rstest]
-fn a_process_that_waits_for_its_disk_ends_when_it_is_told_to(#[values("control", "store")] role: &str) {
+fn a_process_that_waits_for_its_disk_stops_on_request(#[values("control", "store")] role: &str) {
     let mut process = WaitingProcess::start(role, "stop");
-    process.read_until(WAITS);
+    process.read_until(DISK_UNAVAILABLE);
     kill_process(process.pid(), Signal::TERM).unwrap();
-    process.read_until("told to stop before the disk could be used");
+    process.read_until("stopping before the disk could be used");
     let status = process.child.wait().unwrap();
     assert_eq!(status.code(), Some(0));
 }
--- a/crates/server/tests/settings.rs
+++ b/crates/server/tests/settings.rs
@@ -1,4 +1,4 @@
-//! A process goes by the settings file as it is at the moment of its start.
+//! A process uses the settings file as it is when the process starts.
 
 use std::path::Path;
 use std::process::Command;
@@ -12,7 +12,7 @@
     )
 }
 
-/// What `orchidvalve-server check` says of the file.
+/// Runs `orchidvalve-server check`. Returns whether it succeeded, and its output.
 fn check(path: &Path) -> (bool, String) {
     let program = env!("CARGO_BIN_EXE_orchidvalve-server");
     let output = Command::new(program).arg("check").env("ORCHIDVALVE_BOOT", path).output().unwrap();
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn each_start_reads_the_file_as_it_is_then() {
+fn each_start_reads_the_current_file() {
     let folder = std::env::temp_dir().join(format!("orchidvalve-settings-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let path = folder.join("local.conf");
