--- a/crates/configuration/src/tenant_table.rs
+++ b/crates/configuration/src/tenant_table.rs
@@ -33,7 +33,7 @@
     }
 
     /// Returns the tenant of this API key, which must match byte for byte. Takes constant time for a table of any size.
-    pub fn of_key(&self, key: &str) -> Option<&Tenant> {
+    pub fn by_key(&self, key: &str) -> Option<&Tenant> {
         self.by_key.get(key).and_then(|index| self.tenants.get(*index))
     }
 
--- a/crates/configuration/tests/tenants.rs
+++ b/crates/configuration/tests/tenants.rs
@@ -28,7 +28,7 @@
 }
 
 fn tenant_of_key<'t>(routes: &'t RouteTable, key: &str) -> Option<&'t str> {
-    routes.tenants().expect("tenants").of_key(key).map(|tenant| tenant.name.as_str())
+    routes.tenants().expect("tenants").by_key(key).map(|tenant| tenant.name.as_str())
 }
 
 #[rstest]
--- a/crates/data-plane/src/authentication.rs
+++ b/crates/data-plane/src/authentication.rs
@@ -67,7 +67,7 @@
     requirement: KeyRequirement,
 ) -> Result<Authenticated, Unauthenticated> {
     let Some(tenants) = tenants else { return Ok(Authenticated::WithoutTenants) };
-    match (bearer_key(headers).and_then(|key| tenants.of_key(key)), requirement) {
+    match (bearer_key(headers).and_then(|key| tenants.by_key(key)), requirement) {
         (Some(tenant), _) => Ok(Authenticated::Tenant(tenant.name.clone())),
         (None, KeyRequirement::Optional) => Ok(Authenticated::Public),
         (None, KeyRequirement::Required) => Err(Unauthenticated),
