--- a/crates/bootstrap/src/options.rs
+++ b/crates/bootstrap/src/options.rs
@@ -13,7 +13,7 @@
     /// Zone of the node.
     pub zone: String,
     /// Fraction of a CPU core that the process may use.
-    pub share: f32,
+    pub cpu_share: f32,
     /// Address at which the system's other processes reach this one.
     pub internal_address: SocketAddrV4,
     /// Address at which their connections arrive; differs from `internal_address` only behind a relay.
--- a/crates/bootstrap/src/start.rs
+++ b/crates/bootstrap/src/start.rs
@@ -58,6 +58,6 @@
         zone: machine.zone.clone(),
         member,
         incarnation: random_incarnation(),
-        cpu_share: machine.share,
+        cpu_share: machine.cpu_share,
     }
 }
--- a/crates/control-plane/tests/graceful_shutdown_support/mod.rs
+++ b/crates/control-plane/tests/graceful_shutdown_support/mod.rs
@@ -29,7 +29,7 @@
         machine: MachineOptions {
             name: "control-north-1".to_owned(),
             zone: "north".to_owned(),
-            share: 1.0,
+            cpu_share: 1.0,
             internal_address,
             internal_listener: internal_address,
             source: None,
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -121,7 +121,7 @@
     Ok(MachineOptions {
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
-        share: settings.limits.cpu_share as f32,
+        cpu_share: settings.limits.cpu_share as f32,
         internal_address: internal_address(settings),
         internal_listener: internal_listener(settings),
         source: source(settings),
