--- a/crates/batch-store/src/dispatch.rs
+++ b/crates/batch-store/src/dispatch.rs
@@ -17,9 +17,9 @@
 use crate::partition::Partition;
 use crate::timestamp::Timestamp;
 
-/// A job starts more groups than the trainer waits for. The margin is the desired count divided by this number...
+/// A job starts more groups than the trainer waits for: the margin is the desired count divided by this number.
 const MARGIN_DIVISOR: u32 = 10;
-/// ...and at least this many groups.
+/// Minimum margin in groups.
 const MIN_MARGIN: u32 = 2;
 /// Spare groups are started after the job's target run time divided by this number.
 const SPARE_WAIT_DIVISOR: u64 = 2;
--- a/crates/batch-store/src/partition.rs
+++ b/crates/batch-store/src/partition.rs
@@ -186,7 +186,7 @@
         self.drive(sinks, |replica, _, outputs| replica.propose(payload, outputs))
     }
 
-    /// Handles that the write-ahead log is durable up to and including `position`.
+    /// Called when the write-ahead log is durable up to and including `position`.
     pub fn durable(&mut self, position: Position, sinks: &mut Sinks<'_>) {
         if self.unsynced_view_record.take_if(|record| *record <= position).is_some() {
             self.report_learners(sinks.outputs);
--- a/crates/batch-store/src/partition/log_start.rs
+++ b/crates/batch-store/src/partition/log_start.rs
@@ -29,7 +29,8 @@
         self.records.push_back(record);
     }
 
-    /// Handles that records up to and including `position` are durable: earlier log start records are no longer needed.
+    /// Called when the records up to and including `position` are durable. Forgets log start records that a later
+    /// durable one supersedes.
     pub fn durable(&mut self, position: Position) {
         while self.records.get(1).is_some_and(|record| record.position <= position) {
             self.records.pop_front();
--- a/crates/batch-store/src/process.rs
+++ b/crates/batch-store/src/process.rs
@@ -87,7 +87,7 @@
     peers: PeerLinks,
     incoming: IncomingLinks,
     /// Version of the configuration that the store uses.
-    configuration: u64,
+    configuration_version: u64,
     disk_progress: DiskProgress,
     load_reports: LoadReports,
     grace_ms: u64,
@@ -148,7 +148,7 @@
             feed,
             peers: PeerLinks::new(me),
             incoming: IncomingLinks::default(),
-            configuration: 0,
+            configuration_version: 0,
             disk_progress: DiskProgress::new(now),
             load_reports: LoadReports::default(),
             grace_ms: options.machine.grace_ms,
@@ -220,8 +220,8 @@
         let state = self.feed.replica().state();
         let version = state.configuration_version();
         let placements = state.partitions().to_vec();
-        if version != self.configuration {
-            self.configuration = version;
+        if version != self.configuration_version {
+            self.configuration_version = version;
             let table = state.configuration().map(|c| c.routes().clone());
             self.store.set_limits(Rc::new(RouteLimits(table)));
         }
--- a/crates/batch-store/src/store.rs
+++ b/crates/batch-store/src/store.rs
@@ -164,7 +164,7 @@
         }
     }
 
-    /// Handles that the write-ahead log is durable up to and including `position`.
+    /// Called when the write-ahead log is durable up to and including `position`.
     pub fn durable(&mut self, position: Position, now: Timestamp, outputs: &mut Vec<Output>) {
         for number in self.partition_numbers() {
             self.with_partition(number, now, outputs, |partition, sinks| partition.durable(position, sinks));
@@ -303,7 +303,7 @@
                     self.gateways.release_items(gateway, 1);
                     self.dispatch_due = true;
                 }
-                self.pending_results.committed(number, &job, item);
+                self.pending_results.result_committed(number, &job, item);
                 self.respond_to_reads(number, &job, outputs);
             }
             Effect::JobEnded { job, released } => {
--- a/crates/batch-store/src/store/results.rs
+++ b/crates/batch-store/src/store/results.rs
@@ -31,7 +31,7 @@
     /// Links on which each uncommitted result was reported.
     uncommitted: BTreeMap<ItemKey, Vec<LinkId>>,
     /// Ids of the items to acknowledge at the end of the current input.
-    committed: BTreeMap<AcknowledgementKey, Vec<String>>,
+    scheduled: BTreeMap<AcknowledgementKey, Vec<String>>,
 }
 
 impl PendingResults {
@@ -44,7 +44,7 @@
     }
 
     /// Schedules the acknowledgement of a committed result to all gateways that reported it.
-    pub fn committed(&mut self, number: u16, job: &CompactString, item: CompactString) {
+    pub fn result_committed(&mut self, number: u16, job: &CompactString, item: CompactString) {
         let key = ItemKey { job: JobKey { partition: number, job: job.clone() }, item };
         for link in self.uncommitted.remove(&key).unwrap_or_default() {
             self.acknowledge(link, number, job, &key.item);
@@ -53,25 +53,25 @@
 
     fn acknowledge(&mut self, link: LinkId, number: u16, job: &str, item: &str) {
         let key = AcknowledgementKey { link, job: JobKey::new(number, job) };
-        self.committed.entry(key).or_default().push(item.to_owned());
+        self.scheduled.entry(key).or_default().push(item.to_owned());
     }
 
     /// Schedules the acknowledgement of outcomes that are no longer needed.
     pub fn acknowledge_all(&mut self, link: LinkId, number: u16, job: &str, items: Vec<String>) {
         let key = AcknowledgementKey { link, job: JobKey::new(number, job) };
-        self.committed.entry(key).or_default().extend(items);
+        self.scheduled.entry(key).or_default().extend(items);
     }
 
     /// Sends the scheduled acknowledgements, one message per link and job.
     pub fn send_acknowledgements(&mut self, outputs: &mut Vec<Output>) {
-        for (AcknowledgementKey { link, job }, items) in std::mem::take(&mut self.committed) {
+        for (AcknowledgementKey { link, job }, items) in std::mem::take(&mut self.scheduled) {
             let JobKey { partition, job } = job;
             let message = StoreMessage::AcknowledgeOutcomes { partition, job: job.into(), items };
             outputs.push(Output::ToGateway { link, message });
         }
     }
 
-    /// Forgets the results reported on a lost link, which cannot be acknowledged any more.
+    /// Forgets the results reported on a lost link, which can no longer be acknowledged.
     pub fn remove_link(&mut self, link: LinkId) {
         self.uncommitted.retain(|_, links| {
             links.retain(|&other| other != link);
--- a/crates/batch-store/tests/golden_inputs.rs
+++ b/crates/batch-store/tests/golden_inputs.rs
@@ -250,8 +250,8 @@
     }
 
     fn any_item(&mut self, job: &str) -> String {
-        let (group, place) = (self.random.random_range(0..=GROUPS), self.random.random_range(0..PER_GROUP));
-        format!("{job}-{group}-{place}")
+        let (group, index) = (self.random.random_range(0..=GROUPS), self.random.random_range(0..PER_GROUP));
+        format!("{job}-{group}-{index}")
     }
 
     fn gateway_message(&mut self) {
--- a/crates/batch-store/tests/mutations.rs
+++ b/crates/batch-store/tests/mutations.rs
@@ -253,11 +253,11 @@
     world.report(1, 0, "j", &["j-0-0"]);
     world.run();
     let records = world.stores[0].disk.clone();
-    for place in 0..records.len() {
-        let record: DiskRecord = decode(&records[place].payload).unwrap();
+    for index in 0..records.len() {
+        let record: DiskRecord = decode(&records[index].payload).unwrap();
         for_each_damaged(&record, |damaged| {
             let mut records = records.clone();
-            records[place].payload = encode(&damaged);
+            records[index].payload = encode(&damaged);
             Process::start(member(1), records, 1, 5);
         });
     }
--- a/crates/batch-store/tests/store_simulation/mod.rs
+++ b/crates/batch-store/tests/store_simulation/mod.rs
@@ -283,7 +283,7 @@
                 assert_eq!(total as usize, GROUPS * PER_GROUP);
                 assert_eq!(next, after + outcomes.len() as u64);
                 // A member that lags may return fewer results, but not none if there was one.
-                assert!(known == 0 || !outcomes.is_empty(), "{job} has no results after {after} any more");
+                assert!(known == 0 || !outcomes.is_empty(), "{job} lost its results after {after}");
                 self.check_results(&job, after, outcomes);
             }
             (PendingCall::End { job }, StoreResponse::Ended) => {
--- a/crates/batch-store/tests/support/mod.rs
+++ b/crates/batch-store/tests/support/mod.rs
@@ -50,14 +50,14 @@
 
 /// Returns an encoded job of `groups` groups with `per_group` items each, named `ID-GROUP-ITEM`.
 pub fn job(id: &str, groups: usize, per_group: usize, desired: u32) -> Vec<u8> {
-    let item = |group: usize, place: usize| {
+    let item = |group: usize, index: usize| {
         format!(
-            r#"{{"instance-id":"{id}-{group}-{place}","path":"/p","headers":{{"Model":"m"}},
+            r#"{{"instance-id":"{id}-{group}-{index}","path":"/p","headers":{{"Model":"m"}},
             "body":"aGVsbG8=","token-usage":10,"group":"g{group}"}}"#
         )
     };
     let items: Vec<String> =
-        (0..groups).flat_map(|group| (0..per_group).map(move |place| item(group, place))).collect();
+        (0..groups).flat_map(|group| (0..per_group).map(move |index| item(group, index))).collect();
     let body = format!(
         r#"{{"step":0,"model":"m","min-weights-version":1,"desired-count":{desired},"requests":[{}]}}"#,
         items.join(",")
--- a/crates/configuration/tests/configuration.rs
+++ b/crates/configuration/tests/configuration.rs
@@ -289,14 +289,14 @@
 
 #[test]
 fn every_truncated_document_is_rejected() {
-    let whole = bytes(&valid());
-    for length in 0..whole.len() {
-        let result = Configuration::replace(&whole[..length], None);
+    let document = bytes(&valid());
+    for length in 0..document.len() {
+        let result = Configuration::replace(&document[..length], None);
         assert!(matches!(result, Err(ConfigurationError::NotJson { .. })), "{length}");
     }
-    let mut more = whole.clone();
-    more.extend_from_slice(b" {}");
-    assert!(matches!(Configuration::replace(&more, None), Err(ConfigurationError::NotJson { .. })));
+    let mut extended = document.clone();
+    extended.extend_from_slice(b" {}");
+    assert!(matches!(Configuration::replace(&extended, None), Err(ConfigurationError::NotJson { .. })));
     assert!(matches!(Configuration::replace(b"\"\xff\"", None), Err(ConfigurationError::NotJson { .. })));
 }
 
@@ -401,10 +401,10 @@
             });
             configuration = Configuration::patch(&bytes(&patch), Some(&configuration)).unwrap();
             apply_to_document(&mut expected, version, &upserts, &removed);
-            let whole = put(&expected).unwrap();
-            assert_eq!(configuration, whole, "seed {seed}");
-            assert_eq!(configuration.routes(), whole.routes(), "seed {seed}");
-            assert_eq!(configuration.to_json(), whole.to_json(), "seed {seed}");
+            let complete = put(&expected).unwrap();
+            assert_eq!(configuration, complete, "seed {seed}");
+            assert_eq!(configuration.routes(), complete.routes(), "seed {seed}");
+            assert_eq!(configuration.to_json(), complete.to_json(), "seed {seed}");
         }
     }
 }
--- a/crates/configuration/tests/golden_configuration.rs
+++ b/crates/configuration/tests/golden_configuration.rs
@@ -242,14 +242,14 @@
     let mut trace = Trace::new();
     let mut current: Option<Configuration> = None;
     for _ in 0..DOCUMENTS {
-        let whole = random.random_bool(0.4);
-        let document = if whole { random_document(&mut random) } else { random_patch(&mut random) };
+        let is_complete = random.random_bool(0.4);
+        let document = if is_complete { random_document(&mut random) } else { random_patch(&mut random) };
         let mut body = document.to_string().into_bytes();
         if random.random_bool(0.05) {
             body.truncate(random.random_range(0..body.len()));
         }
         let base = current.as_ref().filter(|_| random.random_bool(0.5));
-        let read = if whole {
+        let read = if is_complete {
             Configuration::replace(&body, base)
         } else {
             Configuration::patch(&body, current.as_ref())
--- a/crates/configuration/tests/route_table.rs
+++ b/crates/configuration/tests/route_table.rs
@@ -70,9 +70,9 @@
 fn lookups_agree_with_a_linear_search() {
     let mut random = Pcg64Mcg::seed_from_u64(11);
     let segments = ["a", "b", "ab", "c"];
-    let path = |random: &mut Pcg64Mcg, most: usize| {
+    let path = |random: &mut Pcg64Mcg, max_segments: usize| {
         let mut path = "/".to_owned();
-        for _ in 0..random.random_range(0..=most) {
+        for _ in 0..random.random_range(0..=max_segments) {
             path.push_str(segments[random.random_range(0..segments.len())]);
             path.push('/');
         }
