--- a/crates/cold-start/examples/measure.rs
+++ b/crates/cold-start/examples/measure.rs
@@ -1,5 +1,6 @@
-//! What discovery and one doubted server see in each second of a start of 10 to 300 nodes, in virtual time: with slots
-//! and without. `cargo run --release -p orchidvalve-cold-start --example measure -- DIR` prints a table and draws charts.
+//! Fetches at discovery and health checks at one unverified server, per second of a start of 10 to 300 nodes, in virtual
+//! time, with and without drawn slots. `cargo run --release -p orchidvalve-cold-start --example measure -- DIR` prints a
+//! table and draws charts.
 
 use orchidvalve_cold_start::probe_schedule::probe_from;
 use orchidvalve_cold_start::start::{ActionSink, Offer, Source, Start};
@@ -22,16 +23,16 @@
     fn discovery_timed_out(&mut self) {}
 }
 
-/// Asks in each second of one start; `down`: seconds for which discovery answers nothing.
-fn asks(nodes: usize, seed: u64, down: usize) -> Vec<usize> {
+/// Returns the number of fetches in each second of one start. Discovery does not respond for the first `down` seconds.
+fn fetches(nodes: usize, seed: u64, down: usize) -> Vec<usize> {
     let settings = StartSettings { expected: nodes, fetches_a_second: 50.0, ..StartSettings::default() };
     let mut all: Vec<(Start, Option<(Nanos, bool)>)> =
         (0..nodes as u64).map(|n| (Start::new(settings, seed * 1000 + n, 0, 0), None)).collect();
     let mut each = vec![0; SECONDS];
     let mut now = 0;
     while now < SECONDS as Nanos * S {
-        for (start, out) in &mut all {
-            let ended = out.filter(|(at, _)| *at <= now);
+        for (start, in_progress) in &mut all {
+            let ended = in_progress.filter(|(at, _)| *at <= now);
             let mut fetched = Fetched(false);
             start.round(
                 now,
@@ -49,12 +50,12 @@
                 &mut fetched,
             );
             if ended.is_some() {
-                *out = None;
+                *in_progress = None;
             }
             if fetched.0 {
                 each[(now / S) as usize] += 1;
                 let up = now >= down as Nanos * S;
-                *out = Some((now + if up { 2 * MS } else { 250 * MS }, up));
+                *in_progress = Some((now + if up { 2 * MS } else { 250 * MS }, up));
             }
         }
         now += 10 * MS;
@@ -62,8 +63,8 @@
     each
 }
 
-/// The same of nodes that ask at once, and again after 250 ms doubled to 4 s, as the node does without its turn.
-fn asks_at_once(nodes: usize, down: usize) -> Vec<usize> {
+/// The same for nodes that fetch at once and retry after 250 ms, doubled up to 4 s, as without slots.
+fn fetches_at_once(nodes: usize, down: usize) -> Vec<usize> {
     let mut each = vec![0; SECONDS];
     let (mut at, mut wait) = (0, 250 * MS);
     while at < SECONDS as Nanos * S {
@@ -77,7 +78,7 @@
     each
 }
 
-/// Probes that one server sees in each second: the middle of seeds of the most.
+/// Returns the largest number of health checks that one server receives in a second.
 fn probes(nodes: usize, seed: u64) -> usize {
     let settings = StartSettings { expected: nodes, ..StartSettings::default() };
     let mut each = [0; 8];
@@ -87,7 +88,7 @@
     each.into_iter().max().unwrap_or(0)
 }
 
-fn middle(mut of: Vec<usize>) -> usize {
+fn median(mut of: Vec<usize>) -> usize {
     of.sort_unstable();
     of.get(of.len() / 2).copied().unwrap_or(0)
 }
@@ -95,28 +96,28 @@
 fn main() {
     let dir = std::env::args().nth(1);
     println!(
-        "| nodes | at once: most asks in a second | in turn: middle, most of 20 seeds | bound | discovery down 4 s, at once | in turn | probes a server sees in a second: at once | spread, middle and most |"
+        "| nodes | at once: most fetches per second | with slots: median, most of 20 seeds | bound | discovery down 4 s, at once | with slots | health checks at a server per second: at once | spread, median and most |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     let mut lines: [Vec<(f64, f64)>; 4] = Default::default();
     for nodes in [10, 30, 100, 200, 300] {
-        let most = |down: usize| -> Vec<usize> {
-            (1..=SEEDS).map(|seed| asks(nodes, seed, down).into_iter().max().unwrap_or(0)).collect()
+        let max_per_second = |down: usize| -> Vec<usize> {
+            (1..=SEEDS).map(|seed| fetches(nodes, seed, down).into_iter().max().unwrap_or(0)).collect()
         };
-        let at_once = |down: usize| asks_at_once(nodes, down).into_iter().max().unwrap_or(0);
-        let (up, down) = (most(0), most(4));
+        let at_once = |down: usize| fetches_at_once(nodes, down).into_iter().max().unwrap_or(0);
+        let (up, down) = (max_per_second(0), max_per_second(4));
         let probes: Vec<usize> = (1..=SEEDS).map(|seed| probes(nodes, seed)).collect();
-        let bound = (50.0 + 5.0 * 50f64.sqrt()) as usize;
+        let max_rate = (50.0 + 5.0 * 50f64.sqrt()) as usize;
         let max = |of: &[usize]| of.iter().copied().max().unwrap_or(0);
         println!(
-            "| {nodes} | {} | {}, {} | {bound} | {} | {}, {} | {nodes} | {}, {} |",
+            "| {nodes} | {} | {}, {} | {max_rate} | {} | {}, {} | {nodes} | {}, {} |",
             at_once(0),
-            middle(up.clone()),
+            median(up.clone()),
             max(&up),
             at_once(4),
-            middle(down.clone()),
+            median(down.clone()),
             max(&down),
-            middle(probes.clone()),
+            median(probes.clone()),
             max(&probes)
         );
         let x = nodes as f64;
@@ -134,13 +135,13 @@
     root.fill(&WHITE)?;
     let top = lines.iter().flatten().map(|p| p.1).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&root)
-        .caption("most asks at discovery in a second of a start", ("sans-serif", 18))
+        .caption("most fetches at discovery per second of a start", ("sans-serif", 18))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(48)
         .build_cartesian_2d(0f64..310f64, 0f64..top * 1.05)?;
     chart.configure_mesh().x_desc("front nodes that start at once").draw()?;
-    let names = ["at once", "in turn", "at once, discovery down for 4 s", "in turn, discovery down for 4 s"];
+    let names = ["at once", "with slots", "at once, discovery down for 4 s", "with slots, discovery down for 4 s"];
     let colours = [RED, BLUE, MAGENTA, GREEN];
     for ((line, name), colour) in lines.iter().zip(names).zip(colours) {
         chart
--- a/crates/cold-start/src/start.rs
+++ b/crates/cold-start/src/start.rs
@@ -1,10 +1,10 @@
-//! Which list a starting node adopts. Lists are offered as the host finds them: the one in its configuration, the one
-//! on its disk, one that a peer has, and at last discovery's own. The one seen last is adopted, with its doubt; an
-//! offer that is no better is refused, so that a peer's older list never undoes what is known. Discovery's answer ends
-//! the start.
+//! Selects the list that a starting node uses. The host offers lists as it finds them: the one in its configuration, the
+//! one saved on disk, one from a peer, and finally discovery's own. The list seen last is adopted, with a degree of
+//! distrust. An offer that is no better is ignored, so that an older list of a peer never replaces a newer one. Discovery's
+//! response ends the start.
 //!
-//! Where nothing answers, the node serves from what it has: a list too old to be adopted at once is taken up once
-//! `discovery_timeout` is over, with the most doubt, rather than none.
+//! If no source responds, the node serves with the list that it has: a list that was too old to be adopted at once is
+//! adopted after `discovery_timeout`, with the highest distrust.
 
 use rand::SeedableRng;
 use rand_pcg::Pcg64;
@@ -13,35 +13,35 @@
 use crate::trust::{MAX_UNVERIFIED_STEPS, is_too_old, unverified_steps};
 use crate::{Nanos, StartSettings};
 
-/// Where a list is from, the least trusted first where two were seen at the same moment.
+/// Source of a list, the least trusted first. Decides between lists that were seen at the same time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Source {
-    /// Named in the configuration.
+    /// The configuration.
     Configured,
-    /// Remembered on disk.
+    /// Saved on disk by an earlier run.
     Disk,
-    /// Told by another front node.
+    /// Received from another front node.
     Peer,
-    /// Discovery's own answer.
+    /// A response of discovery.
     Discovery,
 }
 
-/// A list that the host has: its contents stay with the host.
+/// A list that the host has. The host keeps its contents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Offer {
-    /// Where it is from.
+    /// Source of the list.
     pub source: Source,
-    /// Discovery's number of it.
+    /// Revision number that discovery gave the list.
     pub revision: i64,
-    /// When discovery told it, in this node's time.
+    /// When discovery sent the list, by this node's clock.
     pub seen: Nanos,
-    /// Servers that it names.
+    /// The number of servers in the list.
     pub members: usize,
-    /// Whether its revision is one of the discovery that this node asks.
+    /// Whether the revision is from the discovery service that this node queries.
     pub comparable: bool,
 }
 
-/// What came in since the last round.
+/// Inputs of a round.
 #[derive(Default)]
 pub struct Inbox {
     offers: Vec<Offer>,
@@ -51,83 +51,83 @@
     fleet: Option<FleetSize>,
 }
 
-/// The front nodes as the host knows them.
+/// Size of the fleet as the host knows it.
 #[derive(Clone, Copy)]
 struct FleetSize {
-    /// Front nodes counted, this one among them.
+    /// The number of front nodes, including this one.
     counted: usize,
-    /// Peers alive that can be asked.
+    /// The number of live peers that can be queried.
     alive: usize,
 }
 
 impl Inbox {
-    /// A list that the host has.
+    /// Offers a list that the host has.
     pub fn offer(&mut self, offer: Offer) {
         self.offers.push(offer);
     }
 
-    /// Discovery did not answer, or its watch broke off.
+    /// Discovery did not respond, or its watch ended with an error.
     pub fn fetch_failed(&mut self) {
         self.fetch_failed = true;
     }
 
-    /// Another discovery is to be asked from now on.
+    /// A different discovery service is queried from now on.
     pub fn discovery_changed(&mut self) {
         self.discovery_changed = true;
     }
 
-    /// Starts of this node lately, before this one.
+    /// Sets the number of recent starts of this node before this one.
     pub fn starts(&mut self, before: u32) {
         self.starts = Some(before);
     }
 
-    /// Front nodes counted, this one among them, and peers alive that can be asked.
+    /// Sets the number of front nodes, including this one, and the number of live peers that can be queried.
     pub fn fleet(&mut self, counted: usize, alive: usize) {
         self.fleet = Some(FleetSize { counted, alive });
     }
 }
 
-/// Where the decisions go.
+/// Receives the decisions of a round.
 pub trait ActionSink {
-    /// That list is adopted from now on; the servers that it names and that discovery has not vouched for are doubted
-    /// by so many steps.
+    /// Adopts a list. Its servers that discovery has not verified are unverified by the given steps.
     fn adopt(&mut self, offer: &Offer, unverified_steps: u32);
-    /// Asks peers for a list newer than that revision and time; the inner `None`: for any list; the outer: no longer.
+    /// Requests a list newer than the given revision and time from peers. The inner `None` accepts any list; the outer
+    /// `None` ends the request.
     fn request_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>);
-    /// Discovery is asked now: for the whole list, or for what changed since the revision of the one adopted.
+    /// Fetches from discovery: the complete list, or the changes since the revision of the adopted list.
     fn fetch(&mut self, full_list: bool);
-    /// Nothing has answered within the discovery timeout: the node serves from what it has. Called once.
+    /// No list was fetched from discovery within the timeout, so the node serves with the list that it has. Called once.
     fn discovery_timed_out(&mut self);
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StartCounts {
-    /// Lists adopted.
+    /// Lists that were adopted.
     pub adopted: u64,
-    /// Offers that were no better than what is known.
+    /// Offers that were no better than the known list.
     pub refused: u64,
-    /// Fetches from discovery that were started.
+    /// Fetches from discovery that started.
     pub fetches: u64,
     /// Fetches that failed.
     pub misses: u64,
 }
 
-/// The start of one node.
+/// The start of one front node.
 pub struct Start {
     settings: StartSettings,
     rng: Pcg64,
     fetch_schedule: FetchSchedule,
-    began: Nanos,
+    started_at: Nanos,
     starts: u32,
     nodes: usize,
     peers: usize,
     adopted: Option<Offer>,
-    /// Too old to be adopted at once.
-    reserve: Option<Offer>,
-    /// Discovery has answered with the whole list, or a change of it.
+    /// A list that is too old to be adopted before the timeout.
+    too_old_list: Option<Offer>,
+    /// Whether discovery has responded, with the complete list or a change.
     has_answer: bool,
-    /// A fetch is under way, or the watch after it.
+    /// Whether a fetch, or the watch after it, is in progress.
     is_fetching: bool,
     wanted: Option<Option<(i64, Nanos)>>,
     discovery_timed_out: bool,
@@ -135,19 +135,19 @@
 }
 
 impl Start {
-    /// Begins a start. `starts`: of this node lately, before this one; 0 where the host does not know.
+    /// Begins a start. `starts` is the number of recent starts of this node before this one; 0 if unknown.
     pub fn new(settings: StartSettings, seed: u64, starts: u32, now: Nanos) -> Start {
         let mut rng = Pcg64::seed_from_u64(seed ^ u64::from(starts).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         Start {
             settings,
             fetch_schedule: FetchSchedule::new(now, &mut rng),
             rng,
-            began: now,
+            started_at: now,
             starts,
             nodes: settings.expected,
             peers: 0,
             adopted: None,
-            reserve: None,
+            too_old_list: None,
             has_answer: false,
             is_fetching: false,
             wanted: None,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// One round: weighs what came in, and hands what is decided to the writer.
+    /// Runs one round: evaluates the inputs and passes the decisions to the sink.
     pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn ActionSink) {
         let mut inbox = Inbox::default();
         inputs(&mut inbox);
@@ -165,7 +165,7 @@
         }
         self.starts = inbox.starts.unwrap_or(self.starts);
         if inbox.discovery_changed {
-            // What the other one answered cannot be compared with what this one will.
+            // Revisions of the former discovery service cannot be compared with those of the new one.
             if let Some(adopted) = &mut self.adopted {
                 adopted.comparable = false;
             }
@@ -177,15 +177,15 @@
             self.is_fetching = false;
             self.fetch_schedule.failed(&self.settings, self.nodes, now, &mut self.rng);
         }
-        // Of several offered at once, the best alone is adopted.
+        // If several lists are offered at once, only the best one is adopted.
         inbox.offers.sort_by_key(|offer| (offer.seen, offer.source));
         for offer in inbox.offers.iter().rev() {
             self.consider(offer, now, sink);
         }
-        let timed_out = now - self.began >= self.settings.discovery_timeout;
+        let timed_out = now - self.started_at >= self.settings.discovery_timeout;
         if timed_out
             && self.adopted.is_none()
-            && let Some(old) = self.reserve.take()
+            && let Some(old) = self.too_old_list.take()
         {
             self.adopt(old, MAX_UNVERIFIED_STEPS, sink);
         }
@@ -207,11 +207,11 @@
         if offer.source == Source::Discovery {
             (self.has_answer, self.is_fetching) = (true, true);
             self.fetch_schedule.answered();
-            // The host has applied its answers already: nothing is adopted, nothing doubted.
-            (self.adopted, self.reserve) = (Some(*offer), None);
+            // The host has already applied the response of discovery, so there is nothing to adopt or distrust.
+            (self.adopted, self.too_old_list) = (Some(*offer), None);
             return;
         }
-        // A time from ahead of this node's clock says nothing better than now.
+        // A timestamp in the future of this node's clock counts as now.
         let offer = Offer { seen: offer.seen.min(now), ..*offer };
         let is_superseded = |by: &Offer| {
             let older = offer.comparable && by.comparable && offer.revision < by.revision;
@@ -219,11 +219,11 @@
         };
         if self.has_answer
             || offer.members == 0
-            || self.adopted.iter().chain(&self.reserve).any(is_superseded)
+            || self.adopted.iter().chain(&self.too_old_list).any(is_superseded)
         {
             self.counts.refused += 1;
         } else if is_too_old(now - offer.seen, &self.settings) {
-            self.reserve = Some(offer);
+            self.too_old_list = Some(offer);
         } else {
             let steps = unverified_steps(now - offer.seen, &self.settings);
             self.adopt(offer, steps, sink);
@@ -232,13 +232,13 @@
 
     fn adopt(&mut self, offer: Offer, unverified_steps: u32, sink: &mut dyn ActionSink) {
         self.counts.adopted += 1;
-        (self.adopted, self.reserve) = (Some(offer), None);
+        (self.adopted, self.too_old_list) = (Some(offer), None);
         sink.adopt(&offer, unverified_steps);
     }
 
-    /// Peers are asked until discovery answered, while the adopted list is not as good as its answer.
+    /// Requests lists from peers until discovery has responded, unless the adopted list is as trusted as its response.
     fn request_list_from_peers(&mut self, now: Nanos, sink: &mut dyn ActionSink) {
-        let best = self.adopted.or(self.reserve);
+        let best = self.adopted.or(self.too_old_list);
         let is_fresh = best.is_some_and(|o| unverified_steps(now - o.seen, &self.settings) == 0);
         let newer_than = best.map(|o| (if o.comparable { o.revision } else { i64::MIN }, o.seen));
         let wanted = (!self.has_answer && !is_fresh && self.peers > 0).then_some(newer_than);
@@ -248,34 +248,36 @@
         }
     }
 
-    /// A watch from a revision answers nothing until something changes: for a list in doubt the whole one is asked for.
+    /// Whether to fetch only changes. A watch from a revision returns nothing until something changes, so a distrusted
+    /// list requires a complete fetch.
     fn may_watch(&self, now: Nanos) -> bool {
         self.adopted.is_some_and(|o| o.comparable && unverified_steps(now - o.seen, &self.settings) == 0)
     }
 
-    /// When the next round is due at the latest.
+    /// Returns the latest time of the next round.
     pub fn next_due(&self) -> Nanos {
         let fetch = if self.is_fetching { None } else { self.fetch_schedule.due() };
-        let timeout = (!self.discovery_timed_out).then_some(self.began + self.settings.discovery_timeout);
+        let timeout =
+            (!self.discovery_timed_out).then_some(self.started_at + self.settings.discovery_timeout);
         fetch.unwrap_or(Nanos::MAX).min(timeout.unwrap_or(Nanos::MAX))
     }
 
-    /// The list that this node goes by.
+    /// Returns the list that this node uses.
     pub fn adopted(&self) -> Option<&Offer> {
         self.adopted.as_ref()
     }
 
-    /// Whether discovery has answered since the start, or since it moved.
+    /// Whether discovery has responded since the start, or since the discovery service changed.
     pub fn has_answer(&self) -> bool {
         self.has_answer
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> StartCounts {
         self.counts
     }
 
-    /// Front nodes as this one counts them.
+    /// Returns the number of front nodes known to this one.
     pub fn nodes(&self) -> usize {
         self.nodes.max(self.settings.expected)
     }
--- a/crates/cold-start/src/trust.rs
+++ b/crates/cold-start/src/trust.rs
@@ -1,14 +1,15 @@
-//! What a list is worth by its age. A server that an old list names may have drained, gone, or come back cold under
-//! another id: it must answer probes before it gets work, more of them the older the list. The steps double, as what
-//! an hour changes beyond half an hour is less than what the first minutes do.
+//! Trust in a list by its age. A server that an old list names may have drained, gone, or restarted under another id: it
+//! must answer health checks before it gets work, more of them the older the list. The steps double with age, because
+//! an additional hour changes less in an old list than the first minutes do.
 
 use crate::{Nanos, StartSettings};
 
-/// Steps of doubt at most: eight probes in a row say as much of a server as a list could.
+/// The highest number of steps. Eight consecutive health checks say as much about a server as a list could.
 pub const MAX_UNVERIFIED_STEPS: u32 = 4;
 
-/// 0 for a list as good as discovery's answer; else one step for the first `half_life` beyond `fresh_for`, and one more
-/// each time that its age beyond has doubled. A server of doubt `d` answers `2^(d-1)` probes before it gets work.
+/// Returns by how many steps the servers of a list are unverified: 0 for a list that is as good as a response of
+/// discovery. Beyond `fresh_for` it is one step, and one more from 1, 3 and 7 times `half_life` on. A server that is
+/// unverified by `d` steps must answer `2^(d-1)` health checks before it gets work.
 ///
 /// ```
 /// use orchidvalve_cold_start::{StartSettings, trust::unverified_steps};
@@ -26,7 +27,7 @@
     (1 + (halves + 1).ilog2()).min(MAX_UNVERIFIED_STEPS)
 }
 
-/// Whether a list is too old to be adopted while something better may still come.
+/// Whether a list is too old to be adopted while a better one may still be found.
 pub fn is_too_old(age: Nanos, settings: &StartSettings) -> bool {
     age > settings.max_age
 }
--- a/crates/cold-start/tests/golden_start.rs
+++ b/crates/cold-start/tests/golden_start.rs
@@ -1,4 +1,4 @@
-//! Starting nodes decide, at the same moments, what they decided when the golden file was recorded.
+//! Decisions of starting nodes in random scenarios, compared with the recorded ones.
 
 use std::path::PathBuf;
 
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn starts_decide_as_recorded() {
+fn decisions_match_the_recorded_ones() {
     let hashes: Vec<_> = (0..RUNS).map(|seed| (format!("run-{seed}"), run(seed))).collect();
     let path: PathBuf = [env!("CARGO_MANIFEST_DIR"), "tests", "golden", "start.txt"].iter().collect();
     check_hashes(&path, &hashes);
--- a/crates/cold-start/tests/herd.rs
+++ b/crates/cold-start/tests/herd.rs
@@ -1,4 +1,4 @@
-//! Hundreds of nodes that start together, in virtual time: what discovery sees of them, and what each goes by.
+//! Hundreds of nodes that start together, in virtual time: the load on discovery, and the lists that the nodes adopt.
 
 use orchidvalve_cold_start::fetch_schedule::FetchSchedule;
 use orchidvalve_cold_start::probe_schedule::probe_from;
@@ -11,14 +11,14 @@
 const BEGAN: Nanos = 100_000 * S;
 
 #[derive(Default)]
-struct Told {
+struct Decisions {
     adopted: Vec<(Source, Nanos, u32)>,
     fetched: Vec<bool>,
     wanted: Option<Option<(i64, Nanos)>>,
     discovery_timed_out: usize,
 }
 
-impl ActionSink for Told {
+impl ActionSink for Decisions {
     fn adopt(&mut self, offer: &Offer, doubt: u32) {
         self.adopted.push((offer.source, offer.seen, doubt));
     }
@@ -41,27 +41,28 @@
     Offer { source, revision: 5, seen: BEGAN - age, members: 9, comparable: true }
 }
 
-/// What discovery does with an ask that came at some moment: how long until it answers, or until it is missed.
-type Agent = fn(Nanos) -> Result<Nanos, Nanos>;
+/// Response of discovery to a fetch at the given time: the delay until it succeeds, or until it fails.
+type DiscoveryResponse = fn(Nanos) -> Result<Nanos, Nanos>;
 
-/// Starts `nodes` at once, and plays until `until`: asks at discovery in each second, and when each node was told.
-fn play(
+/// Starts `nodes` at once and simulates them until `until`. Returns the number of fetches in each second, and when each
+/// node got its response.
+fn simulate(
     nodes: usize,
     starts: u32,
     lists: bool,
     until: Nanos,
-    agent: Agent,
+    discovery: DiscoveryResponse,
 ) -> (Vec<usize>, Vec<Option<Nanos>>) {
     let mut all: Vec<Start> =
         (0..nodes).map(|n| Start::new(settings(), 1000 + n as u64, starts, BEGAN)).collect();
-    let mut out: Vec<Option<(Nanos, bool)>> = vec![None; nodes];
-    let mut told = vec![None; nodes];
-    let mut asks = vec![0; (until / S) as usize];
+    let mut in_progress: Vec<Option<(Nanos, bool)>> = vec![None; nodes];
+    let mut responded_at = vec![None; nodes];
+    let mut fetches = vec![0; (until / S) as usize];
     let mut now = BEGAN;
     while now < BEGAN + until {
         for (n, start) in all.iter_mut().enumerate() {
-            let ended = out[n].filter(|(at, _)| *at <= now);
-            let mut notes = Told::default();
+            let ended = in_progress[n].filter(|(at, _)| *at <= now);
+            let mut decisions = Decisions::default();
             start.round(
                 now,
                 |inbox| {
@@ -76,73 +77,76 @@
                         None => {}
                     }
                 },
-                &mut notes,
+                &mut decisions,
             );
             if let Some((_, good)) = ended {
-                out[n] = None;
-                told[n] = told[n].or(good.then_some(now - BEGAN));
+                in_progress[n] = None;
+                responded_at[n] = responded_at[n].or(good.then_some(now - BEGAN));
             }
-            for _ in notes.fetched {
-                asks[((now - BEGAN) / S) as usize] += 1;
-                let answer = agent(now - BEGAN);
-                out[n] = Some((now + answer.unwrap_or_else(|missed| missed), answer.is_ok()));
+            for _ in decisions.fetched {
+                fetches[((now - BEGAN) / S) as usize] += 1;
+                let answer = discovery(now - BEGAN);
+                in_progress[n] = Some((now + answer.unwrap_or_else(|missed| missed), answer.is_ok()));
             }
         }
         now += 10 * MS;
     }
-    (asks, told)
+    (fetches, responded_at)
 }
 
-/// The bound of `pace`'s page: the rate, and five times its root.
-fn bound() -> usize {
+/// The bound of `fetch_schedule`: the rate plus five times its square root.
+fn max_rate() -> usize {
     (20.0 + 5.0 * 20f64.sqrt()) as usize
 }
 
 #[test]
-fn discovery_sees_a_bounded_rate_of_three_hundred_nodes_that_start_at_once() {
-    let (asks, told) = play(300, 0, false, 20 * S, |_| Ok(2 * MS));
-    assert!(asks.iter().all(|&n| n <= bound()), "{asks:?}");
-    assert_eq!(asks.iter().sum::<usize>(), 300, "each asks once, as it is answered");
-    assert!(told.iter().all(|t| t.is_some_and(|t| t <= 15 * S + 20 * MS)), "the span of 300 at 20 a second");
-    let (asks, _) = play(300, 0, true, 40 * S, |_| Ok(2 * MS));
+fn three_hundred_nodes_that_start_at_once_query_discovery_at_a_bounded_rate() {
+    let (fetches, responded_at) = simulate(300, 0, false, 20 * S, |_| Ok(2 * MS));
+    assert!(fetches.iter().all(|&n| n <= max_rate()), "{fetches:?}");
+    assert_eq!(fetches.iter().sum::<usize>(), 300, "each node fetches once, as it gets a response");
+    assert!(
+        responded_at.iter().all(|t| t.is_some_and(|t| t <= 15 * S + 20 * MS)),
+        "within the span of 300 at 20 per second"
+    );
+    let (fetches, _) = simulate(300, 0, true, 40 * S, |_| Ok(2 * MS));
     assert_eq!(
-        asks[..15].iter().sum::<usize>(),
+        fetches[..15].iter().sum::<usize>(),
         0,
-        "those with a list leave the first span to those without"
+        "nodes with a list leave the first span to those without"
     );
-    assert!(asks.iter().all(|&n| n <= bound()), "{asks:?}");
+    assert!(fetches.iter().all(|&n| n <= max_rate()), "{fetches:?}");
 }
 
 #[test]
-fn discovery_down_at_the_start_is_asked_no_faster_and_finds_all_nodes_once_it_is_back() {
+fn an_outage_of_discovery_at_the_start_does_not_raise_the_rate() {
     let back = 60 * S;
-    let (asks, told) =
-        play(300, 0, false, 140 * S, |at| if at < 60 * S { Err(250 * MS) } else { Ok(2 * MS) });
-    assert!(asks.iter().all(|&n| n <= bound()), "{asks:?}");
-    // A wait is drawn around the longer of the span and the doubled wait, once and a half of it at most.
-    let latest = told.iter().map(|t| t.expect("told in the end")).max().unwrap();
+    let (fetches, responded_at) =
+        simulate(300, 0, false, 140 * S, |at| if at < 60 * S { Err(250 * MS) } else { Ok(2 * MS) });
+    assert!(fetches.iter().all(|&n| n <= max_rate()), "{fetches:?}");
+    // A wait is drawn around the longer of the span and the doubled backoff, at most one and a half times of it.
+    let latest = responded_at.iter().map(|t| t.expect("every node gets a response")).max().unwrap();
     assert!(latest <= back + 23 * S, "the last one {} s after it is back", (latest - back) / S);
 }
 
 #[test]
-fn discovery_that_answers_slowly_has_no_more_asks_open_than_rate_times_patience() {
-    // Each ask is given up after 2 s; from 30 s on they are answered after 1.5 s.
-    let slow: Agent = |at| if at < 30 * S { Err(2 * S) } else { Ok(1_500 * MS) };
-    let (asks, told) = play(300, 0, false, 120 * S, slow);
-    let open = asks.windows(2).map(|w| w[0] + w[1]).max().unwrap();
-    assert!(open <= 2 * bound(), "{open} within 2 s: {asks:?}");
-    assert!(told.iter().all(Option::is_some));
+fn slow_discovery_has_a_bounded_number_of_open_fetches() {
+    // Each fetch fails after 2 s; from 30 s on each is answered after 1.5 s.
+    let slow: DiscoveryResponse = |at| if at < 30 * S { Err(2 * S) } else { Ok(1_500 * MS) };
+    let (fetches, responded_at) = simulate(300, 0, false, 120 * S, slow);
+    let open = fetches.windows(2).map(|w| w[0] + w[1]).max().unwrap();
+    assert!(open <= 2 * max_rate(), "{open} within 2 s: {fetches:?}");
+    assert!(responded_at.iter().all(Option::is_some));
 }
 
 #[test]
-fn a_node_that_starts_over_and_over_asks_later_each_time() {
+fn a_node_that_restarts_repeatedly_fetches_later_each_time() {
     let first = |seed: u64, starts: u32| {
-        let (mut start, mut notes) = (Start::new(settings(), seed, starts, BEGAN), Told::default());
+        let (mut start, mut decisions) = (Start::new(settings(), seed, starts, BEGAN), Decisions::default());
         let at = (0..3000).map(|n| BEGAN + n * 100 * MS).find(|&now| {
-            start.round(now, |_| {}, &mut notes);
-            !notes.fetched.is_empty()
+            start.round(now, |_| {}, &mut decisions);
+            !decisions.fetched.is_empty()
         });
-        at.expect("it asks in the end") - BEGAN
+        at.expect("it fetches in the end") - BEGAN
     };
     let mean = |starts: u32| (0..40).map(|seed| first(seed, starts)).sum::<Nanos>() / 40;
     let means = [0, 1, 2, 3].map(mean);
@@ -151,24 +155,28 @@
 }
 
 #[test]
-fn a_list_too_old_is_gone_by_only_when_nothing_better_came_in_time() {
+fn an_old_list_is_adopted_only_if_no_better_one_arrives_in_time() {
     let day = 86_400 * S;
     let mut start = Start::new(settings(), 7, 0, BEGAN);
-    let mut notes = Told::default();
-    start.round(BEGAN, |inbox| inbox.offer(offer(Source::Disk, 3 * day)), &mut notes);
-    assert!(notes.adopted.is_empty());
-    start.round(BEGAN + S, |inbox| inbox.fleet(300, 40), &mut notes);
-    assert!(matches!(notes.wanted, Some(Some(_))), "peers are asked for a better one");
-    start.round(BEGAN + 2 * S, |_| {}, &mut notes);
-    assert_eq!(notes.adopted, [(Source::Disk, BEGAN - 3 * day, 4)]);
-    assert_eq!(notes.discovery_timed_out, 1);
-    start.round(BEGAN + 3 * S, |inbox| inbox.offer(offer(Source::Peer, S)), &mut notes);
-    assert_eq!(notes.adopted[1..], [(Source::Peer, BEGAN - S, 0)], "a younger one is gone by instead");
-    assert_eq!((notes.wanted, notes.discovery_timed_out), (None, 1), "and no more is asked of peers");
+    let mut decisions = Decisions::default();
+    start.round(BEGAN, |inbox| inbox.offer(offer(Source::Disk, 3 * day)), &mut decisions);
+    assert!(decisions.adopted.is_empty());
+    start.round(BEGAN + S, |inbox| inbox.fleet(300, 40), &mut decisions);
+    assert!(matches!(decisions.wanted, Some(Some(_))), "peers are queried for a better list");
+    start.round(BEGAN + 2 * S, |_| {}, &mut decisions);
+    assert_eq!(decisions.adopted, [(Source::Disk, BEGAN - 3 * day, 4)]);
+    assert_eq!(decisions.discovery_timed_out, 1);
+    start.round(BEGAN + 3 * S, |inbox| inbox.offer(offer(Source::Peer, S)), &mut decisions);
+    assert_eq!(decisions.adopted[1..], [(Source::Peer, BEGAN - S, 0)], "a newer list replaces it");
+    assert_eq!(
+        (decisions.wanted, decisions.discovery_timed_out),
+        (None, 1),
+        "and peers are no longer queried"
+    );
 }
 
 #[test]
-fn servers_see_the_probes_of_a_starting_fleet_spread_over_its_span() {
+fn health_checks_of_a_starting_fleet_are_spread_over_its_span() {
     let settings = StartSettings { probes_a_second: 50.0, ..settings() };
     for subject in 0..20u64 {
         let mut seconds = [0usize; 6];
@@ -184,7 +192,7 @@
     let source = prop_oneof![Just(Source::Configured), Just(Source::Disk), Just(Source::Peer)];
     let parts = (source, 0i64..40, 0i64..200_000, 0usize..3, any::<bool>());
     parts.prop_map(|(source, revision, age, members, comparable)| {
-        // One discovery tells its revisions in order: a list seen later has no older one.
+        // A discovery service numbers its revisions in order, so a list seen later has no lower revision.
         let revision = if comparable { 1_000_000 - age } else { revision };
         Offer { source, revision, seen: BEGAN - age * S, members, comparable }
     })
@@ -192,16 +200,16 @@
 
 proptest! {
     #[test]
-    fn in_whatever_order_lists_come_the_youngest_is_gone_by(offers in prop::collection::vec(any_offer(), 1..12)) {
+    fn the_newest_list_is_adopted_in_any_order_of_offers(offers in prop::collection::vec(any_offer(), 1..12)) {
         let mut start = Start::new(settings(), 3, 0, BEGAN);
-        let mut notes = Told::default();
+        let mut decisions = Decisions::default();
         for &offer in &offers {
-            start.round(BEGAN, |inbox| inbox.offer(offer), &mut notes);
+            start.round(BEGAN, |inbox| inbox.offer(offer), &mut decisions);
         }
-        start.round(BEGAN + 2 * S, |_| {}, &mut notes);
-        let youngest = offers.iter().filter(|o| o.members > 0).map(|o| o.seen).max();
-        prop_assert_eq!(start.adopted().map(|o| o.seen), youngest);
-        let seen: Vec<Nanos> = notes.adopted.iter().map(|a| a.1).collect();
-        prop_assert!(seen.windows(2).all(|w| w[0] <= w[1]), "none is undone by an older one: {:?}", seen);
+        start.round(BEGAN + 2 * S, |_| {}, &mut decisions);
+        let newest = offers.iter().filter(|o| o.members > 0).map(|o| o.seen).max();
+        prop_assert_eq!(start.adopted().map(|o| o.seen), newest);
+        let seen: Vec<Nanos> = decisions.adopted.iter().map(|a| a.1).collect();
+        prop_assert!(seen.windows(2).all(|w| w[0] <= w[1]), "no list is replaced by an older one: {:?}", seen);
     }
 }
