--- a/crates/cold-start/examples/measure.rs
+++ b/crates/cold-start/examples/measure.rs
@@ -141,7 +141,8 @@
         .y_label_area_size(48)
         .build_cartesian_2d(0f64..310f64, 0f64..top * 1.05)?;
     chart.configure_mesh().x_desc("front nodes that start at once").draw()?;
-    let names = ["at once", "with slots", "at once, discovery down for 4 s", "with slots, discovery down for 4 s"];
+    let names =
+        ["at once", "with slots", "at once, discovery down for 4 s", "with slots, discovery down for 4 s"];
     let colours = [RED, BLUE, MAGENTA, GREEN];
     for ((line, name), colour) in lines.iter().zip(names).zip(colours) {
         chart
--- a/crates/fleet/examples/measure.rs
+++ b/crates/fleet/examples/measure.rs
@@ -1,6 +1,6 @@
-//! Overshoot, staleness and datagrams of the fleet against node count and loss, in virtual time on one core:
-//! `cargo run --release -p orchidvalve-fleet --example measure -- [DIR]`. A table to standard output; charts to
-//! DIR/fleet-*.svg where DIR is given.
+//! Overshoot, staleness and datagram rate of a fleet by number of nodes and loss, in virtual time on one core:
+//! `cargo run --release -p orchidvalve-fleet --example measure -- [DIR]`. Prints a table to standard output, and draws
+//! charts to DIR/fleet-*.svg if DIR is given.
 
 #[path = "../tests/net/mod.rs"]
 mod net;
@@ -16,21 +16,21 @@
 struct Row {
     nodes: usize,
     loss: f64,
-    /// Most that the allowances summed over the total, at any tick.
+    /// Largest excess of the summed allowances over the total at any tick.
     over: f64,
-    /// What the heavy nodes got of what they wanted, on average.
+    /// Fraction of their demand that the heavy nodes got, on average.
     served: f64,
-    /// Time until a verdict was known at every node, the middle of five and the most.
+    /// Time until a verdict was known at every node: median of five, and maximum.
     stale_mid: f64,
     stale_most: f64,
-    /// Datagrams sent a second by each node.
+    /// Datagrams sent per second by each node.
     datagrams: f64,
 }
 
-fn play(nodes: usize, loss: f64) -> Row {
+fn simulate(nodes: usize, loss: f64) -> Row {
     let mut net = Net::new(nodes, nodes, 17 + nodes as u64, |o| o);
-    net.faults = Faults { loss, copies: loss / 3.0, delay: 2 * MS, jitter: 20 * MS };
-    // A tenth of the nodes want five times their base; the others a tenth of it.
+    net.faults = Faults { loss, duplicates: loss / 3.0, delay: 2 * MS, jitter: 20 * MS };
+    // A tenth of the nodes have a demand of five times their base share, the others of a tenth of it.
     let base = TOTAL / nodes as f64;
     let want = |i: usize| if i.is_multiple_of(10) { 5.0 * base } else { 0.1 * base };
     let step = if nodes > 100 { 20 * MS } else { 10 * MS };
@@ -50,9 +50,9 @@
                 inbox.verdict(key, true, 60 * S);
             }
         });
-        let told = net.now;
+        let sent_at = net.now;
         let mut known = None;
-        while net.now < told + 4 * S {
+        while net.now < sent_at + 4 * S {
             net.tick(step, |i, inbox| inbox.set_demand(KEY, TOTAL, want(i)));
             let sum: f64 = net.alive().map(|f| f.allowance(KEY)).sum();
             over = over.max(sum - TOTAL);
@@ -60,7 +60,7 @@
             served += heavy.map(|(i, f)| f.allowance(KEY).min(want(i)) / want(i)).sum::<f64>();
             samples += nodes.div_ceil(10);
             if known.is_none() && net.alive().all(|f| f.holds(key)) {
-                known = Some((net.now - told) as f64 / 1e9);
+                known = Some((net.now - sent_at) as f64 / 1e9);
             }
         }
         stale.push(known.unwrap_or(f64::INFINITY));
@@ -111,7 +111,7 @@
     for loss in [0.0, 0.1, 0.3] {
         let (mut s, mut d) = (Vec::new(), Vec::new());
         for nodes in [10, 30, 100, 300] {
-            let r = play(nodes, loss);
+            let r = simulate(nodes, loss);
             println!(
                 "| {} | {:.1} | {:.3} | {:.2} | {:.2} | {:.2} | {:.1} |",
                 r.nodes, r.loss, r.over, r.served, r.stale_mid, r.stale_most, r.datagrams
--- a/crates/fleet/src/fleet.rs
+++ b/crates/fleet/src/fleet.rs
@@ -1,4 +1,4 @@
-//! One front node's part in the fleet: the rounds that its host drives.
+//! One front node of the fleet, driven in rounds by its host.
 
 use std::collections::BTreeMap;
 
@@ -15,33 +15,33 @@
 use crate::verdicts::{GossipedVerdict, KnownVerdict, VerdictKey, Verdicts};
 use crate::wire::{self, Message};
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
     /// Datagrams sent.
     pub sent: u64,
-    /// Datagrams that came.
+    /// Datagrams received.
     pub received: u64,
-    /// Datagrams that could not be read, of a later version, or signed.
+    /// Received datagrams that were malformed, had a later version, or were signed with an unknown key.
     pub undecodable: u64,
-    /// Dropped as more than a peer may send in a gossip interval.
+    /// Datagrams dropped because their peer exceeded its limit per gossip interval.
     pub rate_limited: u64,
-    /// Grants not requested, or come after their time.
+    /// Lease grants that were not requested, or arrived after they had expired.
     pub unused_grants: u64,
-    /// Calls that `foca` refused, such as datagrams of its own that it could not read.
+    /// Errors of the membership protocol, such as datagrams that `foca` could not decode.
     pub membership_faults: u64,
 }
 
-/// How many front nodes there are, as far as one of them knows.
+/// The number of front nodes, as known to one of them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberCounts {
-    /// Other front nodes alive.
+    /// The number of other live front nodes.
     pub alive_peers: usize,
-    /// Front nodes counted in the shares of budgets, this one among them.
+    /// The number of front nodes among which budgets are divided, including this one.
     pub counted: usize,
 }
 
-/// One front node's part in the fleet.
+/// One front node of the fleet.
 pub struct Fleet {
     settings: FleetSettings,
     me: Peer,
@@ -53,14 +53,14 @@
     now: Nanos,
     next_step: Nanos,
     next_gossip: Nanos,
-    /// Datagrams of each peer in this gossip interval.
+    /// The number of datagrams of each peer in this gossip interval.
     datagrams_of: BTreeMap<Peer, usize>,
     counts: FleetCounts,
     buffer: Vec<u8>,
 }
 
 impl Fleet {
-    /// Alone at first. All that is drawn at random comes from `seed`.
+    /// Returns a node that knows no members yet. All random choices derive from `seed`.
     pub fn new(settings: FleetSettings, seed: u64, now: Nanos) -> Fleet {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let incarnation = settings.incarnation.unwrap_or_else(|| rand::RngExt::random(&mut rng));
@@ -82,15 +82,15 @@
         }
     }
 
-    /// This node as its peers know it.
+    /// Returns the identity of this node.
     pub fn me(&self) -> Peer {
         self.me
     }
 
-    /// One round: handles what came in and the timers that fell due, and writes what is to be sent.
+    /// Runs one round: handles inputs and due timers, and passes the datagrams to send to the sink.
     pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn DatagramSink) {
-        // The time never goes back here; a step forward ends leases that this node holds early, which is safe, and
-        // those that it lent early, which is not: the design page bounds what that costs.
+        // Time never goes back here. If the clock steps forward, leases that this node holds end early, which is safe; leases
+        // that it lent end early too, which is not. The design page bounds the effect.
         self.now = self.now.max(now);
         let now = self.now;
         let mut inbox = Inbox::default();
@@ -99,7 +99,7 @@
         self.membership.announce(&self.settings, now, &mut membership_output);
         let members = self.counted();
         let datagrams = std::mem::take(&mut inbox.datagrams);
-        self.apply_host_inputs(inbox);
+        self.apply_inputs(inbox);
         let mut outgoing = OutgoingMessages::default();
         for bytes in &datagrams {
             self.receive(bytes, members, &mut membership_output, &mut outgoing);
@@ -111,11 +111,11 @@
         if now >= self.next_gossip {
             self.gossip(&mut outgoing);
         }
-        self.carry_out(membership_output, outgoing, sink);
+        self.send_messages(membership_output, outgoing, sink);
     }
 
-    /// Applies what the host itself asks for and reports.
-    fn apply_host_inputs(&mut self, inbox: Inbox) {
+    /// Applies the demands, verdicts and lists of the host.
+    fn apply_inputs(&mut self, inbox: Inbox) {
         let now = self.now;
         for demand in inbox.demands {
             self.leases.set_demand(demand.key, demand.total, demand.demand, now);
@@ -152,7 +152,7 @@
         let now = self.now;
         match message {
             Message::Swim(bytes) => self.membership.datagram_received(&bytes, membership_output),
-            // Only members are lent to: a stranger could otherwise drain every share.
+            // Leases are granted to members only; otherwise a stranger could drain every base share.
             Message::LeaseRequest(request) if self.membership.is_member(from) => {
                 self.leases.request_received(from, request, members, now, outgoing);
             }
@@ -173,7 +173,7 @@
         }
     }
 
-    /// Leases that ended are renewed, lists that are wanted asked for.
+    /// Requests leases that are needed or end soon, and wanted lists.
     fn step(&mut self, outgoing: &mut OutgoingMessages) {
         let now = self.now;
         self.next_step = now + self.settings.step_interval;
@@ -183,7 +183,7 @@
         self.lists.step(&peers, now, &mut outgoing.lists);
     }
 
-    /// A gossip interval is over: verdicts go to some peers, and limits per interval begin anew.
+    /// Ends a gossip interval: sends verdicts to some peers, and resets the limits per interval.
     fn gossip(&mut self, outgoing: &mut OutgoingMessages) {
         let now = self.now;
         self.next_gossip = now + self.settings.gossip_interval;
@@ -199,14 +199,14 @@
         }
     }
 
-    fn carry_out(
+    fn send_messages(
         &mut self,
         mut membership_output: MembershipOutput,
         outgoing: OutgoingMessages,
         sink: &mut dyn DatagramSink,
     ) {
-        // Declared down while alive, membership goes on under a renewed identity: the messages must say so, or peers
-        // take them for a stranger's.
+        // If this node was declared down while alive, its identity was renewed. The messages must carry the new one, or peers
+        // do not recognize the sender.
         self.me = self.membership.identity();
         self.membership.apply_output(&mut membership_output, self.now);
         membership_output.down.into_iter().for_each(|peer| self.leases.peer_down(peer));
@@ -223,12 +223,12 @@
         }
     }
 
-    /// Front nodes counted in the base shares, never fewer than expected.
+    /// Returns the number of front nodes among which budgets are divided, at least the expected number.
     fn counted(&self) -> usize {
         self.membership.counted().max(self.settings.expected)
     }
 
-    /// Peers alive, in an order drawn from the seed (Fisher and Yates).
+    /// Returns the live peers in random order (Fisher-Yates shuffle).
     fn shuffled_peers(&mut self) -> Vec<Peer> {
         let mut peers = self.membership.peers();
         peers.sort();
@@ -239,59 +239,59 @@
         peers
     }
 
-    /// When the next round is due at the latest.
+    /// Returns the latest time of the next round.
     pub fn next_due(&self) -> Nanos {
         self.membership.next_due().min(self.next_step).min(self.next_gossip)
     }
 
-    /// Units a second of a budget that this node may use now.
+    /// Returns the units per second of a budget that this node may use now.
     pub fn allowance(&self, key: BudgetKey) -> f64 {
         self.leases.allowance(key, self.counted(), self.now)
     }
 
-    /// Whether a verdict holds now, by this node or by what it heard.
+    /// Whether a verdict holds now, reached by this node or received.
     pub fn holds(&self, key: VerdictKey) -> bool {
         self.verdicts.holds(key, self.now)
     }
 
-    /// Verdicts known now, with the time each was seen at its origin as this node tells it.
+    /// Returns the known verdicts that have not expired. Their times are by this node's clock.
     pub fn verdicts(&self) -> impl Iterator<Item = (&VerdictKey, &KnownVerdict)> {
         let now = self.now;
         self.verdicts.known.iter().filter(move |(_, verdict)| verdict.until > now)
     }
 
-    /// A list that came whole from a peer since the last look.
+    /// Returns and removes a list that was downloaded completely from a peer.
     pub fn take_received_list(&mut self) -> Option<ListVersion> {
         self.lists.take_received()
     }
 
-    /// What was counted of lists since the start.
+    /// Returns the counters of lists since the start.
     pub fn list_counts(&self) -> ListCounts {
         self.lists.counts()
     }
 
-    /// How many front nodes there are, as far as this node knows.
+    /// Returns the number of front nodes, as known to this one.
     pub fn members(&self) -> MemberCounts {
         MemberCounts { alive_peers: self.membership.alive(), counted: self.counted() }
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> FleetCounts {
-        FleetCounts { membership_faults: self.membership.faults(), ..self.counts }
+        FleetCounts { membership_faults: self.membership.errors(), ..self.counts }
     }
 
-    /// Lent to peers and borrowed from them now, over all budgets.
+    /// Returns the units lent to and borrowed from peers, over all budgets.
     pub fn leases(&self) -> LeaseTotals {
         self.leases.totals(self.now)
     }
 
-    /// The verdicts as they would be sent to a peer now.
+    /// Returns the verdicts as they would be sent to a peer now.
     pub fn gossiped_verdicts(&self) -> Vec<GossipedVerdict> {
         self.verdicts.freshest(usize::MAX, self.now)
     }
 }
 
-/// What is to be sent at the end of a round.
+/// Messages to be sent at the end of a round.
 #[derive(Default)]
 struct OutgoingMessages {
     messages: Vec<OutgoingMessage<Message>>,
--- a/crates/fleet/src/leases.rs
+++ b/crates/fleet/src/leases.rs
@@ -1,145 +1,146 @@
-//! Leases (Gray and Cheriton 1989) of fleet-wide budgets, which are split among front nodes: each holds a base share,
-//! lends what it does not use to peers that request it, and borrows for a bounded time where its own demand is over its
-//! share. No clock is read here and nothing is sent: the caller gives the time and carries the messages.
+//! Leases (Gray and Cheriton 1989) of fleet-wide budgets. A budget is divided among the front nodes: each has a base share,
+//! lends what it does not use to peers that request it, and borrows for a limited time when its own demand exceeds its
+//! allowance. This module reads no clock and sends nothing: the caller passes in the time and sends the messages.
 //!
-//! Against overshoot, a lease is counted by its lender from the moment it is granted until its length and a guard have
-//! passed, and by its borrower from the moment of its *request* until its length, shortened by the drift of clocks, has
-//! passed. The borrower's interval then lies within the lender's whatever the delay of the messages, so that the sum of
-//! all allowances is never more than the sum of the bases. The bases sum to the total as long as every node counts at
-//! least as many members as are alive; that, and a lender whose clock steps forward, are the only ways over.
+//! To prevent overshoot, the lender counts a lease from its grant until its duration and a guard time have passed, and the
+//! borrower counts it from its *request* until its duration, shortened by the clock drift, has passed. The borrower's
+//! interval then lies within the lender's whatever the delay of the messages, so the sum of all allowances never exceeds
+//! the sum of the base shares. The base shares sum to at most the total as long as every node counts at least as many
+//! members as are alive. The total can only be exceeded if that fails, or if a lender's clock steps forward.
 
 use std::collections::BTreeMap;
 
 use crate::{Nanos, Peer};
 
-/// Number of a request of one node.
+/// Number of a lease request, unique per node.
 pub type RequestNumber = u32;
 
-/// One budget: a family that the host names (attempts at a server that warms up, a tenant's rate) and its subject.
+/// Identifies a budget by a family defined by the host (such as attempts at a warming server, or the rate of a tenant) and
+/// a subject.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct BudgetKey {
-    /// What kind of budget it is.
+    /// The kind of budget.
     pub family: u8,
-    /// Which one of the family.
+    /// The subject within the family.
     pub subject: u64,
 }
 
-/// How leases are given and taken.
+/// Settings of leases.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseSettings {
-    /// How long a lease lasts, as the lender grants it.
+    /// Duration of a lease, as granted by the lender.
     pub duration: Nanos,
-    /// Most that clocks of two nodes may run apart, as a share of the time passed.
+    /// The largest relative drift between the clocks of two nodes, as a fraction of the elapsed time.
     pub drift: f64,
-    /// Share of its spare that a lender gives to one request: the rest stays for others.
+    /// Fraction of its unused budget that a lender grants to one request. The rest remains for others.
     pub lend_share: f64,
-    /// A lease is requested anew once less than this share of its duration is left.
+    /// A lease is renewed when less than this fraction of its duration is left.
     pub renew_at: f64,
-    /// Peers that one request goes to.
+    /// The number of peers that a request is sent to.
     pub peers_per_request: usize,
-    /// How long a request waits for its grants before the next one goes: a lost grant must not hold up the next request
-    /// for long, nor may requests go faster than peers answer.
+    /// How long to wait for the grants of a request before the next one is sent. A lost grant must not delay the next
+    /// request for long, and requests must not be sent faster than peers respond.
     pub answer_timeout: Nanos,
-    /// Budgets kept at once; the least recently wanted goes first beyond it.
+    /// The number of budgets kept at once. Beyond it the one whose demand was set least recently is dropped.
     pub max_budgets: usize,
-    /// Leases a lender keeps at once, over all budgets.
+    /// The number of leases that a lender keeps at once, over all budgets.
     pub max_lent: usize,
 }
 
 impl LeaseSettings {
-    /// What the lender adds to a lease's duration: enough for the borrower's clock to run slow by `drift` and its own
-    /// to run fast by as much, and a millisecond against rounding.
+    /// Returns the time that the lender adds to the duration of a lease: enough for the borrower's clock to run slow by
+    /// `drift` and the lender's to run fast by `drift`, and one millisecond for rounding.
     pub fn guard(&self) -> Nanos {
         (self.duration as f64 * 2.0 * self.drift) as Nanos + 1_000_000
     }
 
-    /// How long the borrower counts a lease, from the moment of its request.
+    /// Returns how long the borrower counts a lease, from the time of its request.
     pub fn borrowed_for(&self) -> Nanos {
         (self.duration as f64 * (1.0 - self.drift)) as Nanos
     }
 }
 
-/// A lease as its lender keeps it.
+/// A lease as recorded by its lender.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LentLease {
-    /// Who holds it.
+    /// The node that holds it.
     pub borrower: Peer,
-    /// The borrower's request.
+    /// Number of the borrower's request.
     pub request: RequestNumber,
-    /// Units a second.
+    /// Units per second.
     pub amount: f64,
-    /// When it ends.
+    /// When the lender stops counting it.
     pub until: Nanos,
 }
 
-/// A lease as its borrower keeps it.
+/// A lease as recorded by its borrower.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BorrowedLease {
-    /// Who granted it.
+    /// The node that granted it.
     pub lender: Peer,
-    /// The request that it answers.
+    /// Number of the request that it answers.
     pub request: RequestNumber,
-    /// Units a second.
+    /// Units per second.
     pub amount: f64,
-    /// When it ends.
+    /// When the borrower stops counting it.
     pub until: Nanos,
 }
 
-/// The last request of a budget.
+/// The last lease request for a budget.
 #[derive(Clone, Debug, PartialEq)]
 pub struct PendingRequest {
-    /// Its number.
+    /// Number of the request.
     pub number: RequestNumber,
-    /// When it went.
+    /// When it was sent.
     pub sent_at: Nanos,
-    /// Peers that have not answered.
+    /// Peers that have not responded.
     pub unanswered: Vec<Peer>,
 }
 
-/// What a node keeps of one budget.
+/// A node's state of one budget.
 #[derive(Clone, Debug, Default)]
 pub struct Budget {
-    /// The whole budget, in units a second, as the host last said.
+    /// The budget of the whole fleet, in units per second, as last set.
     pub total: f64,
-    /// Units a second that this node would use.
+    /// This node's demand, in units per second.
     pub demand: f64,
-    /// When the host last told the demand.
+    /// When the demand was last set.
     pub demanded_at: Nanos,
-    /// Leases that others hold of this node.
+    /// Leases that this node has granted.
     pub lent: Vec<LentLease>,
-    /// Leases that this node holds of others.
+    /// Leases that this node holds.
     pub borrowed: Vec<BorrowedLease>,
-    /// `None` before the first.
+    /// The last request; `None` before the first one.
     pub pending: Option<PendingRequest>,
 }
 
-/// What a node asks of a peer.
+/// Request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseRequest {
     /// The budget.
     pub key: BudgetKey,
-    /// The whole budget, in units a second.
+    /// The budget of the whole fleet, in units per second.
     pub total: f64,
-    /// Units a second that are wanted.
+    /// Requested units per second.
     pub amount: f64,
-    /// Tells this request from others of the sender.
+    /// Number of the request, unique per sender.
     pub number: RequestNumber,
 }
 
-/// What a lender answers.
+/// Response to a lease request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseGrant {
     /// The budget.
     pub key: BudgetKey,
-    /// The request that is answered.
+    /// Number of the request that it answers.
     pub request: RequestNumber,
-    /// Units a second; 0 for a refusal.
+    /// Granted units per second; 0 for a refusal.
     pub amount: f64,
-    /// From the request on, before the borrower takes off the drift of clocks.
+    /// Duration from the request on. The borrower subtracts the clock drift.
     pub duration: Nanos,
 }
 
-/// Where messages about leases go.
+/// Receives the lease messages to send.
 pub trait LeaseMessages {
     /// Sends a request.
     fn request(&mut self, to: Peer, request: LeaseRequest);
@@ -147,37 +148,37 @@
     fn grant(&mut self, to: Peer, grant: LeaseGrant);
 }
 
-/// Why a grant was not taken; counted by the caller.
+/// Why a grant was not accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum GrantError {
-    /// No request of that number went to that peer, or it was answered already.
+    /// No request with that number was sent to the peer, or it was answered before.
     NotRequested,
-    /// It came after its time was over.
+    /// The grant arrived after it had expired.
     Late,
 }
 
 /// The budgets of one node.
 #[derive(Clone, Debug)]
 pub struct Leases {
-    /// How leases are given and taken.
+    /// Settings of leases.
     pub settings: LeaseSettings,
-    /// What is kept of each budget.
+    /// State of each budget.
     pub budgets: BTreeMap<BudgetKey, Budget>,
     next_request: RequestNumber,
 }
 
 impl Leases {
-    /// No budgets yet.
+    /// Returns a state without budgets.
     pub fn new(settings: LeaseSettings) -> Leases {
         Leases { settings, budgets: BTreeMap::new(), next_request: 1 }
     }
 
-    /// The base share of a node that counts `members` front nodes, itself included.
+    /// Returns the base share of a node that counts `members` front nodes, including itself.
     pub fn base_share(total: f64, members: usize) -> f64 {
         total / members.max(1) as f64
     }
 
-    /// Units a second that this node may use now.
+    /// Returns the units per second that this node may use now.
     pub fn allowance(&self, key: BudgetKey, members: usize, now: Nanos) -> f64 {
         self.budgets.get(&key).map_or(0.0, |budget| {
             let base = Leases::base_share(budget.total, members);
@@ -185,7 +186,7 @@
         })
     }
 
-    /// What the host says it would use, in units a second.
+    /// Sets this node's demand for a budget, in units per second.
     pub fn set_demand(&mut self, key: BudgetKey, total: f64, demand: f64, now: Nanos) {
         let budget = self.budget(key, total, now);
         (budget.demand, budget.demanded_at) = (demand.max(0.0), now);
@@ -193,8 +194,8 @@
 
     fn budget(&mut self, key: BudgetKey, total: f64, now: Nanos) -> &mut Budget {
         if !self.budgets.contains_key(&key) && self.budgets.len() >= self.settings.max_budgets {
-            // The one least recently wanted and holding no lease of others goes; one that lends stays, or its leases
-            // would be forgotten while they run.
+            // The budget whose demand was set least recently is dropped. One with granted leases stays, or they would be forgotten
+            // while they are in use.
             let idle = self.budgets.iter().filter(|(_, budget)| sum_lent(&budget.lent, now) == 0.0);
             let oldest = idle.min_by_key(|(_, budget)| budget.demanded_at).map(|(key, _)| *key);
             if let Some(oldest) = oldest {
@@ -206,8 +207,7 @@
         budget
     }
 
-    /// A peer requests a lease: it gets a share of what this node has spare, once for each request however often that
-    /// comes.
+    /// Handles a lease request: grants a fraction of this node's unused budget. A repeated request gets the same grant.
     pub fn request_received(
         &mut self,
         from: Peer,
@@ -224,13 +224,13 @@
             |amount, duration| LeaseGrant { key: request.key, request: request.number, amount, duration };
         let is_known = |lease: &&LentLease| lease.borrower == from && lease.request == request.number;
         if let Some(lease) = budget.lent.iter().find(is_known) {
-            // The same request again (a copy, or a lost grant): the same grant, and nothing more lent.
-            let rest = (lease.until - now - settings.guard()).clamp(0, settings.duration);
-            messages.grant(from, grant(lease.amount, rest));
+            // A duplicate of a request, or a repetition after a lost grant, gets the same grant, and nothing more is lent.
+            let remaining = (lease.until - now - settings.guard()).clamp(0, settings.duration);
+            messages.grant(from, grant(lease.amount, remaining));
             return;
         }
         let base = Leases::base_share(budget.total, members);
-        // What it uses itself, up to its base, it keeps.
+        // A node keeps what it needs itself, up to its base share.
         let spare = base - sum_lent(&budget.lent, now) - budget.demand.min(base);
         let amount = (spare * settings.lend_share).min(request.amount).max(0.0);
         if amount <= 0.0 || lent_leases >= settings.max_lent {
@@ -242,10 +242,10 @@
         messages.grant(from, grant(amount, settings.duration));
     }
 
-    /// A grant came: it counts from the moment of its request, and only once.
+    /// Handles a grant. It counts from the time of its request, and only once.
     ///
     /// # Errors
-    /// If it was not requested, was answered before, or is over.
+    /// If the grant was not requested, was received before, or has expired.
     pub fn grant_received(&mut self, from: Peer, grant: LeaseGrant, now: Nanos) -> Result<(), GrantError> {
         let settings = self.settings;
         let budget = self.budgets.get_mut(&grant.key).ok_or(GrantError::NotRequested)?;
@@ -265,8 +265,8 @@
         Ok(())
     }
 
-    /// Leases that ended go; where demand is over the allowance, or leases end soon, peers are asked.
-    /// `peers`: those alive, in an order drawn by the caller from its seed.
+    /// Drops ended leases, and requests leases if the demand exceeds the allowance or leases end soon. `peers` are the live
+    /// peers in random order.
     pub fn step(&mut self, members: usize, peers: &[Peer], now: Nanos, messages: &mut dyn LeaseMessages) {
         let settings = self.settings;
         for (&key, budget) in &mut self.budgets {
@@ -274,20 +274,20 @@
             budget.borrowed.retain(|lease| lease.until > now);
             let base = Leases::base_share(budget.total, members);
             let renew_before = now + (settings.duration as f64 * settings.renew_at) as Nanos;
-            let not_due = budget.borrowed.iter().filter(|lease| lease.until > renew_before);
-            let borrowed: f64 = not_due.map(|lease| lease.amount).sum();
-            let short = budget.demand - (base - sum_lent(&budget.lent, now) + borrowed);
-            // One request at a time: a new one once the last is answered by all, or its time to be answered is over.
+            let not_due_for_renewal = budget.borrowed.iter().filter(|lease| lease.until > renew_before);
+            let borrowed: f64 = not_due_for_renewal.map(|lease| lease.amount).sum();
+            let shortfall = budget.demand - (base - sum_lent(&budget.lent, now) + borrowed);
+            // One request at a time: the next is sent when all peers have responded, or after the time-out.
             let is_waiting = budget.pending.as_ref().is_some_and(|pending| {
                 !pending.unanswered.is_empty() && now - pending.sent_at < settings.answer_timeout
             });
-            if short <= 1e-9 || is_waiting || peers.is_empty() {
+            if shortfall <= 1e-9 || is_waiting || peers.is_empty() {
                 continue;
             }
             let number = self.next_request;
             self.next_request = self.next_request.wrapping_add(1).max(1);
             let lenders: Vec<Peer> = peers.iter().copied().take(settings.peers_per_request.max(1)).collect();
-            let amount = short / lenders.len() as f64;
+            let amount = shortfall / lenders.len() as f64;
             for &lender in &lenders {
                 messages.request(lender, LeaseRequest { key, total: budget.total, amount, number });
             }
@@ -295,15 +295,15 @@
         }
     }
 
-    /// A peer is down for good: what it lent is no longer counted on. What it borrowed stays counted until it ends,
-    /// as it may still be in use there.
+    /// Handles the failure of a peer. Leases that it granted are dropped. Leases that it holds still count until they end, as
+    /// it may still use them.
     pub fn peer_down(&mut self, peer: Peer) {
         for budget in self.budgets.values_mut() {
             budget.borrowed.retain(|lease| lease.lender != peer);
         }
     }
 
-    /// What is lent to peers and borrowed from them, over all budgets.
+    /// Returns the units lent to and borrowed from peers, over all budgets.
     pub fn totals(&self, now: Nanos) -> LeaseTotals {
         LeaseTotals {
             lent: self.budgets.values().map(|budget| sum_lent(&budget.lent, now)).sum(),
@@ -312,7 +312,7 @@
     }
 }
 
-/// Units a second that a node lent and borrowed.
+/// Units per second that a node has lent and borrowed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LeaseTotals {
     /// Lent to peers.
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,8 +1,8 @@
-//! The fleet of front nodes as each of them sees it: who else is there, budgets that hold for all of them together,
-//! and verdicts that one comes to and all should know. Free of I/O and of clocks: the host hands over the time and the
-//! datagrams that came, and sends what [`Fleet::round`] writes. Membership is SWIM, by the crate `foca`; budgets are
-//! leases between peers ([`leases`]); verdicts spread by gossip with their age ([`verdicts`]); discovery's list
-//! is had from peers that know it ([`lists`]).
+//! The fleet of front nodes as seen by one of them: its members, budgets that hold for all of them together, and verdicts
+//! that one node reaches and all should know. The crate does no I/O and reads no clock: the host passes in the time and the
+//! received datagrams, and sends the datagrams that [`Fleet::round`] writes. Membership is SWIM, by the crate `foca`.
+//! Budgets are shared by leases between peers ([`leases`]), verdicts spread by gossip with their age ([`verdicts`]), and
+//! discovery's list can be downloaded from peers that have it ([`lists`]).
 //!
 //! ```
 //! use std::net::SocketAddrV4;
@@ -13,7 +13,7 @@
 //! let mut fleet = Fleet::new(FleetSettings::new(me, vec![other], 2), 7, 0);
 //! let mut out = Outbox::default();
 //! fleet.round(0, |_| {}, &mut out);
-//! assert!(out.sent.iter().any(|(to, _)| *to == other), "it announces itself to the peers it was given");
+//! assert!(out.sent.iter().any(|(to, _)| *to == other), "it announces itself to the configured peers");
 //! ```
 
 pub mod leases;
@@ -33,5 +33,5 @@
 pub use peer::Peer;
 pub use settings::FleetSettings;
 
-/// A moment or a length of time, in whole nanoseconds.
+/// A point in time or a duration, in whole nanoseconds.
 pub type Nanos = i64;
--- a/crates/fleet/src/lists.rs
+++ b/crates/fleet/src/lists.rs
@@ -1,37 +1,37 @@
-//! A document that one front node has and another wants, such as discovery's list, in pages over datagrams. Only who
-//! wants one causes traffic: it asks a few peers what they have, waits a little for their offers, and requests the
-//! pages of the best one, a window at a time, from the peer that offered it. Those that have one serve so many pages a
-//! period and no more: a fleet that starts at once must not bury the few that already know. As each that has completed
-//! serves the next, the number of sources doubles.
+//! Transfer of a document, such as discovery's list, between front nodes, in pages sent as datagrams. Only a node that wants
+//! a document causes traffic: it queries a few peers, waits briefly for their offers, and requests the pages of the best
+//! offer from its peer, one window at a time. A node serves a limited number of pages per gossip period, so that a fleet
+//! that starts at once does not overload the few nodes that have the document. Each node that has completed it serves the
+//! next ones, so the number of sources doubles.
 //!
-//! Of two versions of one topic the later revision is better; of one revision, the one seen last. Versions of different
-//! topics are never compared: their revisions have nothing to do with each other.
+//! Of two versions with the same topic the later revision is better; of one revision, the one seen last. Versions of
+//! different topics are never compared, as their revisions are unrelated.
 
 use std::collections::BTreeMap;
 
 use crate::{Nanos, OutgoingMessage, Peer};
 
-/// Bytes of a page: with its head it fits a datagram.
+/// Size of a page in bytes. With its header it fits into a datagram.
 pub const PAGE_BYTES: usize = 1200;
-/// Pages of a version at most; a longer one is not offered.
+/// The largest number of pages of a version. A longer version is not offered.
 pub const MAX_PAGES: usize = 512;
 
-/// How lists are asked for and served.
+/// Settings for requesting and serving lists.
 #[derive(Clone, Copy, Debug)]
 pub struct ListSettings {
-    /// Peers asked at one time what they have.
+    /// The number of peers that are queried at a time.
     pub peers_per_query: usize,
-    /// How often peers are asked while a list is wanted.
+    /// Interval between queries while a list is wanted.
     pub query_interval: Nanos,
-    /// How long offers are waited for after the first came, so that a better one may still.
+    /// How long to wait for better offers after the first one.
     pub offer_wait: Nanos,
-    /// Pages requested at one time.
+    /// The number of pages requested at a time.
     pub window: usize,
-    /// How long the pages of a window are waited for.
+    /// How long to wait for the pages of a window.
     pub page_timeout: Nanos,
-    /// Windows in a row that may bring nothing before the source is given up.
+    /// The number of consecutive windows without a page after which the source is abandoned.
     pub max_misses: u32,
-    /// Pages served in one gossip period, to all peers together.
+    /// The number of pages served per gossip period, to all peers together.
     pub max_served: usize,
 }
 
@@ -49,79 +49,79 @@
     }
 }
 
-/// A document as this node has it.
+/// A version of a document held by this node.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListVersion {
-    /// Where it is from, as a number that all nodes compute alike.
+    /// Identifies the source of the document, by a number that all nodes compute alike.
     pub topic: u64,
-    /// Its origin's number of it.
+    /// Revision number given by the source.
     pub revision: i64,
-    /// When its origin gave it, in this node's time.
+    /// When the source sent it, by this node's clock.
     pub seen: Nanos,
     /// The document.
     pub bytes: Vec<u8>,
 }
 
-/// What a peer says it has.
+/// A version of a document that a peer offers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListOffer {
-    /// Where the list is from.
+    /// Identifies the source of the document.
     pub topic: u64,
-    /// Its origin's number of it.
+    /// Revision number given by the source.
     pub revision: i64,
-    /// Time since its origin gave it.
+    /// Time since the source sent it.
     pub age: Nanos,
-    /// Of the bytes: pages of two versions that share a revision are never mixed.
+    /// Fingerprint of the bytes. Pages of two versions that share a revision are never mixed.
     pub fingerprint: u64,
-    /// Bytes of the document.
+    /// Length of the document in bytes.
     pub length: u32,
 }
 
-/// Asks for some pages of an offered version.
+/// Request for pages of an offered version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PageRequest {
-    /// Of the version that was offered.
+    /// Fingerprint of the version.
     pub fingerprint: u64,
-    /// First page.
+    /// The first page, from 0.
     pub from: u16,
-    /// How many.
+    /// The number of pages.
     pub pages: u16,
 }
 
 /// One page of a version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Page {
-    /// Of the version that it is from.
+    /// Fingerprint of the version.
     pub fingerprint: u64,
-    /// Its number, from 0.
+    /// Number of the page, from 0.
     pub page: u16,
-    /// Its part of the document.
+    /// The bytes of the page.
     pub bytes: Vec<u8>,
 }
 
-/// What goes to peers.
+/// A message about lists between peers.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ListMessage {
-    /// What do you have of this topic?
+    /// Queries which version of this topic the receiver has.
     Wanted(u64),
-    /// What the sender has.
+    /// Offers a version.
     Offer(ListOffer),
-    /// Pages that the sender wants.
+    /// Requests pages of an offered version.
     PageRequest(PageRequest),
-    /// A page that was requested.
+    /// A requested page.
     Page(Page),
 }
 
-/// What was counted since the start.
+/// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ListCounts {
     /// Pages sent to peers.
     pub pages_served: u64,
-    /// Pages asked for beyond what is served in a period.
+    /// Requested pages that were not sent because the limit per period was reached.
     pub pages_refused: u64,
-    /// Versions that came whole.
+    /// Versions that were downloaded completely.
     pub completed: u64,
-    /// Versions that broke off or did not fit their fingerprint.
+    /// Downloads that were abandoned or did not match their fingerprint.
     pub abandoned: u64,
 }
 
@@ -129,29 +129,29 @@
 #[derive(Clone, Copy, Debug)]
 struct ReceivedOffer {
     offer: ListOffer,
-    /// When the list's origin gave it, in this node's time.
+    /// When the source of the list sent it, by this node's clock.
     seen: Nanos,
 }
 
-/// A version on its way here.
+/// A version that is being downloaded.
 #[derive(Clone, Debug)]
 struct Download {
     from: Peer,
     offer: ListOffer,
-    /// When its origin gave it, in this node's time.
+    /// When the source of the list sent it, by this node's clock.
     seen: Nanos,
-    /// `None` for a page that has not come.
+    /// Received pages; `None` for a missing one.
     pages: Vec<Option<Vec<u8>>>,
     /// When pages were last requested.
     requested_at: Nanos,
-    /// Windows in a row that brought nothing.
+    /// The number of consecutive windows without a page.
     misses: u32,
-    /// Whether a page came since the last request.
+    /// Whether a page was received since the last request.
     has_progressed: bool,
 }
 
 impl Download {
-    /// Asks the source for a window of pages.
+    /// Returns a request for a window of pages.
     fn request(&mut self, first: usize, window: usize, now: Nanos) -> OutgoingMessage<ListMessage> {
         self.requested_at = now;
         let fingerprint = self.offer.fingerprint;
@@ -171,44 +171,44 @@
     fingerprint: u64,
 }
 
-/// How new a list is: of two, that of the later revision is newer, and of one revision the one seen later.
+/// Age of a list. The later revision is newer; within a revision, the one seen later.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ListAge {
-    /// Its revision.
+    /// Revision number of the list.
     pub revision: i64,
-    /// When its origin gave it, in the time of the node that compares.
+    /// When the source sent it, by the clock of the comparing node.
     pub seen: Nanos,
 }
 
-/// A list that a node wants of its peers.
+/// A list that a node wants from its peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListWanted {
-    /// The list's topic.
+    /// Topic of the list.
     pub topic: u64,
-    /// What an offer must be newer than; `None` where any will do.
+    /// What an offer must be newer than; `None` to accept any.
     pub newer_than: Option<ListAge>,
 }
 
-/// The lists of one node: what it offers, wants and downloads.
+/// The lists of one node: its offer, its request and its download.
 #[derive(Clone, Debug, Default)]
 pub struct Lists {
-    /// How lists are asked for and served.
+    /// Settings for requesting and serving lists.
     pub settings: ListSettings,
     published: Option<Published>,
     wanted: Option<ListWanted>,
     next_query_at: Nanos,
     offers: BTreeMap<Peer, ReceivedOffer>,
-    /// When the best of the offers is chosen.
+    /// When the best of the received offers is chosen.
     choose_at: Nanos,
     download: Option<Download>,
-    /// A version that came whole and was not taken yet.
+    /// A version that was downloaded completely and not yet taken by the host.
     received: Option<ListVersion>,
     /// Pages served in this gossip period.
     served: usize,
     counts: ListCounts,
 }
 
-/// 64-bit FNV-1a (RFC 9923), as every node must compute it alike.
+/// 64-bit FNV-1a (RFC 9923). Every node must compute the same value.
 pub fn fingerprint(bytes: &[u8]) -> u64 {
     bytes.iter().fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(*b)).wrapping_mul(0x0100_0000_01b3))
 }
@@ -218,12 +218,12 @@
 }
 
 impl Lists {
-    /// Offers and wants nothing yet.
+    /// Returns a state without an offer or a request.
     pub fn new(settings: ListSettings) -> Lists {
         Lists { settings, ..Lists::default() }
     }
 
-    /// What this node has to offer from now on. One of more than [`MAX_PAGES`] pages is not offered.
+    /// Sets the version that this node offers. A version of more than [`MAX_PAGES`] pages is not offered.
     pub fn publish(&mut self, version: ListVersion) {
         if page_count(version.bytes.len()) <= MAX_PAGES {
             let fingerprint = fingerprint(&version.bytes);
@@ -231,7 +231,7 @@
         }
     }
 
-    /// Asks peers for that list from now on.
+    /// Requests a list from peers from now on.
     pub fn request(&mut self, wanted: ListWanted, now: Nanos) {
         if self.wanted.is_none() {
             self.next_query_at = now;
@@ -239,28 +239,28 @@
         self.wanted = Some(wanted);
     }
 
-    /// No list is wanted any more.
+    /// Ends the request and the download.
     pub fn cancel(&mut self) {
         (self.wanted, self.download) = (None, None);
         self.offers.clear();
     }
 
-    /// A version that came whole since the last look.
+    /// Returns and removes a version that was downloaded completely.
     pub fn take_received(&mut self) -> Option<ListVersion> {
         self.received.take()
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counts(&self) -> ListCounts {
         self.counts
     }
 
-    /// A gossip period is over: pages are served again.
+    /// Resets the number of pages served, at the end of a gossip period.
     pub fn reset_serve_limit(&mut self) {
         self.served = 0;
     }
 
-    /// A message came from a member.
+    /// Handles a message from a member.
     pub fn message_received(
         &mut self,
         from: Peer,
@@ -284,12 +284,12 @@
 
     fn offer_received(&mut self, from: Peer, offer: ListOffer, now: Nanos) {
         let Some(ListWanted { topic, newer_than }) = self.wanted else { return };
-        let is_sound = offer.topic == topic
+        let is_valid = offer.topic == topic
             && offer.age >= 0
             && (1..=MAX_PAGES * PAGE_BYTES).contains(&(offer.length as usize));
         let seen = now - offer.age;
         let age = ListAge { revision: offer.revision, seen };
-        if !is_sound || newer_than.is_some_and(|newer_than| age <= newer_than) {
+        if !is_valid || newer_than.is_some_and(|newer_than| age <= newer_than) {
             return;
         }
         if self.offers.is_empty() {
@@ -336,7 +336,7 @@
         (download.has_progressed, download.misses) = (true, 0);
         match download.first_missing() {
             None => self.finish_download(),
-            // The window is in: the next one is requested at once.
+            // The window is complete, so the next one is requested at once.
             Some(first) if first % window == 0 && download.pages[first..].iter().all(Option::is_none) => {
                 messages.push(download.request(first, window, now));
             }
@@ -358,7 +358,7 @@
         self.cancel();
     }
 
-    /// One round: questions, choices and windows that fell due. `peers`: those alive, in an order drawn from the seed.
+    /// Sends due queries and requests, and chooses among offers. `peers` are the live peers in random order.
     pub fn step(&mut self, peers: &[Peer], now: Nanos, messages: &mut Vec<OutgoingMessage<ListMessage>>) {
         let settings = self.settings;
         let Some(ListWanted { topic, .. }) = self.wanted else { return };
@@ -373,7 +373,7 @@
                 messages.push(download.request(first, settings.window, now));
                 return;
             }
-            // Its source is gone, or serves others: another one is taken.
+            // The source is gone or does not respond: another offer is used.
             self.counts.abandoned += 1;
             self.offers.remove(&download.from);
             self.download = None;
@@ -389,12 +389,12 @@
         if now >= self.next_query_at {
             self.next_query_at = now + settings.query_interval;
             let queried = peers.iter().take(settings.peers_per_query);
-            let ask = |&to: &Peer| OutgoingMessage { to, message: ListMessage::Wanted(topic) };
-            messages.extend(queried.map(ask));
+            let query = |&to: &Peer| OutgoingMessage { to, message: ListMessage::Wanted(topic) };
+            messages.extend(queried.map(query));
         }
     }
 
-    /// The download of the best offer: of the latest revision, and of that the one seen last.
+    /// Returns a download of the best offer: the latest revision, and of that the one seen last.
     fn best_offer(&self, now: Nanos) -> Option<Download> {
         let rank = |(peer, received): &(&Peer, &ReceivedOffer)| {
             (received.offer.revision, received.seen, received.offer.fingerprint, **peer)
--- a/crates/fleet/src/membership.rs
+++ b/crates/fleet/src/membership.rs
@@ -1,5 +1,5 @@
-//! Membership by SWIM (Das, Gupta and Motivala 2002), which the crate `foca` does; here are its timers, what it wants
-//! sent, and the peers that are down and not yet forgotten.
+//! Membership by SWIM (Das, Gupta and Motivala 2002), implemented by the crate `foca`. This module keeps its timers, its
+//! messages to send, and the peers that are down but still counted.
 
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
@@ -14,12 +14,12 @@
 use crate::settings::FleetSettings;
 use crate::wire::MAX_DATAGRAM_BYTES;
 
-/// Bytes of a datagram that are not the membership's: header and sender.
+/// Bytes of a datagram that membership cannot use: header and sender.
 const RESERVED_BYTES: usize = 16;
-/// Announcements in a row after which the wait for the next one grows no more.
+/// The number of announcements after which the interval no longer doubles.
 const MAX_ANNOUNCE_DOUBLINGS: u32 = 6;
 
-/// What `foca` asks of its host, gathered to be carried out after the call.
+/// Outputs of `foca`, collected to be processed after the call.
 #[derive(Default)]
 pub(crate) struct MembershipOutput {
     pub messages: Vec<SwimMessage>,
@@ -55,19 +55,19 @@
     }
 }
 
-/// Which front nodes there are, as far as this one knows.
+/// Members of the fleet as known to this node.
 pub(crate) struct Membership {
     foca: Foca<Peer, PostcardCodec, Pcg64Mcg, NoCustomBroadcast>,
-    /// By time and order of setting.
+    /// Timers by due time and order of creation.
     timers: BTreeMap<(Nanos, u64), Timer<Peer>>,
     timers_set: u64,
-    /// Peers down, and since when: counted in the base shares until they are forgotten.
+    /// Peers that are down, with the time when they were declared down. They count in the base shares until forgotten.
     down: BTreeMap<Peer, Nanos>,
     next_announce: Nanos,
-    /// Announcements in a row while alone.
+    /// The number of consecutive announcements without a member.
     announcements: u32,
-    /// Calls that `foca` refused, such as datagrams of its own that it could not read.
-    faults: u64,
+    /// Errors returned by `foca`, such as for datagrams that it could not decode.
+    errors: u64,
 }
 
 impl Membership {
@@ -79,12 +79,12 @@
             down: BTreeMap::new(),
             next_announce: now,
             announcements: 0,
-            faults: 0,
+            errors: 0,
         }
     }
 
-    /// Alone, it announces itself to the peers it was given, at first and again, each time later: a peer that was not
-    /// up yet, or an announcement lost, would leave it alone for good, as members only gossip to members.
+    /// Announces this node to the configured peers while it has no members, at increasing intervals. Members gossip only to
+    /// members, so a peer that was not up yet, or a lost announcement, would otherwise leave the node alone for good.
     pub fn announce(&mut self, settings: &FleetSettings, now: Nanos, output: &mut MembershipOutput) {
         if self.foca.num_members() > 0 {
             self.announcements = 0;
@@ -93,18 +93,18 @@
             self.next_announce = now + settings.probe_interval * (1 << self.announcements);
             for &peer in settings.peers.iter().filter(|peer| **peer != settings.me) {
                 let result = self.foca.announce(Peer::at(peer, 0), &mut *output);
-                self.count_fault(result);
+                self.count_error(result);
             }
         }
     }
 
-    /// A datagram of another node's membership came.
+    /// Handles a membership datagram.
     pub fn datagram_received(&mut self, bytes: &[u8], output: &mut MembershipOutput) {
         let result = self.foca.handle_data(bytes, output);
-        self.count_fault(result);
+        self.count_error(result);
     }
 
-    /// Runs the timers that fell due.
+    /// Runs the due timers.
     pub fn run_timers(&mut self, now: Nanos, output: &mut MembershipOutput) {
         while let Some(entry) = self.timers.first_entry() {
             if entry.key().0 > now {
@@ -112,11 +112,11 @@
             }
             let timer = entry.remove();
             let result = self.foca.handle_timer(timer, &mut *output);
-            self.count_fault(result);
+            self.count_error(result);
         }
     }
 
-    /// Sets the timers that were asked for, and remembers the peers that are down.
+    /// Sets the requested timers, and records the peers that were declared down.
     pub fn apply_output(&mut self, output: &mut MembershipOutput, now: Nanos) {
         for RequestedTimer { timer, after } in output.timers.drain(..) {
             let at = now.saturating_add(i64::try_from(after.as_nanos()).unwrap_or(i64::MAX));
@@ -126,12 +126,12 @@
         self.down.extend(output.down.iter().map(|&peer| (peer, now)));
     }
 
-    /// Peers that are down for longer than `forget_after` are no longer counted.
+    /// Stops counting peers that have been down for longer than `forget_after`.
     pub fn forget(&mut self, forget_after: Nanos, now: Nanos) {
         self.down.retain(|_, since| now - *since < forget_after);
     }
 
-    /// This node; declared down while alive, it goes on under a renewed identity.
+    /// Returns the identity of this node. It is renewed if the node is declared down while alive.
     pub fn identity(&self) -> Peer {
         *self.foca.identity()
     }
@@ -140,35 +140,36 @@
         self.foca.iter_members().any(|member| *member.id() == peer)
     }
 
-    /// Peers alive.
+    /// Returns the live peers.
     pub fn peers(&self) -> Vec<Peer> {
         self.foca.iter_members().map(|member| *member.id()).collect()
     }
 
-    /// Number of peers alive.
+    /// Returns the number of live peers.
     pub fn alive(&self) -> usize {
         self.foca.num_members()
     }
 
-    /// Front nodes counted in the base shares: this one, those alive or suspected, those down but not yet forgotten.
+    /// Returns the number of front nodes in the base shares: this one, live or suspected ones, and those down but not
+    /// forgotten.
     pub fn counted(&self) -> usize {
         let known = self.foca.iter_members().filter(|member| !self.down.contains_key(member.id())).count();
         1 + known + self.down.len()
     }
 
-    pub fn faults(&self) -> u64 {
-        self.faults
+    pub fn errors(&self) -> u64 {
+        self.errors
     }
 
-    /// When a timer or an announcement is due.
+    /// Returns when the next timer or announcement is due.
     pub fn next_due(&self) -> Nanos {
         let timer = self.timers.first_key_value().map_or(Nanos::MAX, |((at, _), _)| *at);
         let announce = if self.foca.num_members() == 0 { self.next_announce } else { Nanos::MAX };
         timer.min(announce)
     }
 
-    fn count_fault(&mut self, result: Result<(), foca::Error>) {
-        self.faults += u64::from(result.is_err());
+    fn count_error(&mut self, result: Result<(), foca::Error>) {
+        self.errors += u64::from(result.is_err());
     }
 }
 
@@ -176,7 +177,7 @@
     let duration = |ns: Nanos| Duration::from_nanos(ns.max(1) as u64);
     let non_zero = |number: usize| NonZeroUsize::new(number).unwrap_or(NonZeroUsize::MIN);
     let size = (settings.expected as f64).max(2.0);
-    // Enough for news to reach all with room for loss: SWIM's λ·log n with λ = 3.
+    // Enough retransmissions for an update to reach all members despite losses: SWIM's λ·log n with λ = 3.
     let transmissions = (3.0 * size.log2()).ceil().clamp(1.0, 255.0) as u8;
     let announce = foca::PeriodicParams {
         frequency: duration(settings.probe_interval * 10),
--- a/crates/fleet/src/peer.rs
+++ b/crates/fleet/src/peer.rs
@@ -1,28 +1,28 @@
-//! A front node as its peers know it.
+//! Identity of a front node among its peers.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde::{Deserialize, Serialize};
 
-/// A front node as its peers reach it: an address and the count of its starts, so that one that started again is told
-/// from what was known of it before.
+/// Identity of a front node: its address and its incarnation number, which tells it apart from an earlier run at the same
+/// address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Peer {
     /// IPv4 address.
     pub ip: [u8; 4],
     /// UDP port.
     pub port: u16,
-    /// Count of its starts, and of its returns after it was declared down.
+    /// Incremented at each start, and when the node was declared down while alive.
     pub incarnation: u16,
 }
 
 impl Peer {
-    /// The node at this address.
+    /// Returns the identity of the node at this address.
     pub fn at(address: SocketAddrV4, incarnation: u16) -> Peer {
         Peer { ip: address.ip().octets(), port: address.port(), incarnation }
     }
 
-    /// Where it is reached.
+    /// Returns the UDP address of the node.
     pub fn address(&self) -> SocketAddrV4 {
         SocketAddrV4::new(Ipv4Addr::from(self.ip), self.port)
     }
@@ -31,7 +31,7 @@
 impl foca::Identity for Peer {
     type Addr = SocketAddrV4;
 
-    /// Declared down while alive, it comes back under the next count.
+    /// Returns the identity with the next incarnation, used when the node was declared down while alive.
     fn renew(&self) -> Option<Peer> {
         Some(Peer { incarnation: self.incarnation.wrapping_add(1), ..*self })
     }
--- a/crates/fleet/src/settings.rs
+++ b/crates/fleet/src/settings.rs
@@ -1,4 +1,4 @@
-//! What the operator sets.
+//! Settings of the operator.
 
 use std::net::SocketAddrV4;
 
@@ -6,44 +6,44 @@
 use crate::leases::LeaseSettings;
 use crate::lists::ListSettings;
 
-/// Where this node is reached, whom it knows at first, and the pace of it all.
+/// Address and initial peers of this node, and the timing and limits of the protocol.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Where peers reach this node; the host listens there or behind something that forwards it.
+    /// Address at which peers reach this node. The host listens there, or behind a forwarder.
     pub me: SocketAddrV4,
-    /// Peers to announce this node to at its start.
+    /// Peers to which this node announces itself at its start.
     pub peers: Vec<SocketAddrV4>,
-    /// Front nodes expected in the fleet: a base share is never more than the total divided by this.
+    /// The expected number of front nodes. A base share is at most the total divided by this.
     pub expected: usize,
-    /// Count of this node's starts, where the host keeps it; else drawn from the seed.
+    /// Incarnation number, if the host counts the starts of this node; drawn from the seed otherwise.
     pub incarnation: Option<u16>,
-    /// Time between two probes of a peer.
+    /// Interval between two probes of a peer.
     pub probe_interval: Nanos,
-    /// How long a probe's answer is waited for.
+    /// How long to wait for the response to a probe.
     pub probe_rtt: Nanos,
-    /// How long a peer that does not answer is suspected before it counts as down.
+    /// How long an unresponsive peer is suspected before it counts as down.
     pub suspicion_timeout: Nanos,
-    /// How long a peer that is down is still counted in the base shares. Against partitions: a side that forgets the
-    /// other at once takes all of each budget to itself.
+    /// How long a peer that is down still counts in the base shares. In a network partition, a side that forgot the other
+    /// at once would use all of each budget itself.
     pub forget_after: Nanos,
-    /// Time between two rounds of gossip.
+    /// Interval between two rounds of gossip.
     pub gossip_interval: Nanos,
-    /// Peers that one round of gossip goes to.
+    /// The number of peers that a round of gossip is sent to.
     pub gossip_fanout: usize,
-    /// How leases are given and taken.
+    /// Settings of leases.
     pub leases: LeaseSettings,
-    /// How lists are asked for and served.
+    /// Settings for requesting and serving lists.
     pub lists: ListSettings,
-    /// How often budgets are looked at: leases that ended, requests where demand is over the allowance.
+    /// Interval at which leases are checked: expired ones, and requests if the demand exceeds the allowance.
     pub step_interval: Nanos,
-    /// Verdicts kept at once.
+    /// The number of verdicts kept at once.
     pub max_verdicts: usize,
-    /// Datagrams taken from one peer within one gossip interval; more are dropped and counted.
+    /// Datagrams accepted from one peer per gossip interval. More are dropped and counted.
     pub datagrams_per_peer: usize,
 }
 
 impl FleetSettings {
-    /// Paces for a fleet on one network, `expected` nodes in all.
+    /// Returns settings for a fleet of `expected` nodes on one network.
     pub fn new(me: SocketAddrV4, peers: Vec<SocketAddrV4>, expected: usize) -> FleetSettings {
         FleetSettings {
             me,
--- a/crates/fleet/src/verdicts.rs
+++ b/crates/fleet/src/verdicts.rs
@@ -1,25 +1,25 @@
-//! Verdicts that one front node comes to and all should know: an index server is in slow start, fails a service class,
-//! drains. Each is kept by its key with the time it was seen, passed from node to node with its age: clocks of two
-//! nodes are never compared, and a verdict that went round for long arrives old. The one seen last wins; each expires
-//! by itself.
+//! Verdicts that one front node reaches and all should know: an index server is in slow start, fails a service class, or
+//! drains. A verdict is stored by key with the time when it was reached, and sent with its age: clocks of two nodes are
+//! never compared, and a verdict that was forwarded for long arrives with its full age. Of two verdicts the later one
+//! wins; each expires on its own.
 
 use std::collections::BTreeMap;
 
 use crate::{Nanos, Peer};
 
-/// What a verdict is about.
+/// The subject matter of a verdict.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Topic {
-    /// The server has just started and bears only a share of its work.
+    /// The server has started recently and has only a fraction of its capacity.
     SlowStart = 0,
-    /// The server fails shard requests of a service class, though it answers others.
+    /// The server fails shard requests of a service class, but answers others.
     Failing = 1,
-    /// The server is being taken out.
+    /// The server is being taken out of service.
     Draining = 2,
 }
 
 impl Topic {
-    /// The topic with this number on the wire.
+    /// Returns the topic with this number on the wire.
     pub fn from_byte(byte: u8) -> Option<Topic> {
         match byte {
             0 => Some(Topic::SlowStart),
@@ -30,52 +30,52 @@
     }
 }
 
-/// What a verdict is about: of two with one key, one wins.
+/// Identifies a verdict. Of two verdicts with the same key, one is kept.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VerdictKey {
-    /// The server, as the host names it by a number that every node computes alike.
+    /// The server, by a number that every node computes alike.
     pub subject: u64,
-    /// The service class it concerns, by its index; 0 where it concerns all.
+    /// Index of the service class that it applies to; 0 if it applies to all.
     pub service_class: u8,
-    /// What it says of the server.
+    /// What it says about the server.
     pub topic: Topic,
 }
 
-/// A verdict as it travels: how long ago its origin came to it, and how long it holds from then.
+/// A verdict as sent to peers, with its age instead of its time.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct GossipedVerdict {
     /// What it is about.
     pub key: VerdictKey,
-    /// Whether it holds: a verdict that it no longer does clears one that it did.
+    /// Whether the verdict holds. One that does not hold clears an earlier one.
     pub holds: bool,
-    /// The node that came to it.
+    /// The node that reached it.
     pub origin: Peer,
-    /// The origin's own count of its verdicts: of two seen at once, the later one wins.
+    /// Sequence number of the origin's verdicts. Of two verdicts of the same time, the higher one wins.
     pub sequence: u32,
-    /// Time since its origin came to it.
+    /// Time since the origin reached it.
     pub age: Nanos,
-    /// How long it holds from then.
+    /// How long it holds from then on.
     pub lasts: Nanos,
 }
 
-/// A verdict as a node keeps it, in the time of its own clock.
+/// A verdict as stored by a node, with times by its own clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnownVerdict {
-    /// Whether it holds, or clears one that did.
+    /// Whether the verdict holds, or clears an earlier one.
     pub holds: bool,
-    /// The node that came to it.
+    /// The node that reached it.
     pub origin: Peer,
-    /// The origin's own count of its verdicts.
+    /// Sequence number of the origin's verdicts.
     pub sequence: u32,
-    /// When it was seen at its origin, as well as this node can tell: it arrived with its age.
+    /// When the origin reached it, estimated from the age at which it arrived.
     pub seen: Nanos,
     /// When it expires.
     pub until: Nanos,
 }
 
 impl KnownVerdict {
-    /// An order over all that a verdict carries, so that of two the same one wins wherever they meet, even two that
-    /// only a damaged or replayed message could make differ.
+    /// A total order over the contents of a verdict, so that every node keeps the same one of two, even if they differ only
+    /// because a message was damaged or replayed.
     fn supersedes(&self, other: &KnownVerdict) -> bool {
         let rank = |verdict: &KnownVerdict| {
             (verdict.seen, verdict.origin, verdict.sequence, verdict.holds, verdict.until)
@@ -84,23 +84,23 @@
     }
 }
 
-/// The verdicts that one node knows.
+/// The verdicts known to one node.
 #[derive(Clone, Debug, Default)]
 pub struct Verdicts {
-    /// One of each key.
+    /// Verdicts by key.
     pub known: BTreeMap<VerdictKey, KnownVerdict>,
-    /// Most kept at once; beyond it the one that expires first goes.
+    /// The number of verdicts kept at once. Beyond it the one that expires first is dropped.
     pub capacity: usize,
     sequence: u32,
 }
 
 impl Verdicts {
-    /// None yet; at most `capacity` are kept.
+    /// Returns an empty set that keeps at most `capacity` verdicts.
     pub fn new(capacity: usize) -> Verdicts {
         Verdicts { known: BTreeMap::new(), capacity, sequence: 0 }
     }
 
-    /// One of this node's own: it is seen now.
+    /// Records a verdict of this node, reached now.
     pub fn record_own(
         &mut self,
         me: Peer,
@@ -115,8 +115,8 @@
         gossiped
     }
 
-    /// Merges one that came: true where it changes what is known. The merge is a join (as of a CRDT): in any order and
-    /// any number of times, the same verdicts give the same state.
+    /// Merges a received verdict. Returns whether it changes the known ones. The merge is a join (as of a CRDT): the same
+    /// verdicts give the same state in any order and with any number of repetitions.
     pub fn merge(&mut self, gossiped: GossipedVerdict, now: Nanos) -> bool {
         if gossiped.age < 0 || gossiped.lasts <= 0 || gossiped.age >= gossiped.lasts {
             return false;
@@ -146,7 +146,7 @@
         true
     }
 
-    /// Forgets what has expired.
+    /// Drops expired verdicts.
     pub fn expire(&mut self, now: Nanos) {
         self.known.retain(|_, k| k.until > now);
     }
@@ -156,7 +156,7 @@
         self.known.get(&key).is_some_and(|k| k.holds && k.until > now)
     }
 
-    /// What goes to a peer: the freshest first, at most `most`, with the age each has now.
+    /// Returns the verdicts to send to a peer, with their current ages: the latest first, at most `most`.
     pub fn freshest(&self, most: usize, now: Nanos) -> Vec<GossipedVerdict> {
         let mut live: Vec<(&VerdictKey, &KnownVerdict)> =
             self.known.iter().filter(|(_, k)| k.until > now).collect();
--- a/crates/fleet/src/wire.rs
+++ b/crates/fleet/src/wire.rs
@@ -1,6 +1,6 @@
-//! Datagrams between front nodes. Each begins with a header: `O V`, the format's version, the kind, the number of a key
-//! and the length of a tag made with it (both 0 until authentication comes; a node that sees a key it does not have
-//! drops the datagram), and the sender. Numbers are little-endian. A datagram is at most [`MAX_DATAGRAM_BYTES`].
+//! Datagrams between front nodes. Each starts with a header: `O V`, the format version, the message kind, a key number and
+//! the length of an authentication tag (both 0 until authentication is added; a node that receives an unknown key number
+//! drops the datagram), and the sender. Numbers are little-endian. A datagram has at most [`MAX_DATAGRAM_BYTES`].
 
 use derive_more::{Display, Error};
 
@@ -12,31 +12,31 @@
 const MAGIC: [u8; 2] = *b"OV";
 /// Version of the format.
 pub const VERSION: u8 = 1;
-/// Bytes of a datagram at most: under the usual MTU of 1,500 with the headers of IPv4 and UDP.
+/// The largest size of a datagram: below the usual MTU of 1,500 including the headers of IPv4 and UDP.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
 const HEADER_BYTES: usize = 6 + PEER_BYTES;
 const PEER_BYTES: usize = 8;
 const VERDICT_BYTES: usize = 8 + 3 + PEER_BYTES + 4 + 8 + 8;
-/// Verdicts that fit one datagram.
+/// The number of verdicts that fit into one datagram.
 pub const MAX_VERDICTS: usize = (MAX_DATAGRAM_BYTES - HEADER_BYTES - 1) / VERDICT_BYTES;
 
-/// What one front node sends to another.
+/// A message from one front node to another.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Message {
-    /// Membership, in the form of the crate that keeps it.
+    /// Membership protocol, as encoded by `foca`.
     Swim(Vec<u8>),
-    /// Asks for a lease.
+    /// Requests a lease.
     LeaseRequest(LeaseRequest),
-    /// Answers a request.
+    /// Answers a lease request.
     LeaseGrant(LeaseGrant),
-    /// Gossip of verdicts.
+    /// Gossips verdicts.
     Verdicts(Vec<GossipedVerdict>),
-    /// About a list that peers have or want.
+    /// Requests, offers or transfers a list.
     List(ListMessage),
 }
 
 impl Message {
-    /// The kind as the header has it.
+    /// Returns the kind in the header.
     fn kind(&self) -> u8 {
         match self {
             Message::Swim(_) => 1,
@@ -51,21 +51,21 @@
     }
 }
 
-/// Why a datagram was not decoded.
+/// Why a datagram could not be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum DecodeError {
-    /// Not of this format, or cut short.
+    /// It does not have this format, or is truncated.
     #[display("datagram is no message of a front node; check what else sends to this port")]
     Malformed,
-    /// A later version of the format.
+    /// It has a later version of the format.
     #[display("datagram has version {_0} of the format; run the same version on all front nodes")]
     NewerVersion(#[error(not(source))] u8),
-    /// Signed with a key this node does not have.
+    /// It is signed with a key that this node does not have.
     #[display("datagram is signed with key {_0}, which this node does not have; give it the key")]
     Signed(#[error(not(source))] u8),
 }
 
-/// Writes a message as one datagram in place of what `out` holds.
+/// Encodes a message as one datagram. Replaces the contents of `out`.
 pub fn encode(from: Peer, message: &Message, out: &mut Vec<u8>) {
     out.clear();
     out.extend_from_slice(&MAGIC);
@@ -140,13 +140,13 @@
     }
 }
 
-/// The bytes that are not decoded yet. Each call takes a value off their start; `None` where it is not there.
+/// The remaining bytes. Each method takes a value from their start, and returns `None` if there are too few bytes.
 struct Decoder<'a>(&'a [u8]);
 
 impl<'a> Decoder<'a> {
     fn take<const N: usize>(&mut self) -> Option<[u8; N]> {
-        let (first, rest) = self.0.split_first_chunk::<N>()?;
-        self.0 = rest;
+        let (first, remaining) = self.0.split_first_chunk::<N>()?;
+        self.0 = remaining;
         Some(*first)
     }
     fn u8(&mut self) -> Option<u8> {
@@ -174,7 +174,7 @@
         Some(BudgetKey { family: self.u8()?, subject: self.u64()? })
     }
 
-    /// The message of this kind. It may leave bytes over.
+    /// Decodes a message of the given kind. Some bytes may remain.
     fn message(&mut self, kind: u8) -> Option<Message> {
         Some(match kind {
             1 => Message::Swim(self.0.to_vec()),
@@ -227,16 +227,16 @@
 
     fn page(&mut self) -> Option<Page> {
         let (fingerprint, page, length) = (self.u64()?, self.u16()?, usize::from(self.u16()?));
-        let (bytes, rest) = self.0.split_at_checked(length)?;
-        self.0 = rest;
+        let (bytes, remaining) = self.0.split_at_checked(length)?;
+        self.0 = remaining;
         Some(Page { fingerprint, page, bytes: bytes.to_vec() })
     }
 }
 
-/// Reads a datagram: its sender and the message.
+/// Decodes a datagram into its sender and message.
 ///
 /// # Errors
-/// If the bytes are no message of this version of the format.
+/// If the bytes are not a message of this version of the format.
 pub fn decode(bytes: &[u8]) -> Result<(Peer, Message), DecodeError> {
     if bytes.len() > MAX_DATAGRAM_BYTES || bytes.len() < HEADER_BYTES || bytes[..2] != MAGIC {
         return Err(DecodeError::Malformed);
--- a/crates/fleet/tests/fleet.rs
+++ b/crates/fleet/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Stories of a fleet in virtual time: each is one trouble between front nodes, and what must hold through it.
+//! Scenarios of a fleet in virtual time: one fault each, and the invariants that hold despite it.
 
 mod net;
 
@@ -9,7 +9,7 @@
 const KEY: BudgetKey = BudgetKey { family: 1, subject: 42 };
 const TOTAL: f64 = 100.0;
 
-/// Node 0 would use 60 of 100 a second, all others 1 each.
+/// Node 0 has a demand of 60 of 100 per second, all others of 1.
 fn demand(net: &mut Net, step: i64) {
     net.tick(step, |i, inbox| inbox.set_demand(KEY, TOTAL, if i == 0 { 60.0 } else { 1.0 }));
 }
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn ten_nodes_find_each_other_from_three_seeds() {
+fn ten_nodes_discover_each_other_from_three_peers() {
     let mut net = Net::new(10, 10, 1, |o| o);
     net.run(10 * S, 10 * MS, |_| {});
     for fleet in net.alive() {
@@ -28,7 +28,7 @@
 }
 
 #[test]
-fn a_node_that_wants_more_borrows_and_the_fleet_stays_within_the_total() {
+fn a_node_with_higher_demand_borrows_and_the_total_holds() {
     let mut net = Net::new(10, 10, 2, |o| o);
     let mut most: f64 = 0.0;
     while net.now < 20 * S {
@@ -36,14 +36,14 @@
         most = most.max(sum(&net));
     }
     let heavy = net.nodes[0].fleet.as_ref().unwrap().allowance(KEY);
-    assert!(heavy > 40.0, "the heavy node got {heavy:.1} of the others' spare, its base is 10");
-    assert!(most <= TOTAL + 1e-6, "the fleet was allowed {most:.3} at once");
+    assert!(heavy > 40.0, "the heavy node borrowed {heavy:.1} from the others; its base share is 10");
+    assert!(most <= TOTAL + 1e-6, "sum of the allowances: {most:.3}");
 }
 
 #[test]
-fn datagrams_lost_copied_and_reordered_never_count_a_lease_twice() {
+fn lost_duplicated_and_reordered_datagrams_never_count_a_lease_twice() {
     let mut net = Net::new(12, 12, 3, |o| o);
-    net.faults = net::Faults { loss: 0.3, copies: 0.3, delay: 2 * MS, jitter: 40 * MS };
+    net.faults = net::Faults { loss: 0.3, duplicates: 0.3, delay: 2 * MS, jitter: 40 * MS };
     let (mut most, mut heavy): (f64, f64) = (0.0, 0.0);
     while net.now < 30 * S {
         demand(&mut net, 10 * MS);
@@ -52,12 +52,15 @@
             heavy += net.nodes[0].fleet.as_ref().unwrap().allowance(KEY) / 1000.0;
         }
     }
-    assert!(most <= TOTAL + 1e-6, "the fleet was allowed {most:.3} at once");
-    assert!(heavy > 20.0, "with 30% lost the heavy node still borrows: {heavy:.1} on average, its base 8.3");
+    assert!(most <= TOTAL + 1e-6, "sum of the allowances: {most:.3}");
+    assert!(
+        heavy > 20.0,
+        "with 30% loss the heavy node still borrows: {heavy:.1} on average; its base share is 8.3"
+    );
 }
 
 #[test]
-fn a_partition_shorter_than_forgetting_keeps_the_total_and_a_longer_one_at_most_doubles_it() {
+fn a_short_partition_keeps_the_total_and_a_long_one_at_most_doubles_it() {
     let mut net = Net::new(10, 10, 4, |o| o);
     let mut most: f64 = 0.0;
     while net.now < 10 * S {
@@ -68,23 +71,23 @@
         demand(&mut net, 10 * MS);
         most = most.max(sum(&net));
     }
-    assert!(most <= TOTAL + 1e-6, "within 20 s, shorter than the 30 s of forgetting: {most:.3}");
+    assert!(most <= TOTAL + 1e-6, "within 20 s, shorter than `forget_after` (30 s): {most:.3}");
     while net.now < 70 * S {
         demand(&mut net, 10 * MS);
         most = most.max(sum(&net));
     }
-    // The bound: each side counts at least `expected` members, so each takes at most the total.
-    assert!(most <= 2.0 * TOTAL + 1e-6, "two sides, each at most the whole: {most:.3}");
+    // Each side counts at least `expected` members, so each uses at most the total.
+    assert!(most <= 2.0 * TOTAL + 1e-6, "two sides, each at most the total: {most:.3}");
 }
 
 #[test]
-fn a_borrower_that_dies_gives_back_its_leases_when_they_end() {
+fn leases_of_a_crashed_borrower_return_when_they_end() {
     let mut net = Net::new(6, 6, 5, |o| o);
     while net.now < 10 * S {
         demand(&mut net, 10 * MS);
     }
     let lent_before: f64 = net.alive().skip(1).map(|f| f.leases().lent).sum();
-    assert!(lent_before > 10.0, "others lent to node 0: {lent_before:.1}");
+    assert!(lent_before > 10.0, "lent to node 0 by the others: {lent_before:.1}");
     net.nodes[0].fleet = None;
     while net.now < 14 * S {
         net.tick(10 * MS, |_, inbox| inbox.set_demand(KEY, TOTAL, 1.0));
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn a_lender_whose_clock_steps_forward_lets_the_fleet_over_by_what_it_lent_at_most() {
+fn a_clock_step_of_a_lender_exceeds_the_total_by_at_most_what_it_lent() {
     let mut net = Net::new(6, 6, 6, |o| o);
     while net.now < 10 * S {
         demand(&mut net, 10 * MS);
@@ -106,15 +109,15 @@
         demand(&mut net, 10 * MS);
         most = most.max(sum(&net));
     }
-    assert!(most <= TOTAL + lent + 1e-6, "over by {:.2}, it had lent {lent:.2}", most - TOTAL);
+    assert!(most <= TOTAL + lent + 1e-6, "exceeded by {:.2}; the node had lent {lent:.2}", most - TOTAL);
 }
 
 #[test]
-fn a_verdict_reaches_all_and_an_older_one_from_a_peer_that_comes_back_loses() {
+fn a_verdict_reaches_all_nodes_and_supersedes_an_older_one() {
     let mut net = Net::new(20, 20, 7, |o| o);
     net.run(8 * S, 10 * MS, |_| {});
     let key = VerdictKey { subject: 9, service_class: 0, topic: Topic::Failing };
-    // Node 3 is cut off and comes to "bad"; then node 5 comes to "good", which is newer.
+    // Node 3 is partitioned and reaches "failing"; then node 5 reaches "not failing", which is later.
     net.side[3] = 1;
     net.tick(10 * MS, |i, inbox| {
         if i == 3 {
@@ -137,20 +140,20 @@
             reached = Some(net.now - began);
         }
     }
-    let reached = reached.expect("the verdict reached all that are connected");
+    let reached = reached.expect("the verdict reaches all connected nodes");
     assert!(reached < 3 * S, "it took {} ms", reached / MS);
     net.side[3] = 0;
     net.run(net.now + 5 * S, 10 * MS, |_| {});
     for (i, fleet) in net.alive().enumerate() {
-        assert!(!fleet.holds(key), "node {i} believes the older verdict");
+        assert!(!fleet.holds(key), "node {i} has the older verdict");
     }
 }
 
 #[test]
-fn a_peer_that_floods_is_cut_down_to_its_share_and_the_others_go_on() {
+fn a_flooding_peer_is_rate_limited_and_the_others_continue() {
     let mut net = Net::new(5, 5, 8, |o| o);
     net.run(5 * S, 10 * MS, |_| {});
-    // Node 4 sends a thousand asks a round to node 0; node 1 still borrows from node 0.
+    // Node 4 sends a thousand requests per round to node 0, while node 1 borrows from node 0.
     let flood = {
         let mut out = Vec::new();
         let from = net.nodes[4].fleet.as_ref().unwrap().me();
@@ -174,12 +177,12 @@
     let counts = net.nodes[0].fleet.as_ref().unwrap().counts();
     assert!(counts.rate_limited > 100_000, "{counts:?}");
     let lent_to_flooder = net.nodes[4].fleet.as_ref().unwrap().allowance(KEY);
-    assert!(lent_to_flooder < 30.0, "one ask of the flood lends once: {lent_to_flooder:.1}");
+    assert!(lent_to_flooder < 30.0, "repeated requests get one lease: {lent_to_flooder:.1}");
     assert!(net.nodes[1].fleet.as_ref().unwrap().allowance(KEY) > 20.0);
 }
 
 #[test]
-fn three_hundred_nodes_started_at_once_stay_within_the_total() {
+fn three_hundred_nodes_that_start_at_once_stay_within_the_total() {
     let mut net = Net::new(300, 300, 9, |o| o);
     let mut most: f64 = 0.0;
     while net.now < 20 * S {
@@ -188,7 +191,7 @@
     }
     assert!(most <= TOTAL + 1e-6, "{most:.3}");
     let heavy = net.nodes[0].fleet.as_ref().unwrap().allowance(KEY);
-    assert!(heavy > 1.0, "base 0.33, wants 5: {heavy:.2}");
+    assert!(heavy > 1.0, "base share 0.33, demand 5: {heavy:.2}");
     let known = net.alive().map(|f| f.members().alive_peers).min().unwrap();
-    assert!(known >= 290, "each knows {known} at least");
+    assert!(known >= 290, "each node knows at least {known}");
 }
--- a/crates/fleet/tests/golden_datagrams.rs
+++ b/crates/fleet/tests/golden_datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the fleet have the recorded bytes and are read back as what they were written from.
+//! The bytes of the fleet's datagrams, compared with recorded ones, and decoding back to the original messages.
 
 mod net;
 
@@ -15,7 +15,7 @@
 const SENDER: Peer = Peer { ip: [10, 0, 0, 7], port: 7946, incarnation: 0x0102 };
 const ORIGIN: Peer = Peer { ip: [192, 168, 1, 254], port: 65535, incarnation: 1 };
 
-fn told(topic: Topic, holds: bool, sequence: u32) -> GossipedVerdict {
+fn verdict(topic: Topic, holds: bool, sequence: u32) -> GossipedVerdict {
     let key = VerdictKey { subject: 0xfeed_beef_0000_0001, service_class: 3, topic };
     GossipedVerdict { key, holds, origin: ORIGIN, sequence, age: 5_000_000_000, lasts: -1 }
 }
@@ -23,9 +23,9 @@
 fn messages() -> Vec<(&'static str, Message)> {
     let key = BudgetKey { family: 2, subject: 0x0123_4567_89ab_cdef };
     let verdicts = vec![
-        told(Topic::SlowStart, true, 1),
-        told(Topic::Failing, false, u32::MAX),
-        told(Topic::Draining, true, 9),
+        verdict(Topic::SlowStart, true, 1),
+        verdict(Topic::Failing, false, u32::MAX),
+        verdict(Topic::Draining, true, 9),
     ];
     let offer = ListOffer {
         topic: 11,
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn datagrams_have_the_recorded_bytes_and_are_read_back() {
+fn datagrams_have_the_recorded_bytes_and_decode_back() {
     let path = golden("datagrams.txt");
     let encode = |(name, message): &(&'static str, Message)| {
         let mut bytes = Vec::new();
@@ -85,16 +85,16 @@
     }
 }
 
-/// Nodes that borrow from each other, tell verdicts and pass a list on, through loss, a cut and a death.
+/// Nodes that borrow from each other, gossip verdicts and transfer a list, with losses, a network partition and a crash.
 #[test]
 fn simulated_fleets_send_the_recorded_bytes() {
     let key = BudgetKey { family: 1, subject: 42 };
     let mut hashes = Vec::new();
     for run in 0..8_u64 {
-        let mut net = Net::new(6, 6, run, |orders| orders);
+        let mut net = Net::new(6, 6, run, |settings| settings);
         net.trace = Some(Trace::new());
         let loss = 0.04 * run as f64;
-        net.faults = Faults { loss, copies: loss, delay: 2 * MS, jitter: 5 * MS * run as i64 };
+        net.faults = Faults { loss, duplicates: loss, delay: 2 * MS, jitter: 5 * MS * run as i64 };
         while net.now < 20 * S {
             if net.now == 6 * S {
                 net.side = vec![0, 0, 0, 1, 1, 1];
--- a/crates/fleet/tests/merge.rs
+++ b/crates/fleet/tests/merge.rs
@@ -1,12 +1,12 @@
-//! The merge of verdicts is a join: whatever the order in which verdicts come, and however often each comes, a node ends
-//! with the same verdicts. Gossip may deliver anything in any order, so nothing less would do.
+//! The merge of verdicts is a join: in any order, and with any repetitions, the same verdicts give the same state. Gossip may
+//! deliver messages in any order, so convergence depends on this.
 
 use orchidvalve_fleet::Peer;
 use orchidvalve_fleet::verdicts::{GossipedVerdict, Topic, VerdictKey, Verdicts};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngSeed};
 
-fn told() -> impl Strategy<Value = GossipedVerdict> {
+fn verdict() -> impl Strategy<Value = GossipedVerdict> {
     (0u64..3, 0u8..2, 0u8..3, any::<bool>(), 0u8..3, 0u32..4, 0i64..50, 1i64..80).prop_map(
         |(subject, service_class, topic, holds, origin, sequence, age, lasts)| GossipedVerdict {
             key: VerdictKey { subject, service_class, topic: Topic::from_byte(topic).unwrap() },
@@ -35,8 +35,8 @@
     #![proptest_config(config())]
 
     #[test]
-    fn order_and_copies_do_not_change_what_is_known(
-        all in proptest::collection::vec(told(), 0..24),
+    fn order_and_repetitions_do_not_change_the_result(
+        all in proptest::collection::vec(verdict(), 0..24),
         order in any::<u64>(),
         twice in proptest::collection::vec(any::<prop::sample::Index>(), 0..8),
     ) {
@@ -54,9 +54,9 @@
     }
 
     #[test]
-    fn two_nodes_that_tell_each_other_all_agree(
-        left in proptest::collection::vec(told(), 0..16),
-        right in proptest::collection::vec(told(), 0..16),
+    fn two_nodes_that_exchange_all_verdicts_agree(
+        left in proptest::collection::vec(verdict(), 0..16),
+        right in proptest::collection::vec(verdict(), 0..16),
     ) {
         let now = 100;
         let (mut a, mut b) = (Verdicts::new(1000), Verdicts::new(1000));
--- a/crates/fleet/tests/model.rs
+++ b/crates/fleet/tests/model.rs
@@ -1,5 +1,5 @@
-//! The lease exchange of `leases`, the code itself, under every order of its messages: any may be lost, copied, or
-//! late by any number of ticks, and demand may change between them. Checked by `stateright` to a stated depth.
+//! Model check of the lease protocol with the code of `leases` itself, under every order of its messages: each may be lost,
+//! duplicated, or delayed by any number of ticks, and the demand may change. `stateright` checks it up to a given depth.
 
 use std::hash::{Hash, Hasher};
 
@@ -9,18 +9,18 @@
 
 const KEY: BudgetKey = BudgetKey { family: 0, subject: 1 };
 const TOTAL: f64 = 8.0;
-/// Long against the lender's guard of a millisecond, so that a lease counted from the wrong moment shows.
-const LASTS: Nanos = 10_000_000_000;
-const TICK: Nanos = LASTS / 2;
-const HORIZON: Nanos = 4 * LASTS;
+/// Long compared to the lender's guard of one millisecond, so that a lease counted from the wrong time is detected.
+const LEASE_DURATION: Nanos = 10_000_000_000;
+const TICK: Nanos = LEASE_DURATION / 2;
+const HORIZON: Nanos = 4 * LEASE_DURATION;
 
 fn peer(n: u8) -> Peer {
     Peer { ip: [10, 0, 0, n], port: 1, incarnation: 0 }
 }
 
-fn orders() -> LeaseSettings {
+fn settings() -> LeaseSettings {
     LeaseSettings {
-        duration: LASTS,
+        duration: LEASE_DURATION,
         drift: 0.0,
         lend_share: 0.5,
         renew_at: 0.5,
@@ -37,12 +37,12 @@
     LeaseGrant(LeaseGrant),
 }
 
-/// Three nodes: 0 borrows, 1 and 2 lend. OutgoingMessages in flight: to, from, what.
+/// Three nodes: 0 borrows, 1 and 2 lend. `in_flight` holds the messages in flight with receiver and sender.
 #[derive(Clone, Debug)]
 struct State {
     now: Nanos,
     nodes: Vec<Leases>,
-    flying: Vec<(u8, u8, Message)>,
+    in_flight: Vec<(u8, u8, Message)>,
 }
 
 impl Hash for State {
@@ -71,28 +71,28 @@
 #[derive(Clone, Debug, PartialEq)]
 enum Action {
     Tick,
-    /// The borrower looks at its shares, wanting so much.
+    /// The borrower checks its leases, with this demand.
     Step(u8),
     Deliver(usize),
-    /// Delivered, and a copy stays in flight.
-    Copy(usize),
+    /// The message is delivered, and a duplicate stays in flight.
+    Duplicate(usize),
     Lose(usize),
 }
 
-struct Exchange;
+struct LeaseExchange;
 
 const MEMBERS: usize = 3;
 
-impl Model for Exchange {
+impl Model for LeaseExchange {
     type State = State;
     type Action = Action;
 
     fn init_states(&self) -> Vec<State> {
-        let mut nodes: Vec<Leases> = (0..3).map(|_| Leases::new(orders())).collect();
+        let mut nodes: Vec<Leases> = (0..3).map(|_| Leases::new(settings())).collect();
         for (n, node) in nodes.iter_mut().enumerate() {
             node.set_demand(KEY, TOTAL, if n == 0 { 0.0 } else { 1.0 }, 0);
         }
-        vec![State { now: 0, nodes, flying: Vec::new() }]
+        vec![State { now: 0, nodes, in_flight: Vec::new() }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
@@ -100,8 +100,8 @@
             actions.push(Action::Tick);
         }
         actions.extend([Action::Step(2), Action::Step(6)]);
-        for at in 0..state.flying.len() {
-            actions.extend([Action::Deliver(at), Action::Copy(at), Action::Lose(at)]);
+        for at in 0..state.in_flight.len() {
+            actions.extend([Action::Deliver(at), Action::Duplicate(at), Action::Lose(at)]);
         }
     }
 
@@ -115,11 +115,11 @@
                 next.nodes[0].set_demand(KEY, TOTAL, f64::from(want), now);
                 next.nodes[0].step(MEMBERS, &[peer(1), peer(2)], now, &mut out);
             }
-            Action::Deliver(at) | Action::Copy(at) | Action::Lose(at) => {
-                let (to, from, message) = if matches!(action, Action::Copy(_)) {
-                    next.flying[at].clone()
+            Action::Deliver(at) | Action::Duplicate(at) | Action::Lose(at) => {
+                let (to, from, message) = if matches!(action, Action::Duplicate(_)) {
+                    next.in_flight[at].clone()
                 } else {
-                    next.flying.remove(at)
+                    next.in_flight.remove(at)
                 };
                 if matches!(action, Action::Lose(_)) {
                     return Some(next);
@@ -134,10 +134,10 @@
                 }
             }
         }
-        next.flying.extend(out.1);
-        // Messages are a multiset: their order in flight says nothing.
-        next.flying.sort_by_key(|(to, from, l)| (*to, *from, format!("{l:?}")));
-        (next.flying.len() <= 4).then_some(next)
+        next.in_flight.extend(out.1);
+        // Messages in flight are a multiset: their order is irrelevant.
+        next.in_flight.sort_by_key(|(to, from, l)| (*to, *from, format!("{l:?}")));
+        (next.in_flight.len() <= 4).then_some(next)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
@@ -169,12 +169,12 @@
     }
 }
 
-/// Depth 9 in CI; `FLEET_MODEL_DEPTH=11` outside it (548,517 unique states).
+/// Depth 9 in CI; `FLEET_MODEL_DEPTH=11` for a longer run (548,517 unique states).
 #[test]
-fn leases_hold_under_every_order_of_loss_copies_and_delay() {
+fn leases_hold_under_loss_duplication_and_delay_in_every_order() {
     let depth = std::env::var("FLEET_MODEL_DEPTH").ok().and_then(|d| d.parse().ok()).unwrap_or(9);
-    let checker = Exchange.checker().target_max_depth(depth).spawn_bfs().join();
+    let checker = LeaseExchange.checker().target_max_depth(depth).spawn_bfs().join();
     println!("states: {} ({} unique) to depth {depth}", checker.state_count(), checker.unique_state_count());
     checker.assert_properties();
-    assert!(checker.unique_state_count() > 1_000, "the depth reached little");
+    assert!(checker.unique_state_count() > 1_000, "too few states for the depth");
 }
--- a/crates/fleet/tests/net/mod.rs
+++ b/crates/fleet/tests/net/mod.rs
@@ -1,5 +1,5 @@
 #![allow(dead_code)]
-//! Many fleets in one process on a network of virtual time that loses, delays, copies and cuts datagrams as told.
+//! Many fleet nodes in one process, on a network in virtual time that loses, delays, duplicates and partitions datagrams.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -10,14 +10,14 @@
 pub const MS: Nanos = 1_000_000;
 pub const S: Nanos = 1_000_000_000;
 
-/// Faults between nodes, decided by a counter that the seed starts, so that a story plays the same each time.
+/// Network faults. They are drawn from the seed, so that a scenario runs the same each time.
 #[derive(Clone, Copy, Default)]
 pub struct Faults {
-    /// Share of datagrams lost.
+    /// Fraction of datagrams lost.
     pub loss: f64,
-    /// Share copied once more.
-    pub copies: f64,
-    /// Delay, and a random part beside it, which reorders.
+    /// Fraction of datagrams duplicated.
+    pub duplicates: f64,
+    /// Fixed delay, and the largest random addition to it, which reorders datagrams.
     pub delay: Nanos,
     pub jitter: Nanos,
 }
@@ -25,21 +25,21 @@
 pub struct Node {
     pub fleet: Option<Fleet>,
     pub address: SocketAddrV4,
-    /// Added to the time this node is given: a clock that stepped.
+    /// Added to the time passed to this node, as after a clock step.
     pub skew: Nanos,
 }
 
 pub struct Net {
     pub nodes: Vec<Node>,
     pub faults: Faults,
-    /// Sides of a cut: datagrams between nodes of different sides are lost.
+    /// Side of a network partition for each node. Datagrams between nodes of different sides are lost.
     pub side: Vec<u8>,
     pub now: Nanos,
     queue: BTreeMap<(Nanos, u64), (usize, Vec<u8>)>,
     sequence: u64,
-    chance: u64,
+    random_state: u64,
     pub delivered: u64,
-    /// Of all datagrams sent, if they are recorded.
+    /// Trace of all datagrams sent, if recorded.
     pub trace: Option<Trace>,
 }
 
@@ -59,14 +59,19 @@
 }
 
 impl Net {
-    /// `n` nodes, each told of the first three as peers, all expecting `expected`.
-    pub fn new(n: usize, expected: usize, seed: u64, orders: impl Fn(FleetSettings) -> FleetSettings) -> Net {
+    /// Returns `n` nodes, each configured with the first three as peers and with the expected size `expected`.
+    pub fn new(
+        n: usize,
+        expected: usize,
+        seed: u64,
+        configure: impl Fn(FleetSettings) -> FleetSettings,
+    ) -> Net {
         let seeds: Vec<SocketAddrV4> = (0..n.min(3)).map(address).collect();
         let nodes = (0..n)
             .map(|i| {
-                let o = orders(FleetSettings::new(address(i), seeds.clone(), expected));
+                let settings = configure(FleetSettings::new(address(i), seeds.clone(), expected));
                 Node {
-                    fleet: Some(Fleet::new(o, seed.wrapping_mul(1000).wrapping_add(i as u64), 0)),
+                    fleet: Some(Fleet::new(settings, seed.wrapping_mul(1000).wrapping_add(i as u64), 0)),
                     address: address(i),
                     skew: 0,
                 }
@@ -79,20 +84,20 @@
             now: 0,
             queue: BTreeMap::new(),
             sequence: 0,
-            chance: seed | 1,
+            random_state: seed | 1,
             delivered: 0,
             trace: None,
         }
     }
 
     fn draw(&mut self) -> f64 {
-        self.chance ^= self.chance << 13;
-        self.chance ^= self.chance >> 7;
-        self.chance ^= self.chance << 17;
-        (self.chance >> 11) as f64 / (1u64 << 53) as f64
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
-    /// Moves time on by `step`, every node taking a round, with `before` called on each node's inbox.
+    /// Advances time by `step` and runs a round of every node; `before` may add to each node's inbox.
     pub fn tick(&mut self, step: Nanos, mut before: impl FnMut(usize, &mut Inbox)) {
         self.now += step;
         let mut inboxes: Vec<Vec<Vec<u8>>> = vec![Vec::new(); self.nodes.len()];
@@ -129,11 +134,11 @@
             if self.side[from] != self.side[to] || self.draw() < self.faults.loss {
                 continue;
             }
-            let copies = if self.draw() < self.faults.copies { 2 } else { 1 };
-            for _ in 0..copies {
-                let late = self.faults.delay + (self.draw() * self.faults.jitter as f64) as Nanos;
+            let count = if self.draw() < self.faults.duplicates { 2 } else { 1 };
+            for _ in 0..count {
+                let delay = self.faults.delay + (self.draw() * self.faults.jitter as f64) as Nanos;
                 self.sequence += 1;
-                self.queue.insert((self.now + late.max(1), self.sequence), (to, bytes.clone()));
+                self.queue.insert((self.now + delay.max(1), self.sequence), (to, bytes.clone()));
             }
         }
     }
--- a/crates/fleet/tests/wire.rs
+++ b/crates/fleet/tests/wire.rs
@@ -4,7 +4,7 @@
 use orchidvalve_fleet::wire::{DecodeError, Message, decode, encode};
 
 const SENDER: Peer = Peer { ip: [10, 0, 0, 7], port: 7946, incarnation: 1 };
-/// Where the header has the length of the tag.
+/// Offset of the tag length in the header.
 const TAG_LENGTH_OFFSET: usize = 5;
 
 #[test]
