--- a/crates/data-plane/src/gateway/status_log.rs
+++ b/crates/data-plane/src/gateway/status_log.rs
@@ -25,8 +25,8 @@
         let Some(counts) = self.local_responses.take_due(self.now) else { return };
         let version = self.routes.as_ref().map_or(0, |routes| routes.version());
         match self.feed.last_received_at() {
-            Some(heard) => {
-                let age = self.now.saturating_sub(heard);
+            Some(received_at) => {
+                let age = self.now.saturating_sub(received_at);
                 log::info!(
                     "door: local responses {counts}; configuration {version}, \
                      last message from a control node {age} ms ago"
--- a/crates/data-plane/src/generations/interface.rs
+++ b/crates/data-plane/src/generations/interface.rs
@@ -36,7 +36,7 @@
     pub host: CompactString,
     /// The service whose servers run the items.
     pub service: CompactString,
-    /// Target duration of the whole job, in milliseconds.
+    /// Target duration of the entire batch job, in milliseconds.
     pub target_run_ms: u64,
     /// Number of responses with status 500 after which an item expires.
     pub max_attempts: u32,
--- a/crates/data-plane/tests/admission.rs
+++ b/crates/data-plane/tests/admission.rs
@@ -1,4 +1,4 @@
-//! Which requests are admitted by which route and key, and what the others are told.
+//! Tests of admission: which requests are admitted by which route and key, and the responses to all others.
 
 mod tenants_support;
 
@@ -21,7 +21,7 @@
     admit_request(&request(path, lines), table, CURRENT).map(|admitted| admitted.caller)
 }
 
-// Guards against ROUTE: a request ran with a key that no configuration has held.
+// Guards the invariant ROUTE: no request runs with a key that no configuration has contained.
 #[rstest]
 #[case::no_header("")]
 #[case::empty_value("Authorization:\r\n")]
@@ -40,7 +40,7 @@
 #[case::second_is_empty("Authorization: Bearer k-3f09c1\r\nAuthorization:\r\n")]
 #[case::other_header("X-Authorization: Bearer k-3f09c1\r\n")]
 #[case::tenant_header_only("Tenant: cuka620\r\n")]
-fn a_request_without_one_known_key_is_refused(#[case] lines: &str) {
+fn a_request_without_one_known_key_is_rejected(#[case] lines: &str) {
     let table = two_tenants(1);
     assert_eq!(admitted(&table, "/repeat/1", lines), Err(AdmissionError::Unauthenticated));
     assert_eq!(admitted(&table, "/jobs/1", lines), Err(AdmissionError::Unauthenticated));
@@ -49,14 +49,14 @@
     assert_eq!(admit_job_call(&call, &table, CURRENT), Err(AdmissionError::Unauthenticated));
 }
 
-// Guards against ROUTE: a very long key is looked up and refused like any other.
+// Guards the invariant ROUTE: a very long key is looked up and rejected like any other.
 #[test]
-fn a_very_long_key_is_refused() {
+fn a_very_long_key_is_rejected() {
     let lines = bearer(&"k".repeat(900_000));
     assert_eq!(admitted(&two_tenants(1), "/repeat/1", &lines), Err(AdmissionError::Unauthenticated));
 }
 
-// Guards against UNASKED: the tenant named to the server wasn't that of the client's key.
+// Guards the invariant UNASKED: the tenant named to the server is the one that owns the client's key.
 #[rstest]
 #[case::as_usual("Authorization: Bearer k-3f09c1\r\n", TENANT)]
 #[case::other_key("Authorization: Bearer k-77ab20\r\n", OTHER_TENANT)]
@@ -72,7 +72,7 @@
     assert_eq!(admit_job_call(&call, &table, CURRENT), Ok(tenant(expected)));
 }
 
-// Guards against DENIED: nobody needs a key where the configuration has no tenants.
+// Guards against DENIED: no request needs a key if the configuration has no tenants.
 #[rstest]
 #[case::no_key("")]
 #[case::some_key("Authorization: Bearer k-3f09c1\r\n")]
@@ -83,9 +83,9 @@
     assert_eq!(admit_job_call(&call, &without, CURRENT), Ok(Authenticated::WithoutTenants));
 }
 
-// Guards against CONFIG: a key that was taken away, moved or given back counts by the configuration in force.
+// Guards the invariant CONFIG: a key that was removed, moved or restored is evaluated by the current configuration.
 #[test]
-fn each_request_goes_by_the_configuration_in_force_when_it_begins() {
+fn each_request_is_admitted_by_the_current_configuration() {
     let key = bearer(KEY);
     let expected: [(Arc<RouteTable>, Result<Authenticated, AdmissionError>); 9] = [
         (table(1, None), Ok(Authenticated::WithoutTenants)),
@@ -106,29 +106,30 @@
     }
 }
 
-// Guards against CONFIG: a gateway that was out of touch refused for good what a newer configuration allows.
+// Guards the invariant CONFIG: a gateway that missed an update must not finally reject what a newer configuration
+// allows.
 #[rstest]
 #[case::unknown_key("/repeat/1", "Authorization: Bearer k-new\r\n", AdmissionError::Unauthenticated, 401)]
 #[case::no_key("/repeat/1", "", AdmissionError::Unauthenticated, 401)]
 #[case::unknown_route("/new/1", "Authorization: Bearer k-3f09c1\r\n", AdmissionError::NoRoute, 404)]
-fn a_refusal_is_final_only_by_a_current_configuration(
+fn a_rejection_is_final_only_with_a_current_configuration(
     #[case] path: &str,
     #[case] lines: &str,
-    #[case] refusal: AdmissionError,
+    #[case] error: AdmissionError,
     #[case] status: u16,
 ) {
     let table = two_tenants(1);
     let request = request(path, lines);
-    assert_eq!(admit_request(&request, &table, CURRENT), Err(refusal));
-    assert_eq!(refusal.status(), status);
+    assert_eq!(admit_request(&request, &table, CURRENT), Err(error));
+    assert_eq!(error.status(), status);
     assert_eq!(admit_request(&request, &table, OUTDATED), Err(AdmissionError::RetryLater));
     assert_eq!(AdmissionError::RetryLater.status(), 503);
     assert!(AdmissionError::RetryLater.headers().iter().any(|(name, _)| *name == "Retry-After"));
 }
 
-// Guards against DENIED: what is known goes on at a gateway that is out of touch.
+// Guards against DENIED: a gateway without contact to the control plane still admits known keys.
 #[test]
-fn a_gateway_out_of_touch_admits_known_keys() {
+fn a_gateway_without_contact_admits_known_keys() {
     let table = two_tenants(1);
     let caller = admit_request(&request("/repeat/1", &bearer(KEY)), &table, OUTDATED).unwrap().caller;
     assert_eq!(caller, tenant(TENANT));
@@ -139,43 +140,44 @@
 
 #[rstest]
 #[case::no_session(None, OUTDATED)]
-#[case::just_heard(Some(10_000), CURRENT)]
+#[case::just_received(Some(10_000), CURRENT)]
 #[case::two_heartbeats_ago(Some(9_500), CURRENT)]
-#[case::silent(Some(9_399), OUTDATED)]
-fn a_configuration_may_be_outdated_once_the_control_plane_is_silent(
+#[case::unresponsive(Some(9_399), OUTDATED)]
+fn a_configuration_may_be_outdated_without_control_messages(
     #[case] last_message_at: Option<u64>,
     #[case] expected: ConfigurationAge,
 ) {
     assert_eq!(ConfigurationAge::of_feed(last_message_at, 10_000), expected);
 }
 
-// Guards against DENIED: calls on jobs of a public route need no key, those of other hosts do.
+// Guards against DENIED: calls about jobs of a public route need no key, those of other hosts do.
 #[test]
-fn calls_on_jobs_need_a_key_unless_their_host_has_a_public_route_of_jobs() {
+fn calls_about_jobs_need_a_key_unless_their_host_has_a_public_job_route() {
     let table = two_tenants(1);
     let call = |host: &str, lines: &str| request_to(host, "/v1/items/1?instance-id=2", lines);
     assert_eq!(admit_job_call(&call("open.example:80", ""), &table, CURRENT), Ok(Authenticated::Public));
     assert_eq!(admit_job_call(&call("OPEN.example", &bearer(KEY)), &table, CURRENT), Ok(tenant(TENANT)));
-    let refused = Err(AdmissionError::Unauthenticated);
-    assert_eq!(admit_job_call(&call("ficu95.example", ""), &table, CURRENT), refused);
-    assert_eq!(admit_job_call(&call("unknown.example", ""), &table, CURRENT), refused);
+    let rejected = Err(AdmissionError::Unauthenticated);
+    assert_eq!(admit_job_call(&call("ficu95.example", ""), &table, CURRENT), rejected);
+    assert_eq!(admit_job_call(&call("unknown.example", ""), &table, CURRENT), rejected);
 }
 
 #[test]
-fn a_refusal_for_want_of_a_key_names_the_scheme() {
+fn a_missing_key_response_names_the_scheme() {
     assert_eq!(AdmissionError::Unauthenticated.headers(), [("WWW-Authenticate", "Bearer")]);
     assert!(AdmissionError::NoRoute.headers().is_empty());
 }
 
-// Guards against UNASKED: a key that stands in a log or an error can be used by who reads it.
+// Guards the invariant UNASKED: anyone who reads a key in a log or an error text could use it.
 #[test]
-fn no_key_stands_in_what_can_be_logged() {
+fn no_key_appears_in_debug_output() {
     let table = two_tenants(1);
     let request = request("/repeat/1", &bearer(KEY));
     let admitted = admit_request(&request, &table, CURRENT).unwrap();
-    let refused = admit_request(&tenants_support::request("/repeat/1", &bearer("k-secret")), &table, CURRENT);
+    let rejected =
+        admit_request(&tenants_support::request("/repeat/1", &bearer("k-secret")), &table, CURRENT);
     for text in
-        [format!("{admitted:?}"), format!("{refused:?}"), format!("{table:?}"), format!("{request:?}")]
+        [format!("{admitted:?}"), format!("{rejected:?}"), format!("{table:?}"), format!("{request:?}")]
     {
         assert!(!text.contains(KEY) && !text.contains("k-secret"), "{text}");
     }
--- a/crates/data-plane/tests/attempts.rs
+++ b/crates/data-plane/tests/attempts.rs
@@ -1,13 +1,14 @@
-//! When a call may be sent once more, and when its caller may be promised that it hasn't run.
+//! Tests of attempt tracking: when a call may be attempted again, and when its client may be promised that it has not
+//! run.
 
 use orchidvalve_data_plane::attempts::{AttemptTracker, Idempotency, NotExecuted};
 use orchidvalve_data_plane::upstream::Failure;
 use orchidvalve_http::{Headers, ResponseHead};
 use rstest::rstest;
 
-fn head(status: u16, says_so: bool) -> ResponseHead {
+fn head(status: u16, states_not_executed: bool) -> ResponseHead {
     let mut headers = Headers::default();
-    if says_so {
+    if states_not_executed {
         headers.push("Not-Executed", "1");
     }
     ResponseHead { status, headers }
@@ -21,10 +22,7 @@
 #[case::connect(Failure::Connect, true)]
 #[case::stale(Failure::Stale, false)]
 #[case::broken(Failure::Broken, false)]
-fn only_a_connection_that_never_came_up_proves_that_nothing_ran(
-    #[case] failure: Failure,
-    #[case] proves: bool,
-) {
+fn only_a_failed_connection_proves_that_nothing_ran(#[case] failure: Failure, #[case] proves: bool) {
     assert_eq!(NotExecuted::from_failure(failure).is_some(), proves);
 }
 
@@ -38,53 +36,53 @@
 #[case::error(500, false, false)]
 #[case::timed_out(504, false, false)]
 #[case::success(200, true, false)]
-fn only_a_servers_word_proves_that_it_did_not_run(
+fn only_a_rejection_proves_that_the_server_did_not_run_it(
     #[case] status: u16,
-    #[case] says_so: bool,
+    #[case] states_not_executed: bool,
     #[case] proves: bool,
 ) {
-    assert_eq!(NotExecuted::from_response(&head(status, says_so)).is_some(), proves);
+    assert_eq!(NotExecuted::from_response(&head(status, states_not_executed)).is_some(), proves);
 }
 
 #[test]
-fn what_runs_at_most_once_has_one_attempt_in_flight_at_a_time() {
-    let mut runs = AttemptTracker::new(Idempotency::AtMostOnce);
-    assert!(runs.begin().is_some());
-    assert!(runs.begin().is_none() && runs.never_executed().is_none());
-    runs.end(connect_failed());
-    assert!(runs.never_executed().is_some());
-    assert!(runs.begin().is_some(), "it surely did not run");
+fn at_most_once_calls_have_one_attempt_in_flight() {
+    let mut tracker = AttemptTracker::new(Idempotency::AtMostOnce);
+    assert!(tracker.begin().is_some());
+    assert!(tracker.begin().is_none() && tracker.never_executed().is_none());
+    tracker.end(connect_failed());
+    assert!(tracker.never_executed().is_some());
+    assert!(tracker.begin().is_some(), "it surely did not run");
 }
 
 #[test]
-fn what_may_have_run_once_is_over() {
-    let mut runs = AttemptTracker::new(Idempotency::AtMostOnce);
-    assert!(runs.begin().is_some());
-    runs.end(None);
-    assert!(runs.begin().is_none() && runs.never_executed().is_none());
+fn at_most_once_calls_are_not_retried_after_they_may_have_run() {
+    let mut tracker = AttemptTracker::new(Idempotency::AtMostOnce);
+    assert!(tracker.begin().is_some());
+    tracker.end(None);
+    assert!(tracker.begin().is_none() && tracker.never_executed().is_none());
 }
 
 #[test]
-fn what_may_repeat_has_many_attempts_in_flight() {
-    let mut runs = AttemptTracker::new(Idempotency::Idempotent);
-    assert!(runs.begin().is_some() && runs.begin().is_some());
-    runs.end(None);
-    assert!(runs.begin().is_some());
+fn idempotent_calls_may_have_several_attempts_in_flight() {
+    let mut tracker = AttemptTracker::new(Idempotency::Idempotent);
+    assert!(tracker.begin().is_some() && tracker.begin().is_some());
+    tracker.end(None);
+    assert!(tracker.begin().is_some());
 }
 
-/// The proof of one attempt says nothing of another one.
+/// Evidence about one attempt says nothing about another one.
 #[rstest]
-fn a_promise_needs_every_attempt_to_have_proof(
+fn a_promise_requires_evidence_for_every_attempt(
     #[values(Idempotency::Idempotent, Idempotency::AtMostOnce)] idempotency: Idempotency,
     #[values(0, 1, 2)] unproven: usize,
 ) {
-    let mut runs = AttemptTracker::new(idempotency);
-    assert!(runs.never_executed().is_some(), "nothing was sent");
-    for send in 0..3 {
-        let Some(_permit) = runs.begin() else { break };
-        assert!(runs.never_executed().is_none(), "a send is out");
-        runs.end(connect_failed().filter(|_| send != unproven));
-        assert_eq!(runs.never_executed().is_some(), send < unproven);
+    let mut tracker = AttemptTracker::new(idempotency);
+    assert!(tracker.never_executed().is_some(), "nothing was sent");
+    for attempt in 0..3 {
+        let Some(_permit) = tracker.begin() else { break };
+        assert!(tracker.never_executed().is_none(), "an attempt is in flight");
+        tracker.end(connect_failed().filter(|_| attempt != unproven));
+        assert_eq!(tracker.never_executed().is_some(), attempt < unproven);
     }
-    assert!(runs.never_executed().is_none());
+    assert!(tracker.never_executed().is_none());
 }
--- a/crates/data-plane/tests/balancer.rs
+++ b/crates/data-plane/tests/balancer.rs
@@ -1,4 +1,4 @@
-//! The gateway's view of servers: which one is chosen, pauses, and servers that change or leave.
+//! Tests of the gateway's view of servers: which one is picked, ejections, and servers that change or leave.
 
 mod requests_support;
 
@@ -17,7 +17,7 @@
     Some(balancer.get(key).unwrap().entry.instance.clone())
 }
 
-/// Servers `a`, `b` and so on, and their keys.
+/// Returns the servers `a`, `b` and so on, and their keys.
 fn servers(count: usize) -> (Servers, Vec<ServerKey>) {
     let mut servers = Servers::default();
     let mut keys = Vec::new();
@@ -29,12 +29,12 @@
     (servers, keys)
 }
 
-/// An answer whose connection is kept for a second.
-fn answered(latency_ms: u64) -> Success {
+/// Returns a response whose connection is kept alive for one second.
+fn response_after(latency_ms: u64) -> Success {
     Success { at: NOW, latency_ms, keep_alive_ms: 1_000 }
 }
 
-/// How often each of the servers is chosen of a thousand times.
+/// Returns how often each server is picked in a thousand picks.
 fn picked(balancer: &Balancer, keys: &[ServerKey], now: u64) -> Vec<usize> {
     let mut random = Pcg64Mcg::new(9);
     let mut counts = vec![0; keys.len()];
@@ -46,26 +46,26 @@
 }
 
 #[test]
-fn of_equal_servers_one_with_a_reused_connection_is_picked_as_long_as_it_is_kept() {
+fn an_idle_connection_breaks_ties_while_it_is_kept() {
     let (mut servers, keys) = servers(4);
-    servers.balancer.succeeded(keys[2], answered(20));
+    servers.balancer.succeeded(keys[2], response_after(20));
     assert_eq!(picked(&servers.balancer, &keys, NOW + 999), [0, 0, 1_000, 0]);
     assert!(picked(&servers.balancer, &keys, NOW + 1_000).iter().all(|count| *count > 150));
     servers.balancer.begin_exchange(keys[2]);
-    assert_eq!(picked(&servers.balancer, &keys, NOW)[2], 0, "the number of exchanges goes first");
+    assert_eq!(picked(&servers.balancer, &keys, NOW)[2], 0, "the number of exchanges takes precedence");
 }
 
 #[rstest]
-#[case::a_slow_answer(|balancer: &mut Balancer, key| balancer.succeeded(key, answered(61)))]
+#[case::a_slow_response(|balancer: &mut Balancer, key| balancer.succeeded(key, response_after(61)))]
 #[case::a_failure(|balancer: &mut Balancer, key| balancer.failed(key, NOW - 100))]
 fn a_server_that_failed_or_was_slow_is_not_preferred_for_its_connection(
     #[case] fault: fn(&mut Balancer, ServerKey),
 ) {
     let (mut servers, keys) = servers(4);
-    servers.balancer.succeeded(keys[2], answered(20));
+    servers.balancer.succeeded(keys[2], response_after(20));
     fault(&mut servers.balancer, keys[2]);
     assert!(picked(&servers.balancer, &keys, NOW).iter().all(|count| *count > 150));
-    servers.balancer.succeeded(keys[2], answered(20));
+    servers.balancer.succeeded(keys[2], response_after(20));
     assert_eq!(picked(&servers.balancer, &keys, NOW), [0, 0, 1_000, 0]);
 }
 
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn of_equal_servers_one_of_this_zone_is_picked() {
+fn the_same_zone_breaks_ties() {
     let mut servers = Servers::default();
     let far =
         |name: &str| orchidvalve_protocol::messages::ServerEntry { zone: "other".into(), ..entry(name) };
@@ -106,13 +106,13 @@
 }
 
 #[test]
-fn excluded_leaving_and_foreign_servers_are_not_picked() {
+fn excluded_draining_and_other_service_servers_are_not_picked() {
     let mut servers = Servers::default();
-    let mut leaving = entry("b");
-    leaving.draining = true;
-    let mut foreign = entry("c");
-    foreign.service = "wuno96b".into();
-    servers.list(vec![entry("a"), leaving, foreign]);
+    let mut draining_entry = entry("b");
+    draining_entry.draining = true;
+    let mut other_service = entry("c");
+    other_service.service = "wuno96b".into();
+    servers.list(vec![entry("a"), draining_entry, other_service]);
     assert_eq!(pick(&servers.balancer, &[], NOW).as_deref(), Some("a"));
     let all: Vec<ServerKey> = (1..=3).map(ServerKey).collect();
     assert_eq!(pick(&servers.balancer, &all, NOW), None);
@@ -125,7 +125,7 @@
 #[case::second(2, 120)]
 #[case::fifth(5, 960)]
 #[case::many(20, 1_000)]
-fn ejections_double_with_every_failure_up_to_a_bound(#[case] failures: u32, #[case] pause: u64) {
+fn ejections_double_with_every_failure_up_to_a_bound(#[case] failures: u32, #[case] ejection_ms: u64) {
     let (mut servers, keys) = servers(2);
     let mut now = NOW;
     for failure in 0..failures {
@@ -135,10 +135,10 @@
         servers.balancer.failed(keys[0], now);
     }
     servers.balancer.begin_exchange(keys[1]);
-    assert_eq!(pick(&servers.balancer, &[], now + pause - 1).as_deref(), Some("b"));
-    assert_eq!(pick(&servers.balancer, &[], now + pause).as_deref(), Some("a"));
+    assert_eq!(pick(&servers.balancer, &[], now + ejection_ms - 1).as_deref(), Some("b"));
+    assert_eq!(pick(&servers.balancer, &[], now + ejection_ms).as_deref(), Some("a"));
     servers.balancer.failed(keys[0], now);
-    servers.balancer.succeeded(keys[0], answered(20));
+    servers.balancer.succeeded(keys[0], response_after(20));
     assert_eq!(pick(&servers.balancer, &[], now).as_deref(), Some("a"));
 }
 
@@ -151,13 +151,13 @@
 }
 
 #[test]
-fn errors_in_a_row_eject_a_server() {
+fn consecutive_errors_eject_a_server() {
     let (mut servers, keys) = servers(2);
     servers.balancer.begin_exchange(keys[1]);
     let errored = |servers: &mut Servers| servers.balancer.returned_error(keys[0], NOW);
     errored(&mut servers);
     errored(&mut servers);
-    servers.balancer.succeeded(keys[0], answered(20));
+    servers.balancer.succeeded(keys[0], response_after(20));
     errored(&mut servers);
     errored(&mut servers);
     assert_eq!(pick(&servers.balancer, &[], NOW).as_deref(), Some("a"));
@@ -166,14 +166,14 @@
 }
 
 #[test]
-fn an_ejected_server_is_better_than_none() {
+fn ejected_servers_are_picked_if_there_is_no_other() {
     let (mut servers, keys) = servers(1);
     servers.balancer.failed(keys[0], NOW);
     assert_eq!(pick(&servers.balancer, &[], NOW).as_deref(), Some("a"));
 }
 
 #[test]
-fn a_server_may_leave_while_exchanges_are_under_way() {
+fn a_server_may_be_removed_with_exchanges_in_flight() {
     let (mut servers, keys) = servers(2);
     servers.balancer.begin_exchange(keys[0]);
     let change = servers.list(vec![entry("b")]);
@@ -182,7 +182,7 @@
     servers.balancer.failed(keys[0], NOW);
     servers.balancer.record_load(keys[0], "3,0,8");
     assert!(servers.balancer.get(keys[0]).is_none());
-    // A server that comes back under the same id is another one.
+    // A server that reappears with the same instance id is a new incarnation.
     let change = servers.list(vec![entry("a"), entry("b")]);
     assert_eq!(change.changed.len(), 1);
     assert!(!keys.contains(&change.changed[0]));
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_change_of_a_server_keeps_what_is_known_of_it() {
+fn a_changed_entry_keeps_the_servers_state() {
     let (mut servers, keys) = servers(1);
     servers.balancer.begin_exchange(keys[0]);
     let mut moved = entry("a");
@@ -221,9 +221,9 @@
 #[case::a_slot_each(6, 6, 1, 1)]
 #[case::fewer_slots_than_workers(6, 17, 0, 1)]
 #[case::some_have_one_more(12, 9, 1, 2)]
-#[case::whole_parts(16, 4, 4, 4)]
+#[case::no_remainder(16, 4, 4, 4)]
 #[case::one_worker(8, 1, 8, 8)]
-fn the_parts_of_all_workers_are_even_and_add_up_to_the_slots(
+fn slot_quotas_are_even_and_add_up(
     #[case] slots: u32,
     #[case] count: u8,
     #[case] least: u32,
@@ -232,35 +232,35 @@
     let workers = gateways(count);
     for server in 0..40 {
         let instance = format!("i-{server:x}");
-        let parts: Vec<u32> = workers
+        let quotas: Vec<u32> = workers
             .iter()
             .map(|gateways| slot_quota(slots, &workers, *gateways, &instance).unwrap())
             .collect();
-        assert_eq!(parts.iter().sum::<u32>(), slots);
-        assert!(parts.iter().all(|part| (least..=most).contains(part)), "{parts:?}");
+        assert_eq!(quotas.iter().sum::<u32>(), slots);
+        assert!(quotas.iter().all(|quota| (least..=most).contains(quota)), "{quotas:?}");
     }
 }
 
 #[test]
-fn what_is_left_of_the_slots_goes_to_other_workers_at_each_server() {
+fn remaining_slots_go_to_different_workers_at_each_server() {
     let workers = gateways(9);
     let sum = |gateways: &NodeAddress| -> u32 {
         (0..300).map(|server| slot_quota(12, &workers, *gateways, &format!("i-{server:x}")).unwrap()).sum()
     };
-    // 400 each in the mean, of 300 for sure and 300 more that are dealt out at random.
+    // 400 each on average: 300 are certain, and 300 more are distributed pseudorandomly.
     assert!(workers.iter().map(sum).all(|slots| (350..450).contains(&slots)));
 }
 
 #[test]
-fn a_gateway_that_is_no_worker_has_no_part() {
+fn a_gateway_that_is_no_worker_has_no_quota() {
     assert_eq!(slot_quota(6, &gateways(3), gateways(4)[3], "i-1"), None);
     assert_eq!(slot_quota(6, &[], gateways(1)[0], "i-1"), None);
 }
 
 #[test]
-fn ties_are_broken_by_the_random_numbers_alone_and_over_all_servers() {
+fn ties_depend_only_on_the_random_numbers_and_reach_all_servers() {
     let names: Vec<String> = (0..12).map(|number| format!("i-{number}")).collect();
-    // Each has its own tables, whose hashes differ from those of the others.
+    // Each run has its own hash maps with different hash seeds.
     let run = || {
         let mut servers = Servers::default();
         servers.list(names.iter().map(|name| entry(name)).collect());
@@ -277,7 +277,7 @@
 }
 
 #[test]
-fn what_an_update_of_the_table_removed_is_told_in_the_order_of_the_keys() {
+fn removed_servers_are_returned_in_key_order() {
     let mut servers = Servers::default();
     let names: Vec<String> = (0..12).map(|number| format!("i-{number}")).collect();
     servers.list(names.iter().map(|name| entry(name)).collect());
--- a/crates/data-plane/tests/batch_calls.rs
+++ b/crates/data-plane/tests/batch_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of batch jobs: which store is asked, what is tried again, and what the client is told.
+//! Tests of calls about batch jobs: which store node is called, what is retried, and the responses to clients.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -19,7 +19,7 @@
     NodeAddress::new(Ipv4Addr::new(10, 0, 0, number), 7_000)
 }
 
-/// Partitions whose chains are stores 1, 2 and 3.
+/// Returns a control state in which the chain of every partition consists of the store nodes 1, 2 and 3.
 fn state() -> ControlState {
     let members = [1, 2, 3].map(|n| MemberId { address: store(n), disk: u64::from(n) });
     let placement =
@@ -60,18 +60,18 @@
         self.calls.tick(self.now, &self.state, &is_up, &is_same_zone, &mut self.sent, &mut self.responses);
     }
 
-    fn answer(&mut self, call: CallId, answer: StoreResponse) {
-        let response = self.calls.response_received(self.now, call, answer);
+    fn respond(&mut self, call: CallId, store_response: StoreResponse) {
+        let response = self.calls.response_received(self.now, call, store_response);
         self.responses.extend(response.map(|response| CallResponse { call, response }));
     }
 
-    fn asked(&self) -> Vec<NodeAddress> {
+    fn stores_called(&self) -> Vec<NodeAddress> {
         self.sent.iter().map(|o| o.store).collect()
     }
 
     fn response(&self) -> Option<&BatchResponse> {
-        assert!(self.responses.len() <= 1, "a call is answered once");
-        self.responses.first().map(|answered| &answered.response)
+        assert!(self.responses.len() <= 1, "a call gets one response");
+        self.responses.first().map(|first| &first.response)
     }
 }
 
@@ -79,7 +79,7 @@
     BatchCall::Submit { job: b"job".to_vec(), received_at_ms: 77 }
 }
 
-fn reading() -> BatchCall {
+fn read() -> BatchCall {
     BatchCall::Read { after: 12, wait_ms: 1_000 }
 }
 
@@ -104,11 +104,11 @@
 #[rstest]
 #[case::submission(submission())]
 #[case::end(BatchCall::End)]
-fn what_changes_a_job_goes_to_the_head_of_its_partition(#[case] call: BatchCall) {
+fn submissions_and_ends_go_to_the_partition_head(#[case] call: BatchCall) {
     let mut gateway = Gateway::new();
     gateway.same_zone.insert(store(3));
     let call = gateway.begin(call);
-    assert_eq!(gateway.asked(), [store(1)]);
+    assert_eq!(gateway.stores_called(), [store(1)]);
     let expected = partition_of(ID, usize::from(PARTITIONS));
     match &gateway.sent[0].message {
         GatewayMessage::SubmitJob { request_id: number, partition, id, job, received_at_ms } => {
@@ -123,51 +123,51 @@
 }
 
 #[rstest]
-#[case::reading(reading())]
+#[case::read(read())]
 #[case::body(item_body())]
-fn readings_stay_in_the_zone_and_then_go_round(#[case] call: BatchCall) {
+fn reads_prefer_the_zone_and_then_rotate(#[case] call: BatchCall) {
     let mut gateway = Gateway::new();
     gateway.same_zone.insert(store(2));
     let call = gateway.begin(call);
-    assert_eq!(gateway.asked(), [store(2)]);
+    assert_eq!(gateway.stores_called(), [store(2)]);
     for _ in 0..2 {
-        gateway.answer(call, StoreResponse::Unavailable);
+        gateway.respond(call, StoreResponse::Unavailable);
         assert!(gateway.response().is_none());
         gateway.pass(100);
     }
-    assert_eq!(gateway.asked().into_iter().collect::<BTreeSet<_>>(), gateway.up);
+    assert_eq!(gateway.stores_called().into_iter().collect::<BTreeSet<_>>(), gateway.up);
 }
 
 #[rstest]
-#[case::taken(submission(), StoreResponse::Accepted, |a: &BatchResponse| matches!(a, BatchResponse::Accepted))]
+#[case::accepted(submission(), StoreResponse::Accepted, |a: &BatchResponse| matches!(a, BatchResponse::Accepted))]
 #[case::full(submission(), rejected(), |a: &BatchResponse| matches!(a, BatchResponse::Rejected { retry_after_ms: 250, .. }))]
-#[case::unknown(reading(), StoreResponse::NotFound, |a: &BatchResponse| matches!(a, BatchResponse::NotFound))]
+#[case::unknown(read(), StoreResponse::NotFound, |a: &BatchResponse| matches!(a, BatchResponse::NotFound))]
 #[case::unknown_item(item_body(), StoreResponse::NotFound, |a: &BatchResponse| matches!(a, BatchResponse::NotFound))]
 #[case::body(item_body(), StoreResponse::Body(b"b".to_vec()), |a: &BatchResponse| matches!(a, BatchResponse::Body(b) if b == b"b"))]
 #[case::ended(BatchCall::End, StoreResponse::Ended, |a: &BatchResponse| matches!(a, BatchResponse::Ended))]
 #[case::results(
-    reading(),
+    read(),
     StoreResponse::Results { total: 40, next: 13, outcomes: vec![outcome()] },
     |a: &BatchResponse| matches!(a, BatchResponse::Results { total: 40, after: 12, outcomes } if outcomes.len() == 1)
 )]
-fn what_a_store_is_sure_of_is_told(
+fn definite_responses_are_forwarded(
     #[case] call: BatchCall,
-    #[case] answer: StoreResponse,
+    #[case] response: StoreResponse,
     #[case] expected: fn(&BatchResponse) -> bool,
 ) {
     let mut gateway = Gateway::new();
     let call = gateway.begin(call);
-    gateway.answer(call, answer);
+    gateway.respond(call, response);
     assert!(expected(gateway.response().unwrap()), "{:?}", gateway.responses);
     assert_eq!(gateway.calls.pending(), 0);
-    gateway.answer(call, StoreResponse::Accepted);
+    gateway.respond(call, StoreResponse::Accepted);
     gateway.pass(10_000);
     assert_eq!((gateway.responses.len(), gateway.sent.len()), (1, 1));
 }
 
 #[rstest]
-fn the_answer_to_another_kind_of_call_is_none(
-    #[values(submission(), reading(), item_body(), BatchCall::End)] call: BatchCall,
+fn responses_of_the_wrong_kind_are_ignored(
+    #[values(submission(), read(), item_body(), BatchCall::End)] call: BatchCall,
 ) {
     let responses = [
         StoreResponse::Accepted,
@@ -180,8 +180,8 @@
         StoreResponse::OtherTenant,
     ];
     let mut ignored = 0;
-    for answer in responses {
-        let fits = match answer {
+    for response in responses {
+        let fits = match response {
             StoreResponse::Accepted | StoreResponse::Rejected { .. } | StoreResponse::OutcomeUnknown => {
                 matches!(call, BatchCall::Submit { .. })
             }
@@ -197,76 +197,76 @@
         }
         let mut gateway = Gateway::new();
         let number = gateway.begin(call.clone());
-        gateway.answer(number, answer);
+        gateway.respond(number, response);
         assert!(gateway.response().is_none(), "{:?}", gateway.responses);
         gateway.pass(100);
-        assert_eq!((gateway.calls.pending(), gateway.sent.len()), (1, 1), "it still waits for its answer");
+        assert_eq!((gateway.calls.pending(), gateway.sent.len()), (1, 1), "it still waits for its response");
         ignored += 1;
     }
     assert!(ignored >= 4);
 }
 
 #[test]
-fn a_response_to_another_call_reaches_neither() {
+fn a_response_to_an_unknown_call_is_ignored() {
     let mut gateway = Gateway::new();
-    let (first, second) = (gateway.begin(reading()), gateway.begin(item_body()));
-    gateway.answer(CallId(second.0 + 1), StoreResponse::NotFound);
+    let (first, second) = (gateway.begin(read()), gateway.begin(item_body()));
+    gateway.respond(CallId(second.0 + 1), StoreResponse::NotFound);
     assert!(gateway.response().is_none());
-    gateway.answer(second, StoreResponse::NotFound);
-    assert_eq!(gateway.responses.iter().map(|answered| answered.call).collect::<Vec<_>>(), [second]);
+    gateway.respond(second, StoreResponse::NotFound);
+    assert_eq!(gateway.responses.iter().map(|response| response.call).collect::<Vec<_>>(), [second]);
     assert_eq!(gateway.calls.pending(), 1);
     assert_ne!(first, second);
 }
 
-/// What befalls the first try of a submission or an end.
+/// The outcome of the first attempt of a submission or an end.
 #[derive(Clone, Copy, Debug)]
-enum First {
-    Unclear,
+enum FirstOutcome {
+    Indefinite,
     LinkLost,
-    Silence,
+    Timeout,
 }
 
-fn befall(gateway: &mut Gateway, call: CallId, first: First, unclear: StoreResponse) {
+fn fail_first_attempt(gateway: &mut Gateway, call: CallId, first: FirstOutcome, indefinite: StoreResponse) {
     match first {
-        First::Unclear => gateway.answer(call, unclear),
-        First::LinkLost => gateway.calls.store_lost(gateway.now, store(1)),
-        First::Silence => gateway.pass(650),
+        FirstOutcome::Indefinite => gateway.respond(call, indefinite),
+        FirstOutcome::LinkLost => gateway.calls.store_lost(gateway.now, store(1)),
+        FirstOutcome::Timeout => gateway.pass(650),
     }
 }
 
-/// An end that was sent may have been done: no status says that it never will be.
+/// An end that was sent may have been executed, so its response must not promise otherwise.
 #[rstest]
-fn an_undecided_end_is_never_promised_not_to_run(
-    #[values(First::Unclear, First::LinkLost, First::Silence)] first: First,
+fn an_end_with_unknown_outcome_is_never_promised_not_to_run(
+    #[values(FirstOutcome::Indefinite, FirstOutcome::LinkLost, FirstOutcome::Timeout)] first: FirstOutcome,
 ) {
     let mut gateway = Gateway::new();
     let call = gateway.begin(BatchCall::End);
-    befall(&mut gateway, call, first, StoreResponse::Unavailable);
+    fail_first_attempt(&mut gateway, call, first, StoreResponse::Unavailable);
     gateway.up.clear();
     while gateway.response().is_none() {
         gateway.pass(100);
-        assert!(gateway.now < 8_000, "the client is told in time");
+        assert!(gateway.now < 8_000, "the client gets a response in time");
     }
     assert!(matches!(gateway.response(), Some(BatchResponse::OutcomeUnknown)), "{:?}", gateway.responses);
 }
 
-/// A submission that may have been taken is never answered with a promise, whatever later tries say.
+/// A submission that may have been accepted never gets a promise that it was not, whatever later attempts report.
 #[rstest]
-fn an_undecided_submission_is_never_promised_not_to_run(
-    #[values(First::Unclear, First::LinkLost, First::Silence)] first: First,
-    #[values(false, true)] later_refused: bool,
+fn a_submission_with_unknown_outcome_is_never_promised_not_to_run(
+    #[values(FirstOutcome::Indefinite, FirstOutcome::LinkLost, FirstOutcome::Timeout)] first: FirstOutcome,
+    #[values(false, true)] later_rejected: bool,
 ) {
     let mut gateway = Gateway::new();
     let call = gateway.begin(submission());
-    befall(&mut gateway, call, first, StoreResponse::OutcomeUnknown);
+    fail_first_attempt(&mut gateway, call, first, StoreResponse::OutcomeUnknown);
     gateway.pass(100);
-    assert!(gateway.sent.len() > 1, "it is tried again");
+    assert!(gateway.sent.len() > 1, "it is retried");
     while gateway.response().is_none() {
-        if later_refused {
-            gateway.answer(call, rejected());
+        if later_rejected {
+            gateway.respond(call, rejected());
         }
         gateway.pass(100);
-        assert!(gateway.now < 8_000, "the client is told in time");
+        assert!(gateway.now < 8_000, "the client gets a response in time");
     }
     assert!(matches!(gateway.response(), Some(BatchResponse::OutcomeUnknown)), "{:?}", gateway.responses);
 }
@@ -277,18 +277,18 @@
     let call = gateway.begin(submission());
     gateway.calls.store_lost(gateway.now, store(1));
     gateway.pass(10);
-    gateway.answer(call, rejected());
+    gateway.respond(call, rejected());
     gateway.pass(100);
-    gateway.answer(call, StoreResponse::Accepted);
+    gateway.respond(call, StoreResponse::Accepted);
     assert!(matches!(gateway.response(), Some(BatchResponse::Accepted)));
 }
 
 #[rstest]
 #[case::submission(submission(), 1_500, |a: &BatchResponse| matches!(a, BatchResponse::Rejected { .. }))]
-#[case::reading(reading(), 2_200, |a: &BatchResponse| matches!(a, BatchResponse::Unavailable))]
+#[case::read(read(), 2_200, |a: &BatchResponse| matches!(a, BatchResponse::Unavailable))]
 #[case::body(item_body(), 1_200, |a: &BatchResponse| matches!(a, BatchResponse::Unavailable))]
 #[case::end(BatchCall::End, 1_200, |a: &BatchResponse| matches!(a, BatchResponse::Unavailable))]
-fn without_a_store_nothing_was_sent(
+fn without_a_store_node_nothing_is_sent(
     #[case] call: BatchCall,
     #[case] allowed: u64,
     #[case] expected: fn(&BatchResponse) -> bool,
@@ -305,20 +305,20 @@
 }
 
 #[test]
-fn a_call_waits_for_a_store_to_come_up() {
+fn a_call_waits_for_a_store_link() {
     let mut gateway = Gateway::new();
     gateway.up.clear();
     gateway.begin(submission());
     gateway.up.insert(store(1));
     gateway.pass(100);
-    assert_eq!(gateway.asked(), [store(1)]);
+    assert_eq!(gateway.stores_called(), [store(1)]);
 }
 
 #[test]
-fn a_reading_whose_store_is_lost_goes_to_another_at_once() {
+fn a_read_is_retried_at_once_when_its_store_node_is_lost() {
     let mut gateway = Gateway::new();
-    gateway.begin(reading());
-    let first = gateway.asked()[0];
+    gateway.begin(read());
+    let first = gateway.stores_called()[0];
     gateway.calls.store_lost(gateway.now, store(9));
     gateway.pass(1);
     assert_eq!(gateway.sent.len(), 1);
@@ -326,28 +326,28 @@
     gateway.up.remove(&first);
     gateway.pass(0);
     assert_eq!(gateway.sent.len(), 2);
-    assert_ne!(gateway.asked()[1], first);
+    assert_ne!(gateway.stores_called()[1], first);
 }
 
 #[test]
-fn a_changed_placement_is_followed() {
+fn retries_follow_a_changed_placement() {
     let mut gateway = Gateway::new();
     let call = gateway.begin(submission());
     let members = vec![MemberId { address: store(3), disk: 3 }];
     let placement = Placement { epoch: 2, members, learners: Vec::new(), ..Placement::default() };
     let partition = partition_of(ID, usize::from(PARTITIONS));
     gateway.state.apply(&Change::Place(vec![(partition, placement)])).unwrap();
-    gateway.answer(call, StoreResponse::OutcomeUnknown);
+    gateway.respond(call, StoreResponse::OutcomeUnknown);
     gateway.pass(100);
-    assert_eq!(gateway.asked(), [store(1), store(3)]);
+    assert_eq!(gateway.stores_called(), [store(1), store(3)]);
 }
 
 #[test]
-fn a_client_that_has_disconnected_is_told_nothing() {
+fn a_disconnected_client_gets_no_response() {
     let mut gateway = Gateway::new();
-    let call = gateway.begin(reading());
+    let call = gateway.begin(read());
     gateway.calls.remove(call);
-    gateway.answer(call, StoreResponse::NotFound);
+    gateway.respond(call, StoreResponse::NotFound);
     gateway.pass(10_000);
     assert_eq!((gateway.responses.len(), gateway.calls.pending()), (0, 0));
     assert_eq!(gateway.calls.next_wakeup(), u64::MAX);
@@ -362,13 +362,10 @@
 
 #[rstest]
 #[case::submission(submission())]
-#[case::reading(reading())]
+#[case::read(read())]
 #[case::body(item_body())]
 #[case::end(BatchCall::End)]
-fn a_process_that_ends_gives_pending_calls_a_final_response(
-    #[case] call: BatchCall,
-    #[values(false, true)] sent: bool,
-) {
+fn shutdown_gives_pending_calls_a_final_response(#[case] call: BatchCall, #[values(false, true)] sent: bool) {
     let mut gateway = Gateway::new();
     if !sent {
         gateway.up.clear();
@@ -377,11 +374,11 @@
     let submits = matches!(call, BatchCall::Submit { .. });
     let number = gateway.begin(call);
     let responses = gateway.calls.end_all();
-    let [CallResponse { call: response, response: answer }] = &responses[..] else {
-        panic!("one answer: {responses:?}")
+    let [CallResponse { call, response }] = &responses[..] else {
+        panic!("expected one response: {responses:?}")
     };
-    assert_eq!((*response, gateway.calls.pending()), (number, 0));
-    match answer {
+    assert_eq!((*call, gateway.calls.pending()), (number, 0));
+    match response {
         BatchResponse::OutcomeUnknown => assert!(changes && sent),
         BatchResponse::Rejected { .. } => assert!(submits && !sent),
         BatchResponse::Unavailable => assert!(!(submits || changes && sent)),
@@ -389,33 +386,33 @@
     }
 }
 
-/// A reading that is asked anew may wait only as long as its client still waits: else the gateway has to give up before
-/// the store answers.
+/// A read that is retried may wait only as long as its client does, as otherwise the gateway would end it before the
+/// store node responds.
 #[rstest]
-#[case::link_lost(First::LinkLost, 1_400)]
-#[case::silence(First::Silence, 1_600)]
-fn a_reading_that_is_asked_anew_waits_for_what_is_left(#[case] first: First, #[case] after_ms: u64) {
+#[case::link_lost(FirstOutcome::LinkLost, 1_400)]
+#[case::timeout(FirstOutcome::Timeout, 1_600)]
+fn a_retried_read_waits_for_the_remaining_time(#[case] first: FirstOutcome, #[case] after_ms: u64) {
     const ALLOWED_MS: u64 = 1_000;
     let mut gateway = Gateway::new();
-    let began_at = gateway.now;
-    let call = gateway.begin(reading());
-    let held = |gateway: &Gateway| match gateway.sent.last().map(|out| &out.message) {
+    let started_at = gateway.now;
+    let call = gateway.begin(read());
+    let wait_ms_sent = |gateway: &Gateway| match gateway.sent.last().map(|out| &out.message) {
         Some(GatewayMessage::ReadResults { wait_ms, .. }) => u64::from(*wait_ms),
         other => panic!("{other:?}"),
     };
-    assert_eq!(held(&gateway), ALLOWED_MS);
-    if matches!(first, First::LinkLost) {
+    assert_eq!(wait_ms_sent(&gateway), ALLOWED_MS);
+    if matches!(first, FirstOutcome::LinkLost) {
         gateway.pass(after_ms);
-        let asked = gateway.asked()[0];
-        gateway.calls.store_lost(gateway.now, asked);
+        let store_called = gateway.stores_called()[0];
+        gateway.calls.store_lost(gateway.now, store_called);
     }
     while gateway.sent.len() < 2 {
         gateway.pass(20);
     }
-    assert!(gateway.now >= began_at + after_ms);
-    let answered_at = gateway.now + held(&gateway);
-    assert!(answered_at <= began_at + ALLOWED_MS + 700, "{answered_at}");
-    gateway.pass(answered_at - gateway.now);
-    gateway.answer(call, StoreResponse::Results { total: 40, next: 12, outcomes: Vec::new() });
+    assert!(gateway.now >= started_at + after_ms);
+    let responds_at = gateway.now + wait_ms_sent(&gateway);
+    assert!(responds_at <= started_at + ALLOWED_MS + 700, "{responds_at}");
+    gateway.pass(responds_at - gateway.now);
+    gateway.respond(call, StoreResponse::Results { total: 40, next: 12, outcomes: Vec::new() });
     assert!(matches!(gateway.response(), Some(BatchResponse::Results { .. })), "{:?}", gateway.responses);
 }
--- a/crates/data-plane/tests/batch_calls_random.rs
+++ b/crates/data-plane/tests/batch_calls_random.rs
@@ -1,16 +1,17 @@
-//! Calls of batch jobs over links on which answers get lost, doubled and late, with stores that reject and become
-//! unresponsive: every answer reaches its own call, once, and no promise is given for a job that was taken.
+//! Random tests of calls about batch jobs over links that lose, duplicate and delay responses, with store nodes that
+//! reject calls and become unresponsive: every response reaches its own call, once, and no client is promised that an
+//! accepted job has not run.
 
 mod batch_calls_support;
 
 use std::collections::BTreeMap;
 
-use batch_calls_support::{CALLS, LONGEST_MS, World};
+use batch_calls_support::{CALLS, MAX_DURATION_MS, World};
 
 const SEEDS: u64 = 400;
 
 #[test]
-fn every_answer_reaches_its_own_call_and_promises_hold() {
+fn every_response_reaches_its_call_and_promises_hold() {
     let mut kinds: BTreeMap<String, usize> = BTreeMap::new();
     for seed in 0..SEEDS {
         let mut world = World::new(seed);
@@ -19,15 +20,15 @@
             calls.push(world.begin(number));
             world.step();
         }
-        let end = world.now + LONGEST_MS;
+        let end = world.now + MAX_DURATION_MS;
         while world.now < end {
             world.step();
         }
-        assert!(world.travelling.is_empty());
+        assert!(world.in_transit.is_empty());
         for (call, id) in &calls {
             world.check(*call, id);
-            let answer = format!("{:?}", world.responses[call]);
-            *kinds.entry(answer.split([' ', '(']).next().unwrap().to_owned()).or_default() += 1;
+            let response = format!("{:?}", world.responses[call]);
+            *kinds.entry(response.split([' ', '(']).next().unwrap().to_owned()).or_default() += 1;
         }
     }
     for kind in ["Rejected", "Accepted", "OutcomeUnknown", "Body", "Unavailable", "Ended"] {
--- a/crates/data-plane/tests/batch_calls_support/mod.rs
+++ b/crates/data-plane/tests/batch_calls_support/mod.rs
@@ -1,5 +1,5 @@
-//! Calls of batch jobs over links on which answers get lost, doubled and late, with stores that reject and become
-//! unresponsive.
+//! Calls about batch jobs over links that lose, duplicate and delay responses, with store nodes that reject calls and
+//! become unresponsive.
 
 #![allow(dead_code)]
 
@@ -18,8 +18,8 @@
 const STORES: u8 = 3;
 pub const CALLS: usize = 6;
 const STEP_MS: u64 = 20;
-/// Every call has been answered by then.
-pub const LONGEST_MS: u64 = 6_000;
+/// Every call has a response after this time, in milliseconds.
+pub const MAX_DURATION_MS: u64 = 6_000;
 
 fn store(number: u8) -> NodeAddress {
     NodeAddress::new(Ipv4Addr::new(10, 0, 0, number), 7_000)
@@ -33,60 +33,60 @@
     state
 }
 
-/// A message on its way, one direction or the other, until it arrives.
+/// A message in transit, in either direction.
 #[derive(Clone)]
-pub enum Travelling {
-    Asked { message: GatewayMessage },
-    Answer { call: CallId, answer: StoreResponse },
+pub enum InTransit {
+    Call { message: GatewayMessage },
+    Response { call: CallId, response: StoreResponse },
 }
 
 pub struct World {
     random: Pcg64Mcg,
     pub calls: BatchCalls,
     state: ControlState,
-    pub travelling: Vec<(u64, Travelling)>,
-    /// Jobs that some store took.
-    taken: BTreeSet<String>,
+    pub in_transit: Vec<(u64, InTransit)>,
+    /// Jobs that a store node has accepted.
+    accepted: BTreeSet<String>,
     pub responses: BTreeMap<CallId, BatchResponse>,
     pub now: u64,
-    /// Everything that stores were asked and clients were told, encoded, with its time.
+    /// All messages to store nodes and responses to clients, encoded, with their times.
     pub trace: Trace,
 }
 
 impl World {
     pub fn new(seed: u64) -> World {
         let random = Pcg64Mcg::seed_from_u64(seed);
-        let (calls, travelling, taken, responses, trace) = Default::default();
-        World { random, calls, state: state(), travelling, taken, responses, now: 5_000, trace }
+        let (calls, in_transit, accepted, responses, trace) = Default::default();
+        World { random, calls, state: state(), in_transit, accepted, responses, now: 5_000, trace }
     }
 
-    /// A message leaves: it may be lost and take long. An answer may also come twice; a call doesn't, since a link
-    /// brings each message once, and every further try is a message of its own.
-    fn leave(&mut self, message: &Travelling) {
-        let most = if matches!(message, Travelling::Answer { .. }) { 5 } else { 4 };
-        let copies = [0, 1, 1, 1, 2][self.random.random_range(0..most)];
+    /// Sends a message, which may be lost or delayed. A response may also be duplicated. A call may not, as a link
+    /// delivers each message once and every further attempt is a message of its own.
+    fn send(&mut self, message: &InTransit) {
+        let choices = if matches!(message, InTransit::Response { .. }) { 5 } else { 4 };
+        let copies = [0, 1, 1, 1, 2][self.random.random_range(0..choices)];
         for _ in 0..copies {
             let delay = self.random.random_range(0..5_u64) * self.random.random_range(0..300_u64);
-            self.travelling.push((self.now + delay, message.clone()));
+            self.in_transit.push((self.now + delay, message.clone()));
         }
     }
 
-    fn arrive(&mut self) {
-        let due = self.travelling.extract_if(.., |(at, _)| *at <= self.now);
+    fn deliver(&mut self) {
+        let due = self.in_transit.extract_if(.., |(at, _)| *at <= self.now);
         for (_, message) in due.collect::<Vec<_>>() {
             match message {
-                Travelling::Asked { message } => self.store_asked(message),
-                Travelling::Answer { call, answer } => self.gateway_answered(call, answer),
+                InTransit::Call { message } => self.store_receives(message),
+                InTransit::Response { call, response } => self.gateway_receives(call, response),
             }
         }
     }
 
-    fn store_asked(&mut self, message: GatewayMessage) {
-        let (call, answer) = match message {
+    fn store_receives(&mut self, message: GatewayMessage) {
+        let (call, response) = match message {
             GatewayMessage::SubmitJob { request_id: call, id, .. } if self.random.random() => {
-                self.taken.insert(id);
-                let unclear = self.random.random();
-                (call, if unclear { StoreResponse::OutcomeUnknown } else { StoreResponse::Accepted })
+                self.accepted.insert(id);
+                let indefinite = self.random.random();
+                (call, if indefinite { StoreResponse::OutcomeUnknown } else { StoreResponse::Accepted })
             }
             GatewayMessage::SubmitJob { request_id: call, .. } => {
                 (call, StoreResponse::Rejected { retry_after_ms: 250 })
@@ -102,48 +102,48 @@
             GatewayMessage::EndJob { request_id: call, .. } => (call, StoreResponse::Ended),
             other => panic!("{other:?}"),
         };
-        self.leave(&Travelling::Answer { call: CallId(call), answer });
+        self.send(&InTransit::Response { call: CallId(call), response });
     }
 
-    fn gateway_answered(&mut self, call: CallId, answer: StoreResponse) {
-        if let Some(answer) = self.calls.response_received(self.now, call, answer) {
-            self.tell(call, answer);
+    fn gateway_receives(&mut self, call: CallId, response: StoreResponse) {
+        if let Some(response) = self.calls.response_received(self.now, call, response) {
+            self.record_response(call, response);
         }
     }
 
-    fn tell(&mut self, call: CallId, answer: BatchResponse) {
+    fn record_response(&mut self, call: CallId, response: BatchResponse) {
         self.trace.add_number(self.now);
         self.trace.add_number(call.0);
-        trace_answer(&mut self.trace, &answer);
-        let before = self.responses.insert(call, answer);
-        assert!(before.is_none(), "{call:?} is answered twice");
+        trace_response(&mut self.trace, &response);
+        let before = self.responses.insert(call, response);
+        assert!(before.is_none(), "{call:?} has two responses");
     }
 
     pub fn step(&mut self) {
         self.now += STEP_MS;
-        self.arrive();
+        self.deliver();
         if self.random.random_ratio(1, 20) {
             let lost = store(self.random.random_range(1..=STORES));
             self.calls.store_lost(self.now, lost);
         }
-        let (mut outgoing, mut answers) = (Vec::new(), Vec::new());
-        self.calls.tick(self.now, &self.state, &|_| true, &|_| false, &mut outgoing, &mut answers);
-        // The calls of one tick come in any order.
+        let (mut outgoing, mut responses) = (Vec::new(), Vec::new());
+        self.calls.tick(self.now, &self.state, &|_| true, &|_| false, &mut outgoing, &mut responses);
+        // The calls of one tick are in arbitrary order.
         outgoing.sort_by_key(|out| call_of(&out.message));
-        answers.sort_by_key(|answered| answered.call);
+        responses.sort_by_key(|response| response.call);
         for out in outgoing {
             self.trace.add_number(self.now);
             self.trace.add(&frames::encode(&out.store));
             self.trace.add(&frames::encode(&out.message));
-            self.leave(&Travelling::Asked { message: out.message });
+            self.send(&InTransit::Call { message: out.message });
         }
-        for answered in answers {
-            self.tell(answered.call, answered.response);
+        for response in responses {
+            self.record_response(response.call, response.response);
         }
     }
 
-    /// Begins a reading of results.
-    pub fn begin_reading(&mut self, number: usize) -> CallId {
+    /// Begins a read of results.
+    pub fn begin_read(&mut self, number: usize) -> CallId {
         let call = BatchCall::Read { after: number as u64, wait_ms: 300 * number as u32 };
         self.calls.begin(self.now, &format!("job-{number}"), None, call)
     }
@@ -158,13 +158,14 @@
         (self.calls.begin(self.now, &id, None, call), id)
     }
 
-    /// What was told, once nothing is on its way any more: a job may also be taken after its client was answered.
+    /// Checks the response to a call once no message is in transit. A job may also be accepted after its client got a
+    /// response.
     pub fn check(&self, call: CallId, id: &str) {
         match &self.responses[&call] {
             BatchResponse::Rejected { .. } => {
-                assert!(!self.taken.contains(id), "{id} was promised not to run");
+                assert!(!self.accepted.contains(id), "{id} was promised not to run");
             }
-            BatchResponse::Accepted => assert!(self.taken.contains(id)),
+            BatchResponse::Accepted => assert!(self.accepted.contains(id)),
             BatchResponse::Body(body) => assert_eq!(body, id.as_bytes(), "the body of another call"),
             BatchResponse::OutcomeUnknown | BatchResponse::Unavailable | BatchResponse::Ended => {}
             other => panic!("{other:?}"),
@@ -192,9 +193,9 @@
     }
 }
 
-/// Adds an answer to a client: its kind and what it carries.
-fn trace_answer(trace: &mut Trace, answer: &BatchResponse) {
-    match answer {
+/// Adds a response to a client to the trace: its kind and contents.
+fn trace_response(trace: &mut Trace, response: &BatchResponse) {
+    match response {
         BatchResponse::Accepted => trace.add_number(1),
         BatchResponse::Rejected { retry_after_ms, .. } => {
             trace.add_number(2);
--- a/crates/data-plane/tests/exchanges.rs
+++ b/crates/data-plane/tests/exchanges.rs
@@ -1,4 +1,5 @@
-//! Requests as they are sent to servers, and what their answers mean for generations and reward calls.
+//! Tests of the encoding of requests to servers, and of the outcomes of their responses for generations and reward
+//! calls.
 
 mod requests_support;
 
@@ -43,9 +44,9 @@
     assert_eq!(all(&attempt.headers, "expected-instance"), ["i-7f3a91c2"]);
 }
 
-/// What tells a server the model, the size and the shared parts of a prompt is the client's.
+/// The headers that tell a server the model, the size and the shared prefixes of a prompt are those of the client.
 #[test]
-fn what_describes_a_prompt_is_unchanged() {
+fn prompt_headers_are_unchanged() {
     let lines = "Model: daka510000\r\nToken-Usage: 540,400\r\nPrompt-Prefix: 9c2e41:300,5d07b8:240\r\n";
     let attempt = sent(&format!("POST /a/1 HTTP/1.1\r\nHost: h\r\n{lines}Content-Length: 0\r\n\r\n"), None);
     let described = |headers: &Headers| {
@@ -55,13 +56,13 @@
 }
 
 #[test]
-fn headers_of_one_connection_are_left_out() {
+fn hop_by_hop_headers_are_removed() {
     let text = "POST / HTTP/1.1\r\nHost: h\r\nConnection: X-One, keep-alive\r\nConnection: x-two\r\nX-One: 1\r\n\
                 X-Two: 2\r\nX-Three: 3\r\nKeep-Alive: timeout=5\r\nTE: trailers\r\nTransfer-Encoding: chunked\r\n\r\n\
                 1\r\na\r\n0\r\n\r\n";
     let attempt = sent(text, None);
-    for gone in ["connection", "x-one", "x-two", "keep-alive", "te", "transfer-encoding"] {
-        assert_eq!(attempt.headers.get(gone), None, "{gone}");
+    for removed in ["connection", "x-one", "x-two", "keep-alive", "te", "transfer-encoding"] {
+        assert_eq!(attempt.headers.get(removed), None, "{removed}");
     }
     assert_eq!(
         (attempt.headers.get("x-three"), attempt.headers.get("content-length")),
@@ -73,7 +74,7 @@
 #[rstest]
 #[case::not_resumed(None, "4")]
 #[case::resumed(Some(7), "7")]
-fn a_stream_goes_on_after_one_event(#[case] last_event_id: Option<u64>, #[case] expected: &str) {
+fn last_event_id_is_replaced_when_resuming(#[case] last_event_id: Option<u64>, #[case] expected: &str) {
     let attempt = sent("POST / HTTP/1.1\r\nHost: h\r\nLast-Event-Id: 4\r\n\r\n", last_event_id);
     assert_eq!(all(&attempt.headers, "last-event-id"), [expected]);
 }
@@ -83,7 +84,7 @@
 #[case::delete("DELETE", None)]
 #[case::post("POST", Some("0"))]
 #[case::put("PUT", Some("0"))]
-fn empty_bodies_are_told_where_one_is_expected(#[case] method: &str, #[case] length: Option<&str>) {
+fn empty_bodies_get_a_length_if_the_method_has_a_body(#[case] method: &str, #[case] length: Option<&str>) {
     let attempt = sent(&format!("{method} / HTTP/1.1\r\nHost: h\r\n\r\n"), None);
     assert_eq!(attempt.headers.get("content-length"), length);
 }
@@ -97,7 +98,7 @@
 #[case::unsure(head(503, &[]), false)]
 #[case::success(success(), false)]
 #[case::error(head(500, &[]), false)]
-fn rejections_are_told_from_failures(#[case] head: ResponseHead, #[case] expected: bool) {
+fn rejections_are_distinguished_from_failures(#[case] head: ResponseHead, #[case] expected: bool) {
     assert_eq!(is_rejection(&head), expected);
     assert!(!expected || promises_no_execution(head.status));
 }
@@ -109,7 +110,7 @@
 }
 
 #[rstest]
-#[case::whole(Some(success()), "id: 1\ndata: a\n\n", AttemptOutcome::Complete)]
+#[case::complete(Some(success()), "id: 1\ndata: a\n\n", AttemptOutcome::Complete)]
 #[case::within_an_event(Some(success()), "id: 1\ndata: a\n", AttemptOutcome::Broken)]
 #[case::no_head(None, "", AttemptOutcome::Broken)]
 #[case::unsigned(Some(head(200, &[])), "id: 1\ndata: a\n\n", AttemptOutcome::Broken)]
@@ -123,7 +124,7 @@
     "",
     AttemptOutcome::Status { code: 500, not_executed: false, retry_after_ms: None, version: None }
 )]
-fn streams_of_generations_end(
+fn framed_stream_outcomes_follow_head_and_events(
     #[case] head: Option<ResponseHead>,
     #[case] text: &str,
     #[case] expected: AttemptOutcome,
@@ -140,7 +141,7 @@
     "",
     AttemptOutcome::Status { code: 500, not_executed: false, retry_after_ms: None, version: None }
 )]
-fn streams_without_framing_end(
+fn unframed_stream_outcomes_follow_head_and_events(
     #[case] head: ResponseHead,
     #[case] text: &str,
     #[case] expected: AttemptOutcome,
@@ -149,7 +150,7 @@
 }
 
 #[test]
-fn reward_calls_end_with_their_signature() {
+fn reward_outcomes_carry_the_signature() {
     let expected = RewardOutcome::Response {
         code: 200,
         signature: Some(requests_support::SIGNATURE.into()),
--- a/crates/data-plane/tests/gateway_support/mod.rs
+++ b/crates/data-plane/tests/gateway_support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway process in a thread of the test, between a control node, a store and a server that the test plays.
+//! A gateway process in a thread of the test, with a control node, a store node and a server simulated by the test.
 
 use std::collections::BTreeMap;
 use std::io::{Read, Write};
@@ -17,14 +17,14 @@
     StoreResponse, TableVersion,
 };
 
-/// A test that waits for longer than this for one message has failed.
+/// A test fails if it waits for a message for longer than this.
 const READ_TIMEOUT: Duration = Duration::from_secs(20);
-/// Answers after which a client gives up.
-const MOST_TRIES: usize = 100_000;
+/// The number of non-final responses after which a client gives up.
+const MAX_TRIES: usize = 100_000;
 const LIMITS: MessageLimits = MessageLimits { header_bytes: 64 << 10, body_bytes: 64 << 10 };
 const SERVICE: &str = "huvo11a";
 
-/// What the threads of a test share.
+/// State shared by the threads of a test.
 type Shared<T> = Arc<Mutex<T>>;
 
 fn listen(ip: Ipv4Addr) -> (TcpListener, SocketAddrV4) {
@@ -37,7 +37,7 @@
     NodeAddress::new(*address.ip(), address.port())
 }
 
-/// Calls `serve` with each connection, in a thread of its own.
+/// Calls `serve` with each accepted connection, each in its own thread.
 fn accept_each(listener: TcpListener, serve: impl Fn(TcpStream) + Clone + Send + 'static) {
     std::thread::spawn(move || {
         for stream in listener.incoming() {
@@ -47,7 +47,7 @@
     });
 }
 
-/// Reads more of a connection; false once it has ended.
+/// Reads more bytes from a connection. Returns false once it has ended.
 fn read_more(stream: &mut TcpStream, inbox: &mut Vec<u8>) -> bool {
     let mut bytes = [0; 4_096];
     let length = stream.read(&mut bytes).unwrap_or(0);
@@ -55,16 +55,16 @@
     length > 0
 }
 
-/// The control node: keeps the state, and sends it to the gateway's session.
+/// The simulated control node. It holds the control state and sends it to the gateway's session.
 #[derive(Default)]
 struct ControlNode {
     state: ControlState,
     sequence: u64,
     session: Option<TcpStream>,
-    /// Is told of the first session: the gateway listens.
-    began: Option<Sender<()>>,
-    /// It drops its session and takes no other one.
-    cut_off: bool,
+    /// Notified of the first session, which shows that the gateway listens.
+    session_started: Option<Sender<()>>,
+    /// Whether the control node closes its session and accepts no other one.
+    disconnected: bool,
 }
 
 impl ControlNode {
@@ -83,18 +83,18 @@
         let mut frame = Vec::new();
         write_frame(&mut frame, message);
         if let Some(session) = &mut self.session {
-            // The gateway may have closed it.
+            // The gateway may have closed the session.
             let _ = session.write_all(&frame);
         }
     }
 
     fn begin_session(&mut self, stream: &TcpStream, servers: Vec<ServerEntry>) {
-        if self.cut_off {
+        if self.disconnected {
             return;
         }
         self.session = Some(stream.try_clone().unwrap());
-        if let Some(began) = self.began.take() {
-            began.send(()).unwrap();
+        if let Some(session_started) = self.session_started.take() {
+            session_started.send(()).unwrap();
         }
         self.send(&ControlMessage::Welcome { controls: Vec::new() });
         self.send_state();
@@ -118,7 +118,7 @@
                 SessionMessage::Handshake { .. } => control.begin_session(&stream, servers.to_vec()),
                 _ => control.send(&ControlMessage::Heartbeat),
             }
-            if control.cut_off {
+            if control.disconnected {
                 control.session = None;
                 return;
             }
@@ -126,7 +126,7 @@
     }
 }
 
-/// The server: records what it gets, and answers it once it has rejected `rejections` requests.
+/// The simulated server. It records all requests, rejects the first `rejections` of them and responds to the others.
 #[derive(Default)]
 pub struct Server {
     pub received: Vec<Vec<u8>>,
@@ -157,7 +157,7 @@
     }
 }
 
-/// What the store gets from the gateway: jobs by their ids, and the calls on them.
+/// The simulated store node. It records the submitted jobs by their ids, and all calls.
 #[derive(Default)]
 pub struct Store {
     pub jobs: BTreeMap<String, Vec<u8>>,
@@ -165,7 +165,7 @@
 }
 
 impl Store {
-    fn answer(&mut self, message: GatewayMessage) -> Option<StoreMessage> {
+    fn respond(&mut self, message: GatewayMessage) -> Option<StoreMessage> {
         let (request_id, response) = match &message {
             GatewayMessage::SubmitJob { request_id, id, job, .. } => {
                 self.jobs.insert(id.clone(), job.clone());
@@ -196,16 +196,16 @@
         }
         while let Some((message, length)) = read_frame::<GatewayMessage>(&inbox).unwrap() {
             inbox.drain(..length);
-            if let Some(answer) = store.lock().unwrap().answer(message) {
+            if let Some(response) = store.lock().unwrap().respond(message) {
                 let mut frame = Vec::new();
-                write_frame(&mut frame, &answer);
+                write_frame(&mut frame, &response);
                 stream.write_all(&frame).unwrap();
             }
         }
     }
 }
 
-/// The gateway and what stands around it. The gateway's thread ends with the test's process.
+/// The gateway and the processes around it. The gateway's thread ends with the test process.
 pub struct World {
     control: Shared<ControlNode>,
     pub server: Shared<Server>,
@@ -214,7 +214,7 @@
 }
 
 impl World {
-    /// `number` gives each gateway of a test's process addresses of its own.
+    /// Starts a gateway. `number` selects the loopback address, which must be unique within a test process.
     pub fn start(number: u8) -> World {
         let ip = Ipv4Addr::new(127, 83, 1, number);
         let (control, server, store): (Shared<ControlNode>, Shared<Server>, Shared<Store>) =
@@ -254,14 +254,14 @@
             seeds: vec![node(control_address)],
             grace_ms: 8_000,
         };
-        let (sender, begun) = channel();
-        control.lock().unwrap().began = Some(sender);
+        let (sender, session_started) = channel();
+        control.lock().unwrap().session_started = Some(sender);
         std::thread::spawn(move || run(options).unwrap());
-        begun.recv_timeout(READ_TIMEOUT).expect("the gateway begins a session");
+        session_started.recv_timeout(READ_TIMEOUT).expect("the gateway starts a session");
         World { control, server, store, frontend }
     }
 
-    /// A configuration is committed; returns once it is in force at the gateway.
+    /// Commits a configuration and waits until it is active at the gateway.
     pub fn configure(&self, version: u64, document: &str) {
         let mut control = self.control.lock().unwrap();
         let base = control.state.configuration_version();
@@ -269,21 +269,21 @@
         drop(control);
         let mut client = self.client();
         let path = format!("/v{version}/1");
-        let in_force = (0..MOST_TRIES).any(|_| client.ask("GET", &path, "").status == 200);
-        assert!(in_force, "version {version} isn't in force");
+        let in_force = (0..MAX_TRIES).any(|_| client.request("GET", &path, "").status == 200);
+        assert!(in_force, "version {version} is not active");
         self.server.lock().unwrap().received.clear();
     }
 
-    /// The gateway loses its session, and gets no other one.
-    pub fn cut_control_off(&self) {
+    /// Ends the gateway's session, and lets it get no other one.
+    pub fn disconnect_control_plane(&self) {
         let mut control = self.control.lock().unwrap();
-        control.cut_off = true;
+        control.disconnected = true;
         if let Some(session) = control.session.take() {
             session.shutdown(std::net::Shutdown::Both).unwrap();
         }
     }
 
-    /// A connection of a client.
+    /// Opens a client connection.
     pub fn client(&self) -> Client {
         let stream = TcpStream::connect(self.frontend).unwrap();
         stream.set_read_timeout(Some(READ_TIMEOUT)).unwrap();
@@ -291,14 +291,14 @@
     }
 }
 
-/// An answer to a client.
+/// A response to a client.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     pub status: u16,
     pub head: Vec<u8>,
 }
 
-/// A connection of a client, kept for several requests.
+/// A client connection for several requests.
 pub struct Client {
     stream: TcpStream,
     inbox: Vec<u8>,
@@ -318,32 +318,32 @@
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    /// Sends bytes that are a part of a request.
+    /// Sends bytes that are part of a request.
     pub fn send_part(&mut self, text: &str) {
         self.stream.write_all(text.as_bytes()).unwrap();
     }
 
-    pub fn receive(&mut self) -> Answer {
+    pub fn receive(&mut self) -> Response {
         let mut reader = ResponseReader::new("GET");
         let (mut head, mut body) = (Vec::new(), Vec::new());
         loop {
             let progress = reader.read(&self.inbox, LIMITS.header_bytes, &mut body).unwrap();
             head.extend(self.inbox.drain(..progress.consumed));
             if progress.complete {
-                return Answer { status: reader.head().unwrap().status, head };
+                return Response { status: reader.head().unwrap().status, head };
             }
             assert!(read_more(&mut self.stream, &mut self.inbox), "the gateway closed the connection");
         }
     }
 
-    pub fn ask(&mut self, method: &str, path: &str, lines: &str) -> Answer {
+    pub fn request(&mut self, method: &str, path: &str, lines: &str) -> Response {
         self.send(method, path, lines);
         self.receive()
     }
 
-    /// Asks again while the answer is 503, as clients do.
-    pub fn ask_until_final(&mut self, method: &str, path: &str, lines: &str) -> Answer {
-        let answers = (0..MOST_TRIES).map(|_| self.ask(method, path, lines));
-        answers.into_iter().find(|answer| answer.status != 503).expect("a final answer")
+    /// Repeats a request while the status is 503, as clients do.
+    pub fn request_until_final(&mut self, method: &str, path: &str, lines: &str) -> Response {
+        let responses = (0..MAX_TRIES).map(|_| self.request(method, path, lines));
+        responses.into_iter().find(|response| response.status != 503).expect("a final response")
     }
 }
--- a/crates/data-plane/tests/generations.rs
+++ b/crates/data-plane/tests/generations.rs
@@ -1,4 +1,4 @@
-//! Texts, failures, versions of weights, hedges and the end of groups.
+//! Tests of the runner: texts, failures, stalls, leases, and the end of groups.
 
 mod generations_support;
 
@@ -54,14 +54,14 @@
     let second = gateway.last();
     assert_ne!(second.server, first.server);
     assert_eq!(second.last_event_id, kept);
-    // What still comes from the dropped connection changes nothing.
+    // Late events of the cancelled attempt have no effect.
     gateway.events(&first, 3..=4);
     gateway.ended(&first, AttemptOutcome::Complete);
     assert!(gateway.reports.is_empty());
 }
 
 #[test]
-fn a_response_without_events_is_no_text() {
+fn a_response_without_events_gives_no_result() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(group("job", 0, &["a"]));
     gateway.ended(&gateway.last(), AttemptOutcome::Complete);
@@ -79,7 +79,7 @@
         let attempt = gateway.last();
         gateway.status(&attempt, code);
         (0..2).for_each(|key| gateway.runner.set_server(&server(key, 7)));
-        gateway.pass(1_000);
+        gateway.advance(1_000);
     }
     assert!(gateway.reports.is_empty());
     assert_eq!(gateway.attempts.len(), 21);
@@ -91,19 +91,19 @@
     gateway.assign(group("job", 0, &["a"]));
     let mut pauses = Vec::new();
     for _ in 0..7 {
-        let (attempts, refused_at) = (gateway.attempts.len(), gateway.now);
+        let (attempts, rejected_at) = (gateway.attempts.len(), gateway.now);
         gateway.status(&gateway.last(), 503);
         while gateway.attempts.len() == attempts {
             let wakeup = gateway.runner.next_wakeup().expect("the pause ends");
-            gateway.pass(wakeup - gateway.now);
+            gateway.advance(wakeup - gateway.now);
         }
-        pauses.push(gateway.now - refused_at);
+        pauses.push(gateway.now - rejected_at);
     }
     assert_eq!(pauses, [50, 100, 200, 400, 800, 800, 800]);
 }
 
-/// How many of `count` new generations go to the server at once.
-fn load_at(gateway: &mut Gateway, key: u32, count: usize) -> usize {
+/// Returns how many of `count` new generations are sent to the server at once.
+fn attempts_at(gateway: &mut Gateway, key: u32, count: usize) -> usize {
     let (before, ids) =
         (gateway.attempts.len(), (0..count).map(|index| format!("n{index}")).collect::<Vec<_>>());
     gateway.assign(group("load", 0, &ids.iter().map(String::as_str).collect::<Vec<_>>()));
@@ -116,12 +116,12 @@
     gateway.runner.set_server(&ServerInfo { slots: 4, ..server(0, 7) });
     gateway.assign(group("job", 0, &["a", "b", "c", "d"]));
     gateway.attempts.clone().iter().for_each(|attempt| gateway.ended(attempt, AttemptOutcome::Broken));
-    gateway.pass(50);
+    gateway.advance(50);
     assert_eq!(gateway.attempts.len(), 8);
 }
 
 #[test]
-fn a_server_slower_than_the_others_gets_fewer() {
+fn a_slow_server_gets_fewer_generations() {
     let mut gateway = Gateway::new(&[]);
     (0..2).for_each(|key| gateway.runner.set_server(&ServerInfo { slots: 4, ..server(key, 7) }));
     for round in 0..6 {
@@ -137,17 +137,20 @@
             gateway.ended(attempt, AttemptOutcome::Complete);
         }
     }
-    assert!(load_at(&mut gateway, 1, 8) < 4);
+    assert!(attempts_at(&mut gateway, 1, 8) < 4);
 }
 
 #[rstest]
-#[case::never_run(status(422), true)]
+#[case::unprocessable(status(422), true)]
 #[case::failed(status(500), false)]
 #[case::broken(AttemptOutcome::Broken, false)]
 #[case::no_connection(AttemptOutcome::ConnectFailed, false)]
 #[case::gateway(status(502), false)]
 #[case::rejected(status(503), false)]
-fn one_failure_expires_only_what_can_never_run(#[case] outcome: AttemptOutcome, #[case] expired: bool) {
+fn only_an_unprocessable_item_expires_after_one_failure(
+    #[case] outcome: AttemptOutcome,
+    #[case] expired: bool,
+) {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     gateway.ended(&gateway.last(), outcome);
@@ -155,27 +158,28 @@
 }
 
 #[test]
-fn responses_of_500_expire_an_item_at_their_limit() {
+fn an_item_expires_at_the_limit_of_500_responses() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     for count in 1..=MAX_ATTEMPTS {
         assert!(gateway.reports.is_empty());
         gateway.status(&gateway.last(), 500);
         assert_eq!(gateway.reports.len(), usize::from(count == MAX_ATTEMPTS));
-        gateway.pass(1_000);
+        gateway.advance(1_000);
     }
     assert_eq!(gateway.result(), &ItemResult::Expired);
 }
 
-/// The store tells the next gateway what it was told. Five gateways, each lost after one answer of 500.
+/// The store node reports the failures that it knows of to the next gateway. Here five gateways are each lost after one
+/// response with status 500.
 #[test]
-fn responses_of_500_expire_an_item_at_their_limit_wherever_its_group_goes() {
+fn the_limit_of_500_responses_applies_across_gateways() {
     let mut known = 0;
-    let mut answers = 0;
+    let mut responses = 0;
     for _ in 0..5 {
         let mut gateway = Gateway::new(&[7, 7]);
         gateway.assign(group("job", 0, &["a", "b"]));
-        gateway.direct(|runner, out| runner.failures_reported("job", "a", known, out));
+        gateway.with_runner(|runner, out| runner.failures_reported("job", "a", known, out));
         if gateway.reports.iter().any(|(item, result)| item == "a" && *result == ItemResult::Expired) {
             break;
         }
@@ -183,25 +187,25 @@
         let attempt =
             gateway.attempts.iter().find(|attempt| attempt.item == "a").cloned().expect("it is sent");
         gateway.status(&attempt, 500);
-        answers += 1;
-        known = gateway.failures.last().expect("the store is told").1;
-        assert_eq!(known, answers);
+        responses += 1;
+        known = gateway.failures.last().expect("the failure is reported").1;
+        assert_eq!(known, responses);
     }
-    assert_eq!(answers, MAX_ATTEMPTS);
+    assert_eq!(responses, MAX_ATTEMPTS);
 }
 
 #[test]
-fn failures_known_elsewhere_take_nothing_back() {
+fn reported_failures_never_lower_the_count() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     gateway.status(&gateway.last(), 500);
-    gateway.direct(|runner, out| {
+    gateway.with_runner(|runner, out| {
         runner.failures_reported("job", "a", 0, out);
         runner.failures_reported("job", "unknown", 9, out);
         runner.failures_reported("unknown", "a", 9, out);
     });
     assert!(gateway.reports.is_empty());
-    gateway.pass(1_000);
+    gateway.advance(1_000);
     gateway.status(&gateway.last(), 500);
     assert_eq!(gateway.result(), &ItemResult::Expired);
     assert_eq!(gateway.failures, [("a".to_owned(), 1), ("a".to_owned(), 2)]);
@@ -210,33 +214,33 @@
 #[rstest]
 #[case::with_servers(&[7, 7])]
 #[case::without_servers(&[])]
-fn items_expire_at_their_time_and_not_before(#[case] versions: &[u64]) {
+fn items_expire_exactly_at_their_deadline(#[case] versions: &[u64]) {
     let mut gateway = Gateway::new(versions);
     gateway.assign(group("job", 0, &["a", "b"]));
-    gateway.pass(EXPIRES_AT - 1 - gateway.now);
+    gateway.advance(EXPIRES_AT - 1 - gateway.now);
     assert!(gateway.reports.is_empty());
-    gateway.pass(1);
+    gateway.advance(1);
     assert_eq!(
         gateway.reports,
         [("a".to_owned(), ItemResult::Expired), ("b".to_owned(), ItemResult::Expired)]
     );
     assert_eq!((gateway.runner.in_flight(), gateway.runner.open_groups()), (0, 0));
-    gateway.pass(10_000);
+    gateway.advance(10_000);
     assert_eq!(gateway.reports.len(), 2);
 }
 
 #[test]
-fn the_end_of_its_route_expires_a_group() {
+fn a_removed_route_expires_its_groups() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(group("job", 0, &["a"]));
-    gateway.direct(|runner, out| runner.reroute(|_| None, out));
+    gateway.with_runner(|runner, out| runner.reroute(|_| None, out));
     assert_eq!(gateway.result(), &ItemResult::Expired);
     assert_eq!(gateway.cancelled, [gateway.last().id]);
 }
 
 /// The server of a stream without framing may have died between two events.
 #[test]
-fn a_stream_that_ends_without_framing_is_complete_once_nothing_follows() {
+fn an_unframed_stream_is_complete_once_a_retry_adds_nothing() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     let first = gateway.last();
@@ -249,7 +253,7 @@
     gateway.started(&second, 7);
     gateway.events(&second, 3..=3);
     gateway.ended(&second, AttemptOutcome::Closed);
-    assert!(gateway.reports.is_empty(), "it was not the end, and may not be now");
+    assert!(gateway.reports.is_empty(), "the previous attempt was incomplete, and this one may be too");
     let third = gateway.last();
     assert_eq!(third.last_event_id, Some(3));
     gateway.started(&third, 7);
@@ -259,7 +263,7 @@
 }
 
 #[test]
-fn a_stream_without_framing_and_events_is_no_text() {
+fn an_unframed_stream_without_events_gives_no_result() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     gateway.ended(&gateway.last(), AttemptOutcome::Closed);
@@ -274,10 +278,10 @@
     let first = gateway.last();
     gateway.started(&first, 7);
     gateway.events(&first, 1..=1);
-    let mut moved = (*facts(false)).clone();
+    let mut moved = (*route_settings(false)).clone();
     moved.service = "other".into();
     let moved = std::sync::Arc::new(moved);
-    gateway.direct(|runner, out| runner.reroute(|_| Some(moved.clone()), out));
+    gateway.with_runner(|runner, out| runner.reroute(|_| Some(moved.clone()), out));
     assert_eq!(gateway.cancelled, [first.id]);
     gateway.tick();
     assert_eq!((gateway.last().server.0, gateway.last().last_event_id), (9, None));
@@ -290,16 +294,16 @@
     let first = gateway.last();
     gateway.started(&first, 7);
     gateway.events(&first, 1..=5);
-    gateway.pass(599);
-    assert!(gateway.cancelled.is_empty(), "the gaps were 10 ms, and 600 ms are allowed at least");
-    gateway.pass(1);
+    gateway.advance(599);
+    assert!(gateway.cancelled.is_empty(), "the gaps were 10 ms, and at least 600 ms are allowed");
+    gateway.advance(1);
     assert_eq!(gateway.cancelled, [first.id]);
     let second = gateway.last();
     assert_ne!(second.server, first.server);
     assert_eq!(second.last_event_id, Some(5));
 }
 
-/// On a new connection it is soonest seen whether a server that became unresponsive is back.
+/// A new connection shows soonest whether an unresponsive server is reachable again.
 #[rstest]
 #[case::no_connection(AttemptOutcome::ConnectFailed, &[ServerKey(0)])]
 #[case::stall(AttemptOutcome::Stalled, &[ServerKey(0)])]
@@ -315,7 +319,7 @@
 }
 
 #[test]
-fn six_times_the_usual_gap_is_allowed() {
+fn a_stream_stalls_after_six_times_the_usual_gap() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     let first = gateway.last();
@@ -323,25 +327,25 @@
         gateway.now += 490;
         gateway.event(&first, id, "x", None);
     }
-    gateway.pass(2_999);
+    gateway.advance(2_999);
     assert!(gateway.cancelled.is_empty());
-    gateway.pass(1);
+    gateway.advance(1);
     assert_eq!(gateway.cancelled, [first.id]);
 }
 
 #[test]
-fn a_cancelled_batch_job_stops_within_the_step() {
+fn cancelling_a_batch_job_stops_it_at_once() {
     let mut gateway = Gateway::new(&[7, 7, 7]);
     gateway.assign(group("job", 0, &["a", "b"]));
     gateway.assign(group("other", 0, &["c", "d"]));
     let attempt = gateway.attempts.clone();
-    gateway.direct(|runner, out| runner.cancel("job", out));
+    gateway.with_runner(|runner, out| runner.cancel("job", out));
     assert_eq!(gateway.cancelled, [attempt[0].id, attempt[1].id]);
     for attempt in &attempt[..2] {
         gateway.events(attempt, 1..=1);
         gateway.ended(attempt, AttemptOutcome::Complete);
     }
-    gateway.pass(EXPIRES_AT);
+    gateway.advance(EXPIRES_AT);
     assert!(gateway.reports.iter().all(|(item, _)| item == "c" || item == "d"));
     assert!(gateway.attempts[3..].iter().all(|attempt| attempt.item == "c" || attempt.item == "d"));
 }
@@ -358,7 +362,7 @@
 ) {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(group("job", 0, &["a"]));
-    gateway.direct(|runner, out| runner.lease_expired(partition, epoch, out));
+    gateway.with_runner(|runner, out| runner.lease_expired(partition, epoch, out));
     assert_eq!(gateway.cancelled.len(), usize::from(dropped));
     assert_eq!(gateway.runner.open_groups(), usize::from(!dropped));
     assert!(gateway.reports.is_empty());
@@ -373,30 +377,30 @@
 }
 
 #[test]
-fn a_new_store_takes_a_running_group_over() {
+fn a_new_head_takes_over_a_running_group() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     let attempt = gateway.last();
-    let mut again = group("job", 0, &["a"]);
-    again.id.epoch = 2;
-    again.expires_at += 500;
-    gateway.assign(again.clone());
+    let mut next_assignment = group("job", 0, &["a"]);
+    next_assignment.id.epoch = 2;
+    next_assignment.expires_at += 500;
+    gateway.assign(next_assignment.clone());
     assert_eq!(gateway.attempts.len(), 1);
     gateway.started(&attempt, 7);
-    gateway.pass(EXPIRES_AT - gateway.now + 1);
+    gateway.advance(EXPIRES_AT - gateway.now + 1);
     assert!(gateway.reports.is_empty());
-    gateway.pass(500);
-    assert_eq!(gateway.report_groups, [again.id]);
+    gateway.advance(500);
+    assert_eq!(gateway.report_groups, [next_assignment.id]);
 }
 
 #[test]
-fn texts_go_over_to_a_later_batch_job_with_the_same_items() {
+fn texts_are_reused_by_a_later_batch_job_with_the_same_items() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     let first = gateway.last();
     gateway.started(&first, 7);
     gateway.events(&first, 1..=2);
-    gateway.direct(|runner, out| runner.cancel("job", out));
+    gateway.with_runner(|runner, out| runner.cancel("job", out));
     gateway.assign(group("later", 0, &["a"]));
     assert_eq!(gateway.last().last_event_id, Some(2));
 }
@@ -404,14 +408,14 @@
 #[rstest]
 #[case::newer_minimum(8, b"prompt")]
 #[case::other_body(MINIMUM, b"different")]
-fn texts_that_do_not_fit_are_made_anew(#[case] minimum: u64, #[case] body: &[u8]) {
+fn unsuitable_archived_texts_are_discarded(#[case] minimum: u64, #[case] body: &[u8]) {
     let mut gateway = Gateway::new(&[7, 8]);
     gateway.runner.set_server(&ServerInfo { draining: true, ..server(1, 8) });
     gateway.assign(group("job", 0, &["a"]));
     let first = gateway.last();
     gateway.started(&first, 7);
     gateway.events(&first, 1..=2);
-    gateway.direct(|runner, out| runner.cancel("job", out));
+    gateway.with_runner(|runner, out| runner.cancel("job", out));
     gateway.runner.set_server(&server(1, 8));
     let mut later = group("later", 0, &["a"]);
     later.min_weights_version = Some(minimum);
@@ -421,7 +425,7 @@
 }
 
 #[test]
-fn groups_go_by_due_time_then_by_place() {
+fn groups_are_ordered_by_due_time_then_index() {
     let mut gateway = Gateway::new(&[]);
     let mut late = group("late", 0, &["c"]);
     late.due_at += 1;
@@ -441,12 +445,12 @@
 #[case(8, 0.3, 3)]
 #[case(1, 0.1, 1)]
 #[case(0, 0.5, 1)]
-fn a_gateway_has_its_share_of_the_slots(#[case] slots: u32, #[case] fraction: f64, #[case] limit: u32) {
+fn slot_limit_is_rounded_up_and_at_least_one(#[case] slots: u32, #[case] fraction: f64, #[case] limit: u32) {
     assert_eq!(slot_limit(slots, fraction), limit);
 }
 
 #[test]
-fn attempts_are_bounded_by_the_share_of_slots() {
+fn attempts_are_bounded_by_the_slot_fraction() {
     let mut gateway = Gateway::new(&[]);
     gateway.runner.set_slot_fraction(0.5);
     gateway.runner.set_server(&ServerInfo { slots: 4, ..server(0, 7) });
@@ -458,7 +462,7 @@
 }
 
 #[test]
-fn generations_that_find_no_server_wait_for_its_service() {
+fn generations_without_a_server_wait_for_their_service() {
     let mut gateway = Gateway::new(&[7]);
     let names: Vec<String> = (0..100).map(|number| format!("item-{number}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
--- a/crates/data-plane/tests/generations_hedges.rs
+++ b/crates/data-plane/tests/generations_hedges.rs
@@ -1,4 +1,4 @@
-//! Hedges of slow generations: two independent attempts of one item, one report.
+//! Tests of hedged generations: two independent attempts of one item, one report.
 
 mod generations_support;
 
@@ -8,23 +8,23 @@
 use orchidvalve_data_plane::generations::{AttemptOutcome, ItemResult, RouteSettings};
 use rstest::rstest;
 
-/// As many generations as it takes for a hedge to be affordable.
+/// The number of generations for which the hedge budget allows one hedge.
 const GENERATIONS: usize = 12;
 
-/// Two runs of the same item, and the id of the next event of each.
+/// Two attempts of the same item, each with the id of its next event.
 struct HedgedGeneration {
     gateway: Gateway,
     slow: (Attempted, u64),
     hedge: (Attempted, u64),
 }
 
-/// A gateway where one of twelve generations still runs, and it has been hedged.
-fn hedges() -> HedgedGeneration {
-    hedges_on(facts(false), 7)
+/// Returns a gateway where one of twelve generations is still running and has been hedged.
+fn hedged_generation() -> HedgedGeneration {
+    hedged_generation_on(route_settings(false), 7)
 }
 
-/// The same on this route, with hedges going to servers that hold this version.
-fn hedges_on(route: Arc<RouteSettings>, version: u64) -> HedgedGeneration {
+/// The same on this route, with hedges at servers that serve this version.
+fn hedged_generation_on(route: Arc<RouteSettings>, version: u64) -> HedgedGeneration {
     let mut gateway = Gateway::new(&[7; GENERATIONS]);
     let ids: Vec<String> = (0..GENERATIONS).map(|index| format!("i{index}")).collect();
     let mut assignment = group("job", 0, &ids.iter().map(String::as_str).collect::<Vec<_>>());
@@ -44,7 +44,7 @@
     while gateway.attempts.len() == GENERATIONS {
         gateway.event(&slow, next, "s", None);
         next += 1;
-        gateway.pass(500);
+        gateway.advance(500);
     }
     let hedge = gateway.last();
     let hedge_next = hedge.last_event_id.map_or(1, |last| last + 1);
@@ -54,8 +54,8 @@
 #[rstest]
 #[case::first_wins(true)]
 #[case::hedge_wins(false)]
-fn when_one_finishes_the_other_is_dropped(#[case] first_wins: bool) {
-    let HedgedGeneration { mut gateway, slow, hedge } = hedges();
+fn the_slower_attempt_is_cancelled_when_one_completes(#[case] first_wins: bool) {
+    let HedgedGeneration { mut gateway, slow, hedge } = hedged_generation();
     assert_eq!(hedge.0.item, slow.0.item);
     assert_ne!(hedge.0.server, slow.0.server);
     let (winner, loser) = if first_wins { (slow, hedge) } else { (hedge, slow) };
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_hedge_resumes_from_what_the_first_attempt_had_when_it_began() {
-    let HedgedGeneration { mut gateway, slow, hedge } = hedges();
+    let HedgedGeneration { mut gateway, slow, hedge } = hedged_generation();
     assert!(hedge.1 > 1, "the first attempt had events");
     gateway.event(&slow.0, slow.1, "from the first attempt", None);
     gateway.event(&hedge.0, hedge.1, "from the hedge", None);
@@ -81,8 +81,8 @@
 }
 
 #[test]
-fn one_that_breaks_leaves_the_other_alone() {
-    let HedgedGeneration { mut gateway, slow, hedge } = hedges();
+fn a_broken_attempt_does_not_affect_the_other() {
+    let HedgedGeneration { mut gateway, slow, hedge } = hedged_generation();
     gateway.ended(&slow.0, AttemptOutcome::Broken);
     assert!(gateway.cancelled.is_empty());
     gateway.event(&hedge.0, hedge.1, "end", None);
@@ -92,7 +92,7 @@
 
 #[test]
 fn an_item_expires_only_after_the_last_attempt_has_ended() {
-    let HedgedGeneration { mut gateway, slow, hedge } = hedges();
+    let HedgedGeneration { mut gateway, slow, hedge } = hedged_generation();
     gateway.status(&slow.0, 500);
     assert!(gateway.reports.is_empty());
     gateway.status(&hedge.0, 500);
@@ -100,9 +100,9 @@
 }
 
 #[test]
-fn an_attempt_that_is_still_in_flight_may_save_an_item_that_failed_too_often() {
-    let once = RouteSettings { max_attempts: 1, ..(*facts(false)).clone() };
-    let HedgedGeneration { mut gateway, slow, hedge } = hedges_on(once.into(), 7);
+fn an_attempt_in_flight_can_complete_an_item_at_its_failure_limit() {
+    let once = RouteSettings { max_attempts: 1, ..(*route_settings(false)).clone() };
+    let HedgedGeneration { mut gateway, slow, hedge } = hedged_generation_on(once.into(), 7);
     gateway.status(&slow.0, 500);
     assert!(gateway.reports.is_empty());
     gateway.event(&hedge.0, hedge.1, "end", None);
@@ -111,16 +111,16 @@
 }
 
 #[test]
-fn the_end_of_the_batch_job_drops_both() {
-    let HedgedGeneration { mut gateway, slow, hedge } = hedges();
-    gateway.direct(|runner, out| runner.cancel("job", out));
+fn cancelling_the_batch_job_cancels_both_attempts() {
+    let HedgedGeneration { mut gateway, slow, hedge } = hedged_generation();
+    gateway.with_runner(|runner, out| runner.cancel("job", out));
     assert_eq!(gateway.cancelled, [slow.0.id, hedge.0.id]);
     assert!(gateway.reports.is_empty());
 }
 
 #[test]
-fn a_hedge_under_another_version_starts_anew_on_a_single_version_route() {
-    let HedgedGeneration { mut gateway, slow, hedge } = hedges_on(facts(true), 8);
+fn a_hedge_under_another_version_restarts_on_a_single_version_route() {
+    let HedgedGeneration { mut gateway, slow, hedge } = hedged_generation_on(route_settings(true), 8);
     assert!(slow.1 > 1, "the first attempt had events");
     assert_eq!((hedge.0.last_event_id, hedge.0.expect_version), (None, Some(8)));
     gateway.started(&hedge.0, 8);
--- a/crates/data-plane/tests/generations_support/mod.rs
+++ b/crates/data-plane/tests/generations_support/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway with made-up servers, driven by hand.
+//! Test harness for the runner of generations with simulated servers and manually controlled time.
 
 #![allow(dead_code)]
 
@@ -20,9 +20,9 @@
 pub const REWARD_TARGET_MS: u64 = 100;
 pub const MINIMUM: u64 = 6;
 
-struct Table(bool);
+struct TestRoutes(bool);
 
-impl Routes for Table {
+impl Routes for TestRoutes {
     fn reward_route(&self, hostname: &str, _: &str, _: u64) -> Option<RewardRoute> {
         let service = "scoring".into();
         let route = RewardRoute { service, target_latency_ms: REWARD_TARGET_MS, max_attempts: MAX_ATTEMPTS };
@@ -31,10 +31,10 @@
 }
 
 pub fn routes(known: bool) -> Arc<dyn Routes> {
-    Arc::new(Table(known))
+    Arc::new(TestRoutes(known))
 }
 
-/// An attempt that is in flight.
+/// An attempt that was sent to a server.
 #[derive(Clone, Debug)]
 pub struct Attempted {
     pub id: AttemptId,
@@ -44,7 +44,7 @@
     pub expect_version: Option<u64>,
 }
 
-/// A reward call that is out.
+/// A reward call that was sent to a server.
 #[derive(Clone, Debug)]
 pub struct RewardAttempt {
     pub call: RewardCallId,
@@ -59,18 +59,18 @@
     pub cancelled: Vec<AttemptId>,
     pub reports: Vec<(String, ItemResult)>,
     pub report_groups: Vec<GroupId>,
-    /// Failures that the store was told of.
+    /// The failures reported to the store node.
     pub failures: Vec<(String, u32)>,
     /// Servers whose idle connections were closed.
     pub idle_closed: Vec<ServerKey>,
-    /// Everything that the runner asked for, encoded, with its time.
+    /// All commands of the runner, encoded, with their times.
     pub trace: Trace,
     out: Vec<RunnerCommand>,
 }
 
 impl Gateway {
-    /// A gateway that knows servers of the generating service, each with one slot and these versions, and two
-    /// scoring servers, 100 and 101.
+    /// Creates a gateway with a model server of one slot for each of these versions, and two scoring servers, 100 and
+    /// 101.
     pub fn new(versions: &[u64]) -> Self {
         let runner = Runner::new(Pcg64Mcg::new(5), 1.0, routes(true));
         let (attempts, rewards, cancelled) = Default::default();
@@ -108,20 +108,20 @@
     }
 
     pub fn tick(&mut self) {
-        self.take();
+        self.process_commands();
         self.runner.tick(self.now, &mut self.out);
-        self.take();
+        self.process_commands();
     }
 
-    /// Lets time pass, stopping wherever the runner wants to be woken.
-    pub fn pass(&mut self, ms: u64) {
+    /// Advances the time, stopping at each wake-up of the runner.
+    pub fn advance(&mut self, ms: u64) {
         let end = self.now + ms;
         while let Some(at) = self.runner.next_wakeup().filter(|at| *at <= end) {
-            assert!(at >= self.now, "a wake-up in the past is a busy loop");
+            assert!(at >= self.now, "a wake-up in the past would be a busy loop");
             let before = (self.now, self.runner.next_wakeup());
             self.now = at;
             self.tick();
-            assert_ne!(before, (self.now, self.runner.next_wakeup()), "a wake-up that repeats itself");
+            assert_ne!(before, (self.now, self.runner.next_wakeup()), "the same wake-up is repeated");
         }
         self.now = end;
         self.tick();
@@ -161,13 +161,13 @@
         self.reward_ended(attempt, RewardOutcome::Response { code, signature, retry_after_ms: None });
     }
 
-    /// Calls the runner with its output, and checks what comes out without a tick.
-    pub fn direct(&mut self, call: impl FnOnce(&mut Runner, &mut Vec<RunnerCommand>)) {
+    /// Calls the runner and handles its commands without a tick.
+    pub fn with_runner(&mut self, call: impl FnOnce(&mut Runner, &mut Vec<RunnerCommand>)) {
         call(&mut self.runner, &mut self.out);
-        self.take();
+        self.process_commands();
     }
 
-    /// The last attempt in flight.
+    /// Returns the latest attempt.
     pub fn last(&self) -> Attempted {
         self.attempts.last().cloned().expect("something was sent")
     }
@@ -176,13 +176,13 @@
         self.rewards.last().cloned().expect("a reward call was sent")
     }
 
-    /// The only result so far.
+    /// Returns the only result so far.
     pub fn result(&self) -> &ItemResult {
         assert_eq!(self.reports.len(), 1, "one report: {:?}", self.reports);
         &self.reports[0].1
     }
 
-    fn take(&mut self) {
+    fn process_commands(&mut self) {
         for command in std::mem::take(&mut self.out) {
             self.trace.add_number(self.now);
             trace_command(&mut self.trace, &command);
@@ -215,7 +215,7 @@
     }
 }
 
-/// Adds what a command asks for: numbers, and bytes as a server or a store gets them.
+/// Adds a command to the trace: numbers, and the bytes sent to a server or a store node.
 fn trace_command(trace: &mut Trace, command: &RunnerCommand) {
     match command {
         RunnerCommand::Attempt {
@@ -258,8 +258,8 @@
             trace.add(item.as_bytes());
         }
         RunnerCommand::Report { group, item, result } => {
-            let place = [6, group.partition.into(), group.epoch, group.group.into()];
-            place.into_iter().for_each(|number| trace.add_number(number));
+            let numbers = [6, group.partition.into(), group.epoch, group.group.into()];
+            numbers.into_iter().for_each(|number| trace.add_number(number));
             trace.add(group.job.as_bytes());
             trace.add(item.as_bytes());
             match result {
@@ -294,7 +294,7 @@
     }
 }
 
-pub fn facts(single_version: bool) -> Arc<RouteSettings> {
+pub fn route_settings(single_version: bool) -> Arc<RouteSettings> {
     Arc::new(RouteSettings {
         id: "route".into(),
         host: "rollout.example".into(),
@@ -324,11 +324,11 @@
     }
 }
 
-/// A group of a batch job with a minimum version, without reward calls.
+/// Returns a group of a batch job with a minimum version and without reward calls.
 pub fn group(job: &str, group: u32, items: &[&str]) -> Assignment {
     Assignment {
         id: GroupId { partition: 3, epoch: 1, job: job.into(), group },
-        route: facts(false),
+        route: route_settings(false),
         model: Some("model".into()),
         min_weights_version: Some(MINIMUM),
         due_at: 9_000,
@@ -343,7 +343,7 @@
 }
 
 pub fn single_version(mut assignment: Assignment) -> Assignment {
-    assignment.route = facts(true);
+    assignment.route = route_settings(true);
     assignment
 }
 
--- a/crates/data-plane/tests/generations_support/scenario.rs
+++ b/crates/data-plane/tests/generations_support/scenario.rs
@@ -1,4 +1,4 @@
-//! A scenario full of faults, drawn from a seed.
+//! Random scenarios with many faults, generated from a seed.
 
 use std::collections::BTreeMap;
 
@@ -9,13 +9,13 @@
 
 use super::*;
 
-/// The last event of every text.
+/// The id of the last event of every text.
 const LAST_EVENT: u64 = 6;
 const SERVERS: u32 = 14;
 pub const GROUPS: u32 = 5;
 pub const STEPS: u32 = 1_500;
 
-/// An attempt at a server: the next event it sends and the version it holds.
+/// An attempt at a server: the id of its next event and the version that generates it.
 struct RunningAttempt {
     attempt: Attempted,
     next: u64,
@@ -58,26 +58,26 @@
     }
 
     pub fn step(&mut self) {
-        self.act();
+        self.perform_action();
         self.check();
     }
 
-    /// One thing happens.
-    pub fn act(&mut self) {
-        self.take_attempts();
+    /// Performs one random action.
+    pub fn perform_action(&mut self) {
+        self.collect_attempts();
         match self.random.random_range(0..100) {
             0..60 => self.advance_attempt(),
-            60..75 => self.answer_reward(),
+            60..75 => self.respond_to_reward(),
             75..77 => self.change_version(),
             77..95 => {
                 let ms = self.random.random_range(0..60);
-                self.gateway.pass(ms);
+                self.gateway.advance(ms);
             }
-            _ => self.spoil_attempt(),
+            _ => self.fail_attempt(),
         }
     }
 
-    pub fn take_attempts(&mut self) {
+    pub fn collect_attempts(&mut self) {
         for attempt in &self.gateway.attempts[self.seen_attempts..] {
             let next = attempt.last_event_id.map_or(1, |last| last + 1);
             self.running.insert(attempt.id, RunningAttempt { attempt: attempt.clone(), next, version: None });
@@ -95,7 +95,7 @@
         attempts.choose(&mut self.random).copied()
     }
 
-    /// One attempt goes on as it should: head, events, end.
+    /// Continues an attempt normally: head, events, end.
     fn advance_attempt(&mut self) {
         let Some(id) = self.random_attempt() else { return };
         let Some(running) = self.running.get_mut(&id) else { return };
@@ -109,7 +109,7 @@
                     retry_after_ms: None,
                     version: stated_version,
                 };
-                let running = self.running.remove(&id).expect("it is there");
+                let running = self.running.remove(&id).expect("the attempt is running");
                 self.gateway.ended(&running.attempt, outcome);
             }
             None => {
@@ -118,7 +118,7 @@
                 self.gateway.started(&attempt, held);
             }
             Some(_) if running.next > LAST_EVENT => {
-                let running = self.running.remove(&id).expect("it is there");
+                let running = self.running.remove(&id).expect("the attempt is running");
                 self.gateway.ended(&running.attempt, AttemptOutcome::Complete);
             }
             Some(known) => {
@@ -130,8 +130,8 @@
         }
     }
 
-    /// One attempt fails in some way.
-    fn spoil_attempt(&mut self) {
+    /// Makes one attempt fail in a random way.
+    fn fail_attempt(&mut self) {
         let Some(id) = self.random_attempt() else { return };
         let Some(running) = self.running.remove(&id) else { return };
         match self.random.random_range(0..8) {
@@ -151,7 +151,7 @@
         }
     }
 
-    fn answer_reward(&mut self) {
+    fn respond_to_reward(&mut self) {
         if self.rewards.is_empty() {
             return;
         }
@@ -163,7 +163,7 @@
         }
     }
 
-    /// A server gets newer weights; the list tells of it at once, or later.
+    /// Updates the weights of a server. The server table shows the new version at once or later.
     fn change_version(&mut self) {
         let key = self.random.random_range(0..SERVERS);
         let version = &mut self.versions[key as usize];
@@ -181,7 +181,7 @@
         }
         assert!(in_flight.values().all(|count| *count <= 2), "more than two at once");
         for (item, _) in &self.gateway.reports {
-            assert!(!in_flight.contains_key(item.as_str()), "{item} runs on after its result");
+            assert!(!in_flight.contains_key(item.as_str()), "{item} still runs after its result");
         }
     }
 
@@ -192,7 +192,7 @@
         assert_eq!(items.len(), self.gateway.reports.len(), "an item was reported twice");
         for (item, result) in &self.gateway.reports {
             let ItemResult::Completed { message, weight_versions, score } = result else {
-                panic!("{item} was given up without a reason")
+                panic!("{item} expired without a reason")
             };
             assert!(score.is_some());
             check_text(&String::from_utf8_lossy(message), weight_versions, single);
@@ -200,19 +200,19 @@
     }
 }
 
-/// The text holds every event once, and its versions are those that made its events.
+/// Checks that the text contains every event once, and that its versions are those that generated its events.
 fn check_text(text: &str, versions: &[u64], single: bool) {
-    let mut made_by = Vec::new();
+    let mut generated_by = Vec::new();
     let mut events = 0;
     for (line, id) in text.lines().zip(1..) {
         let (event, version) = line.split_once('@').expect("an event of this test");
         assert_eq!(event, format!("e{id}"), "{text}");
-        made_by.push(version.parse::<u64>().expect("a number"));
+        generated_by.push(version.parse::<u64>().expect("a number"));
         events = id;
     }
     assert_eq!(events, LAST_EVENT, "{text}");
-    made_by.sort_unstable();
-    made_by.dedup();
-    assert_eq!(made_by, versions);
+    generated_by.sort_unstable();
+    generated_by.dedup();
+    assert_eq!(generated_by, versions);
     assert!(versions.iter().all(|version| *version >= MINIMUM) && (!single || versions.len() == 1));
 }
--- a/crates/data-plane/tests/generations_versions.rs
+++ b/crates/data-plane/tests/generations_versions.rs
@@ -1,4 +1,4 @@
-//! Versions of weights: minimum, single-version routes, servers that hold another version than thought.
+//! Tests of versions of weights: minimum, single-version routes, servers that serve another version than expected.
 
 mod generations_support;
 
@@ -7,7 +7,7 @@
 use rstest::rstest;
 
 #[test]
-fn versions_that_made_an_event_are_told() {
+fn versions_that_generated_events_are_reported() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(group("job", 0, &["a"]));
     let attempt = gateway.last();
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn a_text_under_the_minimum_is_dropped() {
+fn a_text_below_the_minimum_is_discarded() {
     let mut gateway = Gateway::new(&[7, 7]);
     gateway.assign(group("job", 0, &["a"]));
     let first = gateway.last();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn servers_under_the_minimum_get_nothing() {
+fn servers_below_the_minimum_get_no_attempts() {
     let mut gateway = Gateway::new(&[MINIMUM - 1]);
     gateway.assign(group("job", 0, &["a"]));
     assert!(gateway.attempts.is_empty());
@@ -59,19 +59,19 @@
         version: stated_version,
     };
     gateway.ended(&first, outcome);
-    // A server that says what it holds is used at once.
+    // A server that states its version is used at once.
     let pause = if stated_version.is_some() { 0 } else { 50 };
-    gateway.pass(pause);
-    let again = gateway.attempts.get(1).and_then(|attempt| attempt.expect_version);
-    assert_eq!(again, next);
+    gateway.advance(pause);
+    let next_assignment = gateway.attempts.get(1).and_then(|attempt| attempt.expect_version);
+    assert_eq!(next_assignment, next);
 }
 
 #[test]
-fn a_server_that_serves_no_known_version_waits_for_the_list() {
+fn a_server_with_unknown_version_waits_for_the_server_table() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(group("job", 0, &["a"]));
     gateway.status(&gateway.last(), 421);
-    gateway.pass(5_000);
+    gateway.advance(5_000);
     assert_eq!(gateway.attempts.len(), 1);
     gateway.runner.set_server(&server(0, 6));
     gateway.tick();
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_single_version_text_goes_on_only_under_its_version() {
+fn a_single_version_text_resumes_only_under_its_version() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(single_version(group("job", 0, &["a"])));
     let first = gateway.last();
@@ -87,15 +87,15 @@
     gateway.events(&first, 1..=2);
     gateway.runner.set_server(&server(1, 8));
     gateway.ended(&first, AttemptOutcome::Broken);
-    gateway.pass(10);
-    assert_eq!(gateway.attempts.len(), 1, "server 0 is paused, and server 1 holds another version");
-    gateway.pass(100);
+    gateway.advance(10);
+    assert_eq!(gateway.attempts.len(), 1, "server 0 is ejected, and server 1 serves another version");
+    gateway.advance(100);
     let second = gateway.last();
     assert_eq!((second.server.0, second.last_event_id, second.expect_version), (0, Some(2), Some(7)));
 }
 
 #[test]
-fn a_single_version_text_starts_anew_if_no_server_serves_its_version() {
+fn a_single_version_text_restarts_if_no_server_serves_its_version() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(single_version(group("job", 0, &["a"])));
     let first = gateway.last();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_single_version_text_starts_anew_if_its_version_went_while_it_ran() {
+fn a_single_version_text_restarts_if_its_version_disappeared_while_running() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(single_version(group("job", 0, &["a"])));
     let first = gateway.last();
@@ -137,33 +137,35 @@
     gateway.runner.set_server(&server(0, 8));
     gateway.tick();
     gateway.ended(&first, AttemptOutcome::Broken);
-    gateway.pass(50);
+    gateway.advance(50);
     let second = gateway.last();
     assert_eq!((second.last_event_id, second.expect_version), (None, Some(8)));
 }
 
 #[rstest]
-#[case::job_ended(|gateway: &mut Gateway| gateway.direct(|runner, out| runner.cancel("job", out)))]
-#[case::lease_expired(|gateway: &mut Gateway| gateway.direct(|runner, out| runner.lease_expired(3, u64::MAX, out)))]
-fn a_single_version_text_brought_back_starts_anew_if_its_version_went_meanwhile(
-    #[case] taken_away: fn(&mut Gateway),
-) {
+#[case::job_ended(|gateway: &mut Gateway| gateway.with_runner(|runner, out| runner.cancel("job", out)))]
+#[case::lease_expired(|gateway: &mut Gateway| gateway.with_runner(|runner, out| runner.lease_expired(3, u64::MAX, out)))]
+fn an_archived_single_version_text_restarts_if_its_version_disappeared(#[case] drop_group: fn(&mut Gateway)) {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(single_version(group("job", 0, &["a"])));
     let first = gateway.last();
     gateway.started(&first, 7);
     gateway.events(&first, 1..=2);
-    taken_away(&mut gateway);
+    drop_group(&mut gateway);
     gateway.runner.set_server(&server(0, 8));
     gateway.tick();
     gateway.assign(single_version(group("later", 0, &["a"])));
-    assert_eq!(gateway.attempts.len(), 2, "no server holds the version of the kept text, and none ever will");
+    assert_eq!(
+        gateway.attempts.len(),
+        2,
+        "no server serves the version of the archived text, and none ever will"
+    );
     let second = gateway.last();
     assert_eq!((second.last_event_id, second.expect_version), (None, Some(8)));
 }
 
 #[test]
-fn a_text_starts_anew_if_its_route_is_made_single_version_when_its_version_is_served_no_more() {
+fn a_text_restarts_if_its_route_becomes_single_version_without_a_matching_server() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(group("job", 0, &["a"]));
     let first = gateway.last();
@@ -172,14 +174,14 @@
     gateway.ended(&first, AttemptOutcome::Broken);
     gateway.runner.set_server(&server(0, 8));
     gateway.tick();
-    gateway.direct(|runner, out| runner.reroute(|_| Some(facts(true)), out));
-    gateway.pass(100);
+    gateway.with_runner(|runner, out| runner.reroute(|_| Some(route_settings(true)), out));
+    gateway.advance(100);
     let second = gateway.last();
     assert_eq!((second.last_event_id, second.expect_version), (None, Some(8)));
 }
 
 #[test]
-fn a_text_of_two_versions_that_waits_for_its_score_is_made_anew_if_its_route_is_made_single_version() {
+fn a_scoring_text_of_two_versions_restarts_if_its_route_becomes_single_version() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(scored(group("job", 0, &["a"])));
     let first = gateway.last();
@@ -188,10 +190,10 @@
     gateway.event(&first, 2, "e2", Some(8));
     gateway.ended(&first, AttemptOutcome::Complete);
     let call = gateway.last_reward();
-    gateway.direct(|runner, out| runner.reroute(|_| Some(facts(true)), out));
+    gateway.with_runner(|runner, out| runner.reroute(|_| Some(route_settings(true)), out));
     gateway.tick();
     gateway.reward_status(&call, 200);
-    assert!(gateway.reports.is_empty(), "a text of versions 7 and 8 is no result of this route");
+    assert!(gateway.reports.is_empty(), "a text of versions 7 and 8 is not a valid result on this route");
     let second = gateway.last();
     assert_ne!(second.id, first.id);
     assert_eq!(second.last_event_id, None);
@@ -204,27 +206,27 @@
 }
 
 #[test]
-fn a_single_version_text_brought_back_goes_on_where_its_version_is_served() {
+fn an_archived_single_version_text_resumes_where_its_version_is_served() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(single_version(group("job", 0, &["a"])));
     let first = gateway.last();
     gateway.started(&first, 7);
     gateway.events(&first, 1..=2);
-    gateway.direct(|runner, out| runner.cancel("job", out));
+    gateway.with_runner(|runner, out| runner.cancel("job", out));
     gateway.assign(single_version(group("later", 0, &["a"])));
     let second = gateway.last();
     assert_eq!((second.last_event_id, second.expect_version), (Some(2), Some(7)));
 }
 
 #[test]
-fn a_complete_text_brought_back_needs_no_server_with_its_version() {
+fn a_complete_archived_text_needs_no_server_with_its_version() {
     let mut gateway = Gateway::new(&[7]);
     gateway.assign(single_version(scored(group("job", 0, &["a"]))));
     let first = gateway.last();
     gateway.started(&first, 7);
     gateway.events(&first, 1..=2);
     gateway.ended(&first, AttemptOutcome::Complete);
-    gateway.direct(|runner, out| runner.cancel("job", out));
+    gateway.with_runner(|runner, out| runner.cancel("job", out));
     gateway.runner.set_server(&server(0, 8));
     gateway.tick();
     gateway.assign(single_version(scored(group("later", 0, &["a"]))));
@@ -234,7 +236,7 @@
 }
 
 #[rstest]
-#[case::under_the_minimum(false, MINIMUM - 1)]
+#[case::below_the_minimum(false, MINIMUM - 1)]
 #[case::another_than_the_text(true, 8)]
 fn a_head_with_a_wrong_version_ends_the_attempt_at_once(#[case] single: bool, #[case] version: u64) {
     let mut gateway = Gateway::new(&[7, 7, 7]);
@@ -252,10 +254,11 @@
     assert_eq!((third.last_event_id, third.expect_version), (Some(2), Some(7)));
 }
 
-/// Gives up what no server could run; the numbers of the groups.
-fn hopeless(gateway: &mut Gateway) -> Vec<u32> {
+/// Drops the groups that no server could run and returns their indexes.
+fn drop_unservable_groups(gateway: &mut Gateway) -> Vec<u32> {
     let mut groups = Vec::new();
-    gateway.direct(|runner, out| groups = runner.drop_unservable(out).iter().map(|id| id.group).collect());
+    gateway
+        .with_runner(|runner, out| groups = runner.drop_unservable(out).iter().map(|id| id.group).collect());
     groups
 }
 
@@ -263,25 +266,25 @@
 fn a_group_that_no_known_server_could_run_is_dropped() {
     let mut gateway = Gateway::new(&[MINIMUM - 1]);
     gateway.assign(group("job", 0, &["a", "b"]));
-    assert_eq!(hopeless(&mut gateway), [0]);
-    assert_eq!((gateway.runner.open_groups(), hopeless(&mut gateway).len()), (0, 0));
+    assert_eq!(drop_unservable_groups(&mut gateway), [0]);
+    assert_eq!((gateway.runner.open_groups(), drop_unservable_groups(&mut gateway).len()), (0, 0));
     gateway.runner.set_server(&server(0, MINIMUM));
     gateway.tick();
-    assert!(gateway.attempts.is_empty() && gateway.reports.is_empty(), "nothing of it is left here");
+    assert!(gateway.attempts.is_empty() && gateway.reports.is_empty(), "nothing of the group is left here");
 }
 
 #[rstest]
 #[case::a_server_suits(&[MINIMUM - 1, MINIMUM])]
 #[case::a_busy_server_suits(&[MINIMUM])]
-fn a_group_that_only_waits_its_turn_is_kept(#[case] versions: &[u64]) {
+fn a_group_that_waits_for_a_free_slot_is_kept(#[case] versions: &[u64]) {
     let mut gateway = Gateway::new(versions);
     gateway.assign(group("job", 0, &["a", "b"]));
     gateway.assign(group("job", 1, &["c"]));
-    assert!(hopeless(&mut gateway).is_empty());
+    assert!(drop_unservable_groups(&mut gateway).is_empty());
 }
 
 #[test]
-fn a_group_of_which_something_runs_or_waits_for_its_score_is_kept() {
+fn a_running_or_scoring_group_is_kept() {
     let mut gateway = Gateway::new(&[MINIMUM, MINIMUM]);
     gateway.assign(scored(group("job", 0, &["a"])));
     gateway.assign(group("job", 1, &["b"]));
@@ -289,5 +292,5 @@
     gateway.events(&scored, 1..=1);
     gateway.ended(&scored, AttemptOutcome::Complete);
     (0..2).for_each(|key| gateway.runner.set_server(&ServerInfo { draining: true, ..server(key, MINIMUM) }));
-    assert!(hopeless(&mut gateway).is_empty());
+    assert!(drop_unservable_groups(&mut gateway).is_empty());
 }
--- a/crates/data-plane/tests/golden_bytes.rs
+++ b/crates/data-plane/tests/golden_bytes.rs
@@ -1,4 +1,4 @@
-//! Bytes that go to servers, clients and stores, compared with recorded samples.
+//! Golden tests of the bytes sent to servers, clients and store nodes.
 
 mod requests_support;
 mod sockets_support;
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn requests_to_servers_are_as_recorded() {
+fn requests_to_servers_match_golden_bytes() {
     let post = "POST /a//b?c=%20d HTTP/1.1\r\nHost: ficu95.example\r\nAttempt-Id: 9c\r\nDeadline-Ms: 800\r\n\
                 Expected-Instance: other\r\nX-Any: one\r\nX-Any: two\r\nConnection: X-Own\r\nX-Own: 1\r\n\
                 Last-Event-Id: 4\r\nContent-Length: 3\r\n\r\na\0b";
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn packed_texts_are_as_recorded_and_come_back() {
+fn compressed_texts_match_golden_bytes_and_decompress() {
     let texts = [
         ("empty", Vec::new()),
         ("short", b"a short text".to_vec()),
@@ -156,31 +156,32 @@
         }
     }
 
-    /// What a client gets that sends `text`, and is answered by `answer` once if that is a request.
-    fn got(mut self, text: &str, answer: impl FnOnce(&mut Clients, &mut Network, ConnectionId)) -> Vec<u8> {
+    /// Returns the bytes received by a client that sends `text`. If that is a request, `respond` is called once to write
+    /// the response.
+    fn got(mut self, text: &str, respond: impl FnOnce(&mut Clients, &mut Network, ConnectionId)) -> Vec<u8> {
         let mut peer = Peer::connect(self.address);
         peer.send(text);
-        let mut answer = Some(answer);
-        for _ in 0..MOST_TURNS {
+        let mut respond = Some(respond);
+        for _ in 0..MAX_TURNS {
             self.turn();
             if let Some(connection) = self.clients.connection_of(Busy::Request(RequestId(1)))
-                && let Some(answer) = answer.take()
+                && let Some(respond) = respond.take()
             {
-                answer(&mut self.clients, &mut self.network, connection);
+                respond(&mut self.clients, &mut self.network, connection);
                 self.clients.begin_draining(&mut self.network, self.now);
                 self.now += 1_000;
             }
-            peer.look();
+            peer.receive();
             if peer.ended {
-                return peer.got;
+                return peer.inbox;
             }
         }
-        panic!("the connection doesn't end");
+        panic!("the connection did not end");
     }
 }
 
 #[test]
-fn responses_to_clients_are_as_recorded() {
+fn responses_to_clients_match_golden_bytes() {
     let post = "POST /a/1 HTTP/1.1\r\nHost: h\r\nAttempt-Id: 9c41\r\nContent-Length: 2\r\n\r\nok";
     let last = "POST /a/1 HTTP/1.1\r\nHost: h\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok";
     let asks_head = "HEAD /a/1 HTTP/1.1\r\nHost: h\r\n\r\n";
@@ -238,7 +239,7 @@
     check_samples(&golden("to_clients.txt"), &samples);
 }
 
-/// The links of a gateway to one store over loopback, and what the store gets.
+/// The links of a gateway to one store node over loopback, and the bytes that the store node receives.
 struct Link {
     network: Network,
     links: StoreLinks,
@@ -309,22 +310,22 @@
             self.peer = Some(Peer::new(stream));
         }
         if let Some(peer) = &mut self.peer {
-            peer.look();
-            self.got.append(&mut peer.got);
+            peer.receive();
+            self.got.append(&mut peer.inbox);
         }
     }
 
-    fn until(&mut self, mut done: impl FnMut(&Link) -> bool) {
-        for _ in 0..MOST_TURNS {
+    fn run_until(&mut self, mut done: impl FnMut(&Link) -> bool) {
+        for _ in 0..MAX_TURNS {
             if done(self) {
                 return;
             }
             self.turn();
         }
-        panic!("it doesn't come");
+        panic!("the awaited event did not happen");
     }
 
-    /// Brings the link up, if it isn't.
+    /// Establishes the link if it isn't up.
     fn bring_up(&mut self) {
         while !self.links.is_up(self.store) {
             let before = self.up;
@@ -336,27 +337,27 @@
                 }
             }
         }
-        self.until(|link| link.got.len() > 2);
+        self.run_until(|link| link.got.len() > 2);
     }
 
-    /// What the store gets next; all of it is there once a message of known length has come behind it.
-    fn taken(&mut self) -> Vec<u8> {
-        let mark = GatewayMessage::EndJob {
+    /// Returns the bytes received since the last call. A marker message sent after them shows that all have arrived.
+    fn received_since_last_call(&mut self) -> Vec<u8> {
+        let marker = GatewayMessage::EndJob {
             request_id: 0x7171_7171_7171,
             partition: 0,
-            id: "the mark behind".into(),
+            id: "the end marker".into(),
             tenant: None,
         };
         let mut frame = Vec::new();
-        orchidvalve_protocol::frames::write_frame(&mut frame, &mark);
-        assert!(self.links.send(&mut self.network, self.store, &mark));
-        self.until(|link| link.got.ends_with(&frame));
+        orchidvalve_protocol::frames::write_frame(&mut frame, &marker);
+        assert!(self.links.send(&mut self.network, self.store, &marker));
+        self.run_until(|link| link.got.ends_with(&frame));
         let mut got = std::mem::take(&mut self.got);
         got.truncate(got.len() - frame.len());
         got
     }
 
-    fn store_says(&mut self, bytes: &[u8]) {
+    fn send_from_store(&mut self, bytes: &[u8]) {
         if let Some(peer) = &mut self.peer {
             peer.send_bytes(bytes);
         }
@@ -373,28 +374,32 @@
 }
 
 #[test]
-fn links_to_stores_begin_and_go_on_as_recorded() {
+fn store_link_messages_match_golden_bytes() {
     let mut link = Link::new();
     link.bring_up();
-    let begin = link.taken();
+    let begin = link.received_since_last_call();
     link.links.set_generation_capacity(&mut link.network, 12);
     link.links.set_generation_capacity(&mut link.network, 12);
-    let limit = link.taken();
+    let limit = link.received_since_last_call();
     link.now += 400;
     link.turn();
-    let heartbeat = link.taken();
+    let heartbeat = link.received_since_last_call();
     link.peer = None;
-    link.until(|link| link.lost == 1);
+    link.run_until(|link| link.lost == 1);
     link.got.clear();
     link.bring_up();
-    let samples =
-        [("begin", begin), ("work-limit", limit), ("heartbeat", heartbeat), ("begin-again", link.taken())];
+    let samples = [
+        ("begin", begin),
+        ("work-limit", limit),
+        ("heartbeat", heartbeat),
+        ("begin-again", link.received_since_last_call()),
+    ];
     check_samples(&golden("to_stores.txt"), &samples);
 }
 
-/// When links are up, when leases are over and when something is due next, over random scenarios.
+/// When links are up, when leases expire and when something is due next, in random scenarios.
 #[test]
-fn leases_of_stores_end_as_recorded() {
+fn store_lease_expiry_matches_golden_hashes() {
     let mut hashes = Vec::new();
     for seed in 0..5 {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
@@ -405,13 +410,13 @@
             match random.random_range(0..6) {
                 0..3 if link.links.is_up(link.store) => {
                     let received = link.received;
-                    link.store_says(&store_heartbeat());
-                    link.until(|link| link.received > received);
+                    link.send_from_store(&store_heartbeat());
+                    link.run_until(|link| link.received > received);
                 }
                 3 if link.links.is_up(link.store) => {
                     let lost = link.lost;
                     link.peer = None;
-                    link.until(|link| link.lost > lost);
+                    link.run_until(|link| link.lost > lost);
                     link.got.clear();
                 }
                 4 => link.links.begin_lease(link.store, link.now),
@@ -419,7 +424,7 @@
             }
             let numbers = [link.now, link.links.next_wakeup(), link.expired as u64];
             numbers.into_iter().for_each(|number| trace.add_number(number));
-            // Less than the pause before a link that broke is opened again, or long enough for the leases to end.
+            // Less than the delay before a broken link is reopened, or long enough for the leases to expire.
             let waited = if random.random() { random.random_range(0..140) } else { LEASE_MS };
             link.now += waited;
             let expired = link.links.expire_leases(&mut link.network, link.now).len();
--- a/crates/data-plane/tests/golden_requests.rs
+++ b/crates/data-plane/tests/golden_requests.rs
@@ -1,5 +1,5 @@
-//! What requests of clients ask servers and tell clients over random scenarios, and which servers are chosen, compared
-//! by hashes.
+//! Golden tests of client requests: the requests to servers, the responses to clients and the picked servers in random
+//! scenarios, compared by hashes.
 
 mod requests_support;
 
@@ -25,21 +25,20 @@
 
 const KINDS: [&str; 4] = ["repeat", "once", "stream", "resume"];
 const SERVERS: usize = 6;
-/// Every exchange counts as so many at its server, and the servers begin with different numbers: which one has the
-/// fewest never depends on a tie, which falls in the order of a hash map.
+/// The weight of an exchange at its server. As the servers start with different numbers of exchanges, the server with
+/// the fewest never depends on a tie, which the iteration order of a hash map would decide.
 const WEIGHT: u32 = SERVERS as u32 / 2;
 const STEPS: u32 = 800;
-/// Attempts that are cancelled go before the other commands of their request.
-const DROPPED: u64 = 1;
+/// The sort order of cancelled attempts, which come before the other commands of their request.
+const CANCELLED: u64 = 1;
 
 fn golden(name: &str) -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// An attempt that is in flight: its place among the attempts of its request, its server, and what has come of its
-/// response.
+/// An attempt in flight: its number among the attempts of its request, its server, and the response received so far.
 struct Attempted {
-    place: u64,
+    position: u64,
     server: ServerKey,
     head: Option<ResponseHead>,
     next_event: u64,
@@ -51,9 +50,9 @@
     listed: Vec<ServerEntry>,
     random: Pcg64Mcg,
     attempts: BTreeMap<RequestAttemptId, Attempted>,
-    /// Request and place of every attempt there was.
+    /// The request and the attempt number of every attempt so far.
     known: BTreeMap<RequestAttemptId, (RequestId, u64)>,
-    begun: BTreeMap<RequestId, u64>,
+    attempt_counts: BTreeMap<RequestId, u64>,
     open: Vec<RequestId>,
     now: u64,
     trace: Trace,
@@ -73,7 +72,7 @@
             let added = servers.list(listed.clone()).changed;
             (0..number / 2).for_each(|_| servers.balancer.begin_exchange(added[0]));
         }
-        let (attempts, known, begun, open, trace, kinds) = Default::default();
+        let (attempts, known, attempt_counts, open, trace, kinds) = Default::default();
         Scenario {
             requests: Requests::new(ZONE, Pcg64Mcg::new(u128::from(seed) << 64 | 3)),
             servers,
@@ -81,7 +80,7 @@
             random: Pcg64Mcg::new(u128::from(seed) << 64 | 9),
             attempts,
             known,
-            begun,
+            attempt_counts,
             open,
             now: 10_000,
             trace,
@@ -112,21 +111,21 @@
         let received = ReceivedRequest { request, first_byte_at };
         let id = self.requests.begin(self.now, received, &routes, admitted, &self.servers.balancer, &mut out);
         self.open.push(id);
-        self.take(out);
+        self.record(out);
     }
 
-    /// What the commands ask for, in the order of their requests: those of one tick come in any order.
-    fn take(&mut self, commands: Vec<RequestCommand>) {
-        let mut encoded: Vec<(RequestId, u64, Vec<u64>, Vec<u8>)> = Vec::new();
+    /// Records the commands in the order of their requests, as those of one tick are in arbitrary order.
+    fn record(&mut self, commands: Vec<RequestCommand>) {
+        let mut encode: Vec<(RequestId, u64, Vec<u64>, Vec<u8>)> = Vec::new();
         for command in commands {
-            let (request, order, numbers, bytes) = self.encoded(command);
-            encoded.push((request, order, numbers, bytes));
+            let (request, order, numbers, bytes) = self.encode(command);
+            encode.push((request, order, numbers, bytes));
         }
-        encoded.sort_by_key(|(request, order, numbers, _)| {
-            let place = if *order == DROPPED { numbers[1] } else { 0 };
-            (*request, *order, place)
+        encode.sort_by_key(|(request, order, numbers, _)| {
+            let position = if *order == CANCELLED { numbers[1] } else { 0 };
+            (*request, *order, position)
         });
-        for (request, _, numbers, bytes) in encoded {
+        for (request, _, numbers, bytes) in encode {
             self.trace.add_number(self.now);
             self.trace.add_number(request.0);
             numbers.into_iter().for_each(|number| self.trace.add_number(number));
@@ -134,30 +133,30 @@
         }
     }
 
-    /// The request, an order among the commands of that, and what the command asks for. Attempts of one request that
-    /// are dropped together come in any order.
-    fn encoded(&mut self, command: RequestCommand) -> (RequestId, u64, Vec<u64>, Vec<u8>) {
+    /// Returns the request of a command, a sort order within the request, and the encoded command. Attempts of one
+    /// request that are cancelled together are in arbitrary order.
+    fn encode(&mut self, command: RequestCommand) -> (RequestId, u64, Vec<u64>, Vec<u8>) {
         match command {
             RequestCommand::Attempt { attempt: id, request, server, deadline_ms, last_event_id, permit } => {
                 *self.kinds.entry("send").or_default() += 1;
-                let place = self.begun.entry(request).or_default();
-                *place += 1;
-                let place = *place;
-                self.known.insert(id, (request, place));
+                let position = self.attempt_counts.entry(request).or_default();
+                *position += 1;
+                let position = *position;
+                self.known.insert(id, (request, position));
                 (0..WEIGHT).for_each(|_| self.servers.balancer.begin_exchange(server));
                 let attempt =
-                    Attempted { place, server, head: None, next_event: last_event_id.unwrap_or(0) + 1 };
+                    Attempted { position, server, head: None, next_event: last_event_id.unwrap_or(0) + 1 };
                 self.attempts.insert(id, attempt);
-                let asked = self.requests.request(request).expect("it is open").clone();
+                let original = self.requests.request(request).expect("it is open").clone();
                 let instance = &self.servers.balancer.get(server).expect("it is there").entry.instance;
                 let once = u64::from(permit.idempotency() == Idempotency::AtMostOnce);
-                let numbers = vec![1, place, u64::from(server.0), once];
+                let numbers = vec![1, position, u64::from(server.0), once];
                 (
                     request,
                     2,
                     numbers,
                     request_bytes(
-                        &asked,
+                        &original,
                         &Authenticated::WithoutTenants,
                         instance,
                         deadline_ms,
@@ -167,9 +166,9 @@
             }
             RequestCommand::Cancel { attempt: id } => {
                 *self.kinds.entry("cancel").or_default() += 1;
-                let (request, place) = self.known[&id];
+                let (request, position) = self.known[&id];
                 self.end_exchange(id);
-                (request, DROPPED, vec![2, place], Vec::new())
+                (request, CANCELLED, vec![2, position], Vec::new())
             }
             RequestCommand::Respond { request, response } => {
                 *self.kinds.entry("answer").or_default() += 1;
@@ -210,8 +209,8 @@
         if self.attempts.is_empty() {
             return None;
         }
-        let place = self.random.random_range(0..self.attempts.len());
-        self.attempts.keys().nth(place).copied()
+        let position = self.random.random_range(0..self.attempts.len());
+        self.attempts.keys().nth(position).copied()
     }
 
     fn random_head(&mut self) -> ResponseHead {
@@ -239,7 +238,7 @@
         }
     }
 
-    /// The response of an attempt goes on.
+    /// Continues the response of an attempt.
     fn advance(&mut self) {
         let Some(id) = self.random_attempt() else { return };
         let mut out = Vec::new();
@@ -254,7 +253,7 @@
             let cut = self.random.random_ratio(1, 8);
             let Some(attempt) = self.attempts.get_mut(&id) else { return };
             attempt.next_event += u64::from(skips);
-            let event = format!("id: {}\ndata: piece {}\n\n", attempt.next_event, attempt.place);
+            let event = format!("id: {}\ndata: piece {}\n\n", attempt.next_event, attempt.position);
             attempt.next_event += 1;
             let bytes = if cut { event.as_bytes()[..event.len() - 3].to_vec() } else { event.into_bytes() };
             self.requests.body_received(self.now, id, bytes, &mut self.servers.balancer, &mut out);
@@ -262,7 +261,7 @@
             self.end_exchange(id);
             self.requests.attempt_completed(self.now, id, &mut self.servers.balancer, &mut out);
         }
-        self.take(out);
+        self.record(out);
     }
 
     fn fail(&mut self) {
@@ -275,33 +274,33 @@
         self.end_exchange(id);
         let mut out = Vec::new();
         self.requests.attempt_failed(self.now, id, failure, &mut self.servers.balancer, &mut out);
-        self.take(out);
+        self.record(out);
     }
 
-    fn leave(&mut self) {
+    fn disconnect(&mut self) {
         if self.open.is_empty() {
             return;
         }
         let id = self.open.swap_remove(self.random.random_range(0..self.open.len()));
         let mut out = Vec::new();
         self.requests.client_disconnected(id, &mut out);
-        self.take(out);
+        self.record(out);
     }
 
     fn drain(&mut self) {
-        let place = self.random.random_range(0..SERVERS);
-        self.listed[place].draining ^= true;
+        let position = self.random.random_range(0..SERVERS);
+        self.listed[position].draining ^= true;
         self.servers.list(self.listed.clone());
     }
 
-    /// Lets time pass, stopping wherever something is due.
+    /// Advances the time, stopping whenever a timer is due.
     fn pass(&mut self, milliseconds: u64) {
         let end = self.now + milliseconds;
         loop {
             self.now = self.requests.next_wakeup().clamp(self.now, end);
             let mut out = Vec::new();
             self.requests.tick(self.now, &self.servers.balancer, &mut out);
-            self.take(out);
+            self.record(out);
             if self.now == end {
                 return;
             }
@@ -315,7 +314,7 @@
             0..20 => self.begin(),
             20..80 => self.advance(),
             80..88 => self.fail(),
-            88..90 => self.leave(),
+            88..90 => self.disconnect(),
             90..92 => self.drain(),
             _ => {
                 let waited = self.random.random_range(50..400);
@@ -332,7 +331,7 @@
         (0..20).for_each(|_| self.step());
         let mut out = Vec::new();
         self.requests.end_all(&mut out);
-        self.take(out);
+        self.record(out);
         assert_eq!(self.requests.pending(), 0);
         assert!(self.attempts.is_empty());
     }
@@ -344,7 +343,7 @@
 }
 
 #[test]
-fn requests_go_as_recorded() {
+fn requests_match_golden_hashes() {
     let mut hashes = Vec::new();
     let mut kinds: BTreeMap<&str, usize> = BTreeMap::new();
     for seed in 0..16 {
@@ -360,7 +359,7 @@
     check_hashes(&golden("requests.txt"), &hashes);
 }
 
-/// Draws that always take, or always leave, the later one of two equals.
+/// A random source that always picks, or never picks, the later one of two equal servers.
 struct Constant(u32);
 
 impl rand::RngCore for Constant {
@@ -377,12 +376,12 @@
     }
 }
 
-/// Which of two servers is chosen, by their places: one, the other, or either.
+/// Returns which of two servers, given by their positions, are picked: one, the other, or either of them.
 fn picked(balancer: &Balancer, keys: &[ServerKey], pair: (usize, usize), now: u64) -> Vec<u64> {
     let others: Vec<ServerKey> = keys
         .iter()
         .enumerate()
-        .filter(|(place, _)| *place != pair.0 && *place != pair.1)
+        .filter(|(position, _)| *position != pair.0 && *position != pair.1)
         .map(|(_, k)| *k)
         .collect();
     let mut picked: Vec<u64> = [0, 1]
@@ -395,9 +394,9 @@
     picked
 }
 
-/// Of every two servers the better one is chosen; of equals each may be.
+/// Of every two servers the better one is picked; of two equal ones, either may be picked.
 #[test]
-fn servers_are_chosen_as_recorded() {
+fn picked_servers_match_golden_hashes() {
     let mut hashes = Vec::new();
     let mut ties = 0;
     for seed in 0..8_u64 {
@@ -417,8 +416,8 @@
         let mut now = 1_000;
         for _ in 0..400 {
             now += random.random_range(0..200);
-            let place = random.random_range(0..keys.len());
-            let key = keys[place];
+            let position = random.random_range(0..keys.len());
+            let key = keys[position];
             match random.random_range(0..20) {
                 0..4 => servers.balancer.begin_exchange(key),
                 4..9 => servers.balancer.end_exchange(key),
@@ -431,7 +430,7 @@
                 15..18 => servers.balancer.returned_error(key, now),
                 18 => servers.balancer.record_load(key, &format!("1,{},4", random.random_range(0..9))),
                 _ => {
-                    listed[place].draining ^= true;
+                    listed[position].draining ^= true;
                     servers.list(listed.clone());
                 }
             }
--- a/crates/data-plane/tests/golden_work.rs
+++ b/crates/data-plane/tests/golden_work.rs
@@ -1,4 +1,5 @@
-//! Groups that stores assign and the messages that go back to these over random scenarios, compared by hashes.
+//! Golden test of work: groups assigned by store nodes and the messages to them in random scenarios, compared by
+//! hashes.
 
 use std::net::Ipv4Addr;
 use std::path::Path;
@@ -92,11 +93,11 @@
             trace,
             reports: 0,
         };
-        (0..PARTITIONS).for_each(|partition| scenario.place(partition));
+        (0..PARTITIONS).for_each(|partition| scenario.place_partition(partition));
         scenario
     }
 
-    fn place(&mut self, partition: u16) {
+    fn place_partition(&mut self, partition: u16) {
         let epoch = &mut self.epochs[usize::from(partition)];
         *epoch += 1;
         let members = vec![MemberId { address: store(1 + (*epoch % 4) as u8), disk: 1 }];
@@ -113,7 +114,7 @@
         }
         let job =
             format!("job-{}", self.random.random_range(self.next_job.saturating_sub(3)..=self.next_job));
-        let terms = AssignedJob {
+        let assigned_job = AssignedJob {
             partition,
             epoch,
             job: job.clone(),
@@ -139,24 +140,24 @@
             }),
         });
         let groups = vec![AssignedGroup { index, items: items.collect() }];
-        let assigned = AssignedGroups { store: store(1 + (epoch % 4) as u8), job: terms, groups };
+        let assigned = AssignedGroups { store: store(1 + (epoch % 4) as u8), job: assigned_job, groups };
         self.work.assign(self.now, assigned, self.table.as_ref(), &mut self.runner, commands);
     }
 
-    /// A generation goes on, ends or breaks off.
+    /// Continues, completes or breaks the stream of a generation.
     fn advance(&mut self, commands: &mut Vec<RunnerCommand>) {
         if self.attempts.is_empty() {
             return;
         }
-        let place = self.random.random_range(0..self.attempts.len());
-        let (attempt, next) = self.attempts[place];
+        let position = self.random.random_range(0..self.attempts.len());
+        let (attempt, next) = self.attempts[position];
         match self.random.random_range(0..10) {
             0 => {
-                self.attempts.swap_remove(place);
+                self.attempts.swap_remove(position);
                 self.runner.attempt_ended(self.now, attempt, AttemptOutcome::Broken, commands);
             }
             1 => {
-                self.attempts.swap_remove(place);
+                self.attempts.swap_remove(position);
                 let outcome = AttemptOutcome::Status {
                     code: 500,
                     not_executed: false,
@@ -167,16 +168,16 @@
             }
             _ if next == 0 => {
                 self.runner.stream_started(attempt, Some(3), commands);
-                self.attempts[place].1 += 1;
+                self.attempts[position].1 += 1;
             }
             _ if next > 4 => {
-                self.attempts.swap_remove(place);
+                self.attempts.swap_remove(position);
                 self.runner.attempt_ended(self.now, attempt, AttemptOutcome::Complete, commands);
             }
             _ => {
                 let data = format!("event {next} of {} {}", attempt.0, "x".repeat(60));
                 self.runner.event_received(self.now, attempt, next, data.as_bytes(), None, commands);
-                self.attempts[place].1 += 1;
+                self.attempts[position].1 += 1;
             }
         }
     }
@@ -202,7 +203,7 @@
             10..65 => self.advance(&mut commands),
             65..80 => self.score(&mut commands),
             80..82 => self.work.cancel(partition, &job, &mut self.runner, &mut commands),
-            82 => self.place(partition),
+            82 => self.place_partition(partition),
             83 => {
                 let store = store(self.random.random_range(1..5));
                 self.work.store_lease_expired(store, &self.state, &mut self.runner, &mut commands);
@@ -223,8 +224,8 @@
                 self.work.acknowledge(partition, &job, &items);
             }
             92 => {
-                let hopeless = self.runner.drop_unservable(&mut commands);
-                for OutboundMessage { store, message } in self.work.return_groups(hopeless) {
+                let unservable = self.runner.drop_unservable(&mut commands);
+                for OutboundMessage { store, message } in self.work.return_groups(unservable) {
                     self.trace.add(&frames::encode(&store));
                     self.trace.add(&frames::encode(&message));
                 }
@@ -232,11 +233,11 @@
             _ => self.now += self.random.random_range(0..700),
         }
         self.runner.tick(self.now, &mut commands);
-        self.take(commands);
+        self.record(commands);
         self.send_outcomes();
     }
 
-    fn take(&mut self, commands: Vec<RunnerCommand>) {
+    fn record(&mut self, commands: Vec<RunnerCommand>) {
         for command in commands {
             self.trace.add_number(self.now);
             match command {
@@ -278,7 +279,7 @@
         }
     }
 
-    /// Messages to stores; the outcomes of one message come in any order.
+    /// Records the messages to store nodes. The outcomes in one message are in arbitrary order.
     fn send_outcomes(&mut self) {
         for OutboundMessage { store, mut message } in self.work.take_due_outcomes(self.now, &self.state) {
             if let GatewayMessage::ReportOutcomes { outcomes, .. } = &mut message {
@@ -295,7 +296,7 @@
 }
 
 #[test]
-fn work_is_taken_and_told_as_recorded() {
+fn work_matches_golden_hashes() {
     let mut hashes = Vec::new();
     let mut reports = 0;
     for seed in 0..12 {
--- a/crates/data-plane/tests/item_tenants.rs
+++ b/crates/data-plane/tests/item_tenants.rs
@@ -1,4 +1,4 @@
-//! What servers get of tenants with the items of batch jobs and with reward calls, and what stores get with calls.
+//! Tests of the tenants that servers receive with items and reward calls, and store nodes with calls about batch jobs.
 
 mod tenants_support;
 
@@ -30,7 +30,7 @@
     work: Work,
     runner: Runner,
     now: u64,
-    /// Attempts of the item, and the bytes that their servers got.
+    /// The attempts of the item, and the bytes sent to their servers.
     sent: Vec<(AttemptId, Vec<u8>)>,
     items: Vec<Arc<Item>>,
     ended: bool,
@@ -85,27 +85,27 @@
         let assigned = AssignedGroups { store: store(), job, groups };
         self.work.assign(self.now, assigned, table, &mut self.runner, &mut commands);
         self.runner.tick(self.now, &mut commands);
-        self.take(commands);
+        self.process_commands(commands);
     }
 
     fn configure(&mut self, table: &Arc<RouteTable>) {
         let mut commands = Vec::new();
         self.work.routes_changed(table, &mut self.runner, &mut commands);
         self.runner.tick(self.now, &mut commands);
-        self.take(commands);
+        self.process_commands(commands);
     }
 
-    /// The last attempt breaks off; the item is attempted once more.
-    fn break_off(&mut self) {
+    /// Breaks the stream of the last attempt, so that the item is attempted again.
+    fn break_stream(&mut self) {
         let mut commands = Vec::new();
-        let (attempt, _) = self.sent.last().expect("an attempt");
+        let (attempt, _) = self.sent.last().expect("there is an attempt");
         self.runner.attempt_ended(self.now, *attempt, AttemptOutcome::Broken, &mut commands);
         self.now += 5_000;
         self.runner.tick(self.now, &mut commands);
-        self.take(commands);
+        self.process_commands(commands);
     }
 
-    fn take(&mut self, commands: Vec<RunnerCommand>) {
+    fn process_commands(&mut self, commands: Vec<RunnerCommand>) {
         for command in commands {
             match command {
                 RunnerCommand::Attempt { attempt, item, route, last_event_id, deadline_ms, .. } => {
@@ -120,18 +120,19 @@
     }
 
     fn last(&self) -> &[u8] {
-        &self.sent.last().expect("an attempt").1
+        &self.sent.last().expect("there is an attempt").1
     }
 }
 
 const CLAIMS: [(&str, &str); 4] =
     [("Model", "m"), ("tenant", OTHER_TENANT), ("AUTHORIZATION", "Bearer k-3f09c1"), ("Tenant", "x")];
 
-// Guards against UNASKED: items reached servers without their job's tenant, or with a tenant and a key of the document.
+// Guards the invariant UNASKED: items reach servers with their job's tenant, and without a tenant or key of the
+// document.
 #[rstest]
 #[case::of_a_tenant(Some(TENANT), &[TENANT])]
 #[case::of_a_public_route(None, &[])]
-fn servers_get_the_tenant_of_an_item_and_no_key(#[case] tenant: Option<&str>, #[case] expected: &[&str]) {
+fn servers_receive_the_tenant_of_an_item_and_no_key(#[case] tenant: Option<&str>, #[case] expected: &[&str]) {
     let mut gateway = Gateway::new();
     gateway.assign(tenant, &CLAIMS, Some(&two_tenants(1)));
     assert_eq!(values(gateway.last(), "tenant"), expected);
@@ -141,16 +142,16 @@
 }
 
 #[test]
-fn without_tenants_headers_of_items_pass_as_they_stand() {
+fn without_tenants_item_headers_are_unchanged() {
     let mut gateway = Gateway::new();
     gateway.assign(None, &CLAIMS, Some(&table(1, None)));
     assert_eq!(values(gateway.last(), "tenant"), [OTHER_TENANT, "x"]);
     assert_eq!(values(gateway.last(), "authorization"), ["Bearer k-3f09c1"]);
 }
 
-// Guards against UNASKED and LOST: jobs outlive their keys, and keep the tenant by which they were submitted.
+// Guards the invariants UNASKED and LOST: jobs outlive their keys, and keep the tenant that submitted them.
 #[rstest]
-#[case::key_taken_away(Some(&[(TENANT, &[] as &[&str])] as &[Keys<'static>]))]
+#[case::key_removed(Some(&[(TENANT, &[] as &[&str])] as &[Keys<'static>]))]
 #[case::key_moved(Some(&[(OTHER_TENANT, &[KEY] as &[&str])] as &[Keys<'static>]))]
 #[case::tenant_renamed(Some(&[("renamed", &[KEY] as &[&str])] as &[Keys<'static>]))]
 #[case::no_tenant_left(Some(&[] as &[Keys<'static>]))]
@@ -159,11 +160,11 @@
     let mut gateway = Gateway::new();
     gateway.assign(Some(TENANT), &CLAIMS, Some(&two_tenants(1)));
     gateway.configure(&table(2, next));
-    assert!(!gateway.ended, "the attempt in flight goes on");
-    gateway.break_off();
+    assert!(!gateway.ended, "the attempt in flight continues");
+    gateway.break_stream();
     assert_eq!(gateway.sent.len(), 2);
     gateway.configure(&two_tenants(3));
-    gateway.break_off();
+    gateway.break_stream();
     assert_eq!(gateway.sent.len(), 3);
     for (_, sent) in &gateway.sent {
         assert_eq!(values(sent, "tenant"), [TENANT]);
@@ -171,22 +172,22 @@
     }
 }
 
-// Guards against UNASKED: a job from the time before there were tenants may not name one by headers of its items.
+// Guards the invariant UNASKED: a job from before there were tenants must not name one by headers of its items.
 #[test]
 fn a_job_without_tenant_names_none_once_there_are_tenants() {
     let mut gateway = Gateway::new();
     gateway.assign(None, &CLAIMS, Some(&table(1, None)));
     gateway.configure(&two_tenants(2));
-    assert!(!gateway.ended, "the attempt in flight goes on");
-    gateway.break_off();
+    assert!(!gateway.ended, "the attempt in flight continues");
+    gateway.break_stream();
     assert!(values(gateway.last(), "tenant").is_empty());
     assert!(!contains(gateway.last(), KEY));
     gateway.configure(&table(3, None));
-    gateway.break_off();
+    gateway.break_stream();
     assert_eq!(values(gateway.last(), "tenant"), [OTHER_TENANT, "x"]);
 }
 
-// Guards against UNASKED: groups that waited for their route were run without their tenant.
+// Guards the invariant UNASKED: groups that waited for their route are run with their tenant.
 #[test]
 fn groups_that_waited_for_a_route_keep_their_tenant() {
     let mut gateway = Gateway::new();
@@ -196,12 +197,13 @@
     assert_eq!(values(gateway.last(), "tenant"), [TENANT]);
 }
 
-// Guards against UNASKED: a text that was begun for one tenant went on for another one, whose item has the same id and body.
+// Guards the invariant UNASKED: a text started for one tenant isn't resumed for another one whose item has the same
+// id and body.
 #[rstest]
 #[case::same_tenant(Some(TENANT), &["1"])]
 #[case::another_tenant(Some(OTHER_TENANT), &[])]
 #[case::no_tenant(None, &[])]
-fn the_text_of_another_tenant_is_not_continued(#[case] next: Option<&str>, #[case] resumed: &[&str]) {
+fn the_text_of_another_tenant_is_not_resumed(#[case] next: Option<&str>, #[case] resumed: &[&str]) {
     let table = two_tenants(1);
     let mut gateway = Gateway::new();
     gateway.assign(Some(TENANT), &[], Some(&table));
@@ -210,7 +212,7 @@
     gateway.runner.stream_started(attempt, None, &mut commands);
     gateway.runner.event_received(gateway.now, attempt, 1, b"e1", None, &mut commands);
     gateway.work.lease_expired(0, &mut gateway.runner, &mut commands);
-    gateway.take(commands);
+    gateway.process_commands(commands);
     gateway.assign(next, &[], Some(&table));
     assert_eq!(gateway.sent.len(), 2);
     assert_eq!(values(gateway.last(), "last-event-id"), resumed);
@@ -225,12 +227,12 @@
     assert!(contains(&sent, "/repeat/9"));
 }
 
-// Guards against UNASKED: stores weren't told whose key a call on a job carries.
+// Guards the invariant UNASKED: store nodes receive the tenant of the key with every call about a job.
 #[rstest]
 #[case::read(BatchCall::Read { after: 0, wait_ms: 0 })]
 #[case::item_body(BatchCall::ItemBody { item: "i".into() })]
 #[case::end(BatchCall::End)]
-fn calls_on_jobs_tell_stores_their_tenant(
+fn calls_about_jobs_carry_their_tenant_to_store_nodes(
     #[case] call: BatchCall,
     #[values(Some(TENANT), None)] tenant: Option<&str>,
 ) {
@@ -240,12 +242,12 @@
     state.apply(&Change::Place(vec![(0, placement)])).unwrap();
     let mut calls = BatchCalls::default();
     let id = calls.begin(1_000, "job", tenant, call);
-    // The first attempt gets no answer in time, so that there is a second one.
+    // The first attempt gets no response in time, so there is a second one.
     let (mut sent, mut responses) = (Vec::new(), Vec::new());
     for now in [1_000, 1_601] {
         calls.tick(now, &state, &|_| true, &|_| true, &mut sent, &mut responses);
     }
-    let told: Vec<Option<&str>> = sent
+    let tenants: Vec<Option<&str>> = sent
         .iter()
         .map(|outbound| match &outbound.message {
             GatewayMessage::ReadResults { tenant, .. }
@@ -254,7 +256,7 @@
             other => panic!("{other:?}"),
         })
         .collect();
-    assert_eq!(told, [tenant, tenant]);
+    assert_eq!(tenants, [tenant, tenant]);
     let response = calls.response_received(1_700, id, StoreResponse::OtherTenant);
     assert!(matches!(response, Some(BatchResponse::OtherTenant)));
 }
--- a/crates/data-plane/tests/request_tenants.rs
+++ b/crates/data-plane/tests/request_tenants.rs
@@ -1,4 +1,4 @@
-//! What servers get of keys and tenants: the bytes of every attempt of a request.
+//! Tests of the keys and tenants that servers receive: the bytes of every attempt of a request.
 
 mod requests_support;
 mod sockets_support;
@@ -14,13 +14,13 @@
 use orchidvalve_data_plane::upstream::Failure;
 use orchidvalve_http::{MessageLimits, Request};
 use orchidvalve_net::{Event, Network};
-use requests_support::{Attempted, Table, rejection, success};
+use requests_support::{Attempted, Harness, rejection, success};
 use rstest::rstest;
-use sockets_support::{MOST_TURNS, Peer, TURN, loopback, v4};
+use sockets_support::{MAX_TURNS, Peer, TURN, loopback, v4};
 use tenants_support::*;
 
-/// Begins a request by a configuration, as a gateway does.
-fn begin(gateway: &mut Table, table: &Arc<RouteTable>, request: Request) -> RequestId {
+/// Begins a request with a configuration, as a gateway does.
+fn begin(gateway: &mut Harness, table: &Arc<RouteTable>, request: Request) -> RequestId {
     let admitted = admit_request(&request, table, ConfigurationAge::Current).unwrap();
     let received = ReceivedRequest { request, first_byte_at: gateway.now };
     gateway.begin_admitted(received, table, admitted)
@@ -32,14 +32,14 @@
     assert!(!contains(sent, KEY), "{}", String::from_utf8_lossy(sent));
 }
 
-// Guards against UNASKED: the client's key was passed on, and the tenant was missing or the client's own word.
+// Guards the invariant UNASKED: servers receive the tenant, and neither the client's key nor its own claims.
 #[rstest]
 #[case::plain("", &[TENANT])]
 #[case::claims_a_tenant("Tenant: seje681\r\n", &[TENANT])]
 #[case::claims_tenants_in_any_case("tenant: seje681\r\nTENANT: x\r\nTenant:\r\n", &[TENANT])]
 #[case::names_them_as_of_the_connection("Connection: Tenant, Authorization\r\nTenant: seje681\r\n", &[TENANT])]
-fn servers_get_the_tenant_and_no_key(#[case] lines: &str, #[case] tenant: &[&str]) {
-    let mut gateway = Table::new(2);
+fn servers_receive_the_tenant_and_no_key(#[case] lines: &str, #[case] tenant: &[&str]) {
+    let mut gateway = Harness::new(2);
     let lines = format!("{lines}{}X-Any: one\r\n", bearer(KEY));
     begin(&mut gateway, &two_tenants(1), request("/repeat/1", &lines));
     assert_names_tenant_only(&gateway.sent[0], tenant);
@@ -47,43 +47,43 @@
     assert_eq!(values(&gateway.sent[0], "attempt-id"), ["9c41d07be2a35f68"]);
 }
 
-// Guards against UNASKED: the same on public routes, where a key isn't needed.
+// Guards the invariant UNASKED: the same on public routes, where no key is needed.
 #[rstest]
 #[case::no_key("Tenant: seje681\r\n", &[])]
 #[case::known_key("Tenant: seje681\r\nAuthorization: Bearer k-3f09c1\r\n", &[TENANT])]
 #[case::unknown_key("Authorization: Bearer k-3f09c1x\r\nTenant: seje681\r\n", &[])]
 #[case::two_keys("Authorization: Bearer k-3f09c1\r\nAuthorization: Basic k-3f09c1\r\n", &[])]
-fn servers_of_public_routes_get_no_key(#[case] lines: &str, #[case] tenant: &[&str]) {
-    let mut gateway = Table::new(2);
+fn servers_of_public_routes_receive_no_key(#[case] lines: &str, #[case] tenant: &[&str]) {
+    let mut gateway = Harness::new(2);
     begin(&mut gateway, &two_tenants(1), request("/open/1", lines));
     assert_names_tenant_only(&gateway.sent[0], tenant);
 }
 
 #[test]
-fn without_tenants_headers_pass_as_they_came() {
-    let mut gateway = Table::new(2);
+fn without_tenants_headers_are_unchanged() {
+    let mut gateway = Harness::new(2);
     let lines = format!("Tenant: seje681\r\n{}", bearer(KEY));
     begin(&mut gateway, &table(1, None), request("/repeat/1", &lines));
     assert_eq!(values(&gateway.sent[0], "tenant"), [OTHER_TENANT]);
     assert_eq!(values(&gateway.sent[0], "authorization"), ["Bearer k-3f09c1"]);
 }
 
-/// What makes the gateway attempt a request once more.
+/// The reason why the gateway attempts a request again.
 #[derive(Clone, Copy)]
 enum Cause {
     Rejected,
     Broken,
     ConnectionClosedWhileIdle,
-    Late,
+    Overdue,
     StreamBroken,
 }
 
-fn attempt_again(gateway: &mut Table, first: Attempted, cause: Cause) {
+fn cause_retry(gateway: &mut Harness, first: Attempted, cause: Cause) {
     match cause {
-        Cause::Rejected => gateway.answer(first, rejection(503), ""),
+        Cause::Rejected => gateway.respond(first, rejection(503), ""),
         Cause::Broken => gateway.fail(first, Failure::Broken),
         Cause::ConnectionClosedWhileIdle => gateway.fail(first, Failure::Stale),
-        Cause::Late => gateway.pass(400),
+        Cause::Overdue => gateway.advance(400),
         Cause::StreamBroken => {
             gateway.head(first, success());
             gateway.body(first, "id: 1\ndata: e1\n\n");
@@ -92,15 +92,15 @@
     }
 }
 
-// Guards against UNASKED: between two attempts of a request its key was taken away, moved to another tenant or given
-// back, or the configuration got or lost its tenants. The tenant is that of the time when the request began.
+// Guards the invariant UNASKED: between two attempts of a request its key is removed or moved to another tenant, or the
+// configuration gets or loses its tenants. Every attempt names the tenant determined when the request began.
 #[rstest]
-fn every_attempt_names_the_tenant_by_which_the_request_began(
+fn every_attempt_names_the_original_tenant(
     #[values(
         ("/repeat/1", Cause::Rejected),
         ("/repeat/1", Cause::Broken),
         ("/repeat/1", Cause::ConnectionClosedWhileIdle),
-        ("/repeat/1", Cause::Late),
+        ("/repeat/1", Cause::Overdue),
         ("/resume/1", Cause::StreamBroken)
     )]
     request_and_cause: (&str, Cause),
@@ -113,13 +113,13 @@
     next: Option<&[Keys<'static>]>,
 ) {
     let (path, cause) = request_and_cause;
-    let mut gateway = Table::new(3);
+    let mut gateway = Harness::new(3);
     let lines = format!("Tenant: seje681\r\n{}", bearer(KEY));
     begin(&mut gateway, &two_tenants(1), request(path, &lines));
-    // Another request begins by the next configuration before the first one is attempted again.
+    // Another request begins with the next configuration before the first one is attempted again.
     begin(&mut gateway, &table(2, next), request("/open/1", &lines));
     let first = gateway.attempts[0];
-    attempt_again(&mut gateway, first, cause);
+    cause_retry(&mut gateway, first, cause);
     let again = gateway.sent.iter().filter(|sent| contains(sent, path)).collect::<Vec<_>>();
     assert_eq!(again.len(), 2);
     for sent in again {
@@ -127,10 +127,10 @@
     }
 }
 
-// Guards against UNASKED: a request that began while there were no tenants is sent on alike each time.
+// Guards the invariant UNASKED: a request that began while there were no tenants is sent in the same way each time.
 #[test]
-fn a_request_that_began_without_tenants_is_attempted_again_without() {
-    let mut gateway = Table::new(3);
+fn a_request_begun_without_tenants_is_retried_without() {
+    let mut gateway = Harness::new(3);
     begin(&mut gateway, &table(1, None), request("/repeat/1", &bearer(KEY)));
     begin(&mut gateway, &two_tenants(2), request("/repeat/2", &bearer(KEY)));
     let first = gateway.attempts[0];
@@ -139,16 +139,17 @@
     assert_names_tenant_only(&gateway.sent[1], &[TENANT]);
 }
 
-// Guards against CONFIG: a request that waited for a configuration goes by the keys in force when it is taken out.
+// Guards the invariant CONFIG: a request that waited for a configuration is authenticated by the keys that are active
+// when it leaves the queue.
 #[test]
-fn a_queued_request_goes_by_the_configuration_that_it_waited_for() {
+fn a_queued_request_uses_the_configuration_it_waited_for() {
     let mut queue = StartupQueue::default();
     for path in ["/repeat/1", "/repeat/2"] {
         let received = ReceivedRequest { request: request(path, &bearer(KEY)), first_byte_at: 1 };
         queue.push(received).unwrap();
     }
     let moved = table(2, Some(&[(OTHER_TENANT, &[KEY])]));
-    let mut gateway = Table::new(2);
+    let mut gateway = Harness::new(2);
     for queued in queue.drain() {
         begin(&mut gateway, &moved, queued.received.request);
     }
@@ -156,10 +157,10 @@
     gateway.sent.iter().for_each(|sent| assert_names_tenant_only(sent, &[OTHER_TENANT]));
 }
 
-/// Reads the next request of a connection, once it is there.
+/// Reads the next request of a connection.
 fn read_next(network: &mut Network, clients: &mut Clients) -> Request {
     const LIMITS: MessageLimits = MessageLimits { header_bytes: 4_096, body_bytes: 4_096 };
-    for _ in 0..MOST_TURNS {
+    for _ in 0..MAX_TURNS {
         for event in network.poll(TURN).unwrap() {
             match event {
                 Event::Accepted { connection, .. } => clients.accepted(connection, 1_000),
@@ -173,12 +174,13 @@
             }
         }
     }
-    panic!("no request came");
+    panic!("no request arrived");
 }
 
-// Guards against CONFIG: on open connections, keys counted by an older configuration than the one in force.
+// Guards the invariant CONFIG: on open connections, keys are evaluated by the active configuration, not by an older
+// one.
 #[test]
-fn pipelined_requests_go_each_by_the_configuration_in_force_when_it_begins() {
+fn pipelined_requests_each_use_the_active_configuration() {
     const LIMITS: MessageLimits = MessageLimits { header_bytes: 4_096, body_bytes: 4_096 };
     let mut network = Network::new().unwrap();
     let address = v4(network.listen(loopback(), 1).unwrap());
@@ -193,17 +195,17 @@
         admitted.map(|admitted| admitted.caller.tenant().map(str::to_owned))
     };
     assert_eq!(by(&first, &two_tenants(1)), Ok(Some(TENANT.to_owned())));
-    // While the first one is answered, the configuration changes: the others are read only after that.
-    let taken = table(2, Some(&[(TENANT, &[])]));
+    // The configuration changes while the first request is being responded to; the others are read only after that.
+    let removed = table(2, Some(&[(TENANT, &[])]));
     let moved = table(3, Some(&[(TENANT, &[]), (OTHER_TENANT, &[KEY])]));
     let mut read = |status| {
         clients.respond(&mut network, connection, status, &[], b"", 1_000);
         let ReadOutcome::Request(request) = clients.read(&mut network, connection, &LIMITS, 1_000) else {
-            panic!("it isn't there");
+            panic!("the request is not available");
         };
         request
     };
-    let refused = by(&read(200), &taken).unwrap_err();
-    assert_eq!(refused.status(), 401);
-    assert_eq!(by(&read(refused.status()), &moved), Ok(Some(OTHER_TENANT.to_owned())));
+    let rejected = by(&read(200), &removed).unwrap_err();
+    assert_eq!(rejected.status(), 401);
+    assert_eq!(by(&read(rejected.status()), &moved), Ok(Some(OTHER_TENANT.to_owned())));
 }
--- a/crates/data-plane/tests/requests_streams.rs
+++ b/crates/data-plane/tests/requests_streams.rs
@@ -1,5 +1,5 @@
-//! Streamed responses: forwarded as they come, aborted where they can't be completed, resumed at another server where
-//! the route allows it.
+//! Tests of streamed responses: forwarded as they arrive, aborted if they cannot be completed, and resumed at another
+//! server if the route allows it.
 
 mod requests_support;
 
@@ -21,31 +21,31 @@
 }
 
 #[test]
-fn chunks_are_forwarded_as_they_come() {
-    let mut table = Table::new(2);
-    table.begin("stream");
-    let attempt = table.last();
-    table.head(attempt, success());
-    assert_eq!((table.client.status, table.client.whole), (Some(200), false));
-    table.body(attempt, "id: 1\nda");
-    assert_eq!(table.client.body, "id: 1\nda");
-    table.body(attempt, "ta: e1\n\n");
-    table.complete(attempt);
-    assert_eq!(table.client.body, event(1));
-    assert!(table.client.whole);
+fn chunks_are_forwarded_as_they_arrive() {
+    let mut harness = Harness::new(2);
+    harness.begin("stream");
+    let attempt = harness.last();
+    harness.head(attempt, success());
+    assert_eq!((harness.client.status, harness.client.complete), (Some(200), false));
+    harness.body(attempt, "id: 1\nda");
+    assert_eq!(harness.client.body, "id: 1\nda");
+    harness.body(attempt, "ta: e1\n\n");
+    harness.complete(attempt);
+    assert_eq!(harness.client.body, event(1));
+    assert!(harness.client.complete);
 }
 
 #[rstest]
 #[case::broken(Failure::Broken)]
 #[case::stale(Failure::Stale)]
 fn a_broken_stream_never_looks_complete(#[case] failure: Failure, #[values(0, 1, 2)] events_passed: u64) {
-    let mut table = Table::new(3);
-    table.begin("stream");
-    let attempt = table.last();
-    table.head(attempt, success());
-    table.body(attempt, &events(1..=events_passed));
-    table.fail(attempt, failure);
-    assert_eq!((table.client.broken, table.client.whole, table.attempts.len()), (true, false, 1));
+    let mut harness = Harness::new(3);
+    harness.begin("stream");
+    let attempt = harness.last();
+    harness.head(attempt, success());
+    harness.body(attempt, &events(1..=events_passed));
+    harness.fail(attempt, failure);
+    assert_eq!((harness.client.aborted, harness.client.complete, harness.attempts.len()), (true, false, 1));
 }
 
 #[rstest]
@@ -56,23 +56,23 @@
     #[case] attempts: usize,
     #[case] expected_status: Option<u16>,
 ) {
-    let mut table = Table::new(2);
-    table.begin(kind);
-    table.answer(table.last(), head(200, &[]), &events(1..=2));
-    assert_eq!((table.client.status, table.attempts.len()), (expected_status, attempts));
-    assert_eq!(table.client.body, "");
+    let mut harness = Harness::new(2);
+    harness.begin(kind);
+    harness.respond(harness.last(), head(200, &[]), &events(1..=2));
+    assert_eq!((harness.client.status, harness.attempts.len()), (expected_status, attempts));
+    assert_eq!(harness.client.body, "");
 }
 
 #[test]
 fn at_the_deadline_a_stream_is_aborted() {
-    let mut table = Table::new(3);
-    table.begin("resume");
-    let attempt = table.last();
-    table.head(attempt, success());
-    table.body(attempt, &events(1..=2));
-    table.pass(1_499);
-    assert_eq!((table.client.broken, table.client.whole), (true, false));
-    assert_eq!(table.cancelled, [attempt.id]);
+    let mut harness = Harness::new(3);
+    harness.begin("resume");
+    let attempt = harness.last();
+    harness.head(attempt, success());
+    harness.body(attempt, &events(1..=2));
+    harness.advance(1_499);
+    assert_eq!((harness.client.aborted, harness.client.complete), (true, false));
+    assert_eq!(harness.cancelled, [attempt.id]);
 }
 
 #[rstest]
@@ -80,120 +80,124 @@
 #[case::part_of_an_event("id: 3\ndata: e", 2)]
 #[case::event_without_its_end("id: 3\ndata: e3\n", 2)]
 #[case::first_event_only("", 1)]
-fn a_broken_stream_is_resumed_after_the_last_complete_event(#[case] rest: &str, #[case] whole: u64) {
-    let mut table = Table::new(2);
-    table.begin("resume");
-    let first = table.last();
-    table.head(first, success());
-    table.body(first, &events(1..=whole));
-    table.body(first, rest);
-    assert_eq!(table.client.body, events(1..=whole));
-    table.fail(first, Failure::Broken);
-    let second = table.last();
+fn a_broken_stream_is_resumed_after_the_last_complete_event(
+    #[case] rest: &str,
+    #[case] complete_events: u64,
+) {
+    let mut harness = Harness::new(2);
+    harness.begin("resume");
+    let first = harness.last();
+    harness.head(first, success());
+    harness.body(first, &events(1..=complete_events));
+    harness.body(first, rest);
+    assert_eq!(harness.client.body, events(1..=complete_events));
+    harness.fail(first, Failure::Broken);
+    let second = harness.last();
     assert_ne!(second.server, first.server);
-    assert_eq!(second.last_event_id, Some(whole));
-    table.head(second, other_success());
-    table.body(second, &events(whole + 1..=5));
-    assert!(!table.client.whole);
-    table.complete(second);
-    assert_eq!(table.client.body, events(1..=5));
-    assert_eq!((table.client.signature.as_str(), table.client.whole), (SIGNATURE, true));
+    assert_eq!(second.last_event_id, Some(complete_events));
+    harness.head(second, other_success());
+    harness.body(second, &events(complete_events + 1..=5));
+    assert!(!harness.client.complete);
+    harness.complete(second);
+    assert_eq!(harness.client.body, events(1..=5));
+    assert_eq!((harness.client.signature.as_str(), harness.client.complete), (SIGNATURE, true));
 }
 
 #[test]
-fn a_stream_cut_anywhere_comes_out_complete() {
+fn a_stream_broken_at_any_byte_is_completed_by_another_server() {
     let text = format!("weight-versions: 4\r\n{}{}", events(1..=3), "id: 4\ndata: a\ndata: b\n\n");
-    for cut in 0..=text.len() {
-        let mut table = Table::new(2);
-        table.begin("resume");
-        let first = table.last();
-        table.head(first, success());
-        for byte in 0..cut {
-            table.body(first, &text[byte..byte + 1]);
+    for broken_at in 0..=text.len() {
+        let mut harness = Harness::new(2);
+        harness.begin("resume");
+        let first = harness.last();
+        harness.head(first, success());
+        for byte in 0..broken_at {
+            harness.body(first, &text[byte..byte + 1]);
         }
-        table.fail(first, Failure::Broken);
-        let second = table.last();
-        table.head(second, other_success());
-        let passed = table.client.body.len();
-        table.body(second, &text[passed..]);
-        table.complete(second);
-        assert_eq!(table.client.body, text, "{cut}");
-        assert!(table.client.whole);
-        let begun = passed > 0;
-        assert_eq!(table.client.signature == SIGNATURE, begun, "{cut}");
-        assert_eq!(second.last_event_id.is_some(), begun, "{cut}");
+        harness.fail(first, Failure::Broken);
+        let second = harness.last();
+        harness.head(second, other_success());
+        let passed = harness.client.body.len();
+        harness.body(second, &text[passed..]);
+        harness.complete(second);
+        assert_eq!(harness.client.body, text, "{broken_at}");
+        assert!(harness.client.complete);
+        let started = passed > 0;
+        assert_eq!(harness.client.signature == SIGNATURE, started, "{broken_at}");
+        assert_eq!(second.last_event_id.is_some(), started, "{broken_at}");
     }
 }
 
 /// The server of a stream without framing may have died between two events.
 #[test]
-fn a_stream_that_ends_without_framing_is_complete_once_nothing_follows() {
-    let mut table = Table::new(3);
-    table.begin("resume");
-    let first = table.last();
-    table.head(first, success());
-    table.body(first, &events(1..=2));
-    table.close(first);
-    assert!(!table.client.whole, "more may follow");
-    let second = table.last();
+fn an_unframed_stream_is_complete_once_a_retry_adds_nothing() {
+    let mut harness = Harness::new(3);
+    harness.begin("resume");
+    let first = harness.last();
+    harness.head(first, success());
+    harness.body(first, &events(1..=2));
+    harness.close(first);
+    assert!(!harness.client.complete, "more may follow");
+    let second = harness.last();
     assert_eq!(second.last_event_id, Some(2));
-    table.head(second, other_success());
-    table.close(second);
-    assert_eq!(table.client.body, events(1..=2));
-    assert_eq!((table.client.signature.as_str(), table.client.whole), (SIGNATURE, true));
+    harness.head(second, other_success());
+    harness.close(second);
+    assert_eq!(harness.client.body, events(1..=2));
+    assert_eq!((harness.client.signature.as_str(), harness.client.complete), (SIGNATURE, true));
 }
 
-/// With its last attempt the end of the connection has to do, as for any response without a length.
+/// After the last attempt, the end of the connection is taken as the end of the response, as for any response without a
+/// length.
 #[test]
-fn a_stream_without_framing_is_complete_after_the_last_attempt() {
-    let mut table = Table::new(3);
-    table.begin("resume");
-    while !table.client.whole {
-        let attempt = table.last();
-        table.head(attempt, success());
+fn an_unframed_stream_is_complete_after_the_last_attempt() {
+    let mut harness = Harness::new(3);
+    harness.begin("resume");
+    while !harness.client.complete {
+        let attempt = harness.last();
+        harness.head(attempt, success());
         let next = attempt.last_event_id.map_or(1, |id| id + 1);
-        table.body(attempt, &events(next..=next));
-        table.close(attempt);
+        harness.body(attempt, &events(next..=next));
+        harness.close(attempt);
     }
-    assert_eq!(table.client.body, events(1..=table.attempts.len() as u64));
-    assert!(!table.client.broken);
+    assert_eq!(harness.client.body, events(1..=harness.attempts.len() as u64));
+    assert!(!harness.client.aborted);
 }
 
 #[rstest]
 #[case::not_resumable("stream")]
 #[case::repeatable("repeat")]
-fn any_other_response_without_a_length_ends_with_its_connection(#[case] kind: &str) {
-    let mut table = Table::new(3);
-    table.begin(kind);
-    let attempt = table.last();
-    table.head(attempt, success());
-    table.body(attempt, &events(1..=2));
-    table.close(attempt);
-    assert_eq!((table.client.status, table.client.whole), (Some(200), true));
+fn other_unframed_responses_end_with_the_connection(#[case] kind: &str) {
+    let mut harness = Harness::new(3);
+    harness.begin(kind);
+    let attempt = harness.last();
+    harness.head(attempt, success());
+    harness.body(attempt, &events(1..=2));
+    harness.close(attempt);
+    assert_eq!((harness.client.status, harness.client.complete), (Some(200), true));
 }
 
 #[test]
 fn a_stream_that_ends_within_an_event_is_resumed() {
-    let mut table = Table::new(2);
-    table.begin("resume");
-    let first = table.last();
-    table.head(first, success());
-    table.body(first, "id: 1\ndata: e1\n\nid: 2\ndata:");
-    table.complete(first);
-    assert!(!table.client.whole);
-    assert_eq!(table.last().last_event_id, Some(1));
+    let mut harness = Harness::new(2);
+    harness.begin("resume");
+    let first = harness.last();
+    harness.head(first, success());
+    harness.body(first, "id: 1\ndata: e1\n\nid: 2\ndata:");
+    harness.complete(first);
+    assert!(!harness.client.complete);
+    assert_eq!(harness.last().last_event_id, Some(1));
 }
 
 #[test]
-fn an_event_without_an_id_does_not_change_where_a_stream_goes_on() {
-    let mut table = Table::new(2);
-    table.begin("resume");
-    let first = table.last();
-    table.head(first, success());
-    table.body(first, "id: 1\ndata: e1\n\ndata: note\n\n");
-    table.fail(first, Failure::Broken);
-    assert_eq!(table.last().last_event_id, Some(1));
-    assert_eq!(table.client.body, "id: 1\ndata: e1\n\ndata: note\n\n");
+fn events_without_id_do_not_change_the_resume_position() {
+    let mut harness = Harness::new(2);
+    harness.begin("resume");
+    let first = harness.last();
+    harness.head(first, success());
+    harness.body(first, "id: 1\ndata: e1\n\ndata: note\n\n");
+    harness.fail(first, Failure::Broken);
+    assert_eq!(harness.last().last_event_id, Some(1));
+    assert_eq!(harness.client.body, "id: 1\ndata: e1\n\ndata: note\n\n");
 }
 
 #[rstest]
@@ -201,97 +205,100 @@
 #[case::skips(&[4])]
 #[case::skips_later(&[3, 5])]
 #[case::from_the_start(&[1])]
-fn an_attempt_that_does_not_go_on_where_it_was_asked_is_dropped(#[case] ids: &[u64]) {
-    let mut table = Table::new(3);
-    table.begin("resume");
-    let first = table.last();
-    table.head(first, success());
-    table.body(first, &events(1..=2));
-    table.fail(first, Failure::Broken);
-    let second = table.last();
-    table.head(second, other_success());
-    ids.iter().for_each(|id| table.body(second, &event(*id)));
-    assert_eq!(table.cancelled, [second.id]);
-    table.body(second, &event(6));
-    table.complete(second);
-    let third = table.last();
+fn an_attempt_that_resumes_at_the_wrong_event_is_cancelled(#[case] ids: &[u64]) {
+    let mut harness = Harness::new(3);
+    harness.begin("resume");
+    let first = harness.last();
+    harness.head(first, success());
+    harness.body(first, &events(1..=2));
+    harness.fail(first, Failure::Broken);
+    let second = harness.last();
+    harness.head(second, other_success());
+    ids.iter().for_each(|id| harness.body(second, &event(*id)));
+    assert_eq!(harness.cancelled, [second.id]);
+    harness.body(second, &event(6));
+    harness.complete(second);
+    let third = harness.last();
     let next = third.last_event_id.unwrap() + 1;
-    table.head(third, other_success());
-    table.body(third, &events(next..=6));
-    table.complete(third);
-    assert_eq!(table.client.body, events(1..=6));
-    assert!(table.client.whole);
+    harness.head(third, other_success());
+    harness.body(third, &events(next..=6));
+    harness.complete(third);
+    assert_eq!(harness.client.body, events(1..=6));
+    assert!(harness.client.complete);
 }
 
 #[test]
-fn a_client_that_goes_on_itself_gets_what_follows() {
-    let mut table = Table::new(2);
-    table.begin_with("resume", "Last-Event-Id: 4\r\n");
-    let first = table.last();
+fn a_clients_own_last_event_id_is_respected() {
+    let mut harness = Harness::new(2);
+    harness.begin_with("resume", "Last-Event-Id: 4\r\n");
+    let first = harness.last();
     assert_eq!(first.last_event_id, None);
-    table.head(first, success());
-    table.fail(first, Failure::Broken);
-    assert_eq!(table.last().last_event_id, None);
-    let second = table.last();
-    table.head(second, other_success());
-    table.body(second, &events(5..=6));
-    table.fail(second, Failure::Broken);
-    assert_eq!(table.last().last_event_id, Some(6));
-    assert_eq!(table.client.body, events(5..=6));
+    harness.head(first, success());
+    harness.fail(first, Failure::Broken);
+    assert_eq!(harness.last().last_event_id, None);
+    let second = harness.last();
+    harness.head(second, other_success());
+    harness.body(second, &events(5..=6));
+    harness.fail(second, Failure::Broken);
+    assert_eq!(harness.last().last_event_id, Some(6));
+    assert_eq!(harness.client.body, events(5..=6));
 }
 
 #[rstest]
 #[case::rejected(rejection(503))]
 #[case::other_instance(rejection(421))]
 #[case::error(head(500, &[]))]
-fn taking_up_may_need_several_servers(#[case] answer: ResponseHead) {
-    let mut table = Table::new(3);
-    table.begin("resume");
-    let first = table.last();
-    table.head(first, success());
-    table.body(first, &events(1..=2));
-    table.fail(first, Failure::Broken);
-    table.answer(table.last(), answer, "trouble");
-    let third = table.last();
-    assert_eq!((table.attempts.len(), third.last_event_id), (3, Some(2)));
-    table.head(third, other_success());
-    table.body(third, &events(3..=3));
-    table.complete(third);
-    assert_eq!(table.client.body, events(1..=3));
-    assert!(table.client.whole);
+fn resuming_may_take_several_servers(#[case] response: ResponseHead) {
+    let mut harness = Harness::new(3);
+    harness.begin("resume");
+    let first = harness.last();
+    harness.head(first, success());
+    harness.body(first, &events(1..=2));
+    harness.fail(first, Failure::Broken);
+    harness.respond(harness.last(), response, "trouble");
+    let third = harness.last();
+    assert_eq!((harness.attempts.len(), third.last_event_id), (3, Some(2)));
+    harness.head(third, other_success());
+    harness.body(third, &events(3..=3));
+    harness.complete(third);
+    assert_eq!(harness.client.body, events(1..=3));
+    assert!(harness.client.complete);
 }
 
 #[rstest]
 #[case::no_attempts_left(head(500, &[]), 3)]
 #[case::can_never_be_done(head(422, &[]), 2)]
-fn a_stream_that_no_server_resumes_is_aborted(#[case] answer: ResponseHead, #[case] attempts: usize) {
-    let mut table = Table::new(5);
-    table.begin("resume");
-    let first = table.last();
-    table.head(first, success());
-    table.body(first, &events(1..=2));
-    table.fail(first, Failure::Broken);
+fn a_stream_that_no_server_resumes_is_aborted(#[case] response: ResponseHead, #[case] attempts: usize) {
+    let mut harness = Harness::new(5);
+    harness.begin("resume");
+    let first = harness.last();
+    harness.head(first, success());
+    harness.body(first, &events(1..=2));
+    harness.fail(first, Failure::Broken);
     for _ in 1..attempts {
-        assert!(!table.client.broken);
-        table.answer(table.last(), answer.clone(), "trouble");
+        assert!(!harness.client.aborted);
+        harness.respond(harness.last(), response.clone(), "trouble");
     }
-    assert_eq!((table.client.broken, table.client.whole, table.attempts.len()), (true, false, attempts));
-    assert_eq!(table.client.body, events(1..=2));
+    assert_eq!(
+        (harness.client.aborted, harness.client.complete, harness.attempts.len()),
+        (true, false, attempts)
+    );
+    assert_eq!(harness.client.body, events(1..=2));
 }
 
 #[test]
-fn a_rejected_stream_that_may_not_repeat_is_promised_not_to_run() {
-    let mut table = Table::new(1);
-    table.begin("stream");
+fn a_rejected_unresumable_stream_is_promised_not_to_run() {
+    let mut harness = Harness::new(1);
+    harness.begin("stream");
     for _ in 0..MAX_ATTEMPTS {
-        let attempt = table.last();
-        table.answer(attempt, rejection(503), "");
-        table.pass(50);
+        let attempt = harness.last();
+        harness.respond(attempt, rejection(503), "");
+        harness.advance(50);
     }
-    assert_eq!((table.client.status, table.client.own), (Some(503), true));
+    assert_eq!((harness.client.status, harness.client.local), (Some(503), true));
 }
 
-/// The head of a stream of events, as its server sends it.
+/// Returns the head of an event stream as its server sends it.
 fn event_stream() -> ResponseHead {
     head(200, &[("Content-Type", "text/event-stream"), ("Server-Signature", SIGNATURE)])
 }
@@ -305,30 +312,30 @@
 #[case::complete_event_with_returns("id: 3\r\ndata: e3\r\n\r\n", true)]
 #[case::more_empty_lines("\n\r\n", true)]
 #[case::nothing("", true)]
-fn a_stream_that_ends_in_an_event_never_looks_complete(
+fn a_stream_that_ends_within_an_event_never_looks_complete(
     #[values("stream", "resume")] kind: &str,
     #[case] rest: &str,
-    #[case] whole: bool,
+    #[case] complete: bool,
 ) {
     for split in 0..=rest.len() {
-        let mut table = Table::new(1);
-        table.begin(kind);
-        let attempt = table.last();
-        table.head(attempt, event_stream());
-        table.body(attempt, &events(1..=2));
-        table.body(attempt, &rest[..split]);
-        table.body(attempt, &rest[split..]);
-        // A server without a length that dies ends its connection as one that is done does.
-        table.complete(attempt);
-        assert_eq!(table.client.whole, whole, "{split}");
-        assert_eq!(table.client.status, Some(200));
+        let mut harness = Harness::new(1);
+        harness.begin(kind);
+        let attempt = harness.last();
+        harness.head(attempt, event_stream());
+        harness.body(attempt, &events(1..=2));
+        harness.body(attempt, &rest[..split]);
+        harness.body(attempt, &rest[split..]);
+        // The connection of a server that dies during a response without a length may end like that of a complete one.
+        harness.complete(attempt);
+        assert_eq!(harness.client.complete, complete, "{split}");
+        assert_eq!(harness.client.status, Some(200));
     }
 }
 
 #[test]
-fn what_is_no_stream_of_events_is_complete_by_its_framing() {
-    let mut table = Table::new(1);
-    table.begin("stream");
-    table.answer(table.last(), success(), "bytes");
-    assert_eq!((table.client.body.as_str(), table.client.whole), ("bytes", true));
+fn a_response_that_is_no_event_stream_is_complete_by_its_framing() {
+    let mut harness = Harness::new(1);
+    harness.begin("stream");
+    harness.respond(harness.last(), success(), "bytes");
+    assert_eq!((harness.client.body.as_str(), harness.client.complete), ("bytes", true));
 }
--- a/crates/data-plane/tests/requests_support/mod.rs
+++ b/crates/data-plane/tests/requests_support/mod.rs
@@ -1,4 +1,4 @@
-//! A table of requests with made-up servers, driven by hand.
+//! Test harness for [`Requests`] with simulated servers and manually controlled time.
 
 #![allow(dead_code)]
 
@@ -28,12 +28,12 @@
 pub const TIMEOUT_MS: u64 = 2_000;
 pub const SIGNATURE: &str = "3e1b.07.5a2.600.0.c9f2a4d1";
 
-/// Routes by their path prefixes: `/repeat/`, `/once/`, `/stream/` and `/resume/`.
+/// Returns routes by their path prefixes: `/repeat/`, `/once/`, `/stream/` and `/resume/`.
 pub fn routes() -> Arc<RouteTable> {
     compile("")
 }
 
-/// The same routes in a configuration with so many tenants: `tenant-0` with the key `key-0`, and so on.
+/// Returns the same routes in a configuration with this many tenants: `tenant-0` with the key `key-0`, and so on.
 pub fn routes_with_tenants(count: usize) -> Arc<RouteTable> {
     let tenants: Vec<String> = (0..count)
         .map(|number| format!(r#"{{"name":"tenant-{number}","api-keys":["key-{number}"]}}"#))
@@ -76,7 +76,7 @@
     }
 }
 
-/// A fleet and the table that it follows.
+/// A balancer and the server table that it follows.
 #[derive(Default)]
 pub struct Servers {
     pub balancer: Balancer,
@@ -109,40 +109,40 @@
     head(200, &[("Server-Signature", SIGNATURE)])
 }
 
-/// The head of an answer that says that the request didn't run.
+/// Returns the head of a response that states that the request did not run.
 pub fn rejection(status: u16) -> ResponseHead {
     let line = [("Not-Executed", "1")];
     head(status, if status == 421 { &[] } else { &line })
 }
 
-/// An attempt that is in flight.
+/// An attempt that was sent to a server.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Attempted {
     pub id: RequestAttemptId,
     pub server: ServerKey,
     pub deadline_ms: u64,
     pub last_event_id: Option<u64>,
-    pub runs_once: bool,
+    pub at_most_once: bool,
 }
 
-/// How the client's answer stands.
+/// The state of the client's response.
 #[derive(Default, PartialEq, Debug)]
 pub struct Client {
     pub status: Option<u16>,
-    pub own: bool,
+    pub local: bool,
     pub body: String,
     pub signature: String,
-    /// Complete by its framing.
-    pub whole: bool,
-    pub broken: bool,
+    /// Whether the response is complete by its framing.
+    pub complete: bool,
+    pub aborted: bool,
 }
 
-pub struct Table {
+pub struct Harness {
     pub requests: Requests,
     pub servers: Servers,
     pub now: u64,
     pub attempts: Vec<Attempted>,
-    /// What the server of each attempt got.
+    /// The bytes sent to the server of each attempt.
     pub sent: Vec<Vec<u8>>,
     pub cancelled: Vec<RequestAttemptId>,
     pub client: Client,
@@ -150,13 +150,13 @@
     out: Vec<RequestCommand>,
 }
 
-impl Table {
-    pub fn new(servers: usize) -> Table {
-        Table::with_routes(servers, routes())
+impl Harness {
+    pub fn new(servers: usize) -> Harness {
+        Harness::with_routes(servers, routes())
     }
 
-    pub fn with_routes(servers: usize, routes: Arc<RouteTable>) -> Table {
-        let mut table = Table {
+    pub fn with_routes(servers: usize, routes: Arc<RouteTable>) -> Harness {
+        let mut harness = Harness {
             requests: Requests::new(ZONE, Pcg64Mcg::new(7)),
             servers: Servers::default(),
             now: 10_000,
@@ -167,8 +167,8 @@
             routes,
             out: Vec::new(),
         };
-        table.servers.list((0..servers).map(|n| entry(&format!("i-{}", "7".repeat(n + 1)))).collect());
-        table
+        harness.servers.list((0..servers).map(|n| entry(&format!("i-{}", "7".repeat(n + 1)))).collect());
+        harness
     }
 
     pub fn begin(&mut self, kind: &str) -> RequestId {
@@ -179,14 +179,14 @@
         self.begin_slowly(kind, lines, 0)
     }
 
-    /// A request that took so long from its first byte to its last.
+    /// Begins a request that took this long from its first byte to its last.
     pub fn begin_slowly(&mut self, kind: &str, lines: &str, took_ms: u64) -> RequestId {
         let text = format!(
             "POST /{kind}/2f HTTP/1.1\r\nHost: ficu95.example\r\nAttempt-Id: 9c41d07be2a35f68\r\n{lines}\r\n"
         );
         let request = request(&text);
         let routes = self.routes.clone();
-        // A request without a known key reaches a server by a public route only.
+        // A request without a known key is admitted only on a public route.
         let route = routes.lookup("ficu95.example", &request.target).unwrap().index;
         let public = Admitted { route, caller: Authenticated::Public };
         let admitted = admit_request(&request, &routes, ConfigurationAge::Current).unwrap_or(public);
@@ -202,7 +202,7 @@
     ) -> RequestId {
         let balancer = &self.servers.balancer;
         let id = self.requests.begin(self.now, arrived, routes, admitted, balancer, &mut self.out);
-        self.settle();
+        self.process_commands();
         id
     }
 
@@ -212,24 +212,24 @@
 
     pub fn head(&mut self, attempt: Attempted, head: ResponseHead) {
         self.requests.head_received(attempt.id, head, &mut self.out);
-        self.settle();
+        self.process_commands();
     }
 
     pub fn body(&mut self, attempt: Attempted, bytes: &str) {
         let balancer = &mut self.servers.balancer;
         self.requests.body_received(self.now, attempt.id, bytes.into(), balancer, &mut self.out);
-        self.settle();
+        self.process_commands();
     }
 
     pub fn complete(&mut self, attempt: Attempted) {
         self.requests.attempt_completed(self.now, attempt.id, &mut self.servers.balancer, &mut self.out);
-        self.settle();
+        self.process_commands();
     }
 
-    /// The connection of the attempt is closed in order, and its response has no length.
+    /// Handles an attempt whose connection was closed in order and whose response has no length.
     pub fn close(&mut self, attempt: Attempted) {
         self.requests.attempt_closed(self.now, attempt.id, &mut self.servers.balancer, &mut self.out);
-        self.settle();
+        self.process_commands();
     }
 
     pub fn fail(&mut self, attempt: Attempted, failure: Failure) {
@@ -240,54 +240,55 @@
             &mut self.servers.balancer,
             &mut self.out,
         );
-        self.settle();
+        self.process_commands();
     }
 
-    /// A complete response.
-    pub fn answer(&mut self, attempt: Attempted, head: ResponseHead, body: &str) {
+    /// Handles a complete response.
+    pub fn respond(&mut self, attempt: Attempted, head: ResponseHead, body: &str) {
         self.head(attempt, head);
         self.body(attempt, body);
         self.complete(attempt);
     }
 
-    pub fn pass(&mut self, milliseconds: u64) {
+    pub fn advance(&mut self, milliseconds: u64) {
         self.now += milliseconds;
         self.requests.tick(self.now, &self.servers.balancer, &mut self.out);
-        self.settle();
+        self.process_commands();
     }
 
-    pub fn leave(&mut self, id: RequestId) {
+    pub fn disconnect(&mut self, id: RequestId) {
         self.requests.client_disconnected(id, &mut self.out);
-        self.settle();
+        self.process_commands();
     }
 
-    /// The process ends.
+    /// Ends all requests, as when the process exits.
     pub fn end_all(&mut self) {
         self.requests.end_all(&mut self.out);
-        self.settle();
+        self.process_commands();
     }
 
     pub fn is_open(&self, attempt: Attempted) -> bool {
         !self.cancelled.contains(&attempt.id)
     }
 
-    fn settle(&mut self) {
+    fn process_commands(&mut self) {
         for command in std::mem::take(&mut self.out) {
             assert!(
-                !self.client.whole && !self.client.broken || matches!(command, RequestCommand::Cancel { .. })
+                !self.client.complete && !self.client.aborted
+                    || matches!(command, RequestCommand::Cancel { .. })
             );
             match command {
                 RequestCommand::Attempt { attempt, request, server, deadline_ms, last_event_id, permit } => {
                     let caller = self.requests.caller(request).unwrap();
                     let request = self.requests.request(request).unwrap();
                     self.sent.push(request_bytes(request, caller, "i-7", deadline_ms, last_event_id));
-                    let runs_once = permit.idempotency() == Idempotency::AtMostOnce;
+                    let at_most_once = permit.idempotency() == Idempotency::AtMostOnce;
                     self.attempts.push(Attempted {
                         id: attempt,
                         server,
                         deadline_ms,
                         last_event_id,
-                        runs_once,
+                        at_most_once,
                     });
                 }
                 RequestCommand::Cancel { attempt } => self.cancelled.push(attempt),
@@ -300,8 +301,8 @@
                     assert!(self.client.status.is_some());
                     self.client.body.push_str(std::str::from_utf8(&bytes).unwrap());
                 }
-                RequestCommand::EndStream { .. } => self.client.whole = true,
-                RequestCommand::AbortStream { .. } => self.client.broken = true,
+                RequestCommand::EndStream { .. } => self.client.complete = true,
+                RequestCommand::AbortStream { .. } => self.client.aborted = true,
             }
         }
     }
@@ -313,23 +314,23 @@
         self.signature = head.headers.get("server-signature").unwrap_or_default().to_owned();
     }
 
-    fn responded_ourselves(&mut self, status: u16) {
+    fn responded_locally(&mut self, status: u16) {
         self.status = Some(status);
-        self.own = true;
+        self.local = true;
     }
 
     fn responded(&mut self, response: Response) {
         assert_eq!(self.status, None);
-        self.whole = true;
+        self.complete = true;
         match response {
             Response::Server { head, body } => {
                 self.begin(&head);
                 self.body = String::from_utf8(body).unwrap();
             }
-            Response::NeverExecuted(_) => self.responded_ourselves(503),
+            Response::NeverExecuted(_) => self.responded_locally(503),
             Response::OutcomeUnknown { status } => {
                 assert!(!promises_no_execution(status));
-                self.responded_ourselves(status);
+                self.responded_locally(status);
             }
         }
     }
