--- a/crates/control-plane/src/demand_window.rs
+++ b/crates/control-plane/src/demand_window.rs
@@ -1,5 +1,5 @@
-//! What a service had to do lately: the busiest moment of the last seconds and minutes, how fast its servers work, and
-//! whether work piles up. The scaling planner decides by it.
+//! The recent demand of a service: its peaks over the last seconds and minutes, the speed of its servers, and whether work
+//! piles up. The scaling planner decides by it.
 
 use std::collections::VecDeque;
 
@@ -7,61 +7,62 @@
 
 use crate::load_summaries::ServiceDemand;
 
-/// Length of the window, in milliseconds: several batch jobs of a trainer come within it.
+/// Length of the window, in milliseconds. Several batch jobs of a trainer arrive within it.
 pub const WINDOW_MS: Milliseconds = 20_000;
-/// The busiest moments are remembered for so long, in milliseconds: work that rests for longer than the window may come
-/// back as it was.
+/// Peaks are remembered for this time, in milliseconds: demand that pauses for longer than the window may return at its
+/// former level.
 pub const MEMORY_MS: Milliseconds = 300_000;
-/// Busiest moments are kept one for each span of this length, in milliseconds.
+/// One peak is remembered for each span of this length, in milliseconds.
 const MEMORY_SPAN_MS: Milliseconds = 10_000;
-/// The speed of servers is measured over spans of this length, in milliseconds: reports of processes are up to half a
-/// second apart, and work that passes from one to the other is missing or counted twice meanwhile.
+/// The speed of servers is measured over spans of this length, in milliseconds. Reports of processes are up to half a second
+/// apart, and work that passes from one process to another is missing or counted twice meanwhile.
 const SPEED_SPAN_MS: Milliseconds = 2_000;
-/// Work piles up if there was more than fits on the servers for this time without becoming less, in milliseconds.
+/// Work piles up if demand has exceeded the slots for this time without decreasing, in milliseconds.
 const PILE_UP_SPAN_MS: Milliseconds = 5_000;
 
-/// Servers are full when this share of their slots is taken: gateways share the slots, and not all have work for theirs.
-const FULL_SHARE: f64 = 0.8;
+/// Servers count as full when this fraction of their slots is in use: gateways divide the slots among themselves, and not
+/// every gateway has work for its own.
+const SATURATION_FRACTION: f64 = 0.8;
 
 /// Demand and capacity of a service at one time.
 #[derive(Clone, Copy, Debug)]
 pub struct DemandSample {
-    /// When, in milliseconds.
+    /// Time of the sample, in milliseconds.
     pub at: Milliseconds,
-    /// What there was to do.
+    /// Outstanding work.
     pub demand: ServiceDemand,
-    /// Slots of all servers that took requests.
+    /// Total slots of the servers that accepted requests.
     pub slots: u32,
 }
 
 impl DemandSample {
-    /// Whether more is to be done than fits on the servers, and these are at work: what waits for something else, such as
-    /// new weights, isn't done sooner by more servers.
+    /// Returns whether more work is outstanding than fits on the servers while they are busy. Work that waits for something
+    /// else, such as new weights, does not finish sooner with more servers.
     fn is_saturated(&self) -> bool {
-        let is_full = f64::from(self.demand.running) >= f64::from(self.slots) * FULL_SHARE;
+        let is_full = f64::from(self.demand.running) >= f64::from(self.slots) * SATURATION_FRACTION;
         is_full && self.demand.outstanding() > self.slots
     }
 }
 
-/// The busiest moment within one span of the memory.
+/// The peak demand within one span of the memory.
 #[derive(Clone, Copy, Debug)]
 struct SpanPeak {
     began_at: Milliseconds,
-    /// The most that was to do at one time.
+    /// Most outstanding work at any time of the span.
     outstanding: u32,
 }
 
-/// Samples of the last [`WINDOW_MS`] and busiest moments of the last [`MEMORY_MS`], oldest first.
+/// Samples of the last [`WINDOW_MS`] and peaks of the last [`MEMORY_MS`], oldest first.
 #[derive(Default, Debug)]
 pub struct DemandWindow {
     samples: VecDeque<DemandSample>,
-    /// Since when there are samples without a gap.
+    /// Since when samples have followed each other without a gap.
     covered_since: Option<Milliseconds>,
     peaks: VecDeque<SpanPeak>,
 }
 
 impl DemandWindow {
-    /// Adds the newest sample and drops those that are too old.
+    /// Adds the latest sample and drops those that are too old.
     pub fn push(&mut self, sample: DemandSample) {
         self.covered_since.get_or_insert(sample.at);
         self.samples.push_back(sample);
@@ -82,43 +83,44 @@
         }
     }
 
-    /// Demand isn't known for a while: what was before doesn't tell how much there may have been since. The busiest
-    /// moments stay.
-    pub fn begin_anew(&mut self) {
+    /// Drops all samples after a time without known demand, in which any amount of work may have been outstanding. The
+    /// remembered peaks stay.
+    pub fn restart(&mut self) {
         self.samples.clear();
         self.covered_since = None;
     }
 
-    /// Whether the window is covered in full.
+    /// Returns whether samples cover the complete window without a gap.
     pub fn is_full(&self, now: Milliseconds) -> bool {
         self.covered_since.is_some_and(|since| now >= since + WINDOW_MS)
     }
 
-    /// The newest sample.
-    pub fn newest(&self) -> Option<&DemandSample> {
+    /// Returns the latest sample.
+    pub fn latest(&self) -> Option<&DemandSample> {
         self.samples.back()
     }
 
-    /// The most that was to do at one time within the window.
+    /// Returns the most work that was outstanding at any time within the window.
     pub fn peak(&self) -> u32 {
         self.samples.iter().map(|sample| sample.demand.outstanding()).max().unwrap_or(0)
     }
 
-    /// The most that was to do at one time, as far as is remembered.
+    /// Returns the most work that was outstanding at any remembered time.
     pub fn remembered_peak(&self) -> u32 {
         self.peaks.iter().map(|peak| peak.outstanding).max().unwrap_or(0)
     }
 
-    /// The time after which what waits now has been begun, in milliseconds, if the servers work as fast as at best within
-    /// the window. None if nothing waits, or if it can't be told since no work has become less in the window.
+    /// Returns the time until all work that is waiting now has started, in milliseconds, if the servers work at their best
+    /// speed within the window. `None` if no work is waiting, or if that speed is unknown because outstanding work has not
+    /// decreased within the window.
     pub fn projected_wait_ms(&self) -> Option<f64> {
-        let newest = self.newest().filter(|sample| sample.is_saturated())?;
-        let speed = self.best_speed()? * f64::from(newest.slots);
-        Some(f64::from(newest.demand.outstanding() - newest.slots) / speed)
+        let latest = self.latest().filter(|sample| sample.is_saturated())?;
+        let speed = self.best_speed()? * f64::from(latest.slots);
+        Some(f64::from(latest.demand.outstanding() - latest.slots) / speed)
     }
 
-    /// The most that became less per slot and millisecond, over any span of the window. Work that came meanwhile hides
-    /// some of it, so the servers are at least as fast. None if it never became less.
+    /// Returns the largest decrease of outstanding work per slot and millisecond over any span of the window. Work that
+    /// arrives meanwhile hides part of the decrease, so the servers are at least this fast. `None` if work never decreased.
     fn best_speed(&self) -> Option<f64> {
         let mut ends = self.samples.iter().peekable();
         let mut best: Option<f64> = None;
@@ -135,8 +137,8 @@
         best
     }
 
-    /// Whether there has been more to do than fits on the servers all the time for `PILE_UP_SPAN_MS`, and it isn't less
-    /// than at its beginning.
+    /// Returns whether demand has exceeded the slots throughout the last `PILE_UP_SPAN_MS`, and is now at least as high as at
+    /// the beginning of that time.
     pub fn is_piling_up(&self, now: Milliseconds) -> bool {
         let Some(begin) = now.checked_sub(PILE_UP_SPAN_MS) else { return false };
         if self.covered_since.is_none_or(|since| since > begin) {
@@ -144,7 +146,7 @@
         }
         let mut span = self.samples.iter().filter(|sample| sample.at >= begin).peekable();
         let first = span.peek().map(|sample| sample.demand.outstanding());
-        let last = self.newest().map(|sample| sample.demand.outstanding());
+        let last = self.latest().map(|sample| sample.demand.outstanding());
         span.all(DemandSample::is_saturated) && first.is_some() && last >= first
     }
 }
--- a/crates/control-plane/src/discovery.rs
+++ b/crates/control-plane/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: the platform's list of servers, which is read page by page, and how often it is read.
+//! Discovery: parses the platform's list of servers page by page, and says how often it is read.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -8,62 +8,62 @@
 use orchidvalve_protocol::messages::ServerEntry;
 use serde_json::Value;
 
-/// Pause after a list was read, in milliseconds.
+/// Pause after the list was read, in milliseconds.
 pub const POLL_INTERVAL_MS: Milliseconds = 1_000;
-/// Pause after a list couldn't be read, in milliseconds.
+/// Pause after a failed reading, in milliseconds.
 pub const RETRY_INTERVAL_MS: Milliseconds = 500;
-/// A request to the platform that takes longer is given up, in milliseconds.
+/// A request to the platform that takes longer than this, in milliseconds, is abandoned.
 pub const REQUEST_TIMEOUT_MS: Milliseconds = 1_500;
-/// Upper bound of pages of one list, against lists whose pages never end.
+/// Maximum number of pages of one list, as a guard against lists whose pages never end.
 const MAX_PAGES: usize = 1_000;
 
-/// Why a page of the list can't be used. The list is read again.
+/// The reason why a page of the list cannot be used. The list is read again then.
 #[derive(Debug, PartialEq, Eq, Display, Error)]
 pub enum ListError {
-    /// The body isn't JSON.
-    #[display("the platform's list isn't JSON: read it again")]
+    /// The body is not JSON.
+    #[display("the platform's list is not JSON: read it again")]
     NotJson,
     /// The body has no array of instances.
     #[display("the platform's list has no instances: read it again")]
     NoInstances,
-    /// An instance lacks something that is needed.
+    /// An instance lacks a required field.
     #[display("instances[{index}].{key} of the platform's list is missing or malformed: read it again")]
     Malformed {
         /// Index of the instance on its page.
         index: usize,
-        /// What it lacks.
+        /// Name of the missing or malformed field.
         key: &'static str,
     },
-    /// The pages don't end.
+    /// The list has too many pages.
     #[display("the platform's list has over {MAX_PAGES} pages: read it again")]
     TooLong,
 }
 
-/// Reads one list, page by page.
+/// Reads one list of servers page by page.
 #[derive(Default, Debug)]
 pub struct ListReader {
     servers: Vec<ServerEntry>,
     pages: usize,
 }
 
-/// What follows a page.
+/// What follows a page of the list.
 #[derive(Debug, PartialEq)]
 pub enum PageOutcome {
-    /// There are more pages.
+    /// Another page follows.
     NextPage {
-        /// Token that asks for the next page.
+        /// Token with which the next page is requested.
         token: String,
     },
-    /// It was the last page: all servers.
+    /// The page was the last one; contains all servers of the list.
     Complete(Vec<ServerEntry>),
 }
 
 impl ListReader {
-    /// Takes one page.
+    /// Adds the next page.
     ///
     /// # Errors
     ///
-    /// The page can't be used; the list has to be read anew from its first page.
+    /// Returns an error if the page cannot be used; the list then has to be read again from its first page.
     pub fn add_page(&mut self, body: &[u8]) -> Result<PageOutcome, ListError> {
         let page: Value = serde_json::from_slice(body).map_err(|_| ListError::NotJson)?;
         let instances = page.get("instances").and_then(Value::as_array).ok_or(ListError::NoInstances)?;
--- a/crates/control-plane/src/disk_records.rs
+++ b/crates/control-plane/src/disk_records.rs
@@ -1,4 +1,4 @@
-//! Records that a control node keeps on its disk, and what they add up to when it starts.
+//! The records that a control node keeps on its disk, and the state that it recovers from them at its start.
 
 use musli::{Decode, Encode};
 use orchidvalve_bootstrap::ProcessError;
@@ -16,17 +16,17 @@
     Entry(Entry),
     /// Entries after `after` are void.
     Truncate {
-        /// Sequence number of the last entry that stays.
+        /// Sequence number of the last entry that remains.
         after: Sequence,
     },
-    /// The log begins anew.
+    /// The log restarts empty.
     Reset {
         /// Sequence number of its first entry.
         start: Sequence,
-        /// Epoch of the entry before it; 0 if it isn't known.
+        /// Epoch of the entry before it; 0 if unknown.
         previous_epoch: Epoch,
     },
-    /// State of the agreement on views; the newest one counts.
+    /// State of the agreement on views. The latest record counts.
     Agreement(DurableState),
     /// This node gives orders to servers as the head of the view of this epoch.
     LeadershipEpoch {
@@ -42,23 +42,23 @@
     },
 }
 
-/// What the records of a disk add up to.
+/// The state recovered from the records of a disk.
 #[derive(Default, Debug)]
 pub struct RecoveredState {
     /// The replicated log.
     pub log: ReplicatedLog,
-    /// Newest state of the agreement on views.
+    /// Latest state of the agreement on views.
     pub agreement: Option<DurableState>,
-    /// Newest epoch in which this node gave orders.
+    /// Latest epoch in which this node gave orders.
     pub leadership_epoch: Option<Epoch>,
-    /// Position of the newest record of the agreement.
+    /// Position of the latest record of the agreement.
     pub agreement_position: Option<Position>,
-    /// Number of records that couldn't be decoded.
+    /// Number of records that could not be decoded.
     pub unreadable: usize,
 }
 
 impl RecoveredState {
-    /// Applies the next record, in the order in which they were written.
+    /// Applies the next record. Records have to be applied in the order in which they were written.
     pub fn apply_record(&mut self, position: Position, payload: &[u8]) {
         match decode::<DiskRecord>(payload) {
             Some(DiskRecord::Entry(entry)) => self.apply_entry(entry, position),
@@ -76,12 +76,12 @@
         }
     }
 
-    /// Checks that all records could be read. What an unreadable one held may have been acknowledged or promised, so a
-    /// node that left it out could lose a change, or break a promise that it gave as an acceptor.
+    /// Checks that all records could be decoded. The contents of an unreadable record may have been acknowledged or
+    /// promised, so a node that ignored it could lose a change, or break a promise that it gave as an acceptor.
     ///
     /// # Errors
     ///
-    /// The number of records that another version wrote.
+    /// Returns the number of unreadable records, which another version has written.
     pub fn require_readable(&self) -> Result<(), ProcessError> {
         match self.unreadable {
             0 => Ok(()),
@@ -91,7 +91,7 @@
 
     fn apply_entry(&mut self, entry: Entry, position: Position) {
         if self.log.is_empty() && entry.sequence != self.log.first() {
-            // Records before it were released: nothing before it is needed.
+            // The records before this one were released, so no earlier entry is needed.
             self.log.reset(entry.sequence, 0);
         }
         if entry.sequence == self.log.end() + 1 {
--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -1,9 +1,9 @@
 //! HTTP exchanges of this node with the platform and with servers.
 //!
-//! A response belongs to a request by the connection alone: these requests carry no id that comes back. Servers may
-//! send a second response, late, so an order begins a connection of its own. Only the questions that follow it, whose
-//! responses can't be taken for that to the order, share that connection, and readings of the platform's list share
-//! another one, while nothing is outstanding on it in either direction.
+//! A response is matched to its request by the connection alone, since these requests carry no id that the response
+//! repeats. Servers may send a second response late, so each order opens a connection of its own. Only the probes after an
+//! order reuse its connection, because their responses cannot be mistaken for one to the order. Readings of the platform's
+//! list reuse another connection. A connection is reused only while nothing is outstanding on it in either direction.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -16,26 +16,27 @@
 const MAX_HEADER_BYTES: usize = 64 << 10;
 /// Bytes sent on a reused connection may stay unacknowledged by the peer's machine for this time.
 const REUSED_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The same on a new connection, in milliseconds: the system doesn't retransmit for longer a request that was lost on
-/// its way, so an order reaches its server soon after it was sent or not at all.
+/// Bytes sent on a new connection may stay unacknowledged for this time, in milliseconds. The operating system does not
+/// retransmit a lost request for longer, so an order reaches its server soon after it was sent or not at all.
 pub const NEW_USER_TIMEOUT_MS: Milliseconds = 300;
 
-/// A request that isn't handed to the system within this time, in milliseconds, since its connection wasn't up or this
-/// process stood still, is never sent: a later order would reach its server after its sender's lease.
+/// A request that is not handed to the operating system within this time, in milliseconds, because its connection is not
+/// established or this process was suspended, is never sent. Otherwise an order could reach its server after the lease of
+/// its sender has ended.
 pub const CONNECT_TIMEOUT_MS: Milliseconds = 300;
 
-/// Which connection carries an exchange.
+/// The choice of the connection that carries an exchange.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ConnectionUse {
-    /// A new one, kept open after the response for exchanges that follow: no earlier request's response can come on it.
+    /// A new connection, kept open after the response for later exchanges. No response to an earlier request can arrive on it.
     New,
-    /// An idle one, or a new one. For requests that may be repeated, and whose responses can't be taken for
-    /// a second one to an earlier request.
+    /// An idle connection, or a new one if there is none. Only for requests that may be repeated, and whose responses cannot
+    /// be mistaken for a second one to an earlier request.
     Reused,
 }
 
 impl ConnectionUse {
-    /// How long bytes that were sent may stay unacknowledged.
+    /// Returns how long sent bytes may stay unacknowledged.
     pub fn user_timeout(self) -> Duration {
         match self {
             ConnectionUse::New => Duration::from_millis(NEW_USER_TIMEOUT_MS),
@@ -44,27 +45,28 @@
     }
 }
 
-/// Where a request goes, and until when its response counts. Times are steady, in milliseconds.
+/// The receiver and the deadline of a request. Times are on the monotonic clock, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct ExchangeTarget {
     /// Address of the server.
     pub address: SocketAddrV4,
-    /// Which connection is taken.
+    /// Which connection carries the exchange.
     pub connection_use: ConnectionUse,
-    /// When the exchange begins.
+    /// Time at which the exchange starts.
     pub started_at: Milliseconds,
-    /// When it is given up.
+    /// Time at which the exchange is abandoned.
     pub deadline: Milliseconds,
 }
 
-/// An exchange in flight; `P` says what it is for.
+/// An exchange in flight; `P` is the type of its purpose.
 #[derive(Debug)]
 struct Exchange<P> {
     purpose: P,
     target: ExchangeTarget,
     reader: ResponseReader,
     body: Vec<u8>,
-    /// Until when the request has to be handed to the system on a new connection; `None` once that was checked.
+    /// Time by which the request on a new connection has to be handed to the operating system; `None` once that was
+    /// checked.
     send_deadline: Option<Milliseconds>,
 }
 
@@ -74,12 +76,12 @@
     }
 }
 
-/// An exchange that is over; without a response where the connection failed or the deadline has passed.
+/// A completed exchange, without a response if the connection failed or the deadline has passed.
 #[derive(Debug)]
 pub struct CompletedExchange<P> {
-    /// What it was for.
+    /// Purpose of the exchange.
     pub purpose: P,
-    /// The response, if there is one.
+    /// The response; `None` if there was none.
     pub response: Option<HttpResponse>,
 }
 
@@ -88,11 +90,11 @@
 pub struct HttpResponse {
     /// Status and headers.
     pub head: ResponseHead,
-    /// The body, without its transfer coding.
+    /// The body, after its transfer coding was decoded.
     pub body: Vec<u8>,
 }
 
-/// Exchanges in flight and idle connections, of which there is at most one for each address.
+/// The exchanges in flight and the idle connections, at most one idle connection for each address.
 #[derive(Debug)]
 pub struct HttpClient<P> {
     exchanges: BTreeMap<ConnectionId, Exchange<P>>,
@@ -106,11 +108,11 @@
 }
 
 impl<P> HttpClient<P> {
-    /// Sends `request`, a complete message.
+    /// Starts an exchange by sending `request`, a complete HTTP message.
     ///
     /// # Errors
     ///
-    /// No connection can be begun, and nothing was sent: the purpose is given back.
+    /// Returns the purpose if no connection can be opened; nothing was sent then.
     pub fn start(
         &mut self,
         network: &mut Network,
@@ -141,14 +143,14 @@
         Ok(())
     }
 
-    /// Closes the idle connection to `address`: no more requests follow.
+    /// Closes the idle connection to `address`, because no more requests follow.
     pub fn close_idle(&mut self, network: &mut Network, address: SocketAddrV4) {
         if let Some(connection) = self.idle.remove(&address) {
             network.abort(connection);
         }
     }
 
-    /// The idle connection to `address`, unless it has ended or bytes have come on it that nobody asked for.
+    /// Takes the idle connection to `address`, unless it has ended or has received unexpected bytes.
     fn take_idle(&mut self, network: &mut Network, address: SocketAddrV4) -> Option<ConnectionId> {
         let connection = self.idle.remove(&address)?;
         if is_quiescent(network, connection) {
@@ -158,15 +160,15 @@
         None
     }
 
-    /// Whether this is a connection of this client.
+    /// Returns whether this client uses the connection.
     pub fn owns(&self, connection: ConnectionId) -> bool {
         self.exchanges.contains_key(&connection) || self.idle.values().any(|idle| *idle == connection)
     }
 
-    /// Bytes have arrived. The exchange if they complete its response.
+    /// Processes received bytes. Returns the exchange if they complete its response.
     pub fn data(&mut self, network: &mut Network, connection: ConnectionId) -> Option<CompletedExchange<P>> {
         let Some(exchange) = self.exchanges.get_mut(&connection) else {
-            // Nothing is expected on an idle connection.
+            // No bytes are expected on an idle connection.
             self.idle.retain(|_, idle| *idle != connection);
             network.abort(connection);
             return None;
@@ -188,7 +190,8 @@
         Some(completed(exchange))
     }
 
-    /// The connection has ended. A response without a length is complete only if its peer ended it in order.
+    /// Processes the end of a connection. A response without a length is complete only if the peer closed the connection
+    /// in an orderly way.
     pub fn closed(
         &mut self,
         network: &mut Network,
@@ -210,11 +213,11 @@
         Some(CompletedExchange { purpose: exchange.purpose, response: None })
     }
 
-    /// Exchanges whose deadline has passed, or whose requests weren't handed to the system in time.
+    /// Ends the exchanges whose deadline has passed, or whose requests were not handed to the operating system in time.
     pub fn expire(&mut self, network: &mut Network, now: Milliseconds) -> Vec<CompletedExchange<P>> {
         let mut expired = Vec::new();
         for (connection, exchange) in &mut self.exchanges {
-            // A connection that came up while this process stood still has its request in the outbox yet.
+            // If the connection was established while this process was suspended, the request is still in the outbox.
             let is_unsent = || !network.is_open(*connection) || network.queued_bytes(*connection) > 0;
             let unsent = exchange.send_deadline.take_if(|by| *by <= now).is_some_and(|_| is_unsent());
             if unsent || exchange.target.deadline <= now {
@@ -224,14 +227,14 @@
         expired.into_iter().filter_map(|connection| self.fail(network, connection)).collect()
     }
 
-    /// When [`HttpClient::expire`] has to be called next; `None` if nothing is in flight.
+    /// Returns when [`HttpClient::expire`] has to be called next; `None` if nothing is in flight.
     pub fn next_deadline(&self) -> Option<Milliseconds> {
         self.exchanges.values().map(Exchange::next_deadline).min()
     }
 }
 
-/// Whether nothing waits on the connection in either direction: neither bytes of the peer that belong to no exchange,
-/// nor the rest of a request whose response came before it was wholly sent.
+/// Returns whether nothing is outstanding on the connection in either direction: neither received bytes that belong to no
+/// exchange, nor the rest of a request whose response arrived before it was sent in full.
 fn is_quiescent(network: &Network, connection: ConnectionId) -> bool {
     network.is_open(connection)
         && network.inbox(connection).is_empty()
--- a/crates/control-plane/src/lib.rs
+++ b/crates/control-plane/src/lib.rs
@@ -1,12 +1,12 @@
 //! The control plane: the replicated control state, sessions and feed, and the singleton roles of the head.
 //!
-//! The control nodes hold the control state in a chain; the view of the chain is agreed on by a quorum of them.
-//! Gateways and store nodes open a session to one of them and subscribe to the numbered feed of changes. The head of
-//! the chain acts in the roles that one node at a time may have: reading the platform's list, placing partitions
-//! on store nodes, rolling out new weights and reporting usage.
+//! The control nodes replicate the control state along a chain, whose view a quorum of them agrees on. Gateways and store
+//! nodes open a session to one of the control nodes and subscribe to the numbered feed of changes. The head of the chain
+//! acts in the singleton roles, in which only one node may act at a time: reading the platform's list of servers, placing
+//! partitions on store nodes, rolling out new weights, reporting usage and scaling services.
 //!
 //! [`node`] is the state machine of one control node and does no I/O. [`process`] connects it with sockets and disk;
-//! [`observer`] is the process of a machine without a disk.
+//! [`observer`] is the control process of a machine without a disk.
 
 pub mod demand_window;
 pub mod discovery;
--- a/crates/control-plane/src/node/agreement_record.rs
+++ b/crates/control-plane/src/node/agreement_record.rs
@@ -1,4 +1,4 @@
-//! The state of the agreement on views as it is written to the disk.
+//! The state of the agreement on views and its records on the disk.
 
 use std::collections::VecDeque;
 
@@ -7,45 +7,46 @@
 
 use crate::disk_records::DiskRecord;
 
-/// A record that isn't durable yet.
+/// A record that is not durable yet.
 #[derive(Debug)]
 struct PendingWrite {
     position: Position,
-    /// Number by which the agreement waits for it; `None` for a repeated record.
+    /// The write number that the agreement waits for; `None` for a repeated record.
     write_number: Option<WriteNumber>,
 }
 
-/// The newest state of the agreement and the records of it. Pending writes are in the order of their positions, and
-/// the durable record lies before all of them.
+/// The latest state of the agreement, and the positions of its records. Pending writes are in the order of their
+/// positions, and the durable record lies before all of them.
 #[derive(Debug)]
 pub(super) struct AgreementRecord {
-    newest: Option<DurableState>,
+    latest: Option<DurableState>,
     pending: VecDeque<PendingWrite>,
-    /// Position of the newest record that is durable; 0 if there is none.
+    /// Position of the latest durable record; 0 if there is none.
     durable_position: Position,
 }
 
 impl AgreementRecord {
     pub(super) fn recovered(state: Option<DurableState>, position: Option<Position>) -> AgreementRecord {
-        AgreementRecord { newest: state, pending: VecDeque::new(), durable_position: position.unwrap_or(0) }
+        AgreementRecord { latest: state, pending: VecDeque::new(), durable_position: position.unwrap_or(0) }
     }
 
-    /// The agreement is in a new state, which is to be written.
+    /// Sets a new state of the agreement, which has to be written next.
     pub(super) fn set_state(&mut self, state: DurableState) {
-        self.newest = Some(state);
+        self.latest = Some(state);
     }
 
-    /// The record of the newest state, if there is any.
+    /// Returns the record of the latest state; `None` if there is no state yet.
     pub(super) fn record(&self) -> Option<DiskRecord> {
-        self.newest.clone().map(DiskRecord::Agreement)
+        self.latest.clone().map(DiskRecord::Agreement)
     }
 
-    /// The newest state was written at this position; the agreement waits for it by its number, unless it is a repeat.
+    /// Notes that the latest state was written at `position`. The agreement waits for `write_number`, which is `None` for a
+    /// repeated record.
     pub(super) fn written(&mut self, position: Position, write_number: Option<WriteNumber>) {
         self.pending.push_back(PendingWrite { position, write_number });
     }
 
-    /// All records up to `position` are durable: the numbers that the agreement waits for, in order.
+    /// Marks all records up to `position` as durable. Returns the write numbers that the agreement waits for, in order.
     pub(super) fn set_durable(&mut self, position: Position) -> Vec<WriteNumber> {
         let mut write_numbers = Vec::new();
         while let Some(write) = self.pending.pop_front_if(|write| write.position <= position) {
@@ -55,12 +56,12 @@
         write_numbers
     }
 
-    /// Position of the newest record that is durable.
+    /// Returns the position of the latest durable record.
     pub(super) fn durable_position(&self) -> Position {
         self.durable_position
     }
 
-    /// Whether a record isn't durable yet.
+    /// Returns whether a record is not durable yet.
     pub(super) fn is_being_written(&self) -> bool {
         !self.pending.is_empty()
     }
--- a/crates/control-plane/src/node/checkpoints.rs
+++ b/crates/control-plane/src/node/checkpoints.rs
@@ -1,27 +1,27 @@
-//! When the head writes a checkpoint, and which one the log may be compacted to.
+//! Decides when the head writes a checkpoint, and to which checkpoint the log may be compacted.
 
 use orchidvalve_chain_replication::Sequence;
 
 use crate::replicated_log::ReplicatedLog;
 
-/// Payload bytes after the newest checkpoint above which the head writes the next one, unless that checkpoint is
-/// larger: then as many as it has. So at most half of what is written are checkpoints, and the log takes no more
-/// than four times the state beside what isn't committed yet.
+/// The head writes a checkpoint when the payload bytes after the latest one exceed this or, if larger, the size of that
+/// checkpoint. So checkpoints make up at most half of what is written, and the log takes at most four times the size of the
+/// state, apart from uncommitted entries.
 const CHECKPOINT_BYTES: usize = 2 << 20;
-/// Entries of the log above which the head writes a checkpoint.
+/// The head writes a checkpoint when the log has more entries than this.
 const CHECKPOINT_ENTRIES: u64 = 4_096;
 
-/// The newest checkpoints: at most one is proposed and not committed at a time.
+/// The latest checkpoints. At most one checkpoint is proposed and uncommitted at a time.
 #[derive(Default, Debug)]
 pub(super) struct Checkpoints {
-    /// Newest checkpoint that was applied and that the log isn't compacted to yet.
+    /// Latest checkpoint that was applied and to which the log was not compacted yet.
     applied: Option<Sequence>,
-    /// Newest checkpoint that this node proposed as the head of the view in force; 0 for none.
+    /// Latest checkpoint that this node proposed as the head of the current view; 0 for none.
     proposed: Sequence,
 }
 
 impl Checkpoints {
-    /// Whether the head should write a checkpoint now.
+    /// Returns whether the head has to write a checkpoint now.
     pub(super) fn is_due(&self, log: &ReplicatedLog, applied: Sequence) -> bool {
         let entries = log.end() + 1 - log.first();
         let max_bytes = CHECKPOINT_BYTES.max(log.checkpoint_bytes());
@@ -30,22 +30,22 @@
         is_long && !is_uncommitted
     }
 
-    /// This node has proposed a checkpoint.
+    /// Records that this node has proposed a checkpoint.
     pub(super) fn set_proposed(&mut self, sequence: Sequence) {
         self.proposed = sequence;
     }
 
-    /// A new view is in force: what was proposed before may be gone.
+    /// Forgets the proposed checkpoint, which may be lost in the new view.
     pub(super) fn view_changed(&mut self) {
         self.proposed = 0;
     }
 
-    /// A committed checkpoint was applied.
+    /// Records that a committed checkpoint was applied.
     pub(super) fn set_applied(&mut self, sequence: Sequence) {
         self.applied = Some(sequence);
     }
 
-    /// The checkpoint that the log is to be compacted to, given once.
+    /// Takes the checkpoint to which the log has to be compacted, if there is one.
     pub(super) fn take_compaction_point(&mut self, log: &ReplicatedLog) -> Option<Sequence> {
         self.applied.take().filter(|sequence| *sequence > log.first())
     }
--- a/crates/control-plane/src/node/disk.rs
+++ b/crates/control-plane/src/node/disk.rs
@@ -1,20 +1,20 @@
-//! The disk as the control node needs it, and how far records are durable and released.
+//! The interface to the disk, and the positions up to which records are durable and released.
 
 use orchidvalve_protocol::frames::encode;
 use orchidvalve_wal::Position;
 
 use crate::disk_records::DiskRecord;
 
-/// The disk, as far as the control node needs it.
+/// The disk as the control node uses it.
 pub trait Disk {
-    /// Queues a record and returns its position; positions rise.
+    /// Queues a record and returns its position. Positions increase.
     fn append(&mut self, payload: Vec<u8>) -> Position;
-    /// Records before `position` are no longer needed.
+    /// Releases the records before `position`, which are no longer needed.
     fn release_before(&mut self, position: Position);
 }
 
-/// A disk with two positions that only rise: all records up to `durable_position` are on it, and those before
-/// `released_before` were given back.
+/// A disk with two positions that only increase: all records up to `durable_position` are durable, and those before
+/// `released_before` were released.
 pub(super) struct RecordLog<D> {
     disk: D,
     durable_position: Position,
@@ -35,7 +35,7 @@
         self.durable_position
     }
 
-    /// All records up to `position` are durable; true if that is news.
+    /// Marks all records up to `position` as durable. Returns whether that is an advance.
     pub(super) fn set_durable(&mut self, position: Position) -> bool {
         let has_advanced = position > self.durable_position;
         self.durable_position = self.durable_position.max(position);
@@ -46,7 +46,7 @@
         self.released_before
     }
 
-    /// Gives back the records before `position`.
+    /// Releases the records before `position`.
     pub(super) fn release_before(&mut self, position: Position) {
         self.released_before = position;
         self.disk.release_before(position);
--- a/crates/control-plane/src/node/mod.rs
+++ b/crates/control-plane/src/node/mod.rs
@@ -1,8 +1,8 @@
 //! The control node: agreement on views, replication of the log, the control state and open requests.
 //!
-//! [`ControlNode`] does no I/O of its own: the disk is behind [`Disk`], messages to others and news come out as
-//! [`NodeOutput`]s. Each of its parts keeps an invariant of its own; the node passes what one part puts out to the
-//! others, in one order.
+//! [`ControlNode`] does no I/O of its own: the disk is behind [`Disk`], and messages and notifications are returned as
+//! [`NodeOutput`]s. Each part of the node maintains an invariant of its own. The node passes the outputs of one part to the
+//! others, in a fixed order.
 
 mod agreement_record;
 mod checkpoints;
@@ -40,19 +40,19 @@
 pub use self::output::{NodeOutput, RetirementVerdict};
 pub use self::quorum_contact::QUORUM_TIMEOUT_MS;
 
-/// Longest pause between two calls of [`ControlNode::tick`], in milliseconds.
+/// Maximum time between two calls of [`ControlNode::tick`], in milliseconds.
 const MAX_TICK_INTERVAL_MS: Milliseconds = 100;
 
-/// Facts about this node that don't change while the process runs.
+/// Properties of this node that do not change while the process runs.
 #[derive(Clone, Debug)]
 pub struct NodeConfig {
     /// Address and disk of this node.
     pub me: MemberId,
-    /// Whether it may take part in deciding the first view.
+    /// Whether this node may take part in deciding the first view.
     pub bootstrap: bool,
-    /// Control nodes that the settings name.
+    /// Addresses of the control nodes in the settings.
     pub seeds: Vec<NodeAddress>,
-    /// Disks that may be lost at once.
+    /// Number of disks that may be lost at once.
     pub tolerance: usize,
     /// Time from the return of a node until the next one may be lost, in milliseconds.
     pub catch_up_ms: Milliseconds,
@@ -71,7 +71,7 @@
     quorum: QuorumContact,
     replica: Replica,
     log: ReplicatedLog,
-    /// Nodes outside the chain that copy the log, this one among them if it is outside.
+    /// Nodes outside the chain that copy the log, including this node if it is outside.
     learners: Vec<MemberId>,
     state: StateMachine,
     checkpoints: Checkpoints,
@@ -80,7 +80,7 @@
 }
 
 impl<D: Disk> ControlNode<D> {
-    /// A node at the start of its process; `recovered` is what the disk holds.
+    /// Creates the node at the start of its process, with the state recovered from its disk.
     pub fn new(config: NodeConfig, recovered: RecoveredState, disk: D, now: Milliseconds) -> ControlNode<D> {
         let RecoveredState { log, agreement: durable, agreement_position, leadership_epoch, .. } = recovered;
         let durable_position = log.disk_position(log.end()).unwrap_or(0);
@@ -109,54 +109,54 @@
         node
     }
 
-    /// Takes what the host has to do or to know, in order.
+    /// Takes the pending outputs, in order. The host has to carry them out.
     pub fn take_outputs(&mut self) -> Vec<NodeOutput> {
         std::mem::take(&mut self.outputs)
     }
 
-    /// The committed control state.
+    /// Returns the committed control state.
     pub fn state(&self) -> &ControlState {
         self.state.committed()
     }
 
-    /// Last change that was applied to the committed control state; 0 before the first.
+    /// Returns the number of the last change applied to the committed control state; 0 before the first.
     pub fn applied(&self) -> Sequence {
         self.state.committed_through()
     }
 
-    /// The state with all entries of the log, committed or not, where this node is the head.
+    /// Returns the state with all entries of the log applied, committed or not; meaningful while this node is the head.
     pub fn tentative_state(&mut self) -> &ControlState {
         self.state.tentative(&self.log)
     }
 
-    /// The newest view that is known here.
+    /// Returns the latest view that this node knows.
     pub fn view(&self) -> Option<&View> {
         self.agreement.view()
     }
 
-    /// Epoch of the view that this node acts in; it may know of a newer one.
+    /// Returns the epoch of the view that this node acts in. The node may know a newer view.
     pub fn epoch(&self) -> Epoch {
         self.replica.view().epoch
     }
 
-    /// Whether this node is the head of the chain.
+    /// Returns whether this node is the head of the chain.
     pub fn is_head(&self) -> bool {
         self.replica.is_head()
     }
 
-    /// Whether this node is the head, has a quorum, and knows the outcome of all entries of earlier views: it may
-    /// decide requests.
+    /// Returns whether this node may decide requests: it is the head, has a quorum, and knows the outcome of all entries of
+    /// earlier views.
     pub fn is_established_head(&self) -> bool {
         self.replica.is_head() && self.replica.is_recovered() && self.has_quorum()
     }
 
-    /// Whether this node is in the chain and a quorum was in its view a moment ago.
+    /// Returns whether this node is in the chain and a quorum was recently in its view.
     pub fn has_quorum(&self) -> bool {
         self.replica.is_member() && self.quorum.is_recent(self.agreement.quorum_confirmed_at(), self.now)
     }
 
-    /// Latest time at which a quorum was certainly in the view that this node acts in. `None` while a newer
-    /// view is known here but not entered yet, since confirmations are of that one then.
+    /// Returns the latest time at which a quorum was certainly in the view that this node acts in. `None` while this node
+    /// knows a newer view but has not entered it, since confirmations refer to the newer view then.
     pub fn quorum_confirmed_at(&self) -> Option<Milliseconds> {
         if self.agreement.epoch() != self.epoch() {
             return None;
@@ -164,20 +164,20 @@
         self.agreement.quorum_confirmed_at()
     }
 
-    /// The term of this node's leadership, while it is the established head: the number of the committed change that
-    /// began it. It rises with every start of a head, also within one view, so whatever is numbered under it is
-    /// never numbered a second time after a restart.
+    /// Returns the leadership term while this node is the established head: the number of the committed change that began
+    /// the term. It increases with every start of a head, even within one view, so that nothing numbered under it is
+    /// numbered again after a restart.
     pub fn leadership_term(&self) -> Option<Sequence> {
         self.leadership.term(self.state.applied()).filter(|_| self.is_established_head())
     }
 
-    /// Newest epoch in which this node gave orders, by its disk.
+    /// Returns the latest epoch in which this node gave orders, according to its disk.
     pub fn leadership_epoch(&self) -> Option<Epoch> {
         self.leadership.persisted_epoch()
     }
 
-    /// This node gives orders in the view in force. A start that finds that on its disk needn't wait until
-    /// orders of another head have certainly arrived.
+    /// Records on the disk that this node gives orders in the current view. A restarted process that finds this record
+    /// need not wait until the orders of another head have certainly arrived.
     pub fn persist_leadership(&mut self) {
         let epoch = self.epoch();
         if self.leadership.persisted_epoch() != Some(epoch) {
@@ -190,54 +190,54 @@
         self.leadership.written(epoch, position);
     }
 
-    /// The first committed change that subscribers can still be sent by itself.
+    /// Returns the number of the first committed change that can still be sent to subscribers individually.
     pub fn first_change(&self) -> Sequence {
         self.log.first()
     }
 
-    /// Committed changes from `first` on.
+    /// Returns the committed changes from `first` on, encoded.
     pub fn changes_from(&self, first: Sequence) -> Vec<Rc<[u8]>> {
         let entries = (first..=self.applied()).filter_map(|sequence| self.log.get(sequence));
         entries.map(|entry| entry.payload.clone()).collect()
     }
 
-    /// The first message of the agreement on a new link.
+    /// Returns the first message of the agreement on a new link.
     pub fn hello(&self) -> PeerMessage {
         PeerMessage::Agreement(self.agreement.hello())
     }
 
-    /// The control node at the address of this seed is an observer and takes no part in agreement.
+    /// Excludes the control node at the address of a seed from the agreement, because it is an observer.
     pub fn exclude_seed(&mut self, seed: NodeAddress) {
         self.agreement.exclude_seed(seed);
     }
 
-    /// This process is to shut down; [`ControlNode::may_leave`] says when it may.
+    /// Announces that this process is shutting down; [`ControlNode::may_leave`] says when it may exit.
     pub fn set_leaving(&mut self) {
         self.agreement.set_leaving();
     }
 
-    /// Whether nothing is lost if a process that is to shut down does so now.
+    /// Returns whether a process that is shutting down may exit now without any loss.
     pub fn may_leave(&self) -> bool {
         self.agreement.may_leave()
     }
 
-    /// Whether the disk hangs or refuses writes.
+    /// Sets whether the disk hangs or refuses writes.
     pub fn set_impaired(&mut self, impaired: bool) {
         self.agreement.set_impaired(impaired);
     }
 
-    /// When [`ControlNode::tick`] has to be called next.
+    /// Returns when [`ControlNode::tick`] has to be called next.
     pub fn next_tick_at(&self) -> Milliseconds {
         self.agreement.next_tick_at().min(self.now + MAX_TICK_INTERVAL_MS)
     }
 
-    /// Sets the time. The host calls this before it handles any event of a turn. Otherwise a process that stood still
-    /// would judge events by the time before its pause, and believe that it still has a quorum.
+    /// Sets the time. The host calls this before it handles any event of a turn. Otherwise a process that was suspended
+    /// would handle events with the time before its pause, and still count on a quorum that it may have lost.
     pub fn advance_clock(&mut self, now: Milliseconds) {
         self.now = self.now.max(now);
     }
 
-    /// Does what is due by time in all parts of the node, in this order: agreement, replication, requests that expire,
+    /// Does what is due by time in all parts of the node, in this order: agreement, replication, expiry of requests,
     /// catch-up, term, checkpoint.
     pub fn tick(&mut self, now: Milliseconds) {
         self.advance_clock(now);
@@ -254,8 +254,8 @@
         self.checkpoint_if_due();
     }
 
-    /// Messages reach `member` and come back from it. Pings sent before that were lost, so it is pinged at once:
-    /// after a loss of power everywhere, nobody is served until a quorum has answered.
+    /// Notes that messages pass to and from `member`. Earlier pings were lost, so the member is pinged at once: after a
+    /// power loss of all nodes, requests are served only once a quorum has responded.
     pub fn link_up(&mut self, member: MemberId) {
         let mut outputs = Vec::new();
         self.replica.link_up(member, &mut outputs);
@@ -267,26 +267,26 @@
         }
     }
 
-    /// The link to `member` has ended; what was sent on it may be lost.
+    /// Notes that the link to `member` has ended; messages sent on it may be lost.
     pub fn link_down(&mut self, member: MemberId) {
         self.replica.link_down(member);
     }
 
-    /// A message of the agreement has arrived.
+    /// Processes a message of the agreement.
     pub fn agreement_message(&mut self, from: MemberId, message: orchidvalve_consensus::Message) {
         let mut outputs = Vec::new();
         self.agreement.message_received(self.now, from, message, &mut outputs);
         self.apply_agreement_outputs(outputs);
     }
 
-    /// A message of chain replication has arrived.
+    /// Processes a message of chain replication.
     pub fn chain_message(&mut self, from: MemberId, message: orchidvalve_chain_replication::Message) {
         let mut outputs = Vec::new();
         self.replica.message_received(from, message, &self.log, &mut outputs);
         self.apply_chain_outputs(outputs);
     }
 
-    /// All records up to `position` are on the disk.
+    /// Marks all records up to `position` as durable.
     pub fn durable(&mut self, position: Position) {
         if !self.disk.set_durable(position) {
             return;
--- a/crates/control-plane/src/node/output.rs
+++ b/crates/control-plane/src/node/output.rs
@@ -1,4 +1,4 @@
-//! What a control node asks its host for, and tells it.
+//! The outputs of a control node: what its host has to do, and what it is notified of.
 
 use std::rc::Rc;
 
@@ -9,56 +9,57 @@
 use super::{RequestNumber, RequestOrigin};
 use crate::peer_messages::{PeerMessage, RequestOutcome};
 
-/// Whether a store node may be retired, as the host of the head sees it.
+/// The decision of the head's host whether a store node may be retired.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RetirementVerdict {
     /// Enough other nodes are left, or the node is retiring already.
     Allowed,
-    /// Fewer nodes would be left than copies are needed.
-    TooFewStay,
-    /// Sessions may be missing: this node hasn't been the head for long enough to know.
-    Unsure,
+    /// Fewer other nodes would remain than copies are needed.
+    TooFewRemain,
+    /// Sessions may be missing: this node has not been the head for long enough to know all of them.
+    Undetermined,
 }
 
-/// What the host has to do or to know.
+/// An action or notification for the host.
 #[derive(Debug)]
 pub enum NodeOutput {
-    /// A message is to be sent.
+    /// Sends a message to another control node.
     Send {
-        /// Its receiver.
+        /// Receiver of the message.
         to: MemberId,
         /// The message.
         message: PeerMessage,
     },
-    /// Changes are committed and applied.
+    /// Changes were committed and applied.
     Committed {
-        /// Number of the first one.
+        /// Number of the first change.
         first: Sequence,
         /// The encoded changes, in order.
         changes: Vec<Rc<[u8]>>,
     },
-    /// A view has been entered.
+    /// This node has entered a view.
     ViewChanged(View),
-    /// This node, as the head, is asked to retire a store node; [`super::ControlNode::decide_retirement`] follows.
+    /// A request to retire a store node has reached this node as the head. The host has to respond with
+    /// [`super::ControlNode::decide_retirement`].
     RetirementRequested {
-        /// Who asks.
+        /// Receiver of the outcome.
         origin: RequestOrigin,
-        /// Name of the node's machine.
+        /// Name of the store node's machine.
         name: String,
     },
     /// A local request is decided.
     RequestDecided {
-        /// Its number.
+        /// Number of the request.
         request: RequestNumber,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: RequestOutcome,
     },
-    /// The state as of now includes everything that was committed before the read began.
+    /// A read is confirmed: the current state includes everything that was committed before the read began.
     ReadConfirmed {
         /// Number of the read.
         request: RequestNumber,
     },
-    /// It can't be proven that the state is the newest.
+    /// A read failed: it could not be confirmed that the state is the latest one.
     ReadUnconfirmed {
         /// Number of the read.
         request: RequestNumber,
--- a/crates/control-plane/src/node/quorum_contact.rs
+++ b/crates/control-plane/src/node/quorum_contact.rs
@@ -1,31 +1,32 @@
-//! When this node was last sure that a quorum is in its view.
+//! The last time at which this node was certain that a quorum is in its view.
 //!
-//! Only answers to pings make it sure: a view that is learned from others may be an old one that comes late, so learning
-//! it says nothing of the quorum.
+//! Only responses to pings give this certainty. A view learned from other nodes may be an old one that arrives late, so it
+//! says nothing about a quorum.
 
 use orchidvalve_chain_replication::Milliseconds;
 
-/// A quorum that was confirmed longer ago than this is no longer relied on, in milliseconds.
+/// A quorum counts as lost when its last confirmation is older than this, in milliseconds.
 pub const QUORUM_TIMEOUT_MS: Milliseconds = 1_200;
 
-/// The latest time that counts as a confirmation beside those of the agreement itself, which forgets them with each
+/// The last confirmation of a quorum, which is kept across changes of views; the agreement itself forgets it with each
 /// view.
 #[derive(Default, Debug)]
 pub(super) struct QuorumContact {
-    /// When a quorum was last confirmed, in the view in force or an earlier one.
+    /// When a quorum was last confirmed, in the current view or an earlier one.
     last_confirmed_at: Option<Milliseconds>,
 }
 
 impl QuorumContact {
-    /// Notes what the agreement says of the view that it is in.
+    /// Notes the last confirmation in the agreement's current view.
     pub(super) fn note_confirmed(&mut self, confirmed_at: Option<Milliseconds>) {
         self.last_confirmed_at = self.last_confirmed_at.max(confirmed_at);
     }
 
-    /// Whether a quorum was confirmed a moment ago; `confirmed_at` is what the agreement says now.
+    /// Returns whether a quorum was confirmed recently; `confirmed_at` is the agreement's last confirmation.
     ///
-    /// What was confirmed in the view before counts while a view is decided, when nothing is confirmed by those that
-    /// have accepted the next, and until pings of the new epoch are answered: subscribers aren't redirected meanwhile.
+    /// A confirmation in an earlier view counts until pings of the new epoch are answered. Nothing is confirmed while a view
+    /// is being decided, because acceptors of the next view do not confirm the former one. Subscribers are not redirected
+    /// meanwhile.
     pub(super) fn is_recent(&self, confirmed_at: Option<Milliseconds>, now: Milliseconds) -> bool {
         let latest = confirmed_at.max(self.last_confirmed_at);
         latest.is_some_and(|at| now < at + QUORUM_TIMEOUT_MS)
--- a/crates/control-plane/src/node/replication.rs
+++ b/crates/control-plane/src/node/replication.rs
@@ -1,4 +1,4 @@
-//! Replication of the log: appending changes, applying committed ones, checkpoints and giving back disk space.
+//! Replication of the log: appends changes, applies committed ones, writes checkpoints and releases disk space.
 
 use std::rc::Rc;
 
@@ -11,7 +11,7 @@
 use crate::peer_messages::PeerMessage;
 
 impl<D: Disk> ControlNode<D> {
-    /// Tells the replica through which entry the log is durable here.
+    /// Reports to the replica up to which entry the log is durable on this node.
     pub(super) fn report_durable_entries(&mut self) {
         let through = self.log.durable_through(self.disk.durable_position());
         let mut outputs = Vec::new();
@@ -19,7 +19,7 @@
         self.apply_chain_outputs(outputs);
     }
 
-    /// Carries out what the replica puts out, in order.
+    /// Carries out the outputs of the replica, in order.
     pub(super) fn apply_chain_outputs(&mut self, outputs: Vec<ChainOutput>) {
         let mut appended = false;
         for output in outputs {
@@ -43,8 +43,8 @@
                     self.outputs.push(NodeOutput::Send { to, message: PeerMessage::Chain(message) });
                 }
                 ChainOutput::Committed { through } => self.apply_through(through),
-                ChainOutput::Synchronized { epoch } => self.caught_up(self.config.me, epoch),
-                ChainOutput::LearnerCaughtUp { member, epoch } => self.caught_up(member, epoch),
+                ChainOutput::Synchronized { epoch } => self.member_caught_up(self.config.me, epoch),
+                ChainOutput::LearnerCaughtUp { member, epoch } => self.member_caught_up(member, epoch),
                 ChainOutput::Confirmed { barrier, committed } => self.barrier_confirmed(barrier, committed),
                 ChainOutput::Refused(violation) => log::error!("{violation}"),
             }
@@ -54,14 +54,15 @@
         }
     }
 
-    /// Entries whose records were already durable when they were appended (none in practice) are reported, too.
+    /// Reports entries whose records were already durable when they were appended. This does not occur in practice.
     fn report_new_durable_entries(&mut self) {
         if self.log.durable_through(self.disk.durable_position()) > self.replica.durable_through() {
             self.report_durable_entries();
         }
     }
 
-    /// Applies the committed entries up to `through` to the control state, and answers the requests that they decide.
+    /// Applies the committed entries up to `through` to the control state, and reports the outcomes of the requests that
+    /// they decide.
     fn apply_through(&mut self, through: Sequence) {
         let first = self.state.applied() + 1;
         let mut changes = Vec::new();
@@ -77,10 +78,10 @@
             self.outputs.push(NodeOutput::Committed { first, changes });
         }
         self.compact();
-        self.answer_decided_requests();
+        self.report_decided_outcomes();
     }
 
-    /// Drops what lies before the newest committed checkpoint.
+    /// Drops the entries before the latest committed checkpoint.
     fn compact(&mut self) {
         let Some(first) = self.checkpoints.take_compaction_point(&self.log) else { return };
         self.log.compact(first);
@@ -90,8 +91,8 @@
         self.release();
     }
 
-    /// Gives back the records before the oldest one needed. The state of the agreement is written again where it
-    /// would hold up all later records, the epoch of the leadership where its record is given back.
+    /// Releases the records before the oldest one needed. The state of the agreement is written again if its record would
+    /// prevent the release of all later ones, and the leadership epoch if its record is released.
     pub(super) fn release(&mut self) {
         let Some(oldest) = self.log.oldest_disk_position() else { return };
         let agreement_position = self.agreement_record.durable_position();
@@ -108,7 +109,8 @@
         }
     }
 
-    /// An established head writes the entry that begins its term, once in each view and each start of the process.
+    /// Writes the entry that begins the term, once this node is the established head. This is done once in each view and
+    /// each start of the process.
     pub(super) fn begin_term_if_due(&mut self) {
         if !self.leadership.has_term_entry() && self.is_established_head() {
             let entry = self.replicate(&Change::BeginTerm);
@@ -116,10 +118,10 @@
         }
     }
 
-    /// As the established head, proposes a checkpoint if the log has grown long enough.
+    /// Proposes a checkpoint if this node is the established head and the log has grown long enough.
     pub(super) fn checkpoint_if_due(&mut self) {
         if self.checkpoints.is_due(&self.log, self.state.applied()) && self.is_established_head() {
-            // Of all entries, committed or not: under load there is always one that isn't.
+            // The checkpoint includes uncommitted entries: under load there are always some.
             let snapshot = self.state.tentative(&self.log).snapshot();
             if self.propose(Change::Checkpoint(snapshot)) {
                 self.checkpoints.set_proposed(self.log.end());
@@ -127,7 +129,8 @@
         }
     }
 
-    /// Proposes a change of this node's own, without anyone waiting for it. False where it can't be now.
+    /// Proposes a change on behalf of this node itself; nothing waits for its outcome. Returns false if it cannot be
+    /// proposed now.
     pub fn propose(&mut self, change: Change) -> bool {
         if !self.is_established_head() {
             return false;
@@ -136,13 +139,13 @@
             Ok(Applied::Changed) => self.replicate(&change).is_some(),
             Ok(Applied::Unchanged) => true,
             Err(error) => {
-                log::warn!("control: a change of our own doesn't fit: {error}");
+                log::warn!("control: a change proposed by this node is invalid: {error}");
                 false
             }
         }
     }
 
-    /// Appends a change as the head, and returns its number.
+    /// Appends a change as the head, and returns its sequence number; `None` if that is not possible.
     pub(super) fn replicate(&mut self, change: &Change) -> Option<Sequence> {
         let mut outputs = Vec::new();
         let sequence = self.replica.propose(Rc::from(encode(change)), &mut outputs);
--- a/crates/control-plane/src/node/requests.rs
+++ b/crates/control-plane/src/node/requests.rs
@@ -1,55 +1,55 @@
-//! Requests: deciding them at the head, forwarding them to it, and answering or expiring them.
+//! Requests: the head decides them, other nodes forward them to it, and their outcomes are reported or expire.
 
 use orchidvalve_chain_replication::{BarrierId, Sequence};
 use orchidvalve_control_state::{Applied, Change, ChangeError};
 use orchidvalve_protocol::frames::decode;
 use orchidvalve_protocol::identity::MemberId;
 
-use super::open_requests::{AnswerableRequest, ExpiredRequest};
+use super::open_requests::{ExpiredRequest, ReportableRequest};
 use super::{ControlNode, Disk, NodeOutput, RequestNumber, RequestOrigin, RetirementVerdict};
 use crate::peer_messages::{ForwardNumber, HeadRequest, PeerMessage, RequestOutcome};
 
 impl<D: Disk> ControlNode<D> {
-    /// Submits a local request. It is decided here if this node is the head, else forwarded to the head;
+    /// Submits a local request. This node decides it if it is the head and forwards it to the head otherwise.
     /// [`NodeOutput::RequestDecided`] follows in any case.
     pub fn submit(&mut self, number: RequestNumber, request: HeadRequest) {
         match self.unentered_head().or(self.replica.view().head()) {
             Some(head) if head == self.config.me => self.decide(RequestOrigin::Local(number), request),
             Some(head) => self.forward(head, number, request),
-            None => self.answer(RequestOrigin::Local(number), RequestOutcome::Unknown),
+            None => self.report_outcome(RequestOrigin::Local(number), RequestOutcome::Unknown),
         }
     }
 
-    /// The head of a newer view that this node has learnt of but not entered yet, unless it is this node itself. The
-    /// view is entered once it is durable here, which takes long while the disk hangs.
+    /// Returns the head of a newer view that this node knows but has not entered yet, unless this node is that head. A view
+    /// is entered once it is durable here, which takes long while the disk hangs.
     fn unentered_head(&self) -> Option<MemberId> {
         let view = self.agreement.view().filter(|view| view.epoch > self.epoch())?;
         view.head().filter(|head| *head != self.config.me)
     }
 
-    /// Sends a local request to the head.
+    /// Forwards a local request to the head.
     fn forward(&mut self, head: MemberId, number: RequestNumber, request: HeadRequest) {
         self.requests.add_forwarded(number, self.now);
         let message = PeerMessage::Forward { number: self.forward_number(number), request };
         self.outputs.push(NodeOutput::Send { to: head, message });
     }
 
-    /// Number under which a request is forwarded. It differs from the numbers of earlier starts of the process, whose
-    /// answers may still arrive.
+    /// Returns the number under which a request is forwarded. It differs from the numbers of earlier starts of the process,
+    /// whose outcomes may still arrive.
     fn forward_number(&self, number: RequestNumber) -> ForwardNumber {
         ForwardNumber(number.0.wrapping_add(self.config.incarnation))
     }
 
-    /// A request forwarded by another control node has arrived.
+    /// Processes a request that another control node has forwarded.
     pub fn forwarded_request(&mut self, from: MemberId, number: ForwardNumber, request: HeadRequest) {
         if self.replica.is_head() {
             self.decide(RequestOrigin::Peer { from, number }, request);
         } else {
-            self.answer(RequestOrigin::Peer { from, number }, RequestOutcome::Unknown);
+            self.report_outcome(RequestOrigin::Peer { from, number }, RequestOutcome::Unknown);
         }
     }
 
-    /// The head's answer to a request forwarded from here.
+    /// Processes the outcome, sent by the head, of a request that this node forwarded.
     pub fn forwarded_outcome(&mut self, number: ForwardNumber, outcome: RequestOutcome) {
         let request = RequestNumber(number.0.wrapping_sub(self.config.incarnation));
         if self.requests.take_forwarded(request) {
@@ -57,10 +57,10 @@
         }
     }
 
-    /// Decides a request as the head. The outcome is unknown if this node isn't established as such.
+    /// Decides a request as the head. The outcome is unknown if this node is not the established head.
     fn decide(&mut self, origin: RequestOrigin, request: HeadRequest) {
         if !self.is_established_head() {
-            self.answer(origin, RequestOutcome::Unknown);
+            self.report_outcome(origin, RequestOutcome::Unknown);
             return;
         }
         match request {
@@ -70,29 +70,29 @@
             HeadRequest::Change { change } => match decode::<Change>(&change) {
                 Some(change) => self.decide_change(origin, &change),
                 None => {
-                    log::error!("control: a request can't be decoded; run the same version on all machines");
-                    self.answer(origin, RequestOutcome::Unknown);
+                    log::error!("control: cannot decode a request; run the same version on all machines");
+                    self.report_outcome(origin, RequestOutcome::Unknown);
                 }
             },
         }
     }
 
-    /// The host's answer to [`NodeOutput::RetirementRequested`]. A refusal is told only once it is proven that this
-    /// node is still the head.
+    /// Processes the host's response to [`NodeOutput::RetirementRequested`]. A refusal is reported only after a barrier has
+    /// confirmed that this node is still the head.
     pub fn decide_retirement(&mut self, origin: RequestOrigin, name: &str, verdict: RetirementVerdict) {
         if !self.is_established_head() {
-            self.answer(origin, RequestOutcome::Unknown);
+            self.report_outcome(origin, RequestOutcome::Unknown);
             return;
         }
         match verdict {
             RetirementVerdict::Allowed => {
                 self.decide_change(origin, &Change::Retire { name: name.to_owned() });
             }
-            RetirementVerdict::TooFewStay => {
+            RetirementVerdict::TooFewRemain => {
                 let reason = "too few storage machines would be left: add one first".to_owned();
-                self.answer_when_proven(origin, RequestOutcome::Conflict { reason });
+                self.report_outcome_when_confirmed(origin, RequestOutcome::Conflict { reason });
             }
-            RetirementVerdict::Unsure => self.answer(origin, RequestOutcome::Unknown),
+            RetirementVerdict::Undetermined => self.report_outcome(origin, RequestOutcome::Unknown),
         }
     }
 
@@ -103,32 +103,32 @@
             Err(error) => (rejection(&error), false),
         };
         if is_changed && self.replicate(change).is_none() {
-            self.answer(origin, RequestOutcome::Unknown);
+            self.report_outcome(origin, RequestOutcome::Unknown);
             return;
         }
-        self.answer_when_proven(origin, outcome);
+        self.report_outcome_when_confirmed(origin, outcome);
     }
 
-    /// Answers with `outcome` once everything that it rests on is committed; a refusal also needs the proof that the
-    /// view was still in force after the request came (ReadIndex, Ongaro 2014, section 6.4).
-    fn answer_when_proven(&mut self, origin: RequestOrigin, outcome: RequestOutcome) {
+    /// Reports `outcome` once everything that it depends on is committed. A refusal also needs confirmation that the view was
+    /// still current after the request arrived (ReadIndex, Ongaro 2014, section 6.4).
+    fn report_outcome_when_confirmed(&mut self, origin: RequestOrigin, outcome: RequestOutcome) {
         let is_refusal = outcome != RequestOutcome::Done;
         let barrier = is_refusal.then(|| self.requests.next_barrier());
         self.requests.add_decided(origin, self.log.end(), barrier, outcome, self.now);
         if let Some(barrier) = barrier {
             self.run_barrier(barrier);
         }
-        self.answer_decided_requests();
+        self.report_decided_outcomes();
     }
 
-    /// Begins a barrier at the replica; `barrier_confirmed` follows.
+    /// Starts a barrier at the replica; `barrier_confirmed` follows.
     fn run_barrier(&mut self, barrier: BarrierId) {
         let mut outputs = Vec::new();
         self.replica.barrier(barrier, &mut outputs);
         self.apply_chain_outputs(outputs);
     }
 
-    /// Reads the newest state: [`NodeOutput::ReadConfirmed`] or [`NodeOutput::ReadUnconfirmed`] follows.
+    /// Reads the latest state. [`NodeOutput::ReadConfirmed`] or [`NodeOutput::ReadUnconfirmed`] follows.
     pub fn read(&mut self, request: RequestNumber) {
         if !self.replica.is_member() {
             self.outputs.push(NodeOutput::ReadUnconfirmed { request });
@@ -139,34 +139,34 @@
         self.run_barrier(barrier);
     }
 
-    /// A barrier is confirmed: the read or the refusal that waits for it may be answered.
+    /// Processes the confirmation of a barrier, on which a read or a refusal waits.
     pub(super) fn barrier_confirmed(&mut self, barrier: BarrierId, committed: Sequence) {
         if let Some(request) = self.requests.barrier_confirmed(barrier) {
             debug_assert!(self.state.applied() >= committed);
             self.outputs.push(NodeOutput::ReadConfirmed { request });
         }
-        self.answer_decided_requests();
+        self.report_decided_outcomes();
     }
 
-    /// Answers the decided requests whose outcomes are committed and proven by now.
-    pub(super) fn answer_decided_requests(&mut self) {
-        for AnswerableRequest { origin, outcome } in self.requests.take_answerable(self.state.applied()) {
-            self.answer(origin, outcome);
+    /// Reports the outcomes of decided requests that are committed and confirmed by now.
+    pub(super) fn report_decided_outcomes(&mut self) {
+        for ReportableRequest { origin, outcome } in self.requests.take_reportable(self.state.applied()) {
+            self.report_outcome(origin, outcome);
         }
     }
 
-    /// Another node is the head: it isn't known here what becomes of what was decided.
-    pub(super) fn give_up_decided_requests(&mut self) {
+    /// Ends all decided requests with an unknown outcome: another node is the head, and decides what becomes of them.
+    pub(super) fn abandon_decided_requests(&mut self) {
         for origin in self.requests.take_decided() {
-            self.answer(origin, RequestOutcome::Unknown);
+            self.report_outcome(origin, RequestOutcome::Unknown);
         }
     }
 
-    /// Answers the requests whose time is up: their outcome is unknown.
+    /// Ends the expired requests with an unknown outcome.
     pub(super) fn expire_requests(&mut self) {
         let expired = self.requests.expire(self.now);
         for origin in expired.decided {
-            self.answer(origin, RequestOutcome::Unknown);
+            self.report_outcome(origin, RequestOutcome::Unknown);
         }
         for request in expired.pending {
             self.outputs.push(match request {
@@ -178,7 +178,7 @@
         }
     }
 
-    fn answer(&mut self, origin: RequestOrigin, outcome: RequestOutcome) {
+    fn report_outcome(&mut self, origin: RequestOrigin, outcome: RequestOutcome) {
         self.outputs.push(match origin {
             RequestOrigin::Local(request) => NodeOutput::RequestDecided { request, outcome },
             RequestOrigin::Peer { from: to, number } => {
--- a/crates/control-plane/src/node/views.rs
+++ b/crates/control-plane/src/node/views.rs
@@ -1,4 +1,4 @@
-//! Views: what the agreement puts out, and the change from one view to the next.
+//! Views: the outputs of the agreement, and the change from one view to the next.
 
 use orchidvalve_chain_replication::{ChainView, Epoch};
 use orchidvalve_consensus::{Output as AgreementOutput, View, WriteNumber};
@@ -8,7 +8,7 @@
 use crate::peer_messages::PeerMessage;
 
 impl<D: Disk> ControlNode<D> {
-    /// Carries out what the agreement puts out, in order.
+    /// Carries out the outputs of the agreement, in order.
     pub(super) fn apply_agreement_outputs(&mut self, outputs: Vec<AgreementOutput>) {
         for output in outputs {
             match output {
@@ -24,7 +24,8 @@
         }
     }
 
-    /// Writes the newest state of the agreement, again if there is no number.
+    /// Writes the latest state of the agreement. Without a write number this repeats a record that the agreement does not
+    /// wait for.
     pub(super) fn write_agreement(&mut self, write_number: Option<WriteNumber>) {
         if let Some(record) = self.agreement_record.record() {
             let position = self.disk.append(&record);
@@ -32,7 +33,7 @@
         }
     }
 
-    /// Enters a view that is decided and durable here: the replica goes on in its chain.
+    /// Enters a view that is decided and durable here, and passes its chain to the replica.
     pub(super) fn enter_view(&mut self, view: View) {
         let (me, chain) = (self.config.me, &view.chain);
         self.learners.retain(|member| !chain.contains(member));
@@ -53,12 +54,12 @@
         self.replica.view_changed(chain_view, &self.log, &mut outputs);
         self.apply_chain_outputs(outputs);
         if !self.replica.is_head() {
-            self.give_up_decided_requests();
+            self.abandon_decided_requests();
         }
         self.outputs.push(NodeOutput::ViewChanged(view));
     }
 
-    /// Control nodes that are alive. Those outside the chain copy the log and may become members.
+    /// Sets the control nodes that are alive. Those outside the chain copy the log and may become members.
     pub fn set_candidates(&mut self, candidates: &[MemberId]) {
         let chain = self.agreement.view().map_or(Vec::new(), |view| view.chain.clone());
         let in_chain = |member: &MemberId| chain.contains(member);
@@ -76,17 +77,17 @@
         }
     }
 
-    /// A node holds everything that was committed before the view of this epoch.
-    pub(super) fn caught_up(&mut self, member: MemberId, epoch: Epoch) {
+    /// Notes that `member` holds everything committed before the view of `epoch`.
+    pub(super) fn member_caught_up(&mut self, member: MemberId, epoch: Epoch) {
         let mut outputs = Vec::new();
         self.agreement.member_caught_up(member, epoch, &mut outputs);
         self.apply_agreement_outputs(outputs);
     }
 
-    /// Outside the chain, this node says itself when it has caught up.
+    /// Reports that this node has caught up, if it is outside the chain.
     pub(super) fn report_caught_up(&mut self) {
         if !self.replica.is_member() && self.replica.is_synchronized() {
-            self.caught_up(self.config.me, self.replica.view().epoch);
+            self.member_caught_up(self.config.me, self.replica.view().epoch);
         }
     }
 }
--- a/crates/control-plane/src/observer/member_directory.rs
+++ b/crates/control-plane/src/observer/member_directory.rs
@@ -1,4 +1,4 @@
-//! Which control nodes an observer names to those that ask it.
+//! The control nodes to which an observer redirects its callers.
 
 use std::collections::BTreeMap;
 
@@ -6,25 +6,26 @@
 use orchidvalve_net::ConnectionId;
 use orchidvalve_protocol::identity::NodeAddress;
 
-/// Members open their links to this node anew each second; one that hasn't for this time, in milliseconds, is no
-/// longer named.
-const FRESH_MS: Milliseconds = 5_000;
+/// A member is forgotten if it has not opened a link to this node for this time, in milliseconds. Members reopen their
+/// links every second.
+const LINK_RETENTION_MS: Milliseconds = 5_000;
 
-/// The link that a member has opened to this node.
+/// A link that a member has opened to this node.
 #[derive(Clone, Copy, Debug)]
 struct Link {
     connection: ConnectionId,
     opened_at: Milliseconds,
 }
 
-/// Members of the control plane, as far as they are known here.
+/// The members of the control plane that this node knows.
 #[derive(Default, Debug)]
 pub struct MemberDirectory {
     links: BTreeMap<NodeAddress, Link>,
 }
 
 impl MemberDirectory {
-    /// A member has introduced itself on a link that it opened. Returns the older link that this one supersedes.
+    /// Records that a member has introduced itself on a link that it opened. Returns the older link, which this one
+    /// supersedes.
     pub fn link_opened(
         &mut self,
         connection: ConnectionId,
@@ -35,17 +36,17 @@
         older.map(|link| link.connection).filter(|older| *older != connection)
     }
 
-    /// Forgets members that haven't opened a link for a while. Returns their last ones.
+    /// Forgets members that have not opened a link for too long. Returns their last links.
     pub fn expire(&mut self, now: Milliseconds) -> Vec<ConnectionId> {
-        let is_fresh = |link: &Link| now < link.opened_at + FRESH_MS;
+        let is_recent = |link: &Link| now < link.opened_at + LINK_RETENTION_MS;
         let expired =
-            self.links.values().filter(|link| !is_fresh(link)).map(|link| link.connection).collect();
-        self.links.retain(|_, link| is_fresh(link));
+            self.links.values().filter(|link| !is_recent(link)).map(|link| link.connection).collect();
+        self.links.retain(|_, link| is_recent(link));
         expired
     }
 
-    /// All known members: those of the feed's last list first, then others that have a link to this node, such as
-    /// one that isn't in the view yet.
+    /// Returns all known members: those in the last list of the feed first, then others with a link to this node, such as a
+    /// node that is not in the view yet.
     pub fn members(&self, from_feed: Vec<NodeAddress>) -> Vec<NodeAddress> {
         let mut members = from_feed;
         for member in self.links.keys() {
--- a/crates/control-plane/src/observer/mod.rs
+++ b/crates/control-plane/src/observer/mod.rs
@@ -1,11 +1,11 @@
-//! The observer: the control process of a machine without a disk, which keeps nothing and redirects everybody to the
+//! The observer: the control process of a machine without a disk. It stores nothing and redirects all callers to the
 //! members.
 //!
-//! Votes and copies of the control state need a disk that survives a loss of power, so such a process can't be a
-//! member. It may still be called: operators pick it from their list, and settings files name it as a seed, alone
-//! even. So it subscribes to the feed, to know who the members are, and names them: to operators by 307, to gateways,
-//! store nodes and control nodes by [`ControlMessage::Redirect`]. Members call it for as long as they know of it,
-//! since after a restart it knows no more than its seeds, and these may all be observers.
+//! Votes and copies of the control state need a disk that survives a power loss, so such a process cannot be a member. It
+//! may still be called: operators choose it from their list, and settings files name it as a seed, even as the only one.
+//! So it subscribes to the feed to learn the members, and redirects operators to them with status 307, and gateways, store
+//! nodes and control nodes with [`ControlMessage::Redirect`]. Members keep opening links to an observer that they know,
+//! since after a restart it knows only its seeds, and these may all be observers.
 
 mod member_directory;
 
@@ -33,42 +33,42 @@
 
 const OPERATOR_LISTENER: u32 = 1;
 const INTERNAL_LISTENER: u32 = 2;
-/// Longest wait of the event loop, in milliseconds.
+/// Maximum time that the event loop waits, in milliseconds.
 const MAX_WAIT_MS: Milliseconds = 1_000;
-/// Time after which an observer that knows no member says so in its log, in milliseconds.
+/// An observer that knows no member logs this after this time, in milliseconds.
 const ISOLATION_MS: Milliseconds = 5_000;
 
-/// What an observer is started with.
+/// Settings of an observer.
 #[derive(Clone, Debug)]
 pub struct ObserverOptions {
-    /// Name of its machine.
+    /// Name of the machine.
     pub name: String,
-    /// Failure domain of its machine.
+    /// Failure domain of the machine.
     pub zone: String,
-    /// Share of a core that it may use.
+    /// Fraction of a CPU core that the process may use.
     pub share: f32,
-    /// Where it listens for operators and trainers.
+    /// Address on which the process listens for operators and trainers.
     pub control_address: SocketAddrV4,
-    /// Where the system's own processes reach it.
+    /// Address at which the system's own processes reach this one.
     pub internal_address: SocketAddrV4,
-    /// Where it listens for them: another address only behind a relay.
+    /// Address on which the process listens for them; differs from `internal_address` only behind a relay.
     pub internal_listener: SocketAddrV4,
-    /// Address that connections to others leave from; the kernel chooses one where there is none.
+    /// Source address of outgoing connections; `None` lets the kernel choose.
     pub source: Option<Ipv4Addr>,
-    /// Control addresses of the control nodes that the settings name.
+    /// Control addresses of the control nodes in the settings.
     pub seeds: Vec<SocketAddrV4>,
 }
 
-/// What is known of a connection that came in.
+/// The state of an incoming connection.
 enum Connection {
     Operator(RequestReader),
-    /// A process of the system that hasn't said what it wants.
+    /// A process of the system that has not sent the protocol byte yet.
     Unidentified,
-    /// A process that asks for a session.
+    /// A process that requests a session.
     Subscriber,
-    /// A control node that hasn't introduced itself.
+    /// A control node that has not sent its handshake yet.
     NewPeer,
-    /// A member. What it sends is for other members.
+    /// A member. Its messages are ignored, since they are meant for other members.
     Member,
 }
 
@@ -79,15 +79,15 @@
     directory: MemberDirectory,
     redirector: Redirector,
     connections: BTreeMap<ConnectionId, Connection>,
-    /// When the log says that no member is known; `None` once it has, or once one was known.
+    /// When the lack of a known member is logged; `None` once it was logged or a member was known.
     report_isolation_at: Option<Milliseconds>,
 }
 
-/// Runs until the process is told to stop.
+/// Runs an observer until it receives a termination signal.
 ///
 /// # Errors
 ///
-/// The network can't be used.
+/// The network cannot be used.
 pub fn run(options: &ObserverOptions, incarnation: u64) -> io::Result<()> {
     let mut observer = Observer::start(options, incarnation)?;
     loop {
@@ -111,7 +111,7 @@
         network.set_source_address(options.source);
         network.listen(options.control_address, OPERATOR_LISTENER)?;
         network.listen(options.internal_listener, INTERNAL_LISTENER)?;
-        log::info!("control: this machine has no disk: callers are sent to the machines that have one");
+        log::info!("control: this machine has no disk: callers are redirected to machines with a disk");
         let port = options.internal_address.port();
         let seeds = options.seeds.iter().map(|seed| NodeAddress::new(*seed.ip(), port)).collect();
         let handshake = Handshake {
@@ -153,22 +153,22 @@
                 let now = self.clock.now();
                 self.feed.data(&mut self.network, connection, now);
             }
-            Event::Data(connection) => self.progress(connection),
+            Event::Data(connection) => self.handle_data(connection),
             Event::Closed { connection, .. } if self.feed.owns(connection) => {
                 let now = self.clock.now();
                 self.feed.closed(&mut self.network, connection, now);
             }
-            Event::Closed { connection, .. } => self.drop_now(connection),
+            Event::Closed { connection, .. } => self.abort_connection(connection),
             Event::Terminate | Event::Reload | Event::Woken => {}
         }
     }
 
-    /// What follows from what has arrived and from time passing.
+    /// Does what is due by time and what follows from the events of the turn.
     fn finish_turn(&mut self) {
         let now = self.clock.now();
         self.feed.maintain(&mut self.network, now);
         for connection in self.directory.expire(now) {
-            self.drop_now(connection);
+            self.abort_connection(connection);
         }
         let members = self.members();
         self.redirector.set_members(self.feed.session_node(), &members);
@@ -177,7 +177,7 @@
         } else if self.report_isolation_at.is_some_and(|at| now >= at) {
             self.report_isolation_at = None;
             log::error!(
-                "control: no control machine with a disk is known; name one among seed-nodes on some machine"
+                "control: no control machine with a disk is known; add one to seed-nodes on at least one machine"
             );
         }
     }
@@ -186,14 +186,14 @@
         self.directory.members(self.feed.known_control_nodes())
     }
 
-    /// Answers every complete message that has arrived on a connection.
-    fn progress(&mut self, connection: ConnectionId) {
+    /// Handles every complete message received on a connection.
+    fn handle_data(&mut self, connection: ConnectionId) {
         while let Some(kind) = self.connections.get(&connection) {
             let progress = match kind {
                 Connection::Operator(_) => self.operator_data_received(connection),
                 Connection::Unidentified => self.identify(connection),
-                Connection::Subscriber => self.subscriber_data(connection),
-                Connection::NewPeer => self.peer_data(connection),
+                Connection::Subscriber => self.subscriber_data_received(connection),
+                Connection::NewPeer => self.peer_data_received(connection),
                 Connection::Member => {
                     let length = self.network.inbox(connection).len();
                     self.network.consume(connection, length);
@@ -223,8 +223,8 @@
         Progress::Consumed
     }
 
-    /// A process asks for a session: it is redirected to the members.
-    fn subscriber_data(&mut self, connection: ConnectionId) -> Progress {
+    /// Redirects a process that requests a session to the members.
+    fn subscriber_data_received(&mut self, connection: ConnectionId) -> Progress {
         match read_frame::<SessionMessage>(self.network.inbox(connection)) {
             Ok(None) => Progress::Incomplete,
             Ok(Some((_, length))) => {
@@ -236,8 +236,8 @@
         }
     }
 
-    /// A control node has opened a link: it is redirected to the others, and the others to it.
-    fn peer_data(&mut self, connection: ConnectionId) -> Progress {
+    /// Processes a link that a control node has opened: redirects it to the other members, and adds it to those known.
+    fn peer_data_received(&mut self, connection: ConnectionId) -> Progress {
         let (message, length) = match read_frame::<PeerMessage>(self.network.inbox(connection)) {
             Ok(None) => return Progress::Incomplete,
             Ok(Some(frame)) => frame,
@@ -246,7 +246,7 @@
         self.network.consume(connection, length);
         let PeerMessage::Handshake { handshake } = message else { return Progress::Close };
         if handshake.version != PROTOCOL_VERSION {
-            log::warn!("control: a peer speaks another version; run the same version on all machines");
+            log::warn!("control: a peer uses another protocol version; run the same version on all machines");
             return Progress::Close;
         }
         let member = handshake.member.address;
@@ -254,15 +254,15 @@
         self.connections.insert(connection, Connection::Member);
         let now = self.clock.now();
         if let Some(older) = self.directory.link_opened(connection, member, now) {
-            self.drop_now(older);
+            self.abort_connection(older);
         }
         self.feed.add_hints(vec![member], now);
         Progress::Consumed
     }
 
     fn redirect_process(&mut self, connection: ConnectionId) {
-        let elsewhere = ControlMessage::Redirect { controls: self.members() };
-        send(&mut self.network, connection, &elsewhere);
+        let redirect = ControlMessage::Redirect { controls: self.members() };
+        send(&mut self.network, connection, &redirect);
     }
 
     fn operator_data_received(&mut self, connection: ConnectionId) -> Progress {
@@ -294,7 +294,7 @@
         }
     }
 
-    fn drop_now(&mut self, connection: ConnectionId) {
+    fn abort_connection(&mut self, connection: ConnectionId) {
         self.connections.remove(&connection);
         self.network.abort(connection);
     }
@@ -305,13 +305,13 @@
     }
 }
 
-/// What became of the bytes that have arrived on a connection.
+/// The result of handling the bytes received on a connection.
 enum Progress {
-    /// A message was taken; there may be more.
+    /// A message was consumed; there may be more.
     Consumed,
     /// There is no complete message yet.
     Incomplete,
-    /// The connection is to be closed.
+    /// The connection has to be closed.
     Close,
 }
 
--- a/crates/control-plane/src/operator_api.rs
+++ b/crates/control-plane/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! The HTTP API for operators and trainers: what a request asks for, and the response to it.
+//! The HTTP API for operators and trainers: parsing of requests, and their responses.
 
 use std::net::SocketAddrV4;
 
@@ -9,67 +9,67 @@
 
 use crate::peer_messages::RequestOutcome;
 
-/// Bounds of an operator's request.
+/// Size limits of an operator's request.
 pub const OPERATOR_LIMITS: MessageLimits =
     MessageLimits { header_bytes: 64 << 10, body_bytes: MAX_DOCUMENT_BYTES };
 
-/// A request, as the control plane understands it.
+/// A parsed request of the API.
 #[derive(Clone, PartialEq, Debug)]
 pub enum OperatorRequest {
-    /// A change of the control state; the response follows its outcome.
+    /// Makes a change of the control state; the response depends on its outcome.
     Change(Change),
-    /// The configuration is asked for.
+    /// Reads the configuration.
     ReadConfiguration,
-    /// A store node is to be retired.
+    /// Retires a store node.
     Retire {
-        /// Name of its machine.
+        /// Name of the store node's machine.
         node: String,
     },
-    /// It is asked how far a retirement has come.
+    /// Reads the progress of a retirement.
     ReadRetirement {
-        /// Name of the machine.
+        /// Name of the store node's machine.
         node: String,
     },
-    /// What is known of members, chain and singleton roles.
+    /// Reads the status: members, chain and singleton roles.
     ReadStatus,
 }
 
-/// A response: status and JSON body.
+/// A response: status, JSON body and redirect.
 #[derive(Clone, PartialEq, Debug)]
 pub struct OperatorResponse {
     /// HTTP status.
     pub status: u16,
-    /// JSON, or nothing.
+    /// JSON, or empty.
     pub body: Vec<u8>,
-    /// URL that the request is to be sent to instead.
+    /// URL of the node that the request has to be sent to instead, for a redirect.
     pub location: Option<String>,
 }
 
 impl OperatorRequest {
-    /// Whether the request reads the control state, which only a member of the chain can prove to be the newest.
+    /// Returns whether the request reads the control state, which only a member of the chain can confirm to be the latest.
     pub fn is_read(&self) -> bool {
         matches!(self, OperatorRequest::ReadConfiguration | OperatorRequest::ReadRetirement { .. })
     }
 }
 
 impl OperatorResponse {
-    /// A response with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn new(status: u16, body: &Value) -> OperatorResponse {
         OperatorResponse { status, body: body.to_string().into_bytes(), location: None }
     }
 
-    /// A response that says why the request isn't carried out.
+    /// Creates an error response with a reason for the operator.
     pub fn error(status: u16, reason: &str) -> OperatorResponse {
         OperatorResponse::new(status, &json!({ "error": reason }))
     }
 
-    /// The request is to be sent to the control node at `address`.
+    /// Creates a redirect of a request for `target` to the control node at `address`.
     pub fn redirect(address: SocketAddrV4, target: &str) -> OperatorResponse {
         let location = Some(format!("http://{address}{target}"));
         OperatorResponse { status: 307, body: Vec::new(), location }
     }
 
-    /// The outcome isn't known: the request may be sent again, here or elsewhere.
+    /// Creates the response to a request with an unknown outcome; it may be sent again, to this node or another one.
     pub fn outcome_unknown() -> OperatorResponse {
         OperatorResponse::error(503, "the control machines can't be sure now: send the call again")
     }
@@ -84,7 +84,7 @@
 ///
 /// # Errors
 ///
-/// The response to a request that the API doesn't have, or whose parts are malformed.
+/// Returns the error response if the API has no such request, or if the request is malformed.
 pub fn parse_request(request: &Request) -> Result<OperatorRequest, OperatorResponse> {
     let path = request.path();
     match (request.method.as_str(), path) {
@@ -107,7 +107,7 @@
     }
 }
 
-/// The response to a method or path that the API doesn't have.
+/// Returns the response to a method or path that the API does not have.
 fn unknown_request(path: &str, is_retirement: bool) -> OperatorResponse {
     if is_retirement || matches!(path, CONFIGURATION_PATH | VERSION_PATH | STATUS_PATH) {
         OperatorResponse::error(405, "this path has other methods: see the documentation of the calls")
@@ -144,7 +144,7 @@
     }
 }
 
-/// The response to a change with this outcome.
+/// Returns the response to a change with this outcome.
 pub fn change_response(outcome: &RequestOutcome) -> OperatorResponse {
     match outcome {
         RequestOutcome::Done => OperatorResponse::new(200, &json!({})),
--- a/crates/control-plane/src/peer_links.rs
+++ b/crates/control-plane/src/peer_links.rs
@@ -1,7 +1,7 @@
 //! Links between control nodes.
 //!
-//! Every control node opens a link to each of the others and sends on it; what it receives comes on links
-//! that the others opened. A link is opened anew if nothing is received from the other side.
+//! Every control node opens a link to each of the others and sends on it; it receives on the links that the others opened.
+//! A link is reopened if nothing is received from the peer.
 
 use std::collections::BTreeMap;
 
@@ -12,15 +12,15 @@
 
 use crate::peer_messages::PeerMessage;
 
-/// When a lost connection is begun anew.
+/// Delay and time limit of reconnection attempts.
 const RECONNECT_TIMING: ReconnectTiming = ReconnectTiming { retry_interval_ms: 300, connect_timeout_ms: 250 };
-/// A link is opened anew if nothing was received from the peer for this time, in milliseconds.
+/// A link is reopened if nothing was received from the peer for this time, in milliseconds.
 const RECEIVE_TIMEOUT_MS: Milliseconds = 1_000;
 /// A peer outside the view from which nothing was received for this time is forgotten, in milliseconds.
 const FORGET_PEER_MS: Milliseconds = 10_000;
-/// An observer that had no session for this time is forgotten, in milliseconds.
+/// An observer that had no session for this time, in milliseconds, is forgotten.
 const FORGET_OBSERVER_MS: Milliseconds = 600_000;
-/// A link with more bytes waiting on it is opened anew.
+/// A link with more queued bytes than this is reopened.
 const MAX_QUEUED_BYTES: usize = 16 << 20;
 
 #[derive(Debug)]
@@ -28,13 +28,13 @@
     link: MonitoredLink,
     /// The member at the other end, once it has introduced itself.
     member: Option<MemberId>,
-    /// The connection that the peer has opened, on which its messages come.
+    /// The connection that the peer has opened and sends on.
     incoming: Option<ConnectionId>,
-    /// When another node named this peer.
+    /// When another node last named this peer, in milliseconds.
     hinted_at: Milliseconds,
-    /// It is an observer, which is no member.
+    /// Whether the peer is an observer, which is not a member.
     is_observer: bool,
-    /// In the view or a seed: kept although nothing is received from it.
+    /// Whether the peer is in the view or a seed: the link is kept even if nothing is received.
     is_permanent: bool,
 }
 
@@ -62,25 +62,26 @@
 pub struct PeerLinks {
     me: NodeAddress,
     peers: BTreeMap<NodeAddress, PeerLink>,
-    /// Observers, and when each was last seen to have a session.
+    /// Observers, and when each last had a session, in milliseconds.
     observers: BTreeMap<NodeAddress, u64>,
 }
 
 impl PeerLinks {
-    /// No links yet, of the node at address `me`.
+    /// Creates the links of the node at address `me`; there are none yet.
     pub fn new(me: NodeAddress) -> PeerLinks {
         PeerLinks { me, peers: BTreeMap::new(), observers: BTreeMap::new() }
     }
 
-    /// An observer has named other control nodes. They are connected to, and forgotten if nothing is received from them.
+    /// Adds control nodes that an observer has named. Links are opened to them, and dropped if nothing is received.
     pub fn add_hints(&mut self, addresses: Vec<NodeAddress>, now: Milliseconds) {
         for address in addresses.into_iter().filter(|address| *address != self.me) {
             self.peers.entry(address).or_insert_with(PeerLink::new).hinted_at = now;
         }
     }
 
-    /// The observer at `address` has a session with some member. It is called as long as it has one and for a while
-    /// after: it keeps nothing, so after a restart only its own seeds and its callers tell it who the members are.
+    /// Notes that the observer at `address` has a session with some member. A link to it is kept while it has one and for
+    /// some time after: an observer stores nothing, so after a restart it learns the members only from its own seeds and from
+    /// the links that they open.
     pub fn observer_seen(&mut self, address: NodeAddress, now: Milliseconds) {
         if address != self.me {
             self.observers.insert(address, now);
@@ -88,24 +89,24 @@
         }
     }
 
-    /// Whether the node at this address has said that it is no member.
+    /// Returns whether the node at this address is known to be an observer.
     pub fn is_observer(&self, address: NodeAddress) -> bool {
         self.peers.get(&address).is_some_and(|peer| peer.is_observer)
     }
 
-    /// Notes that the node at the other end of a link is no member.
+    /// Marks the node at the other end of a link as an observer.
     pub fn mark_observer(&mut self, address: NodeAddress) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.is_observer = true;
         }
     }
 
-    /// The node that an outgoing link on this connection leads to.
+    /// Returns the address of the node to which this connection is an outgoing link.
     pub fn address_of(&self, connection: ConnectionId) -> Option<NodeAddress> {
         self.peers.iter().find(|(_, peer)| peer.link.outgoing.owns(connection)).map(|(address, _)| *address)
     }
 
-    /// Links are kept to these nodes until the next call, also if nothing is received from them.
+    /// Sets the nodes to which links are kept even if nothing is received from them.
     pub fn set_permanent_peers(&mut self, addresses: impl Iterator<Item = NodeAddress>) {
         for peer in self.peers.values_mut() {
             peer.is_permanent = false;
@@ -115,7 +116,7 @@
         }
     }
 
-    /// Members from which something was received lately.
+    /// Returns the members from which something was received recently.
     pub fn live_members(&self, now: Milliseconds) -> Vec<MemberId> {
         let is_live = |peer: &&PeerLink| {
             let last_received_at = peer.link.last_received_at();
@@ -124,8 +125,8 @@
         self.peers.values().filter(is_live).filter_map(|peer| peer.member).collect()
     }
 
-    /// A peer introduced itself on a connection that it opened. Returns the older connection from the same address
-    /// that this one supersedes.
+    /// Records that a peer introduced itself on a connection that it opened. Returns the older connection from the same
+    /// address, which this one supersedes.
     pub fn peer_introduced(
         &mut self,
         member: MemberId,
@@ -141,19 +142,19 @@
         self.observers.remove(&member.address);
         let superseded = peer.incoming.replace(connection).filter(|older| *older != connection);
         peer.link.message_received(now);
-        // Its machine is up: a link to it that hangs is begun anew at once.
+        // The peer's machine is reachable, so a stalled link to it is reopened at once.
         peer.link.outgoing.peer_reachable(now);
         superseded
     }
 
-    /// A message has arrived from a member.
+    /// Records that a message was received from a member.
     pub fn message_received(&mut self, member: MemberId, now: Milliseconds) {
         if let Some(peer) = self.peers.get_mut(&member.address) {
             peer.link.message_received(now);
         }
     }
 
-    /// Opens missing links and drops failed ones. Returns members whose link was dropped.
+    /// Opens missing links and drops failed ones. Returns the members whose links were dropped.
     pub fn maintain(&mut self, network: &mut Network, now: Milliseconds) -> Vec<MemberId> {
         let mut dropped = Vec::new();
         self.observers.retain(|_, seen_at| now < *seen_at + FORGET_OBSERVER_MS);
@@ -175,19 +176,19 @@
         dropped
     }
 
-    /// A connection that this node began is up; the address of its peer if it is one of these links.
+    /// Records that a connection is established. Returns the address of the peer if it is one of these links.
     pub fn connected(&mut self, connection: ConnectionId) -> Option<NodeAddress> {
         let (address, peer) = self.peers.iter_mut().find(|(_, peer)| peer.link.outgoing.owns(connection))?;
         peer.link.outgoing.connected();
         Some(*address)
     }
 
-    /// The member at the other end of a link, where it is known.
+    /// Returns the member at the other end of a link, if it is known.
     pub fn member_at(&self, address: NodeAddress) -> Option<MemberId> {
         self.peers.get(&address).and_then(|peer| peer.member)
     }
 
-    /// A connection ended; the member if it was the link to it.
+    /// Processes the end of a connection. Returns the member if the connection was the link to it.
     pub fn closed(
         &mut self,
         network: &mut Network,
@@ -206,14 +207,14 @@
         None
     }
 
-    /// Sends a message if the link is up; it is lost otherwise.
+    /// Sends a message if the link is established; otherwise the message is lost.
     pub fn send(&self, network: &mut Network, to: NodeAddress, message: &PeerMessage) {
         if let Some(peer) = self.peers.get(&to) {
             peer.link.outgoing.send(network, message);
         }
     }
 
-    /// Sends a message to every member whose link is up.
+    /// Sends a message to every member whose link is established.
     pub fn broadcast(&self, network: &mut Network, message: &PeerMessage) {
         for address in self.peers.iter().filter(|(_, peer)| !peer.is_observer).map(|(address, _)| address) {
             self.send(network, *address, message);
--- a/crates/control-plane/src/peer_messages.rs
+++ b/crates/control-plane/src/peer_messages.rs
@@ -1,4 +1,4 @@
-//! Messages among control nodes.
+//! Messages between control nodes.
 
 use musli::{Decode, Encode};
 use orchidvalve_chain_replication::Epoch;
@@ -7,70 +7,70 @@
 
 use crate::sessions::Session;
 
-/// Number of a forwarded request at the node that forwarded it, unlike those of its earlier starts.
+/// Number of a forwarded request at the node that forwarded it. It differs from the numbers of earlier starts of that node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Encode, Decode)]
 #[musli(transparent)]
 pub struct ForwardNumber(pub u64);
 
-/// A message from one control node to another. The link carries messages one way only: every control
-/// node opens its own links to the others and sends on them.
+/// A message from one control node to another. A link carries messages in one direction only: every control node opens
+/// its own links to the others and sends on them.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum PeerMessage {
-    /// First message on a link: who is sending.
+    /// First message on a link, which introduces the sender.
     Handshake {
-        /// The sender.
+        /// Identity of the sender.
         handshake: Handshake,
     },
-    /// Part of the agreement on views.
+    /// A message of the agreement on views.
     Agreement(orchidvalve_consensus::Message),
-    /// Part of the replication of the log.
+    /// A message of chain replication.
     Chain(orchidvalve_chain_replication::Message),
-    /// A request for the head of the chain, received by another control node.
+    /// A request that only the head of the chain can decide, forwarded by another control node.
     Forward {
         /// Number of the request at its sender.
         number: ForwardNumber,
-        /// What is asked for.
+        /// The forwarded request.
         request: HeadRequest,
     },
-    /// Outcome of a forwarded request.
+    /// The outcome of a forwarded request.
     ForwardOutcome {
-        /// Number of the request at the receiver.
+        /// Number of the request at the receiver of this message.
         number: ForwardNumber,
-        /// What became of it.
+        /// Outcome of the request.
         outcome: RequestOutcome,
     },
     /// All local sessions of the sender.
     Sessions {
-        /// In no particular order.
+        /// The sessions, in no particular order.
         sessions: Vec<Session>,
     },
-    /// Update of the server table by its leader, or the whole table at the beginning of a link.
+    /// An update of the server table from its leader, or the complete table at the beginning of a link.
     Servers(ServerTableUpdate),
-    /// The gateways that run generations, chosen by the leader.
+    /// The gateways that run generations, selected by the leader.
     Workers(GatewayList),
-    /// A learner of a partition has copied everything; for the head, which places partitions.
+    /// A learner of a partition has copied everything. Sent to the head, which places partitions.
     LearnerCaughtUp {
-        /// The partition.
+        /// Number of the partition.
         partition: u16,
-        /// Epoch of its placement.
+        /// Epoch of the partition's placement.
         epoch: Epoch,
-        /// The learner, or a member that holds everything that was committed before.
+        /// The learner, or a member that holds everything that was committed before the placement.
         member: MemberId,
     },
     /// The local sessions of the sender are those of its last [`PeerMessage::Sessions`].
     SessionsUnchanged,
-    /// Counts that a gateway has told the sender; for the head, which reports usage.
+    /// Counts that a gateway has reported to the sender. Sent to the head, which reports usage to the platform.
     Usage {
         /// Random number of the start of the gateway that counted.
         incarnation: u64,
-        /// The counts since that start.
+        /// The counts since that start, by window.
         windows: Vec<WindowUsage>,
     },
-    /// Work that a process has told the sender; for the head, which scales services.
+    /// Load that a process has reported to the sender. Sent to the head, which scales services.
     Load {
         /// Random number of the start of the process.
         incarnation: u64,
-        /// Its work by service.
+        /// Outstanding work by service.
         loads: Vec<ServiceLoad>,
     },
 }
@@ -80,42 +80,42 @@
 pub enum HeadRequest {
     /// A change of the control state.
     Change {
-        /// The change, encoded.
+        /// The encoded change.
         #[musli(bytes)]
         change: Vec<u8>,
     },
-    /// A store node is to be retired, if enough others stay.
+    /// The retirement of a store node, if enough others remain.
     Retire {
-        /// Name of its machine.
+        /// Name of the store node's machine.
         name: String,
     },
 }
 
-/// How a request ended.
+/// The outcome of a request.
 #[derive(Clone, PartialEq, Debug, Encode, Decode)]
 pub enum RequestOutcome {
     /// The change is committed, by this request or an earlier one.
     Done,
-    /// The change builds on another version of the configuration than the current one.
+    /// The change is based on another version of the configuration than the current one.
     VersionConflict {
-        /// For people: which version is current.
+        /// Explanation for operators: which version is current.
         reason: String,
     },
     /// The change is invalid.
     Invalid {
-        /// For people: what is wrong.
+        /// Explanation for operators: what is invalid.
         reason: String,
     },
-    /// What the change is about isn't known.
+    /// The object of the change does not exist.
     NotFound {
-        /// For people: what isn't known.
+        /// Explanation for operators: what does not exist.
         reason: String,
     },
-    /// The change can't be made now.
+    /// The change cannot be made now.
     Conflict {
-        /// For people: what stands in the way.
+        /// Explanation for operators: what prevents the change.
         reason: String,
     },
-    /// It isn't known whether the change is or will be made.
+    /// It is not known whether the change was or will be made.
     Unknown,
 }
--- a/crates/control-plane/src/placement/complete_replicas.rs
+++ b/crates/control-plane/src/placement/complete_replicas.rs
@@ -1,16 +1,16 @@
-//! Which replicas are complete: known to hold everything that a partition has committed.
+//! Tracks which replicas are complete: known to hold everything that a partition has committed.
 //!
-//! In a view that is long enough to commit, an entry is committed when all members have it on their disks. So a
-//! member that holds everything committed before the view also holds what is committed in it, and nobody else is
-//! known to. In a view that is too short nothing is committed: whoever held everything when it began, still does.
+//! In a view with enough members to commit, an entry is committed when all members have it on their disks. So a member
+//! that holds everything committed before the view also holds everything committed in it, and no other node is known to.
+//! In a view with too few members nothing is committed: a node that was complete when the view began stays complete.
 
 use orchidvalve_control_state::Placement;
 use orchidvalve_protocol::identity::MemberId;
 
 use crate::placement::PlacementInput;
 
-/// Nodes that hold everything that was committed before the view of `placement`, and what is committed in it
-/// as far as they are members: those of which it was known when the view was decided, and those that were
+/// Returns the nodes that hold everything committed before the view of `placement`, and, if they are members, everything
+/// committed in it. These are the nodes that were known to be complete when the view was decided, and those that have
 /// reported since.
 pub(super) fn complete_replicas(
     partition: u16,
@@ -27,16 +27,16 @@
     complete
 }
 
-/// Nodes that are complete when the view of `next` begins, of those that are `complete` in the one before.
-pub(super) fn next_holders(next: &Placement, complete: &[MemberId]) -> Vec<MemberId> {
-    // A former member falls behind as soon as the others commit something.
+/// Returns the nodes among `complete`, which are complete in the view before, that stay complete in the view of `next`.
+pub(super) fn complete_in_next_view(next: &Placement, complete: &[MemberId]) -> Vec<MemberId> {
+    // A node that is no longer a member falls behind as soon as the members commit an entry.
     let keeps_all = |m: &&MemberId| next.is_undersized() || next.members.contains(m);
     complete.iter().filter(keeps_all).copied().collect()
 }
 
-/// Nodes outside the chain that become members at once, since they are complete: former members that are
-/// back and learners that have copied everything, as far as copies are missing. A retiring one is taken only if no
-/// member is complete.
+/// Returns the complete nodes outside the chain that become members at once, as far as copies are missing: former members
+/// that have returned, and learners that have copied everything. A retiring node is accepted only if no member is
+/// complete.
 pub(super) fn rejoining_replicas(
     members: &[MemberId],
     complete: &[MemberId],
@@ -51,15 +51,16 @@
     if has_complete { back } else { outside.filter(|m| input.is_healthy(m)).take(1).copied().collect() }
 }
 
-/// Moves complete members to the front: what the head's log lacks is lost. False if no member is complete.
+/// Moves complete members to the front, since entries that the head's log lacks are lost. Returns false if no member is
+/// complete.
 pub(super) fn order_complete_first(members: &mut [MemberId], complete: &[MemberId]) -> bool {
     members.sort_by_key(|m| !complete.contains(m));
     members.first().is_some_and(|m| complete.contains(m))
 }
 
-/// Whether everything that could hold all of a partition is gone: the disks of all complete replicas, and
-/// no member is left that might be complete and hasn't said so yet. As long as one might, its report comes within a
-/// second.
+/// Returns whether no node can hold everything that a partition has committed: the disks of all complete replicas were
+/// replaced, and each member has either lost its disk, too, or is healthy and has not reported that it is complete. A
+/// member that is complete reports so within a second, so the caller confirms the result for longer than that.
 pub fn is_partition_lost(partition: u16, placement: &Placement, input: &PlacementInput) -> bool {
     let complete = complete_replicas(partition, placement, input);
     let is_behind = |m: &MemberId| !complete.contains(m) && input.is_healthy(m);
--- a/crates/control-plane/src/placement/mod.rs
+++ b/crates/control-plane/src/placement/mod.rs
@@ -1,9 +1,10 @@
-//! Placement: which store nodes hold which partition. A planner without I/O for the leader of the control chain.
+//! Placement: decides which store nodes hold which partition. The planner does no I/O; the leader of the control chain
+//! runs it.
 //!
-//! A partition has as many copies as losses are tolerated plus one, in distinct zones where that can be. A member that
-//! is lost is removed at once, as long as one that stays is known to hold everything; a learner then copies the
-//! partition from the tail and becomes a member when it is complete. A node that retires stays a member until its
-//! replacement is complete.
+//! A partition has one copy more than the number of losses to tolerate, in distinct zones where possible. A lost member is
+//! removed at once, provided that a remaining member is known to be complete; a learner then copies the partition from
+//! the tail and becomes a member when its copy is complete. A retiring node stays a member until its replacement is
+//! complete.
 
 mod complete_replicas;
 
@@ -14,81 +15,80 @@
 use orchidvalve_protocol::identity::MemberId;
 
 use crate::placement::complete_replicas::{
-    complete_replicas, next_holders, order_complete_first, rejoining_replicas,
+    complete_in_next_view, complete_replicas, order_complete_first, rejoining_replicas,
 };
 
 pub use crate::placement::complete_replicas::is_partition_lost;
 
-/// Number of partitions of the batch store; a job belongs to one of them by its id.
+/// Number of partitions of the batch store. The id of a job determines its partition.
 pub const PARTITIONS: u16 = 8;
 
-/// A store node that has a session.
+/// A store node that has an open session.
 #[derive(Clone, PartialEq, Debug)]
-pub struct LiveStore {
-    /// Address and disk.
+pub struct LiveStoreNode {
+    /// Address and disk of the node.
     pub member: MemberId,
-    /// Failure domain.
+    /// Failure domain of the node's machine.
     pub zone: String,
-    /// It retires, or is shutting down.
+    /// Whether the node is retiring or shutting down.
     pub retiring: bool,
-    /// Its disk is so full that it takes over copies of lost nodes only.
+    /// Whether its disk is so full that it receives only copies that replace those of lost nodes.
     pub is_full: bool,
-    /// Its disk takes no writes.
+    /// Whether its disk fails writes.
     pub disk_failing: bool,
 }
 
-/// The report of a learner that has copied everything, or of a member that holds everything that was committed before
-/// its view.
+/// A report that a learner has copied everything, or that a member holds everything committed before its view.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub struct CaughtUp {
-    /// The partition.
+    /// Number of the partition.
     pub partition: u16,
-    /// Epoch of its view.
+    /// Epoch of the view in which the node has caught up.
     pub epoch: Epoch,
-    /// The learner or member.
+    /// The learner or member that has caught up.
     pub member: MemberId,
 }
 
-/// What a plan is made from.
+/// The facts that a plan is made from.
 pub struct PlacementInput<'a> {
     /// Store nodes that have a session.
-    pub live: &'a [LiveStore],
-    /// What learners and members have reported.
+    pub live: &'a [LiveStoreNode],
+    /// Reports of learners and members that have caught up.
     pub caught_up: &'a BTreeSet<CaughtUp>,
-    /// Copies that an acknowledgement needs.
+    /// Number of copies of each partition.
     pub copies: usize,
-    /// Partitions that begin anew with nothing, since [`is_partition_lost`] has held for long enough.
+    /// Partitions that restart empty, because [`is_partition_lost`] has held for long enough.
     pub lost: &'a BTreeSet<u16>,
 }
 
 impl PlacementInput<'_> {
-    /// The session of the node.
-    fn live_store(&self, member: &MemberId) -> Option<&LiveStore> {
+    /// Returns the live store node that is this member: same address, same disk.
+    fn live_store_node(&self, member: &MemberId) -> Option<&LiveStoreNode> {
         self.live.iter().find(|s| s.member == *member)
     }
 
-    /// Whether the node's address has come back with another disk: what it held is gone.
+    /// Returns whether the node's address has returned with another disk, so that its copies are gone.
     fn is_wiped(&self, member: &MemberId) -> bool {
-        let is_at_address = |s: &&LiveStore| s.member.address == member.address;
+        let is_at_address = |s: &&LiveStoreNode| s.member.address == member.address;
         self.live.iter().find(is_at_address).is_some_and(|s| s.member != *member)
     }
 
-    /// Whether the node has a session and a working disk.
+    /// Returns whether the node has a session and a working disk.
     fn is_healthy(&self, member: &MemberId) -> bool {
-        self.live_store(member).is_some_and(|s| !s.disk_failing)
+        self.live_store_node(member).is_some_and(|s| !s.disk_failing)
     }
 
     fn has_caught_up(&self, partition: u16, epoch: Epoch, member: &MemberId) -> bool {
         self.caught_up.contains(&CaughtUp { partition, epoch, member: *member })
     }
 
-    /// Whether a node may hold copies in the next view: it has a session and a working disk and isn't retiring.
+    /// Returns whether a node may hold copies in the next view: it has a session and a working disk and is not retiring.
     fn is_eligible(&self, member: &MemberId) -> bool {
-        self.live_store(member).is_some_and(|s| !s.disk_failing && !s.retiring)
+        self.live_store_node(member).is_some_and(|s| !s.disk_failing && !s.retiring)
     }
 }
 
-/// The first placement of all partitions; empty until enough store nodes are there.
+/// Returns the first placement of all partitions; empty until there are enough store nodes.
 pub fn initial_placement(input: &PlacementInput) -> Vec<(u16, Placement)> {
     let stores = by_alternating_zone(input);
     if stores.len() < input.copies {
@@ -97,7 +97,7 @@
     let mut load: BTreeMap<MemberId, usize> = BTreeMap::new();
     let mut place = |partition: u16| {
         let first = stores[usize::from(partition) % stores.len()];
-        let placement = fresh_placement(1, first, input, &load);
+        let placement = empty_partition_placement(1, first, input, &load);
         for member in &placement.members {
             *load.entry(*member).or_default() += 1;
         }
@@ -106,8 +106,8 @@
     (0..PARTITIONS).map(&mut place).collect()
 }
 
-/// A placement of a partition that holds nothing yet. There have to be enough store nodes.
-fn fresh_placement(
+/// Returns a placement of an empty partition with `first` as its head. There have to be enough store nodes.
+fn empty_partition_placement(
     epoch: Epoch,
     first: MemberId,
     input: &PlacementInput,
@@ -121,7 +121,7 @@
     Placement { epoch, complete_replicas: members.clone(), members, copies, ..Placement::default() }
 }
 
-/// Store nodes that may hold copies, in an order in which neighbours are in other zones where that can be.
+/// Returns the eligible store nodes, ordered so that neighbours are in different zones where possible.
 fn by_alternating_zone(input: &PlacementInput) -> Vec<MemberId> {
     let mut zones: BTreeMap<&str, Vec<MemberId>> = BTreeMap::new();
     for store in input.live.iter().filter(|s| input.is_eligible(&s.member)) {
@@ -135,7 +135,7 @@
     (0..longest).flat_map(|row| columns.iter().filter_map(move |c| c.get(row).copied())).collect()
 }
 
-/// Changes of placements that are due now; each partition changes by one step at a time.
+/// Returns the changes of placements that are due now. Each partition changes by one step at a time.
 pub fn plan(partitions: &[Placement], input: &PlacementInput) -> Vec<(u16, Placement)> {
     let mut load = loads(partitions);
     let mut changes = Vec::new();
@@ -177,7 +177,7 @@
         placement.members.iter().filter(|m| input.is_healthy(m)).copied().collect();
     members.extend(rejoining_replicas(&members, &complete, input));
     if members.first() != placement.members.first() && !order_complete_first(&mut members, &complete) {
-        // Only a complete replica can be the next head: wait for one, or for its report.
+        // Only a complete replica can be the next head: wait until one returns or reports.
         return None;
     }
     let incomplete = demote_incomplete(&mut members, placement, &complete, input);
@@ -188,8 +188,8 @@
     learners.extend(incomplete.into_iter().filter(|m| input.is_eligible(m)));
     members.extend(caught_up);
     let mut next = Placement { members, copies: input.copies as u32, ..placement.clone() };
-    let holders = next_holders(&next, &complete);
-    remove_retiring(&mut next.members, input, &holders);
+    let still_complete = complete_in_next_view(&next, &complete);
+    remove_retiring(&mut next.members, input, &still_complete);
     if next.members.first() != placement.members.first() {
         order_complete_first(&mut next.members, &complete);
     }
@@ -199,16 +199,16 @@
         learners.extend(pick_learner(&next.members, input, load));
     }
     next.learners = learners;
-    if next == *placement && !would_record_copies(placement, &holders) {
+    if next == *placement && !would_record_copies(placement, &still_complete) {
         return None;
     }
-    next.complete_replicas = next_holders(&next, &complete);
+    next.complete_replicas = complete_in_next_view(&next, &complete);
     Some(next)
 }
 
-/// Removes the members that aren't known to be complete, if a complete one is lost and fewer complete ones than copies
-/// are left: they copy the partition again. The chain is short then, so the lost one stays complete, which may
-/// be needed if the others lose their disks in the same fault.
+/// Removes the members that are not known to be complete if a complete one is lost and fewer complete members than copies
+/// remain; the removed members copy the partition again. The chain is undersized then and commits nothing, so the lost
+/// member stays complete. It may be needed if the remaining members lose their disks in the same fault.
 fn demote_incomplete(
     members: &mut Vec<MemberId>,
     before: &Placement,
@@ -223,16 +223,16 @@
     members.extract_if(.., |m| !complete.contains(m)).collect()
 }
 
-/// Whether a view is needed only to record that members are complete: one that joined has reported after those that
-/// were recorded were lost. A retiring node may go only then. A chain that is longer than needed gets another view
-/// anyway.
-fn would_record_copies(placement: &Placement, holders: &[MemberId]) -> bool {
-    let recorded = Placement { complete_replicas: holders.to_vec(), ..placement.clone() };
+/// Returns whether another view is needed only to record that members are complete. This is so if a member that joined has
+/// reported after the members recorded before were lost; only then may a retiring node be removed. A chain with too many
+/// members gets another view anyway.
+fn would_record_copies(placement: &Placement, still_complete: &[MemberId]) -> bool {
+    let recorded = Placement { complete_replicas: still_complete.to_vec(), ..placement.clone() };
     let is_too_long = placement.members.len() > placement.copies as usize;
     !is_too_long && !has_all_copies(placement) && has_all_copies(&recorded)
 }
 
-/// The placement of a partition that begins anew with nothing; `None` until enough store nodes are there.
+/// Returns a placement with which a lost partition restarts empty; `None` until there are enough store nodes.
 fn restart_empty(
     placement: &Placement,
     input: &PlacementInput,
@@ -243,56 +243,58 @@
         return None;
     }
     let first = pick_learner(&[], input, load)?;
-    let fresh = fresh_placement(placement.epoch, first, input, load);
+    let fresh = empty_partition_placement(placement.epoch, first, input, load);
     Some(Placement { reset_epoch: placement.epoch + 1, ..fresh })
 }
 
-/// Removes retiring nodes, one by one, as long as enough complete members are left; these may be about to go, too, and
-/// then wait for their own replacements. What was committed since a learner was ready reaches it in the view in which
-/// it joins: until it says that it has that, too, it doesn't count.
-fn remove_retiring(members: &mut Vec<MemberId>, input: &PlacementInput, holders: &[MemberId]) {
-    let mut complete = members.iter().filter(|m| holders.contains(m)).count();
+/// Removes retiring nodes one by one, as long as enough complete members remain. The remaining members may be retiring,
+/// too, and then wait for their own replacements. Entries that were committed after a learner had caught up reach it only
+/// in the view in which it becomes a member; it does not count as complete until it has reported them, too.
+fn remove_retiring(members: &mut Vec<MemberId>, input: &PlacementInput, still_complete: &[MemberId]) {
+    let mut complete = members.iter().filter(|m| still_complete.contains(m)).count();
     members.retain(|member| {
-        let left = complete - usize::from(holders.contains(member));
+        let left = complete - usize::from(still_complete.contains(member));
         let is_released = !input.is_eligible(member) && left >= input.copies;
         if is_released {
             complete = left;
         }
         !is_released
     });
-    if members.iter().all(|m| input.is_eligible(m) && holders.contains(m)) {
-        // One more than needed is left where a retirement was given up in between.
+    if members.iter().all(|m| input.is_eligible(m) && still_complete.contains(m)) {
+        // One member too many remains if a retirement was cancelled before it was complete.
         members.truncate(input.copies);
     }
 }
 
-/// The store node that is to copy the partition: with room on its disk, in a zone without a copy, then with the least
-/// load. Without room it is taken only if copies are missing.
+/// Chooses the store node that copies the partition next: one with free disk space, in a zone without a copy, with the
+/// fewest copies. A node without free space is chosen only if copies are missing.
 fn pick_learner(
     members: &[MemberId],
     input: &PlacementInput,
     load: &BTreeMap<MemberId, usize>,
 ) -> Option<MemberId> {
-    // Retiring nodes leave their zones free.
+    // The zone of a retiring node counts as free.
     let eligible = members.iter().filter(|m| input.is_eligible(m));
-    let zones: Vec<&str> = eligible.filter_map(|m| input.live_store(m)).map(|s| s.zone.as_str()).collect();
+    let zones: Vec<&str> =
+        eligible.filter_map(|m| input.live_store_node(m)).map(|s| s.zone.as_str()).collect();
     let is_missing = members.len() < input.copies;
     let free = input.live.iter().filter(|s| input.is_eligible(&s.member) && !members.contains(&s.member));
-    let cost = |s: &&LiveStore| {
+    let cost = |s: &&LiveStoreNode| {
         let load = load.get(&s.member).copied().unwrap_or(0);
         (s.is_full, zones.contains(&s.zone.as_str()), load, s.member)
     };
     free.filter(|s| is_missing || !s.is_full).min_by_key(cost).map(|s| s.member)
 }
 
-/// Whether a store node can be removed with its disk: it has no part in any partition, and of each enough other nodes
-/// are known to be complete. One that was only removed because it couldn't be reached may be needed as one of these.
-pub fn is_store_empty(member: &MemberId, partitions: &[Placement]) -> bool {
-    let has_part = |p: &Placement| p.members.contains(member) || p.learners.contains(member);
-    partitions.iter().all(|p| !has_part(p) && has_all_copies(p))
+/// Returns whether a store node can be removed together with its disk: it is neither member nor learner of any partition,
+/// and enough other nodes are known to be complete for each partition. The second condition matters for a node that was
+/// removed only because it could not be reached: it may hold a copy that is still needed.
+pub fn can_remove_store_node(member: &MemberId, partitions: &[Placement]) -> bool {
+    let is_involved = |p: &Placement| p.members.contains(member) || p.learners.contains(member);
+    partitions.iter().all(|p| !is_involved(p) && has_all_copies(p))
 }
 
-/// Whether as many members as there are to be copies are recorded as complete.
+/// Returns whether enough members are recorded as complete to make up all copies.
 fn has_all_copies(placement: &Placement) -> bool {
     let complete = placement.members.iter().filter(|m| placement.complete_replicas.contains(m)).count();
     complete >= placement.copies as usize
--- a/crates/control-plane/src/process/configuration_log.rs
+++ b/crates/control-plane/src/process/configuration_log.rs
@@ -1,9 +1,9 @@
-//! A log line for each configuration that is committed, with the time: gateways log when it's in force there.
+//! Logs each committed configuration with the time of day. Gateways log when they have applied it.
 
 use super::Process;
 
 impl Process {
-    /// Changes were committed: logs the configuration if it's another one now.
+    /// Logs the configuration if committed changes have replaced it.
     pub(super) fn log_configuration(&mut self) {
         let version = self.node.state().configuration_version();
         if version != self.logged_configuration {
--- a/crates/control-plane/src/process/connections.rs
+++ b/crates/control-plane/src/process/connections.rs
@@ -1,4 +1,4 @@
-//! Connections of the system's own processes: links with other control nodes, sessions of feed subscribers.
+//! Connections of the system's own processes: links with other control nodes, and sessions of feed subscribers.
 
 use orchidvalve_chain_replication::Milliseconds;
 use orchidvalve_control_state::{Change, ModelUsage};
@@ -16,46 +16,46 @@
 use crate::sessions::Session;
 use crate::subscribers::{Feed, send};
 
-/// The other control nodes are told at least so often that the local sessions stand, in milliseconds.
+/// Maximum time between two reports of the local sessions to the other control nodes, in milliseconds.
 const SESSION_REPORT_INTERVAL_MS: Milliseconds = 400;
-/// Lists of sessions are at least this far apart, in milliseconds: when many processes come at once, each list holds
-/// more of them.
+/// Minimum time between two complete lists of sessions, in milliseconds: when many processes open sessions at once, each
+/// list covers several of them.
 const MIN_SESSION_LIST_INTERVAL_MS: Milliseconds = 30;
 
-/// What is known of a connection that came in on the internal listener.
+/// The state of a connection accepted on the internal listener.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Incoming {
-    /// A process that hasn't said what it wants.
+    /// A process that has not sent the protocol byte yet.
     Unidentified,
-    /// A control node that hasn't introduced itself.
+    /// A control node that has not sent its handshake yet.
     NewPeer,
-    /// A control node.
+    /// A control node that has introduced itself.
     Peer(MemberId),
-    /// A process that subscribes to the feed.
+    /// A process that has a session or opens one.
     Subscriber,
 }
 
-/// Whether a connection goes on.
+/// Whether a connection is kept.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum Disposition {
     Keep,
     Drop,
 }
 
-/// What the other control nodes are to be told of the local sessions.
+/// A report of the local sessions to the other control nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 enum SessionReport {
-    /// All of them.
+    /// The list of all local sessions.
     List,
-    /// That they are those of the last list.
+    /// A notice that the last list is still valid.
     Unchanged,
 }
 
-/// When the local sessions are reported to the other control nodes.
+/// Decides when the local sessions are reported to the other control nodes.
 #[derive(Default, Debug)]
 pub(super) struct SessionReports {
     last_sent_at: Milliseconds,
-    /// Sessions have changed since the last list, or a link is new and whoever is at its other end has no list.
+    /// Whether sessions have changed since the last list, or a link was opened to a node that has no list yet.
     has_changes: bool,
 }
 
@@ -64,7 +64,7 @@
         self.has_changes = true;
     }
 
-    /// The report that is due; the next one is due after an interval.
+    /// Takes the report that is due, if any; the next one is due after an interval.
     fn take_due(&mut self, now: Milliseconds) -> Option<SessionReport> {
         let (report, interval) = if self.has_changes {
             (SessionReport::List, MIN_SESSION_LIST_INTERVAL_MS)
@@ -80,7 +80,7 @@
 }
 
 impl Process {
-    /// A link that this node opened is up: the peer gets everything that it may have missed.
+    /// Processes a link that this node opened: sends the peer everything that it may have missed.
     pub(super) fn link_opened(&mut self, connection: ConnectionId) {
         let Some(address) = self.links.connected(connection) else { return };
         self.network.send(connection, &[LinkProtocol::ControlPeer.byte()]);
@@ -100,8 +100,8 @@
         }
     }
 
-    /// Data arrived on a link that this node opened. Members answer on links of their own, so the peer is an observer,
-    /// which names the members that it knows.
+    /// Processes data received on a link that this node opened. Members send on links of their own, so the peer is an
+    /// observer, which sends the members that it knows.
     pub(super) fn observer_data_received(&mut self, connection: ConnectionId, address: NodeAddress) {
         loop {
             let (message, length) = match read_frame::<ControlMessage>(self.network.inbox(connection)) {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Links are kept to all observers that have a session with any member.
+    /// Keeps links to all observers that have a session with any member.
     fn refresh_observers(&mut self) {
         let observers = self.sessions.sessions().filter(|session| session.role == Role::Control);
         for address in observers.map(|session| session.member.address) {
@@ -133,13 +133,13 @@
     /// Ends the session on this connection, if there is one.
     pub(super) fn end_session(&mut self, connection: ConnectionId) {
         if let Some(session) = self.subscribers.close(connection) {
-            log::info!("sessions: {} has left", session.name);
+            log::info!("sessions: session of {} closed", session.name);
             self.sessions.close(&session, self.now);
             self.session_reports.set_changed();
         }
     }
 
-    /// Handles every complete message that has arrived on an incoming connection.
+    /// Handles every complete message received on an incoming connection.
     pub(super) fn internal_data_received(&mut self, connection: ConnectionId) {
         loop {
             let state = self.incoming.get(&connection).copied().unwrap_or(Incoming::Unidentified);
@@ -176,20 +176,22 @@
         }
     }
 
-    /// Ends an incoming connection and the session on it.
+    /// Closes an incoming connection and ends the session on it.
     fn drop_connection(&mut self, connection: ConnectionId) {
         self.incoming.remove(&connection);
         self.end_session(connection);
         self.network.finish(connection);
     }
 
-    /// The first byte of an incoming connection says which protocol the caller speaks.
+    /// Processes the first byte of an incoming connection, which identifies the protocol.
     fn identify(&mut self, connection: ConnectionId, protocol: Option<LinkProtocol>) -> Disposition {
         let incoming = match protocol {
             Some(LinkProtocol::ControlPeer) => Incoming::NewPeer,
             Some(LinkProtocol::Session) => Incoming::Subscriber,
             _ => {
-                log::warn!("control: a caller speaks no protocol of control nodes; check its addresses");
+                log::warn!(
+                    "control: connection uses no protocol of control nodes; check the caller's addresses"
+                );
                 return Disposition::Drop;
             }
         };
@@ -197,13 +199,13 @@
         Disposition::Keep
     }
 
-    /// The first message of a control node: its handshake.
+    /// Processes the first message of a control node, its handshake.
     fn peer_introduced(&mut self, connection: ConnectionId, message: &PeerMessage) -> Disposition {
         match message {
             PeerMessage::Handshake { handshake } if handshake.version == PROTOCOL_VERSION => {
                 let member = handshake.member;
                 self.incoming.insert(connection, Incoming::Peer(member));
-                // What is still unread on an older link was sent before what comes on this one.
+                // Bytes still unread on the older link were sent before those that follow on this one.
                 if let Some(older) = self.links.peer_introduced(member, connection, self.now) {
                     self.drop_connection(older);
                 }
@@ -211,13 +213,15 @@
                 Disposition::Keep
             }
             _ => {
-                log::warn!("control: a peer speaks another version; run the same version on all machines");
+                log::warn!(
+                    "control: a peer uses another protocol version; run the same version on all machines"
+                );
                 Disposition::Drop
             }
         }
     }
 
-    /// A message of a control node.
+    /// Processes a message of a control node that has introduced itself.
     fn peer_message(&mut self, from: MemberId, message: PeerMessage) {
         self.links.message_received(from, self.now);
         match message {
@@ -239,20 +243,22 @@
             PeerMessage::LearnerCaughtUp { partition, epoch, member } => {
                 self.roles.learner_caught_up(partition, epoch, member);
             }
-            PeerMessage::Usage { incarnation, windows } => self.usage_passed_on(incarnation, windows),
+            PeerMessage::Usage { incarnation, windows } => {
+                self.forwarded_usage_received(incarnation, windows)
+            }
             PeerMessage::Load { incarnation, loads } => {
                 self.roles.record_load(incarnation, loads, self.now);
             }
         }
     }
 
-    /// Addresses of the voters, which subscribers are told.
+    /// Returns the addresses of the voters, which are announced to subscribers.
     fn control_nodes(&self) -> Vec<NodeAddress> {
         let voters = self.node.view().map_or(&[][..], |view| &view.voters);
         voters.iter().map(|voter| voter.address).collect()
     }
 
-    /// A message of a gateway, a store node or an observer.
+    /// Processes a message of a gateway, a store node or an observer.
     fn session_message(&mut self, connection: ConnectionId, message: SessionMessage) -> Disposition {
         match message {
             SessionMessage::Handshake { handshake, position } => {
@@ -278,17 +284,17 @@
             }
             SessionMessage::ReportModelUsage { model, single_version, lag } => {
                 let usage = ModelUsage { single_version, lag };
-                // Nobody waits for the outcome: gateways report it again with the next job.
+                // No outcome is needed: gateways report the usage again with the next job.
                 self.submit_unattended(&Change::RecordModelUsage { model, usage });
             }
-            SessionMessage::ReportUsage { windows } => self.usage_told(connection, windows),
+            SessionMessage::ReportUsage { windows } => self.usage_reported(connection, windows),
             SessionMessage::ReportLoad { loads } => self.load_reported(connection, loads),
             SessionMessage::Goodbye => return Disposition::Drop,
         }
         Disposition::Keep
     }
 
-    /// A process has reported its work: the head is told.
+    /// Processes the load report of a process: records it at the head, or forwards it to the head.
     fn load_reported(&mut self, connection: ConnectionId, loads: Vec<ServiceLoad>) {
         let Some(incarnation) = self.subscribers.incarnation(connection) else { return };
         match self.head {
@@ -300,7 +306,7 @@
         }
     }
 
-    /// Opens a session, or refers the process to the other control nodes if this one has no quorum.
+    /// Opens a session, or redirects the process to the other control nodes if this one has no quorum or too many sessions.
     fn open_session(
         &mut self,
         connection: ConnectionId,
@@ -318,7 +324,7 @@
         for older in self.subscribers.supersede(handshake) {
             self.drop_connection(older);
         }
-        log::info!("sessions: {} has come", handshake.name);
+        log::info!("sessions: session of {} opened", handshake.name);
         let (network, now) = (&mut self.network, self.now);
         let session = self.subscribers.open(network, connection, handshake, position, controls, now);
         self.sessions.open(session, now);
@@ -328,13 +334,13 @@
         Disposition::Keep
     }
 
-    /// Ends sessions that have timed out, or all of them without a quorum, and reports the rest.
+    /// Ends sessions that have timed out, or all sessions if there is no quorum, and reports the remaining ones.
     pub(super) fn maintain_sessions(&mut self) {
         for connection in self.subscribers.timed_out(self.now) {
             self.drop_connection(connection);
         }
         if !self.node.has_quorum() && !self.subscribers.connections().is_empty() {
-            log::warn!("control: no majority in touch; subscribers are sent elsewhere");
+            log::warn!("control: no contact with a majority; subscribers are redirected");
             let redirect = ControlMessage::Redirect { controls: self.control_nodes() };
             for connection in self.subscribers.connections() {
                 send(&mut self.network, connection, &redirect);
@@ -355,14 +361,15 @@
         }
     }
 
-    /// Whether a process is sent to nodes with fewer sessions. One that has had a session before isn't held up.
+    /// Returns whether a process is redirected to nodes with fewer sessions. A process that has had a session before is
+    /// accepted, so that it is not delayed.
     fn is_referred(&mut self, handshake: &Handshake, position: FeedPosition) -> bool {
         position == FeedPosition::default()
             && self.has_session_surplus()
             && self.referrals.refer(handshake.incarnation, self.now)
     }
 
-    /// Whether this node has many more sessions than the other members of the chain.
+    /// Returns whether this node has many more sessions than the other members of the chain.
     fn has_session_surplus(&self) -> bool {
         let chain = self.node.view().map_or(&[][..], |view| &view.chain);
         let others = chain.iter().filter(|member| **member != self.me());
@@ -371,7 +378,8 @@
         counts.is_some_and(|others| has_surplus(self.subscribers.len(), &others))
     }
 
-    /// Where this node has too many sessions, the youngest one of a gateway that runs no generations moves elsewhere.
+    /// If this node has too many sessions, redirects the gateway with the youngest session among those that run no
+    /// generations.
     fn move_surplus_session(&mut self) {
         if !self.node.has_quorum() || !self.has_session_surplus() || !self.session_moves.take_due(self.now) {
             return;
@@ -386,9 +394,9 @@
         }
     }
 
-    /// As the leader: selects the gateways that run generations, and tells everyone where the selection is another one.
+    /// As the leader, selects the gateways that run generations, and announces the selection if it has changed.
     pub(super) fn select_workers(&mut self, term: u64) {
-        let presumed = !self.roles.knows_sessions(self.now);
+        let presumed = !self.roles.is_session_grace_over(self.now);
         if self.workers.select(term, &self.sessions, presumed, &self.servers) {
             let list = PeerMessage::Workers(self.workers.list().clone());
             self.links.broadcast(&mut self.network, &list);
@@ -401,7 +409,7 @@
         self.subscribers.broadcast(&mut self.network, &list);
     }
 
-    /// Sends all subscribers the committed changes and the server table as far as they don't have them.
+    /// Sends each subscriber the committed changes and the updates of the server table that it does not have yet.
     pub(super) fn send_feed_updates(&mut self) {
         let feed = Feed {
             state: self.node.state(),
--- a/crates/control-plane/src/process/mod.rs
+++ b/crates/control-plane/src/process/mod.rs
@@ -1,12 +1,12 @@
 //! The control process: sockets, disk and timers around the control node.
 //!
-//! One turn of the event loop handles the network's events, then does what is due by time. A change of the
-//! configuration takes this way:
+//! One turn of the event loop handles the events of the network, then does what is due by time. A change of the
+//! configuration passes through these steps:
 //!
-//! 1. `Process::operator_data_received` parses the request and gives it to [`ControlNode::submit`], which decides it
-//!    or forwards it to the head;
-//! 2. `Process::finish_turn` tells the node which records are durable and carries out its [`NodeOutput`]s: messages to
-//!    other members leave, and the response follows [`NodeOutput::RequestDecided`];
+//! 1. `Process::operator_data_received` parses the request and passes it to [`ControlNode::submit`], which decides it
+//!    or forwards it to the head.
+//! 2. `Process::finish_turn` reports to the node which records are durable and carries out its [`NodeOutput`]s: messages
+//!    are sent to other members, and the response follows [`NodeOutput::RequestDecided`].
 //! 3. `Process::send_feed_updates` sends the committed change to subscribers.
 
 mod configuration_log;
@@ -46,48 +46,48 @@
 use crate::usage_collection::UsageCollection;
 use crate::workers::WorkerSelection;
 
-/// Tag of connections of operators and trainers.
+/// Listener tag of connections from operators and trainers.
 const OPERATOR_LISTENER: u32 = 1;
-/// Tag of connections of the system's own processes.
+/// Listener tag of connections from the system's own processes.
 const INTERNAL_LISTENER: u32 = 2;
-/// Longest wait of the event loop, in milliseconds.
+/// Maximum time that the event loop waits, in milliseconds.
 const MAX_WAIT_MS: Milliseconds = 100;
-/// Pause before a singleton role that is overdue is tried again, in milliseconds.
+/// Pause before an overdue singleton role is run again, in milliseconds.
 const OVERDUE_PAUSE_MS: Milliseconds = 5;
-/// Share of the disk that the ring may take.
-const RING_SHARE: f64 = 0.85;
+/// Fraction of the disk that the ring of the write-ahead log may use.
+const RING_FRACTION: f64 = 0.85;
 
-/// What a control process is started with.
+/// Settings of a control process.
 #[derive(Clone, Debug)]
 pub struct ControlOptions {
-    /// The machine, its addresses and its disk.
+    /// The machine with its addresses and its disk.
     pub machine: MachineOptions,
-    /// Where it listens for operators and trainers.
+    /// Address on which the process listens for operators and trainers.
     pub control_address: SocketAddrV4,
-    /// Control addresses of the control nodes that the settings name.
+    /// Control addresses of the control nodes in the settings.
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether it may take part in deciding the first view.
+    /// Whether this node may take part in deciding the first view.
     pub bootstrap: bool,
-    /// Disks that may be lost at once.
+    /// Number of disks that may be lost at once.
     pub tolerance: usize,
-    /// Where the platform's list is read; there may be none.
+    /// Address of the platform's API; `None` if there is no platform.
     pub platform: Option<SocketAddrV4>,
-    /// Nobody else may give orders for this time after an order, in milliseconds.
+    /// Length of the lease, in milliseconds: after an order, no other node may give orders for this time.
     pub lease_ms: Milliseconds,
     /// Time from the return of a machine until the next one may be lost, in milliseconds.
     pub catch_up_ms: Milliseconds,
-    /// What the platform lets the system do, by the names of the settings.
-    pub duties: Vec<String>,
-    /// Calls a second that the platform takes for it from all nodes together.
-    pub duty_per_s: f64,
-    /// Length of a window of usage, in milliseconds.
+    /// Roles that the platform allows the system to act in, by their names in the settings.
+    pub enabled_platform_roles: Vec<String>,
+    /// Maximum number of platform calls per second that the platform accepts from all nodes together.
+    pub platform_calls_per_second: f64,
+    /// Length of a usage window, in milliseconds.
     pub usage_window_ms: Milliseconds,
-    /// The report of a window is due so long after its end, in milliseconds.
-    pub usage_late_ms: Milliseconds,
+    /// Time after the end of a usage window by which its report is due, in milliseconds.
+    pub usage_report_deadline_ms: Milliseconds,
 }
 
 impl ControlOptions {
-    /// Internal addresses of the seeds: all listen there at the same port.
+    /// Returns the internal addresses of the seeds, which all use the same port.
     fn seed_nodes(&self) -> impl Iterator<Item = NodeAddress> {
         let port = self.machine.internal_address.port();
         self.seeds.iter().map(move |seed| NodeAddress::new(*seed.ip(), port))
@@ -110,15 +110,15 @@
             platform: self.platform,
             lease_ms: self.lease_ms,
             tolerance: self.tolerance,
-            duties: self.duties.clone(),
-            duty_per_s: self.duty_per_s,
+            enabled_platform_roles: self.enabled_platform_roles.clone(),
+            platform_calls_per_second: self.platform_calls_per_second,
             usage_window_ms: self.usage_window_ms,
-            usage_late_ms: self.usage_late_ms,
+            usage_report_deadline_ms: self.usage_report_deadline_ms,
         }
     }
 }
 
-/// The write-ahead log as the disk of the node.
+/// The write-ahead log as the node's disk.
 struct RingDisk(Rc<Ring>);
 
 impl Disk for RingDisk {
@@ -131,14 +131,14 @@
     }
 }
 
-/// The head of the newest view that was entered.
+/// The head of the latest view that this node has entered.
 #[derive(Clone, Copy, Debug)]
 struct KnownHead {
     epoch: Epoch,
     member: MemberId,
 }
 
-/// A control process: the node's state machine and everything that connects it to the outside.
+/// A control process: the state machine of the node, and its connections to everything outside.
 struct Process {
     options: ControlOptions,
     clock: Clock,
@@ -151,40 +151,40 @@
     logged_configuration: u64,
     /// Agreement, replicated log and control state.
     node: ControlNode<RingDisk>,
-    /// What this process introduces itself with.
+    /// The handshake that introduces this process on new connections.
     handshake: Handshake,
     head: Option<KnownHead>,
     /// Outgoing links to the other control nodes.
     links: PeerLinks,
     /// Connections accepted on the internal listener.
     incoming: BTreeMap<ConnectionId, Incoming>,
-    /// Processes with a session at this node, to which the feed is sent.
+    /// Processes with a session at this node; the feed is sent to them.
     subscribers: FeedSubscribers,
     /// Sessions at all control nodes.
     sessions: SessionTable,
     session_reports: SessionReports,
     session_moves: MoveSchedule,
     referrals: Referrals,
-    /// Servers, as the leader of the discovery role has published them.
+    /// The server table as the leader of discovery has published it.
     servers: ServerTable,
-    /// Gateways that run generations.
+    /// The gateways that run generations.
     workers: WorkerSelection,
-    /// Work that only the head does.
+    /// The singleton roles, in which only the head acts.
     roles: SingletonRoles,
-    /// Counts of gateways in windows whose reports aren't decided.
+    /// Usage counts of gateways in windows whose reports are not decided.
     usage: UsageCollection,
     operators: OperatorConnections,
-    /// When this process exits at the latest, once it is shutting down.
+    /// Latest time at which this process exits, once it is shutting down.
     shutdown_deadline: Option<Milliseconds>,
 }
 
-/// Runs a control process until it is told to stop.
+/// Runs a control process until it receives a termination signal and has shut down.
 ///
 /// # Errors
 ///
-/// The disk or the network can't be used.
+/// The disk or the network cannot be used.
 pub fn run(options: ControlOptions) -> Result<(), ProcessError> {
-    let Some(started) = orchidvalve_bootstrap::start(&options.machine, Role::Control, RING_SHARE)? else {
+    let Some(started) = orchidvalve_bootstrap::start(&options.machine, Role::Control, RING_FRACTION)? else {
         return Ok(());
     };
     let mut process = Process::new(options, started)?;
@@ -198,7 +198,7 @@
         }
         process.finish_turn();
         if process.may_exit() {
-            // The response to the last request may have come in this very turn.
+            // The response to the last request may have been queued in this very turn.
             process.network.flush();
             return Ok(());
         }
@@ -251,10 +251,10 @@
         self.handshake.member
     }
 
-    /// How long the event loop may wait for events: until something is due by time.
+    /// Returns how long the event loop may wait for events: until something is due by time.
     fn poll_timeout(&self) -> Duration {
         let now = self.clock.now();
-        // What is overdue waits for something else, such as a quorum.
+        // A role that is overdue waits for something else, such as a quorum.
         let roles = self.roles.next_wakeup().max(now + OVERDUE_PAUSE_MS);
         let next = self.node.next_tick_at().min(roles).min(now + MAX_WAIT_MS);
         Duration::from_millis(next.saturating_sub(now))
@@ -276,7 +276,7 @@
         }
     }
 
-    /// Bytes have arrived: they go to the part that the connection belongs to.
+    /// Passes received bytes to the part of the process that the connection belongs to.
     fn data_received(&mut self, connection: ConnectionId) {
         if self.operators.contains(connection) {
             self.operator_data_received(connection);
@@ -290,7 +290,7 @@
         }
     }
 
-    /// A connection has ended, or has to: the part that it belongs to is told.
+    /// Ends a connection that was closed or has failed, and notifies the part of the process that it belongs to.
     fn connection_closed(&mut self, connection: ConnectionId) {
         if self.roles.owns(connection) {
             let completed = self.roles.client().closed(&mut self.network, connection);
@@ -323,8 +323,8 @@
         }
     }
 
-    /// The second half of a turn, after all events were handled: does what is due by time and what follows from the
-    /// events. Outputs are carried out twice, since the singleton roles need the newest state and propose changes.
+    /// Runs the second half of a turn, after all events were handled: what is due by time and what follows from the events.
+    /// Outputs are carried out twice, since the singleton roles need the latest state and propose changes.
     fn finish_turn(&mut self) {
         self.check_disk();
         let candidates = self.links.live_members(self.now);
@@ -334,7 +334,7 @@
             self.node.link_down(member);
         }
         self.handle_outputs();
-        self.pass_on_usage();
+        self.forward_usage();
         self.run_singleton_roles();
         self.handle_outputs();
         self.maintain_sessions();
@@ -342,7 +342,7 @@
         self.operators.expire(&mut self.network, self.now);
     }
 
-    /// Tells the node which records are durable, and whether the disk hangs.
+    /// Reports to the node which records are durable, and whether the disk hangs.
     fn check_disk(&mut self) {
         let durable = self.ring.durable_through();
         let has_pending = self.ring.next_position() > durable + 1;
@@ -351,7 +351,7 @@
         self.node.durable(durable);
     }
 
-    /// Carries out the node's outputs, and those that follow from them, until there are none.
+    /// Carries out the outputs of the node, and those that result from them, until there are none.
     fn handle_outputs(&mut self) {
         loop {
             let outputs = self.node.take_outputs();
@@ -378,24 +378,24 @@
         }
     }
 
-    /// The node has entered a view: its head leads the singleton roles, and links are kept to its voters.
+    /// Processes a new view: its head leads the singleton roles, and links are kept to its voters.
     fn view_changed(&mut self, view: &View) {
         let head = view.head();
         let was_head = match self.head {
             Some(former) => Some(former.member) == head && former.epoch + 1 == view.epoch,
-            // A start that finds the disk goes on with a leadership that it had in this same epoch.
+            // A process that restarts within the same epoch continues the leadership recorded on its disk.
             None => view.epoch == 1 || self.node.leadership_epoch() == Some(view.epoch),
         };
         self.roles.view_changed(self.now, view.epoch, head == Some(self.me()), was_head);
         self.head = head.map(|member| KnownHead { epoch: view.epoch, member });
         self.session_moves.view_changed(self.now);
-        self.usage.tell_all_again();
+        self.usage.mark_all_unsent();
         let voters = view.voters.iter().map(|voter| voter.address);
         self.links.set_permanent_peers(voters.chain(self.options.seed_nodes()));
     }
 
-    /// Expires exchanges of the singleton roles. As the leader, also selects workers, reads the platform's list, places
-    /// partitions, gives orders for weights, reports usage and scales services; changes that follow are proposed to the log.
+    /// Expires exchanges of the singleton roles. The leader also selects workers, reads the platform's list, places
+    /// partitions, orders weights, reports usage and scales services; the resulting changes are proposed to the log.
     fn run_singleton_roles(&mut self) {
         for completed in self.roles.client().expire(&mut self.network, self.now) {
             self.role_exchange_completed(Some(completed));
@@ -422,13 +422,13 @@
             self.node.propose(change);
         }
         self.report_usage(confirmed_at);
-        // Last of the calls of the platform: the others are more urgent.
+        // Scaling calls the platform last, since the other calls are more urgent.
         let state = self.node.state();
         self.roles.scale_services(&mut self.network, state, &self.sessions, confirmed_at, self.now);
     }
 }
 
-/// What the records of the ring add up to.
+/// Rebuilds the state of the node from the records of the ring.
 fn recover(records: &[Record]) -> Result<RecoveredState, ProcessError> {
     let mut recovered = RecoveredState::default();
     for record in records {
--- a/crates/control-plane/src/process/operator_connections.rs
+++ b/crates/control-plane/src/process/operator_connections.rs
@@ -21,25 +21,25 @@
 use crate::placement;
 use crate::singleton_roles::usage_status;
 
-/// A connection without a request is closed after this time, in milliseconds: its operator's machine may be gone.
+/// A connection without a request is closed after this time, in milliseconds: the operator's machine may be gone.
 const IDLE_TIMEOUT_MS: Milliseconds = 60_000;
-/// A request of which nothing more arrives for this time is given up, in milliseconds. So long at most it also holds up
-/// the planned end of this process.
+/// A request is abandoned if no further bytes arrive for this time, in milliseconds. An incomplete request delays the
+/// graceful shutdown of this process by at most this time, too.
 const REQUEST_STALL_TIMEOUT_MS: Milliseconds = 3_000;
 
-/// An operator's connection, on which one request is answered at a time.
+/// A connection of an operator, on which one request is handled at a time.
 #[derive(Debug)]
 struct OperatorConnection {
     reader: RequestReader,
     /// Whether the connection stays open after the response.
     keep_alive: bool,
-    /// Number of the request whose response is waited for.
-    waiting_for: Option<RequestNumber>,
-    /// When bytes last arrived, or a response was last written.
+    /// Number of the request whose response is pending.
+    pending_request: Option<RequestNumber>,
+    /// When bytes were last received or a response was last written.
     active_at: Milliseconds,
 }
 
-/// What an operator's request asks for.
+/// The kind of an operator's request.
 #[derive(Debug)]
 enum RequestKind {
     Change,
@@ -48,18 +48,18 @@
     Retire,
 }
 
-/// An operator's request that the node hasn't answered.
+/// An operator's request that the node has not decided yet.
 #[derive(Debug)]
 struct OpenRequest {
     connection: ConnectionId,
     kind: RequestKind,
 }
 
-/// Connections of operators and their requests. Requests have numbers that are used once.
+/// Connections of operators and their open requests. Request numbers are used once.
 #[derive(Default, Debug)]
 pub(super) struct OperatorConnections {
     connections: BTreeMap<ConnectionId, OperatorConnection>,
-    /// Connections that end once their last responses are written.
+    /// Connections that are closed once their last responses are written.
     closing: Vec<ConnectionId>,
     open: BTreeMap<RequestNumber, OpenRequest>,
     last_number: u64,
@@ -68,25 +68,26 @@
 impl OperatorConnections {
     pub(super) fn accepted(&mut self, connection: ConnectionId, now: Milliseconds) {
         let reader = RequestReader::default();
-        let operator = OperatorConnection { reader, keep_alive: true, waiting_for: None, active_at: now };
+        let operator = OperatorConnection { reader, keep_alive: true, pending_request: None, active_at: now };
         self.connections.insert(connection, operator);
     }
 
-    /// Bytes have arrived on a connection.
+    /// Records that bytes have arrived on a connection.
     fn data_arrived(&mut self, connection: ConnectionId, now: Milliseconds) {
         if let Some(operator) = self.connections.get_mut(&connection) {
             operator.active_at = now;
         }
     }
 
-    /// Closes the connections that were idle for too long, and gives up requests of which nothing more arrives: they
-    /// weren't read whole, so they haven't run.
+    /// Closes connections that were idle for too long, and abandons requests whose remaining bytes do not arrive. Those were
+    /// not read in full, so they have not run.
     pub(super) fn expire(&mut self, network: &mut Network, now: Milliseconds) {
-        let is_free = |(_, operator): &(&ConnectionId, &OperatorConnection)| operator.waiting_for.is_none();
+        let is_idle =
+            |(_, operator): &(&ConnectionId, &OperatorConnection)| operator.pending_request.is_none();
         let expired: Vec<ConnectionId> = self
             .connections
             .iter()
-            .filter(is_free)
+            .filter(is_idle)
             .filter(|(connection, operator)| {
                 let has_begun = operator.reader.is_mid_request() || !network.inbox(**connection).is_empty();
                 let limit = if has_begun { REQUEST_STALL_TIMEOUT_MS } else { IDLE_TIMEOUT_MS };
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Ends a connection once what was written on it has left.
+    /// Closes a connection once the bytes written on it are sent.
     fn close(&mut self, network: &mut Network, connection: ConnectionId) {
         network.finish(connection);
         self.closing.retain(|closing| network.queued_bytes(*closing) > 0);
@@ -117,12 +118,12 @@
         self.connections.contains_key(&connection)
     }
 
-    /// A connection has ended; true if it was an operator's.
+    /// Forgets a connection that has ended. Returns whether it was an operator's.
     pub(super) fn closed(&mut self, connection: ConnectionId) -> bool {
         self.connections.remove(&connection).is_some()
     }
 
-    /// A number for a request whose outcome nobody waits for.
+    /// Returns the number for a new request.
     pub(super) fn next_number(&mut self) -> RequestNumber {
         self.last_number += 1;
         RequestNumber(self.last_number)
@@ -132,12 +133,12 @@
         let number = self.next_number();
         self.open.insert(number, OpenRequest { connection, kind });
         if let Some(operator) = self.connections.get_mut(&connection) {
-            operator.waiting_for = Some(number);
+            operator.pending_request = Some(number);
         }
         number
     }
 
-    /// Whether a request has begun to arrive or waits for its response, or a response to be written.
+    /// Returns whether a request has begun to arrive, is pending, or has a response that is not fully written.
     pub(super) fn has_open_requests(&self, network: &Network) -> bool {
         let is_unwritten = |connection: &ConnectionId| network.queued_bytes(*connection) > 0;
         !self.open.is_empty()
@@ -145,7 +146,7 @@
             || self.connections.keys().chain(&self.closing).any(is_unwritten)
     }
 
-    /// Writes a response, and ends the connection where its request asked for that.
+    /// Writes a response, and closes the connection if the request asked for that.
     fn respond(
         &mut self,
         network: &mut Network,
@@ -154,7 +155,7 @@
         now: Milliseconds,
     ) {
         let Some(operator) = self.connections.get_mut(&connection) else { return };
-        operator.waiting_for = None;
+        operator.pending_request = None;
         operator.active_at = now;
         let close = !operator.keep_alive;
         write_operator_response(network, connection, response, close);
@@ -178,17 +179,17 @@
 }
 
 impl Process {
-    /// Handles the requests that have arrived, one after the other. Each waits for its response before the next is
-    /// read. The node's outputs are carried out later in the turn, so that requests that are answered at once don't
-    /// recurse into one another.
+    /// Handles received requests one after the other: each response is written before the next request is read. Outputs of
+    /// the node are carried out later in the turn, so that requests with an immediate response do not recurse into one
+    /// another.
     pub(super) fn operator_data_received(&mut self, connection: ConnectionId) {
         self.operators.data_arrived(connection, self.now);
         self.read_operator_requests(connection);
     }
 
     fn read_operator_requests(&mut self, connection: ConnectionId) {
-        let is_free = |operator: &&mut OperatorConnection| operator.waiting_for.is_none();
-        while let Some(operator) = self.operators.connections.get_mut(&connection).filter(is_free) {
+        let is_idle = |operator: &&mut OperatorConnection| operator.pending_request.is_none();
+        while let Some(operator) = self.operators.connections.get_mut(&connection).filter(is_idle) {
             match operator.reader.read(self.network.inbox(connection), &OPERATOR_LIMITS) {
                 Ok(read) => {
                     self.network.consume(connection, read.consumed);
@@ -207,7 +208,7 @@
         }
     }
 
-    /// Answers a request that needs no proof, and submits any other to the node.
+    /// Responds to a request that needs no confirmation by the node, and submits any other to the node.
     fn handle_request(&mut self, connection: ConnectionId, request: OperatorRequest, target: &str) {
         if request.is_read()
             && let Some(member) = self.read_redirect()
@@ -239,36 +240,36 @@
         }
     }
 
-    /// Control address of the tail if this node isn't in the chain and so can't prove what it reads.
+    /// Returns the control address of the tail if this node is not in the chain and so cannot confirm its reads.
     fn read_redirect(&self) -> Option<SocketAddrV4> {
         let view = self.node.view()?;
         if view.in_chain(self.me()) {
             return None;
         }
-        // All nodes listen for operators at the same port.
+        // All nodes listen for operators on the same port.
         let tail = view.tail()?;
         Some(SocketAddrV4::new(tail.address.ip(), self.options.control_address.port()))
     }
 
-    /// A change whose outcome nobody waits for.
+    /// Submits a change whose outcome is not needed.
     pub(super) fn submit_unattended(&mut self, change: &Change) {
         let number = self.operators.next_number();
         self.node.submit(number, HeadRequest::Change { change: encode(change) });
     }
 
-    /// The node asks, as the head, whether a store node may be retired.
+    /// Decides for the node, which is the head, whether a store node may be retired.
     pub(super) fn retirement_requested(&mut self, origin: RequestOrigin, name: &str) {
         let state = self.node.tentative_state();
         let verdict = self.roles.retirement(self.now, state, &self.sessions, name);
         self.node.decide_retirement(origin, name, verdict);
     }
 
-    /// The node has decided a change: its outcome is the response.
+    /// Responds to a change with the outcome that the node has decided.
     pub(super) fn request_decided(&mut self, number: RequestNumber, outcome: &RequestOutcome) {
         self.respond_to(number, &change_response(outcome));
     }
 
-    /// The node has proven that its state is the newest: the response is made of it.
+    /// Responds to a read from the state, which the node has confirmed to be the latest.
     pub(super) fn read_confirmed(&mut self, number: RequestNumber) {
         let state = self.node.state();
         let response = match self.operators.open.get(&number).map(|request| &request.kind) {
@@ -279,7 +280,7 @@
         self.respond_to(number, &response);
     }
 
-    /// Answers the request with this number, and goes on with those that have arrived behind it.
+    /// Responds to the request with this number, and continues with the requests received after it.
     pub(super) fn respond_to(&mut self, number: RequestNumber, response: &OperatorResponse) {
         let Some(OpenRequest { connection, .. }) = self.operators.open.remove(&number) else { return };
         self.respond(connection, response);
@@ -290,11 +291,11 @@
         self.operators.respond(&mut self.network, connection, response, self.now);
     }
 
-    /// Members, chain, singleton roles and partitions, for operators.
+    /// Returns members, chain, singleton roles and partitions, for operators.
     fn status(&self) -> OperatorResponse {
         let state = self.node.state();
         let view = self.node.view();
-        let chain = view.map_or(Vec::new(), |view| names(&view.chain));
+        let chain = view.map_or(Vec::new(), |view| member_names(&view.chain));
         let sessions = self.sessions.sessions().map(
             |session| json!({"name": session.name, "zone": session.zone, "role": session.role.to_string()}),
         );
@@ -304,8 +305,8 @@
             "in-touch": self.node.has_quorum(),
             "epoch": view.map_or(0, |view: &View| view.epoch),
             "chain": chain,
-            "voters": view.map_or(Vec::new(), |view| names(&view.voters)),
-            // The leader of the singleton roles.
+            "voters": view.map_or(Vec::new(), |view| member_names(&view.voters)),
+            // The node that leads the singleton roles.
             "duties": chain.first(),
             "change": self.node.applied(),
             "configuration": state.configuration_version(),
@@ -319,12 +320,12 @@
     }
 }
 
-fn names(members: &[MemberId]) -> Vec<String> {
+fn member_names(members: &[MemberId]) -> Vec<String> {
     members.iter().map(MemberId::to_string).collect()
 }
 
 fn partition_status(placement: &Placement) -> Value {
-    let (members, learners) = (names(&placement.members), names(&placement.learners));
+    let (members, learners) = (member_names(&placement.members), member_names(&placement.learners));
     json!({"epoch": placement.epoch, "members": members, "learners": learners})
 }
 
@@ -341,7 +342,7 @@
     let Some(store) = state.stores().get(node) else {
         return OperatorResponse::error(404, "no storage machine has this name: see the members");
     };
-    let is_done = store.retiring && placement::is_store_empty(&store.member, state.partitions());
+    let is_done = store.retiring && placement::can_remove_store_node(&store.member, state.partitions());
     OperatorResponse::new(200, &json!({ "state": if is_done { "completed" } else { "in_progress" } }))
 }
 
--- a/crates/control-plane/src/process/operator_connections/tests.rs
+++ b/crates/control-plane/src/process/operator_connections/tests.rs
@@ -12,7 +12,7 @@
 const HEAD: &[u8] = b"PUT /v1/configuration HTTP/1.1\r\nHost: c\r\nContent-Length: 10\r\n\r\n";
 const POLL: Duration = Duration::from_secs(10);
 
-/// Connections of one operator, read as the process reads them but not answered.
+/// Connections of one operator, whose requests are read as in the process but get no response.
 struct Fixture {
     network: Network,
     operators: OperatorConnections,
@@ -44,8 +44,8 @@
         self.network.consume(self.connection, read.consumed);
     }
 
-    /// Whether the connection is still there so much later.
-    fn stands_after(&mut self, milliseconds: Milliseconds) -> bool {
+    /// Returns whether the connection is still open after this many milliseconds.
+    fn is_open_after(&mut self, milliseconds: Milliseconds) -> bool {
         self.now += milliseconds;
         self.operators.expire(&mut self.network, self.now);
         self.network.flush();
@@ -62,8 +62,8 @@
 #[test]
 fn an_idle_connection_ends_after_its_time() {
     let mut fixture = Fixture::new();
-    assert!(fixture.stands_after(IDLE_TIMEOUT_MS - 1));
-    assert!(!fixture.stands_after(1));
+    assert!(fixture.is_open_after(IDLE_TIMEOUT_MS - 1));
+    assert!(!fixture.is_open_after(1));
     assert_eq!(fixture.received(), "");
 }
 
@@ -72,10 +72,10 @@
     let mut fixture = Fixture::new();
     fixture.send(HEAD);
     assert!(fixture.operators.has_open_requests(&fixture.network));
-    assert!(fixture.stands_after(REQUEST_STALL_TIMEOUT_MS - 1));
+    assert!(fixture.is_open_after(REQUEST_STALL_TIMEOUT_MS - 1));
     fixture.send(b"12345");
-    assert!(fixture.stands_after(REQUEST_STALL_TIMEOUT_MS - 1), "the rest is on its way");
-    assert!(!fixture.stands_after(1));
+    assert!(fixture.is_open_after(REQUEST_STALL_TIMEOUT_MS - 1), "the rest is on its way");
+    assert!(!fixture.is_open_after(1));
     assert!(!fixture.operators.has_open_requests(&fixture.network));
     assert!(fixture.received().starts_with("HTTP/1.1 408 "));
 }
@@ -84,13 +84,13 @@
 fn half_a_head_is_a_request_that_has_begun() {
     let mut fixture = Fixture::new();
     fixture.send(&HEAD[..20]);
-    assert!(fixture.stands_after(REQUEST_STALL_TIMEOUT_MS - 1));
-    assert!(!fixture.stands_after(1));
+    assert!(fixture.is_open_after(REQUEST_STALL_TIMEOUT_MS - 1));
+    assert!(!fixture.is_open_after(1));
 }
 
 #[test]
 fn a_request_that_waits_for_its_response_has_no_limit_here() {
     let mut fixture = Fixture::new();
     fixture.operators.open(fixture.connection, RequestKind::ReadConfiguration);
-    assert!(fixture.stands_after(10 * IDLE_TIMEOUT_MS));
+    assert!(fixture.is_open_after(10 * IDLE_TIMEOUT_MS));
 }
--- a/crates/control-plane/src/process/usage.rs
+++ b/crates/control-plane/src/process/usage.rs
@@ -1,4 +1,4 @@
-//! Usage: counts of gateways are passed on to the head, which decides the reports and sends them to the platform.
+//! Usage: control nodes forward the counts of gateways to the head, which decides the reports and sends them to the platform.
 
 use orchidvalve_chain_replication::Milliseconds;
 use orchidvalve_net::ConnectionId;
@@ -10,47 +10,47 @@
 use crate::singleton_roles::log_usage_decision;
 
 impl Process {
-    /// The window of usage that is running.
+    /// Returns the number of the usage window in progress.
     fn current_window(&self) -> u64 {
         self.clock.wall_ms_at(self.now) / self.options.usage_window_ms.max(1)
     }
 
-    /// A gateway has told its counts on its session.
-    pub(super) fn usage_told(&mut self, connection: ConnectionId, windows: Vec<WindowUsage>) {
+    /// Processes the counts that a gateway has reported on its session.
+    pub(super) fn usage_reported(&mut self, connection: ConnectionId, windows: Vec<WindowUsage>) {
         if let Some(incarnation) = self.subscribers.incarnation(connection) {
             self.usage.add(incarnation, windows, self.current_window());
         }
     }
 
-    /// Another control node has passed on the counts of a gateway.
-    pub(super) fn usage_passed_on(&mut self, incarnation: u64, windows: Vec<WindowUsage>) {
+    /// Processes the counts of a gateway that another control node has forwarded.
+    pub(super) fn forwarded_usage_received(&mut self, incarnation: u64, windows: Vec<WindowUsage>) {
         self.usage.add(incarnation, windows, self.current_window());
     }
 
-    /// A link is new: what was sent on the one before may be lost.
+    /// Notes that a link was opened: messages sent on the former link to the head may be lost.
     pub(super) fn usage_link_opened(&mut self, address: NodeAddress) {
         if self.head.is_some_and(|head| head.member.address == address) {
-            self.usage.tell_all_again();
+            self.usage.mark_all_unsent();
         }
     }
 
-    /// Forgets the counts of decided windows, and tells the head what it may not know.
-    pub(super) fn pass_on_usage(&mut self) {
+    /// Drops the counts of decided windows, and sends the head the counts that it may not have.
+    pub(super) fn forward_usage(&mut self) {
         if let Some(next_window) = self.node.state().usage_reports().next_window() {
-            self.usage.decided_before(next_window);
+            self.usage.set_decided_before(next_window);
         }
         let Some(head) = self.head else { return };
-        let untold = self.usage.take_untold();
+        let unsent = self.usage.take_unsent();
         if head.member == self.me() {
             return;
         }
-        for (incarnation, windows) in untold {
+        for (incarnation, windows) in unsent {
             let message = PeerMessage::Usage { incarnation, windows };
             self.links.send(&mut self.network, head.member.address, &message);
         }
     }
 
-    /// As the head: decides the reports that are due, and sends the platform those that are committed.
+    /// As the head, decides the reports that are due, and sends the committed ones to the platform.
     pub(super) fn report_usage(&mut self, confirmed_at: Option<Milliseconds>) {
         let wall_ms = self.clock.wall_ms_at(self.now);
         let tentative = self.node.tentative_state();
--- a/crates/control-plane/src/redirector.rs
+++ b/crates/control-plane/src/redirector.rs
@@ -1,12 +1,13 @@
-//! Where an observer redirects operators (307, RFC 9110 section 15.4.8): to the member that keeps its session, which
-//! has a quorum; without a session to one of the members that it knows, round robin; 503 where it knows none.
+//! Chooses where an observer redirects operators (307, RFC 9110 section 15.4.8): to the member with which it has its
+//! session, since that member has a quorum; without a session to the known members, round robin. Without a known member
+//! the response is 503.
 
 use std::net::SocketAddrV4;
 
 use orchidvalve_http::Request;
 use orchidvalve_protocol::identity::NodeAddress;
 
-/// Chooses where requests are sent.
+/// Chooses the target of each redirection.
 #[derive(Clone, Debug)]
 pub struct Redirector {
     /// This node's own control address. All nodes use the same port.
@@ -16,24 +17,24 @@
     next: usize,
 }
 
-/// The response to a request: the URL to send it to instead, or that none is known.
+/// The response to a request of an operator.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Redirection {
-    /// URL of the same request at another node.
+    /// Redirects to the same path at another node, by this URL.
     To(String),
     /// No other node is known.
     Unavailable,
 }
 
 impl Redirector {
-    /// `control_address` is this node's own; it is never a target.
+    /// Creates a redirector. `control_address` is the address of this node, which is never a target.
     pub fn new(control_address: SocketAddrV4, seeds: &[SocketAddrV4]) -> Redirector {
         let targets = seeds.iter().copied().filter(|seed| *seed != control_address).collect();
         Redirector { control_address, targets, next: 0 }
     }
 
-    /// The members that are known now, and the one that keeps a session, which is preferred. The former targets stay
-    /// where there are none.
+    /// Sets the known members, and the member with which this node has a session, which is preferred. The former targets
+    /// remain if no member is known.
     pub fn set_members(&mut self, session_node: Option<NodeAddress>, members: &[NodeAddress]) {
         let session_node = session_node.as_ref().map(std::slice::from_ref);
         let members = session_node.unwrap_or(members);
@@ -44,7 +45,7 @@
         self.targets = members.iter().map(|member| SocketAddrV4::new(member.ip(), port)).collect();
     }
 
-    /// Where the sender of this request is redirected.
+    /// Returns where a request is redirected.
     pub fn redirect(&mut self, request: &Request) -> Redirection {
         if self.targets.is_empty() {
             return Redirection::Unavailable;
--- a/crates/control-plane/src/replicated_log.rs
+++ b/crates/control-plane/src/replicated_log.rs
@@ -1,4 +1,4 @@
-//! This node's copy of the replicated log, in memory, with where its entries are on the disk.
+//! This node's copy of the replicated log in memory, with the positions of its entries on the disk.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -6,15 +6,15 @@
 use orchidvalve_chain_replication::{Entry, Epoch, EpochRun, LogReader, RecoveredLog, Sequence};
 use orchidvalve_wal::Position;
 
-/// An entry and where it is on the disk.
+/// An entry and its position on the disk.
 #[derive(Debug)]
 struct StoredEntry {
     entry: Entry,
-    /// Position of its record.
+    /// Position of the entry's record on the disk.
     disk_position: Position,
 }
 
-/// Entries held in memory: a contiguous run of sequence numbers that begins with the newest checkpoint, once there was
+/// The entries held in memory: a contiguous run of sequence numbers, which begins with the latest checkpoint once there is
 /// one.
 #[derive(Debug)]
 pub struct ReplicatedLog {
@@ -31,22 +31,22 @@
 }
 
 impl ReplicatedLog {
-    /// Lowest sequence number held, or that of the next entry if none is.
+    /// Returns the lowest sequence number held, or that of the next entry if the log is empty.
     pub fn first(&self) -> Sequence {
         self.first
     }
 
-    /// Highest sequence number held, or the one before [`ReplicatedLog::first`] if none is.
+    /// Returns the highest sequence number held, or the one before [`ReplicatedLog::first`] if the log is empty.
     pub fn end(&self) -> Sequence {
         self.first + self.entries.len() as u64 - 1
     }
 
-    /// Whether no entry is held.
+    /// Returns whether no entry is held.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Appends the next entry, whose record is at this position on the disk.
+    /// Appends the next entry, whose record is at `disk_position`.
     pub fn append(&mut self, entry: Entry, disk_position: Position) {
         debug_assert_eq!(entry.sequence, self.end() + 1);
         self.payload_bytes += entry.payload.len();
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Begins anew, without entries: the next one is `start`, and the one before it is of `previous_epoch`.
+    /// Removes all entries: the next one is `start`, and the one before it belongs to `previous_epoch`.
     pub fn reset(&mut self, start: Sequence, previous_epoch: Epoch) {
         self.entries.clear();
         self.payload_bytes = 0;
@@ -69,7 +69,7 @@
         self.previous_epoch = previous_epoch;
     }
 
-    /// Forgets the entries before `first`; the epoch of the one before it stays known.
+    /// Removes the entries before `first`, but remembers the epoch of the last one removed.
     pub fn compact(&mut self, first: Sequence) {
         while self.first < first {
             let Some(StoredEntry { entry, .. }) = self.entries.pop_front() else { return };
@@ -79,7 +79,7 @@
         }
     }
 
-    /// Makes the log begin at `first`, after an entry of `previous_epoch`, also where entries are missing before it.
+    /// Makes the log begin at `first`, after an entry of `previous_epoch`, even if entries before `first` are missing.
     pub(crate) fn compact_or_reset(&mut self, first: Sequence, previous_epoch: Epoch) {
         if self.end() + 1 < first || self.is_empty() {
             self.reset(first, previous_epoch);
@@ -91,51 +91,51 @@
         }
     }
 
-    /// The entry with this sequence number, if it is held.
+    /// Returns the entry with this sequence number, if it is held.
     pub fn get(&self, sequence: Sequence) -> Option<&Entry> {
         let index = sequence.checked_sub(self.first)? as usize;
         self.entries.get(index).map(|stored| &stored.entry)
     }
 
-    /// Position on the disk of the oldest entry that is held.
+    /// Returns the position on the disk of the oldest entry held.
     pub fn oldest_disk_position(&self) -> Option<Position> {
         self.entries.front().map(|oldest| oldest.disk_position)
     }
 
-    /// Position on the disk of the entry `sequence`.
+    /// Returns the position on the disk of the entry with this sequence number.
     pub fn disk_position(&self, sequence: Sequence) -> Option<Position> {
         let index = sequence.checked_sub(self.first)? as usize;
         self.entries.get(index).map(|stored| stored.disk_position)
     }
 
-    /// Highest sequence number whose record lies at or before the durable position.
+    /// Returns the highest sequence number whose record is at or before `durable_position`.
     pub fn durable_through(&self, durable_position: Position) -> Sequence {
         let durable = self.entries.partition_point(|stored| stored.disk_position <= durable_position);
         self.first + durable as u64 - 1
     }
 
-    /// Payload bytes of all entries that are held.
+    /// Returns the payload bytes of all entries held.
     pub fn payload_bytes(&self) -> usize {
         self.payload_bytes
     }
 
-    /// Payload bytes of the checkpoint that the log begins with, 0 before the first one.
+    /// Returns the payload bytes of the checkpoint that the log begins with; 0 before the first checkpoint.
     pub fn checkpoint_bytes(&self) -> usize {
         let first = self.entries.front().filter(|_| self.first > 1);
         first.map_or(0, |checkpoint| checkpoint.entry.payload.len())
     }
 
-    /// Payload bytes of all entries but that checkpoint.
+    /// Returns the payload bytes of all entries except that checkpoint.
     pub fn bytes_after_checkpoint(&self) -> usize {
         self.payload_bytes - self.checkpoint_bytes()
     }
 
-    /// Epoch of the entry before the first one that is held; 0 if it isn't known.
+    /// Returns the epoch of the entry before the first one held; 0 if unknown.
     pub fn previous_epoch(&self) -> Epoch {
         self.previous_epoch
     }
 
-    /// What chain replication has to know at the start.
+    /// Returns the state of the log with which chain replication starts.
     pub fn state(&self) -> RecoveredLog {
         let mut runs: Vec<EpochRun> = Vec::new();
         if self.first > 1 && self.previous_epoch > 0 {
--- a/crates/control-plane/src/role_lease.rs
+++ b/crates/control-plane/src/role_lease.rs
@@ -1,41 +1,41 @@
 //! The lease under which one node at a time acts in the singleton roles (Gray and Cheriton 1989).
 //!
-//! Orders to servers and calls of the platform carry the leadership term as fencing token. Whoever gets them may not
-//! check it, so a new leader waits until all that the former one sent has certainly arrived.
+//! Orders to servers and platform calls carry the leadership term as fencing token. A receiver may not check it, so a new
+//! leader waits until everything that the former one sent has certainly arrived.
 
 use orchidvalve_chain_replication::{Epoch, Milliseconds};
 
-/// A lease that is held.
+/// A lease that this node holds.
 #[derive(Clone, Copy, Debug)]
 struct HeldLease {
     /// Epoch of the view in which this node is the head.
     epoch: Epoch,
-    /// Orders may be given and calls made from this time on.
+    /// Time from which on this node may give orders and call the platform, in milliseconds.
     valid_from: u64,
 }
 
-/// How long a new head waits before it acts, in milliseconds.
+/// How long a new head waits before it acts in the singleton roles, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct LeaseWaits {
-    /// Where another node was the head: until its calls have arrived and its lease is over.
+    /// Wait after another node was the head: until the calls of that node have arrived and its lease has expired.
     pub after_another_head: Milliseconds,
-    /// Where an earlier process of this node was: until the calls that it left behind have arrived. They bear a lower
-    /// term, and come on connections of their own.
+    /// Wait after an earlier process of this node was the head: until the calls that it left in flight have arrived. They
+    /// carry a lower term, and were sent on connections of their own.
     pub after_own_process: Milliseconds,
-    /// Where this process was the head in the view before, under a lower term: until the calls that it began then have
-    /// arrived.
+    /// Wait after this process was the head of the view before, under a lower term: until the calls that it started then
+    /// have arrived.
     pub after_own_term: Milliseconds,
 }
 
-/// Whether this node may act in the singleton roles. Times are in milliseconds.
+/// The lease of this node, if it holds one. Times are in milliseconds.
 #[derive(Default, Debug)]
 pub struct RoleLease {
     held: Option<HeldLease>,
 }
 
 impl RoleLease {
-    /// A view has begun in which this node is the head. `was_head` says that it was the head of the view just
-    /// before, too, or that no view was before.
+    /// Acquires the lease for a view in which this node is the head. `was_head` says that this node was also the head of
+    /// the view just before, or that there was no view before.
     pub fn acquire(&mut self, now: Milliseconds, epoch: Epoch, was_head: bool, waits: LeaseWaits) {
         let wait = match (self.held, was_head) {
             (Some(held), true) => held.valid_from.saturating_sub(now).max(waits.after_own_term),
@@ -45,13 +45,13 @@
         self.held = Some(HeldLease { epoch, valid_from: now + wait });
     }
 
-    /// Another node is the head.
+    /// Gives up the lease: another node is the head.
     pub fn release(&mut self) {
         self.held = None;
     }
 
-    /// The epoch under which this node may act now, if it may: `confirmed_at` is the last time at which a quorum
-    /// was in this node's view, and it has to be within `validity_ms`.
+    /// Returns the epoch under which this node may act now; `None` if it may not. `confirmed_at` is the last time at which
+    /// a quorum was in this node's view, and must not be older than `validity_ms`.
     pub fn valid_epoch(
         &self,
         now: Milliseconds,
