--- a/crates/control-plane/src/scaling_orders.rs
+++ b/crates/control-plane/src/scaling_orders.rs
@@ -1,5 +1,5 @@
-//! Delivery of scaling orders to the platform: at most one call in flight for a service in a zone, the same again while
-//! its outcome is unknown, and a newer decision in place of an older one. Free of I/O.
+//! Delivery of scaling orders to the platform: at most one call is in flight for each service and zone. An order is sent
+//! again while its outcome is unknown, and a later decision replaces an earlier one. Does no I/O.
 
 use std::collections::BTreeMap;
 
@@ -7,26 +7,26 @@
 
 use crate::scaling_planner::ScalingOrder;
 
-/// Pause before an order is sent again the first time, in milliseconds; it doubles with each time...
+/// Pause before an order is sent again for the first time, in milliseconds; it doubles with each further time...
 const FIRST_BACKOFF_MS: Milliseconds = 500;
-/// ...up to this, in milliseconds.
+/// ...up to this bound, in milliseconds.
 const MAX_BACKOFF_MS: Milliseconds = 8_000;
 
-/// How a scaling order ended.
+/// The outcome of a scaling order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ScalingOutcome {
-    /// The platform has taken it.
+    /// The platform has accepted the order.
     Accepted,
-    /// The platform will never take it.
+    /// The platform has rejected the order permanently.
     Refused,
-    /// No response, or none that says: it may have been taken.
+    /// There was no response, or one that leaves open whether the order was accepted.
     Unknown,
 }
 
 impl ScalingOutcome {
-    /// What the status of the response says; `None` for no response. Too many calls (429) and errors of the platform may
-    /// pass.
-    pub fn of(status: Option<u16>) -> ScalingOutcome {
+    /// Maps the status of the response to an outcome; `None` means no response. Status 429 (too many calls) and errors of
+    /// the platform are temporary.
+    pub fn from_status(status: Option<u16>) -> ScalingOutcome {
         match status {
             Some(200..=299) => ScalingOutcome::Accepted,
             Some(408 | 429) | None => ScalingOutcome::Unknown,
@@ -36,7 +36,7 @@
     }
 }
 
-/// A service in a zone: its orders form one series.
+/// A service in a zone. Its orders form one series, of which only the latest one matters.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct ScalingSubject {
     service: String,
@@ -49,25 +49,25 @@
     }
 }
 
-/// The newest decision for a subject that the platform hasn't confirmed.
+/// The latest decision for a service and zone, which the platform has not confirmed yet.
 #[derive(Debug)]
 struct OpenOrder {
     desired_count: u32,
     is_in_flight: bool,
-    /// Not to be sent before.
+    /// The order is not sent before this time.
     due_at: Milliseconds,
-    /// Calls since the last change of the decision whose outcome is unknown.
+    /// Number of calls with an unknown outcome since the decision last changed.
     unknown_outcomes: u32,
 }
 
-/// All orders that the platform hasn't confirmed. Times are in milliseconds.
+/// All orders that the platform has not confirmed. Times are in milliseconds.
 #[derive(Default, Debug)]
 pub struct ScalingOrders {
     open: BTreeMap<ScalingSubject, OpenOrder>,
 }
 
 impl ScalingOrders {
-    /// A decision: it replaces the earlier one for the same service and zone.
+    /// Adds a decision, which replaces the earlier one for the same service and zone.
     pub fn decide(&mut self, order: &ScalingOrder, now: Milliseconds) {
         let open = self.open.entry(ScalingSubject::of(order)).or_insert(OpenOrder {
             desired_count: order.desired_count,
@@ -80,12 +80,12 @@
         }
     }
 
-    /// Whether an order is to be sent now.
+    /// Returns whether an order has to be sent now.
     pub fn has_due(&self, now: Milliseconds) -> bool {
         self.next_due().is_some_and(|at| at <= now)
     }
 
-    /// The order that has been due for longest; it counts as in flight until [`ScalingOrders::answered`].
+    /// Takes the order that has been due longest. It counts as in flight until [`ScalingOrders::completed`].
     pub fn take_due(&mut self, now: Milliseconds) -> Option<ScalingOrder> {
         let unsent = self.open.iter_mut().filter(|(_, open)| !open.is_in_flight && open.due_at <= now);
         let (subject, open) = unsent.min_by_key(|(_, open)| open.due_at)?;
@@ -97,8 +97,8 @@
         })
     }
 
-    /// A call has ended. Where a newer decision was made meanwhile, that one is due at once, whatever became of this one.
-    pub fn answered(&mut self, order: &ScalingOrder, outcome: ScalingOutcome, now: Milliseconds) {
+    /// Records the outcome of a call. If a later decision was made meanwhile, it is due at once, regardless of the outcome.
+    pub fn completed(&mut self, order: &ScalingOrder, outcome: ScalingOutcome, now: Milliseconds) {
         let subject = ScalingSubject::of(order);
         let Some(open) = self.open.get_mut(&subject) else { return };
         open.is_in_flight = false;
@@ -118,17 +118,17 @@
         }
     }
 
-    /// When the next order is due, if any isn't in flight.
+    /// Returns when the next order is due; `None` if no order waits to be sent.
     pub fn next_due(&self) -> Option<Milliseconds> {
         self.open.values().filter(|open| !open.is_in_flight).map(|open| open.due_at).min()
     }
 
-    /// Whether the platform hasn't confirmed an order for the service.
+    /// Returns whether an order for the service is unconfirmed.
     pub fn has_open(&self, service: &str) -> bool {
         self.open.keys().any(|subject| subject.service == service)
     }
 
-    /// Forgets all orders: another node acts in the role.
+    /// Forgets all orders: another node leads scaling.
     pub fn clear(&mut self) {
         self.open.clear();
     }
--- a/crates/control-plane/src/session_balance.rs
+++ b/crates/control-plane/src/session_balance.rs
@@ -1,28 +1,28 @@
-//! How the sessions are spread over the control nodes that may keep them.
+//! Balances sessions among the control nodes that accept them.
 //!
-//! Processes know the seeds only when they start, and a session stays where it is for as long as it stands, so without
-//! this the seeds would keep all sessions. A node that has many more than the others sends new processes elsewhere, and
-//! moves the sessions that it has one at a time.
+//! A process that starts knows only the seeds, and a session stays with its control node while it is open, so without
+//! balancing the seeds would keep all sessions. A node with many more sessions than the others refers new processes to
+//! them, and moves its existing sessions one at a time.
 
 use std::collections::BTreeMap;
 
 use orchidvalve_chain_replication::Milliseconds;
 
-/// With fewer sessions a node sends nobody elsewhere.
+/// A node with fewer sessions refers no process and moves no session.
 const MIN_SESSIONS: usize = 8;
-/// A node has too many sessions with more than the mean and one part in this many...
+/// A node has too many sessions if it exceeds the mean by more than one in this many...
 const SURPLUS_DIVISOR: usize = 4;
-/// ...and this many above it.
+/// ...plus this number.
 const SURPLUS: usize = 2;
-/// Pause between two moves of sessions, in milliseconds.
+/// Minimum time between two moves of sessions, in milliseconds.
 const MOVE_INTERVAL_MS: Milliseconds = 500;
-/// After a change of views no session is moved for this time, in milliseconds: sessions come and go then by themselves.
+/// No session is moved for this time after a change of views, in milliseconds: sessions move by themselves then.
 const SETTLE_MS: Milliseconds = 5_000;
-/// A process that was sent elsewhere is taken if it asks again within this time, in milliseconds: the others may be unable
-/// to take it.
+/// A referred process that returns within this time, in milliseconds, is accepted: the other nodes may be unable to accept
+/// it.
 const REFERRAL_MS: Milliseconds = 10_000;
 
-/// Whether a node with `local` sessions has too many, where the others have so many each.
+/// Returns whether a node with `local` sessions has too many; `others` holds the numbers of sessions at the other nodes.
 pub fn has_surplus(local: usize, others: &[usize]) -> bool {
     if others.is_empty() || local < MIN_SESSIONS {
         return false;
@@ -31,19 +31,19 @@
     local > mean + mean / SURPLUS_DIVISOR + SURPLUS
 }
 
-/// When the next session may be moved.
+/// Decides when the next session may be moved.
 #[derive(Default, Debug)]
 pub struct MoveSchedule {
     next_at: Milliseconds,
 }
 
 impl MoveSchedule {
-    /// Another view is in force.
+    /// Postpones the next move after a change of views.
     pub fn view_changed(&mut self, now: Milliseconds) {
         self.next_at = now + SETTLE_MS;
     }
 
-    /// Whether a session may be moved now; if so, the next one may after a pause.
+    /// Returns whether a session may be moved now; if so, the next move may follow after a pause.
     pub fn take_due(&mut self, now: Milliseconds) -> bool {
         let is_due = now >= self.next_at;
         if is_due {
@@ -53,15 +53,15 @@
     }
 }
 
-/// New processes that were sent elsewhere.
+/// New processes that were referred to other control nodes.
 #[derive(Default, Debug)]
 pub struct Referrals {
-    /// By the incarnation of the process.
+    /// Time of each referral, by the incarnation of the process.
     referred_at: BTreeMap<u64, Milliseconds>,
 }
 
 impl Referrals {
-    /// Whether this start of a process may be sent elsewhere, which is noted: each is once.
+    /// Returns whether this incarnation of a process may be referred, and records the referral: each is referred once.
     pub fn refer(&mut self, incarnation: u64, now: Milliseconds) -> bool {
         self.referred_at.retain(|_, at| now < *at + REFERRAL_MS);
         let is_first = !self.referred_at.contains_key(&incarnation);
--- a/crates/control-plane/src/singleton_roles/list_polling.rs
+++ b/crates/control-plane/src/singleton_roles/list_polling.rs
@@ -1,67 +1,67 @@
-//! Polling of the platform's list: when it is read, and what was read last.
+//! Polling of the platform's list of servers: when the list is read, and the result of the last reading.
 
 use orchidvalve_chain_replication::Milliseconds;
 use orchidvalve_protocol::messages::ServerEntry;
 
 use crate::discovery::{ListError, ListReader, POLL_INTERVAL_MS, PageOutcome, RETRY_INTERVAL_MS};
 
-/// A page is requested so many times more before the whole list is read again.
+/// Maximum number of times that a page is requested again before the reading starts over from the first page.
 const MAX_PAGE_RETRIES: u32 = 4;
 
-/// What follows a response of the platform.
+/// What follows the platform's response to the request of a page.
 #[derive(Debug)]
 pub(super) enum PolledPage {
-    /// The next page is to be requested with this token.
+    /// The reading continues with the page of this token.
     NextPage { token: String },
     /// The list was read in full.
     Complete,
-    /// The page, or the list, has to be read again after a pause.
+    /// The request failed; the page or the list is read again after a pause.
     Failed,
 }
 
-/// A page that is requested once more after a pause.
+/// A page whose request failed and that is requested again after a pause.
 #[derive(Debug)]
 pub(super) struct PageRetry {
-    /// Token of the page; none for the first page.
+    /// Token of the page; `None` for the first page.
     pub token: Option<String>,
     due_at: Milliseconds,
 }
 
-/// The newest list and the reading of the next one, of which there is at most one at a time.
+/// The latest complete list and the reading in progress. At most one reading is in progress at a time.
 #[derive(Default, Debug)]
 pub(super) struct ListPolling {
     next_poll_at: Milliseconds,
     reader: Option<ListReader>,
-    /// Token of the page that was requested last; none for the first page.
+    /// Token of the page that was requested last; `None` for the first page.
     token: Option<String>,
-    /// Requests of that page that have failed.
+    /// Number of failed requests of that page.
     failed_requests: u32,
     retry: Option<PageRetry>,
-    /// Number of the latest reading: a late page of an earlier one is no part of it.
+    /// Number of the current reading. Pages that belong to an earlier reading are ignored.
     read_number: u64,
-    /// Newest list, before versions known from orders are added.
+    /// Servers of the latest complete list, without the versions that are known from orders.
     servers: Vec<ServerEntry>,
 }
 
 impl ListPolling {
-    /// This node has become the head: what it has read before may be out of date.
+    /// Makes a reading due now and drops the last list, which may be out of date: this node has become the head.
     pub(super) fn begin(&mut self, now: Milliseconds) {
         self.next_poll_at = now;
         self.servers.clear();
     }
 
-    /// Another node is the head.
+    /// Abandons the reading in progress: another node is the head.
     pub(super) fn stop(&mut self) {
         self.reader = None;
         self.retry = None;
     }
 
-    /// Newest list, empty before the first one.
+    /// Returns the servers of the latest complete list; empty before the first one.
     pub(super) fn servers(&self) -> &[ServerEntry] {
         &self.servers
     }
 
-    /// The server with this id, if it is on the list.
+    /// Returns the server with this instance id, if it is on the latest list.
     pub(super) fn server(&self, instance: &str) -> Option<&ServerEntry> {
         self.servers.iter().find(|server| server.instance == instance)
     }
@@ -70,7 +70,7 @@
         self.reader.is_none() && now >= self.next_poll_at
     }
 
-    /// When the next reading is due, or a page of the one in flight has to be requested once more.
+    /// Returns when the next reading is due, or when a page of the reading in progress is requested again.
     pub(super) fn next_wakeup(&self) -> Milliseconds {
         match (&self.reader, &self.retry) {
             (Some(_), Some(retry)) => retry.due_at,
@@ -79,39 +79,40 @@
         }
     }
 
-    /// The page that has to be requested once more now, if any.
+    /// Takes the page that has to be requested again now, if there is one.
     pub(super) fn take_due_retry(&mut self, now: Milliseconds) -> Option<PageRetry> {
         self.retry.take_if(|retry| retry.due_at <= now)
     }
 
-    /// Begins a reading.
+    /// Starts a reading with the first page.
     pub(super) fn start_read(&mut self) {
         self.reader = Some(ListReader::default());
         self.read_number += 1;
         self.page_requested(None);
     }
 
-    /// The next page is requested.
+    /// Records that the page of `token` is requested for the first time.
     fn page_requested(&mut self, token: Option<String>) {
         self.token = token;
         self.failed_requests = 0;
         self.retry = None;
     }
 
-    /// Number of the latest reading.
+    /// Returns the number of the current reading.
     pub(super) fn read_number(&self) -> u64 {
         self.read_number
     }
 
-    /// The reading can't go on.
+    /// Abandons the reading in progress; the next one starts after a pause.
     pub(super) fn fail(&mut self, now: Milliseconds) {
         self.reader = None;
         self.retry = None;
         self.next_poll_at = now + RETRY_INTERVAL_MS;
     }
 
-    /// A request has failed: the same page is requested once more, and not the pages before it. The platform takes so
-    /// many requests a second from all machines together, so a long list would never be read otherwise.
+    /// Schedules another request of the same page after a failed one, without reading the pages before it again. The
+    /// platform accepts a limited number of requests per second from all nodes together, so a long list could otherwise
+    /// never be read in full.
     fn request_failed(&mut self, now: Milliseconds) {
         self.failed_requests += 1;
         if self.failed_requests > MAX_PAGE_RETRIES {
@@ -121,8 +122,8 @@
         self.retry = Some(PageRetry { token: self.token.clone(), due_at });
     }
 
-    /// A response of the platform: the body of a page, unless the request failed. `can_publish` says whether a list
-    /// that is complete by it can be published; else it is read again at once.
+    /// Processes the platform's response to the request of a page: its body, or `None` if the request failed.
+    /// `can_publish` says whether a list that this page completes can be published; if not, it is read again at once.
     pub(super) fn page_received(
         &mut self,
         body: Option<&[u8]>,
--- a/crates/control-plane/src/singleton_roles/mod.rs
+++ b/crates/control-plane/src/singleton_roles/mod.rs
@@ -1,13 +1,13 @@
-//! The singleton roles of the head of the control chain: reading the platform's list, placing partitions, ordering
-//! new weights, reporting usage and scaling services.
+//! The singleton roles of the head of the control chain: reading the platform's list of servers, placing partitions,
+//! ordering new weights, reporting usage and scaling services.
 //!
-//! Another node has them as soon as it is the head, and every start of a head has a term of its own, higher than all
-//! before ([`crate::node::ControlNode::leadership_term`]): server tables and orders bear it.
+//! The roles pass to another node as soon as it becomes the head. Every start of a head has a leadership term of its own
+//! that is higher than all earlier ones ([`crate::node::ControlNode::leadership_term`]); server tables and orders carry it.
 
-mod duty_calls;
 mod list_polling;
 mod order_sender;
 mod partition_placement;
+mod platform_calls;
 mod scaling;
 mod usage_reporting;
 
@@ -19,10 +19,10 @@
 use orchidvalve_protocol::messages::ServerTableUpdate;
 use orchidvalve_protocol::server_table::ServerTable;
 
-use self::duty_calls::CallPacing;
 use self::list_polling::{ListPolling, PolledPage};
 use self::order_sender::{Rollout, is_order_in_progress};
 use self::partition_placement::PlacementRole;
+use self::platform_calls::CallPacing;
 use self::scaling::ScalingRole;
 use self::usage_reporting::UsageReporting;
 use crate::discovery::REQUEST_TIMEOUT_MS;
@@ -34,75 +34,76 @@
 use crate::weight_rollout::{LoadOrder, OrderOutcome};
 
 pub use self::partition_placement::{may_retire, registrations};
-pub use self::usage_reporting::{DECISION_DELAY_MS, USAGE_REPORTING_DUTY, log_usage_decision, usage_status};
+pub use self::usage_reporting::{DECISION_DELAY_MS, USAGE_REPORTING_ROLE, log_usage_decision, usage_status};
 
-/// A quorum has to have confirmed this node as head within this time before it gives an order: two rounds of
-/// pings, in milliseconds.
+/// A node gives orders only if a quorum has confirmed it as the head within this time, in milliseconds: two rounds of
+/// pings.
 pub const ORDER_VALIDITY_MS: Milliseconds = 450;
-/// An order arrives at its server at most this long after the last confirmation of its head: it is given, handed to the
-/// system and retransmitted by it after a loss on the way, each in its time. In milliseconds.
+/// An order arrives at its server at most this long after the last confirmation of the head that sent it, in
+/// milliseconds. The sum covers the time until it is sent, until it is handed to the operating system, and until the
+/// system has retransmitted it after a loss on the network.
 pub const ORDER_ARRIVAL_MS: Milliseconds = ORDER_VALIDITY_MS + CONNECT_TIMEOUT_MS + NEW_USER_TIMEOUT_MS;
 
-/// Least time between two versions of the server table, in milliseconds: while weights change, servers answer many orders
-/// within it, and each version goes to every subscriber.
+/// Minimum time between two versions of the server table, in milliseconds. While weights change, many orders complete
+/// within it, and each version is sent to every subscriber.
 const PUBLISH_INTERVAL_MS: Milliseconds = 50;
 
-/// What an exchange of a singleton role is for.
+/// The purpose of an HTTP exchange of a singleton role.
 #[derive(Debug)]
 pub enum ExchangePurpose {
     /// A page of the platform's list.
     ListPage {
-        /// Number of the reading that it is for.
+        /// Number of the reading that the page belongs to.
         read_number: u64,
     },
     /// An order to a server.
     Order(LoadOrder),
-    /// The question whether a load is done.
+    /// A probe of a server, which reports whether its load is done.
     Probe {
-        /// The server that is asked.
+        /// Instance id of the probed server.
         instance: String,
     },
-    /// The report of usage in one window.
+    /// The usage report of one window, sent to the platform.
     UsageReport {
         /// Number of the window.
         window: u64,
     },
-    /// An order to the platform.
+    /// A scaling order, sent to the platform.
     Scaling(ScalingOrder),
 }
 
-/// Facts that the singleton roles go by.
+/// Settings of the singleton roles.
 #[derive(Clone, Default, Debug)]
 pub struct SingletonRoleOptions {
-    /// Name of this machine, given in its orders.
+    /// Name of the machine that this node runs on, sent with its orders.
     pub name: String,
-    /// Where the platform's list is read; there may be none.
+    /// Address of the platform's API; `None` if there is no platform.
     pub platform: Option<SocketAddrV4>,
-    /// Nobody else may give orders for this time after an order, in milliseconds.
+    /// Length of the lease, in milliseconds: after an order, no other node may give orders for this time.
     pub lease_ms: Milliseconds,
-    /// Store nodes that may be lost at once.
+    /// Number of store nodes that may be lost at once.
     pub tolerance: usize,
-    /// What the platform lets the system do, by the names of the settings.
-    pub duties: Vec<String>,
-    /// Calls a second that the platform takes from all nodes together.
-    pub duty_per_s: f64,
-    /// Length of a window of usage, in milliseconds.
+    /// Roles that the platform allows the system to act in, by their names in the settings.
+    pub enabled_platform_roles: Vec<String>,
+    /// Maximum number of platform calls per second that the platform accepts from all nodes together.
+    pub platform_calls_per_second: f64,
+    /// Length of a usage window, in milliseconds.
     pub usage_window_ms: Milliseconds,
-    /// The report of a window is due so long after its end, in milliseconds.
-    pub usage_late_ms: Milliseconds,
+    /// Time after the end of a usage window by which its report is due, in milliseconds.
+    pub usage_report_deadline_ms: Milliseconds,
 }
 
-/// Since when this node has been the head, and what it may do as such.
+/// The time for which this node has been the head, and its leadership term.
 #[derive(Default, Debug)]
 struct Tenure {
     head_since: Option<Milliseconds>,
-    /// Since when this node has been the head with a quorum: processes are given time to open their sessions.
+    /// Since when this node has been the head with a quorum. Processes are given time from here on to open their sessions.
     sessions_since: Option<Milliseconds>,
-    /// The leadership term, once it is committed; nothing is published or ordered without one.
+    /// The leadership term, once the entry that begins it is committed. Nothing is published or ordered without a term.
     term: Option<u64>,
 }
 
-/// The singleton roles, as far as this node has them. Times are in milliseconds.
+/// The singleton roles and their state, which is empty while this node is not the head. Times are in milliseconds.
 pub struct SingletonRoles {
     options: SingletonRoleOptions,
     client: HttpClient<ExchangePurpose>,
@@ -113,26 +114,26 @@
     placement: PlacementRole,
     scaling: ScalingRole,
     publication: Publication,
-    /// When the platform may be called in the roles that it bounds.
-    duty_pacing: CallPacing,
+    /// Limits the rate of platform calls.
+    platform_call_pacing: CallPacing,
     usage: UsageReporting,
 }
 
-/// When the server table is published.
+/// Schedules the publication of the server table.
 #[derive(Default, Debug)]
 struct Publication {
     last_at: Option<Milliseconds>,
-    /// Something has changed since.
+    /// Whether the list or the held versions have changed since the last publication.
     is_pending: bool,
 }
 
 impl Publication {
-    /// When what is pending is due.
+    /// Returns when the pending change has to be published; `None` if no change is pending.
     fn due_at(&self) -> Option<Milliseconds> {
         self.is_pending.then(|| self.last_at.map_or(0, |at| at + PUBLISH_INTERVAL_MS))
     }
 
-    /// Whether what is pending is due now; if so, it is pending no more.
+    /// Returns whether the pending change is due now; if so, it counts as published.
     fn take_due(&mut self, now: Milliseconds) -> bool {
         let is_due = self.due_at().is_some_and(|at| at <= now);
         if is_due {
@@ -143,10 +144,10 @@
 }
 
 impl SingletonRoles {
-    /// The roles of a node that isn't the head yet.
+    /// Creates the roles of a node that is not the head yet.
     pub fn new(options: SingletonRoleOptions) -> SingletonRoles {
         SingletonRoles {
-            duty_pacing: CallPacing::new(options.duty_per_s),
+            platform_call_pacing: CallPacing::new(options.platform_calls_per_second),
             usage: UsageReporting::default(),
             options,
             client: HttpClient::default(),
@@ -160,7 +161,8 @@
         }
     }
 
-    /// A view has begun. `was_head` says that its head was that of the view just before, too.
+    /// Processes a change of views. `was_head` says whether the head of this view was also the head of the view just
+    /// before.
     pub fn view_changed(&mut self, now: Milliseconds, epoch: Epoch, is_head: bool, was_head: bool) {
         self.tenure.term = None;
         if !is_head {
@@ -174,10 +176,10 @@
             self.publication = Publication::default();
             return;
         }
-        // No confirmation of the former head is later than this view.
+        // Every confirmation of the former head was earlier than this view.
         let waits = LeaseWaits {
             after_another_head: self.options.lease_ms + ORDER_ARRIVAL_MS,
-            // What an ended process had not written is lost with it.
+            // Bytes that an exited process had not written to its sockets are lost with it.
             after_own_process: NEW_USER_TIMEOUT_MS,
             after_own_term: CONNECT_TIMEOUT_MS + NEW_USER_TIMEOUT_MS,
         };
@@ -189,8 +191,8 @@
         }
     }
 
-    /// Whether this node has a quorum. All sessions end while it hasn't, so it knows none when it has one again: it has
-    /// to wait for them as at the beginning of its tenure, also where it is the head of the same view.
+    /// Sets whether this node has a quorum. All sessions end while it has none, so it knows no sessions when it has one
+    /// again: it waits for them as at the beginning of its tenure, even if it is still the head of the same view.
     pub fn set_has_quorum(&mut self, now: Milliseconds, has_quorum: bool) {
         if !has_quorum {
             self.tenure.sessions_since = None;
@@ -200,22 +202,23 @@
         }
     }
 
-    /// The roles are acted in under this term from now on, or not at all.
+    /// Sets the leadership term of the singleton roles; `None` while this node may not act in them.
     pub fn set_term(&mut self, term: Option<u64>) {
         self.tenure.term = term;
     }
 
-    /// Whether this node may give orders and call the platform now. `confirmed_at` is when a quorum was last in its view.
+    /// Returns whether this node may give orders and call the platform now. `confirmed_at` is the last time at which a
+    /// quorum was in this node's view.
     pub fn may_act(&self, now: Milliseconds, confirmed_at: Option<Milliseconds>) -> bool {
         self.lease.valid_epoch(now, confirmed_at, ORDER_VALIDITY_MS).is_some()
     }
 
-    /// The term under which this node may give orders and call the platform now, if it may.
+    /// Returns the term under which this node may give orders and call the platform now; `None` if it may not.
     fn fencing_token(&self, now: Milliseconds, confirmed_at: Option<Milliseconds>) -> Option<u64> {
         self.tenure.term.filter(|_| self.may_act(now, confirmed_at))
     }
 
-    /// When something is due next by time.
+    /// Returns the next time at which a role has something to do.
     pub fn next_wakeup(&self) -> Milliseconds {
         if self.tenure.head_since.is_none() {
             return u64::MAX;
@@ -223,23 +226,23 @@
         let rollout = self.rollout.next_wakeup().unwrap_or(u64::MAX);
         let deadline = self.client.next_deadline().unwrap_or(u64::MAX);
         let publication = self.tenure.term.and_then(|_| self.publication.due_at()).unwrap_or(u64::MAX);
-        let usage = self.tenure.term.map(|_| self.usage.next_wakeup(self.duty_pacing.next_at()));
+        let usage = self.tenure.term.map(|_| self.usage.next_wakeup(self.platform_call_pacing.next_at()));
         let usage = usage.unwrap_or(u64::MAX);
-        let duties = usage.min(self.next_scaling());
-        rollout.min(deadline).min(self.list.next_wakeup()).min(publication).min(duties)
+        let platform_roles = usage.min(self.next_scaling());
+        rollout.min(deadline).min(self.list.next_wakeup()).min(publication).min(platform_roles)
     }
 
-    /// Whether this connection carries an exchange of a singleton role.
+    /// Returns whether this connection carries an exchange of a singleton role.
     pub fn owns(&self, connection: ConnectionId) -> bool {
         self.client.owns(connection)
     }
 
-    /// The exchanges in flight.
+    /// Returns the HTTP client with the exchanges in flight.
     pub fn client(&mut self) -> &mut HttpClient<ExchangePurpose> {
         &mut self.client
     }
 
-    /// Begins to read the platform's list, or requests a page of it once more, when that is due.
+    /// Starts a reading of the platform's list, or requests a page of it again, if that is due.
     pub fn poll_list(&mut self, network: &mut Network, now: Milliseconds) {
         if self.tenure.head_since.is_none() {
             return;
@@ -274,7 +277,7 @@
         }
     }
 
-    /// An exchange of a singleton role is over. Returns the update of the server table if it brought one.
+    /// Processes a completed exchange of a singleton role. Returns the update of the server table if there is one.
     pub fn exchange_completed(
         &mut self,
         network: &mut Network,
@@ -287,20 +290,20 @@
         let body = succeeded.map(|response| response.body);
         match completed.purpose {
             ExchangePurpose::Order(order) => {
-                self.order_answered(network, &order, OrderOutcome::of(status), now);
+                self.order_completed(network, &order, OrderOutcome::from_status(status), now);
                 self.publish(table, now)
             }
             ExchangePurpose::Probe { instance } => {
                 let is_busy = body.and_then(|body| is_order_in_progress(&body));
-                self.probe_answered(network, &instance, is_busy, now);
+                self.probe_completed(network, &instance, is_busy, now);
                 None
             }
             ExchangePurpose::UsageReport { window } => {
-                self.usage_report_answered(window, status, now);
+                self.usage_report_completed(window, status, now);
                 None
             }
             ExchangePurpose::Scaling(order) => {
-                self.scaling_answered(&order, status, now);
+                self.scaling_order_completed(&order, status, now);
                 None
             }
             ExchangePurpose::ListPage { read_number } if read_number != self.list.read_number() => None,
@@ -318,14 +321,14 @@
         }
     }
 
-    /// The list or the versions known from orders have changed: they are put into the server table, now or a moment
-    /// after the last time.
+    /// Publishes a change of the list or of the versions known from orders in the server table: now, or after the minimum
+    /// time since the last publication.
     fn publish(&mut self, table: &mut ServerTable, now: Milliseconds) -> Option<ServerTableUpdate> {
         self.publication.is_pending = !self.list.servers().is_empty();
         self.publish_if_due(table, now)
     }
 
-    /// Puts the list, with the versions known from orders, into the server table if that is due.
+    /// Publishes the list, with the versions known from orders, in the server table if a change is pending and due.
     pub fn publish_if_due(
         &mut self,
         table: &mut ServerTable,
--- a/crates/control-plane/src/singleton_roles/order_sender.rs
+++ b/crates/control-plane/src/singleton_roles/order_sender.rs
@@ -1,5 +1,5 @@
-//! The leader of the weight roll-out: orders are sent under the term and the lease, and servers asked until their loads
-//! are done.
+//! The leader of the weight roll-out: sends load orders to servers under the leadership term and the lease, and probes the
+//! servers until their loads are done.
 
 use std::collections::BTreeMap;
 
@@ -16,25 +16,25 @@
 use crate::http_client::{ConnectionUse, ExchangeTarget};
 use crate::weight_rollout::{LoadOrder, OrderOutcome, RolloutPlanner};
 
-/// The outcome of an order without a response within this time is unknown, in milliseconds.
+/// An order without a response within this time, in milliseconds, has an unknown outcome.
 const ORDER_TIMEOUT_MS: Milliseconds = 1_500;
-/// A probe without a response within this time is given up, in milliseconds.
+/// A probe without a response within this time, in milliseconds, is abandoned.
 const PROBE_TIMEOUT_MS: Milliseconds = 500;
-/// Servers are kept at most so many versions behind, however old the versions that trainers allow.
+/// Maximum number of versions that a server may be behind the latest one, even if trainers allow older versions.
 const MAX_LAG: u64 = 2;
-/// Allowed lag of a model until jobs have told: the first jobs allow every version.
+/// Allowed lag of a model, in versions, until batch jobs have reported one: the first jobs allow every version.
 const DEFAULT_LAG: u64 = 1;
 
-/// State of the roll-out, as far as this node leads it.
+/// State of the weight roll-out while this node leads it.
 #[derive(Default, Debug)]
 pub(super) struct Rollout {
     planner: RolloutPlanner,
-    /// Usage of models as it was logged last.
+    /// Model usage as last logged.
     logged_models: BTreeMap<String, ModelUsage>,
 }
 
 impl Rollout {
-    /// Another node is the head.
+    /// Forgets all orders: another node is the head.
     pub(super) fn stop(&mut self) {
         self.planner.reset();
     }
@@ -43,13 +43,13 @@
         self.planner.next_wakeup()
     }
 
-    /// Whether weights are being loaded onto a server.
+    /// Returns whether weights are being loaded onto a server.
     pub(super) fn is_loading(&self, now: Milliseconds, instance: &str) -> bool {
         self.planner.is_loading(now, instance)
     }
 
-    /// Models of a server and the versions that it holds, but those that are being loaded: these take no requests, so
-    /// gateways shouldn't try.
+    /// Returns the models of a server with the versions that it holds, without the models that are being loaded. A server
+    /// accepts no requests for those, so gateways should not try.
     pub(super) fn available_models(&self, server: &ServerEntry, now: Milliseconds) -> Vec<(String, u64)> {
         let is_available = |model: &String| !self.planner.is_loading_model(now, &server.instance, model);
         let available = server.models.iter().filter(|(model, _)| is_available(model));
@@ -58,11 +58,11 @@
         held.collect()
     }
 
-    /// Takes up how far behind the newest version each model may be.
+    /// Sets how many versions each model may be behind the latest one, from the reported usage of models.
     fn set_usage(&mut self, models: &BTreeMap<String, ModelUsage>) {
         if self.logged_models != *models {
             self.logged_models.clone_from(models);
-            log::info!("weights: models are used so: {models:?}");
+            log::info!("weights: usage of models has changed: {models:?}");
         }
         let lag = |usage: &ModelUsage| usage.lag.unwrap_or(DEFAULT_LAG).min(MAX_LAG);
         let allowed_lags = models.iter().map(|(model, usage)| (model.clone(), lag(usage))).collect();
@@ -71,7 +71,7 @@
 }
 
 impl SingletonRoles {
-    /// Sends the orders and probes that are due. Returns the update of the server table that follows.
+    /// Sends the probes and orders that are due. Returns the resulting update of the server table, if there is one.
     pub fn order_weights(
         &mut self,
         network: &mut Network,
@@ -89,7 +89,7 @@
         if is_changed { self.publish(table, now) } else { None }
     }
 
-    /// Sends the orders that are due; true if there were any.
+    /// Sends the orders that are due. Returns whether there were any.
     fn send_orders(
         &mut self,
         network: &mut Network,
@@ -112,13 +112,13 @@
             let purpose = ExchangePurpose::Order(order);
             let started = self.client.start(network, target, "POST", &request, purpose);
             if let Err(ExchangePurpose::Order(order)) = started {
-                self.rollout.planner.order_answered(now, &order, OrderOutcome::Unknown);
+                self.rollout.planner.order_completed(now, &order, OrderOutcome::Unknown);
             }
         }
         any
     }
 
-    /// Asks servers whose loads should be done whether they are.
+    /// Probes the servers whose loads should be done by now.
     fn send_probes(&mut self, network: &mut Network, now: Milliseconds) {
         for instance in self.rollout.planner.due_probes(now) {
             let Some(server) = self.list.server(&instance) else { continue };
@@ -127,15 +127,15 @@
             write_header(&mut request, "Host", "server");
             write_header(&mut request, "Expected-Instance", &instance);
             write_head_end(&mut request);
-            // A second response to the order is no report, and one to an earlier probe says no more than that the load
-            // went on then: neither can be taken for the end of the load.
+            // A late second response to the order is not a report, and a late response to an earlier probe only says that
+            // the load was in progress then. So neither can be mistaken for the end of the load.
             let target = to_server(server.address, ConnectionUse::Reused, now, PROBE_TIMEOUT_MS);
-            // Without a response the load counts as done when its time is over.
+            // Without a response the load counts as done after its expected duration.
             let _ = self.client.start(network, target, "GET", &request, ExchangePurpose::Probe { instance });
         }
     }
 
-    pub(super) fn order_answered(
+    pub(super) fn order_completed(
         &mut self,
         network: &mut Network,
         order: &LoadOrder,
@@ -146,14 +146,14 @@
         if !is_loading {
             log::info!("weights: order {order:?} ended as {outcome:?}");
         }
-        self.rollout.planner.order_answered(now, order, outcome);
+        self.rollout.planner.order_completed(now, order, outcome);
         if !is_loading {
             self.end_probes(network, &order.instance);
         }
     }
 
-    /// A probe is over: whether the server is busy, if it has said so.
-    pub(super) fn probe_answered(
+    /// Processes the end of a probe: whether the server is loading, or `None` if it did not report that.
+    pub(super) fn probe_completed(
         &mut self,
         network: &mut Network,
         instance: &str,
@@ -161,14 +161,14 @@
         now: Milliseconds,
     ) {
         if let Some(is_busy) = is_busy {
-            self.rollout.planner.probe_answered(now, instance, is_busy);
+            self.rollout.planner.probe_completed(now, instance, is_busy);
         }
         if is_busy != Some(true) {
             self.end_probes(network, instance);
         }
     }
 
-    /// No probe follows the last order at the server: the connection that was kept for them ends.
+    /// Closes the connection that was kept open for probes: no probe follows the last order to this server.
     fn end_probes(&mut self, network: &mut Network, instance: &str) {
         if let Some(server) = self.list.server(instance) {
             self.client.close_idle(network, server.address.socket());
@@ -206,7 +206,7 @@
     ExchangeTarget { address: address.socket(), connection_use, started_at: now, deadline: now + timeout_ms }
 }
 
-/// Whether a server's report says that an order is in progress; `None` if it can't be read.
+/// Parses a server's report. Returns whether an order is in progress there; `None` if the report is malformed.
 pub(super) fn is_order_in_progress(body: &[u8]) -> Option<bool> {
     let report: serde_json::Value = serde_json::from_slice(body).ok()?;
     report.get("utilization")?.as_bool()
--- a/crates/control-plane/src/singleton_roles/partition_placement.rs
+++ b/crates/control-plane/src/singleton_roles/partition_placement.rs
@@ -1,4 +1,4 @@
-//! The leader of placement: partitions are placed on store nodes by their sessions and what they report.
+//! The leader of placement: places partitions on store nodes according to their sessions and reports.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,47 +9,48 @@
 
 use super::SingletonRoles;
 use crate::node::RetirementVerdict;
-use crate::placement::{self, CaughtUp, LiveStore, PlacementInput};
+use crate::placement::{self, CaughtUp, LiveStoreNode, PlacementInput};
 use crate::sessions::{Session, SessionTable};
 
-/// Time after the beginning of a tenure, or of having a quorum again, in which no store node counts as lost: all have
-/// to open their sessions. In milliseconds.
-const STORE_GRACE_MS: Milliseconds = 1_500;
+/// Time after the beginning of a tenure, or after a quorum was regained, in which no store node counts as lost: every
+/// process has to open its session first. In milliseconds.
+const SESSION_GRACE_MS: Milliseconds = 1_500;
 /// Pause between two plans, in milliseconds.
 const PLACEMENT_INTERVAL_MS: Milliseconds = 50;
-/// The first placement waits so long for a store node that isn't there yet, in milliseconds.
+/// The first placement waits at most this long for further store nodes, in milliseconds.
 const FIRST_PLACEMENT_WAIT_MS: Milliseconds = 1_000;
-/// A store node whose disk is fuller than this takes over copies of lost nodes only, in percent: beyond it,
-/// store nodes refuse new jobs.
+/// A store node whose disk is fuller than this, in percent, receives only copies that replace those of lost nodes. Store
+/// nodes reject new jobs above this level.
 const FULL_PERCENT: u64 = 75;
-/// A partition whose complete replicas are all lost for certain begins anew after this time, in milliseconds: a member
+/// A partition whose complete replicas are all known to be lost restarts empty after this time, in milliseconds. A member
 /// that is complete after all reports so every second.
 const LOSS_CONFIRMATION_MS: Milliseconds = 10_000;
 
-/// State of the placement, as far as this node leads it.
+/// State of placement while this node leads it.
 #[derive(Default, Debug)]
 pub(super) struct PlacementRole {
-    /// Replicas that have reported that they caught up.
+    /// Reports of replicas that have caught up.
     caught_up: BTreeSet<CaughtUp>,
     next_plan_at: Milliseconds,
-    /// Partitions whose complete replicas are all lost, and since when that is seen.
+    /// Partitions whose complete replicas are all lost, and since when this node has known that.
     lost_since: BTreeMap<u16, u64>,
 }
 
 impl PlacementRole {
-    /// Losses have to be seen anew for as long as it takes to be sure.
+    /// Restarts the confirmation time of all lost partitions.
     pub(super) fn forget_losses(&mut self) {
         self.lost_since.clear();
     }
 
     fn add_caught_up(&mut self, report: CaughtUp) {
-        // Nodes that aren't the head hear all reports, too, and never get to place anything.
+        // Nodes that are not the head receive all reports, too, but never place anything: their outdated reports are
+        // dropped here.
         self.caught_up.retain(|known| known.partition != report.partition || known.epoch >= report.epoch);
         self.caught_up.insert(report);
         self.next_plan_at = 0;
     }
 
-    /// Whether the next plan is due; if so, the one after it follows after a pause.
+    /// Returns whether a plan is due now; if so, the next one is due after a pause.
     fn take_due(&mut self, now: Milliseconds) -> bool {
         let is_due = now >= self.next_plan_at;
         if is_due {
@@ -58,12 +59,12 @@
         is_due
     }
 
-    /// Partitions that nobody holds any more, seen to be so for long enough.
+    /// Returns the partitions that have been without a complete replica for the whole confirmation time.
     fn lost_partitions(
         &mut self,
         now: Milliseconds,
         state: &ControlState,
-        live: &[LiveStore],
+        live: &[LiveStoreNode],
         copies: usize,
     ) -> BTreeSet<u16> {
         let none = BTreeSet::new();
@@ -82,14 +83,14 @@
         let lost: BTreeSet<u16> = lost.map(|(partition, _)| *partition).collect();
         if !lost.is_empty() {
             log::error!(
-                "placement: all machines that held partitions {lost:?} came back with other disks, more than \
-                 fault-tolerance bears: they begin anew, their jobs are gone"
+                "placement: all machines that held partitions {lost:?} came back with other disks, which \
+                 exceeds fault-tolerance: the partitions restart empty, their jobs are lost"
             );
         }
         lost
     }
 
-    /// Forgets reports of views before those in force.
+    /// Drops reports of epochs before the current placements.
     fn forget_outdated_reports(&mut self, state: &ControlState) {
         let partitions = state.partitions();
         let epoch_of =
@@ -99,7 +100,7 @@
 }
 
 impl SingletonRoles {
-    /// Whether a store node may be retired, by the sessions known here.
+    /// Decides whether a store node may be retired, from the sessions known to this node.
     pub fn retirement(
         &self,
         now: Milliseconds,
@@ -107,31 +108,32 @@
         sessions: &SessionTable,
         name: &str,
     ) -> RetirementVerdict {
-        let knows_sessions = self.knows_sessions(now);
+        let is_session_grace_over = self.is_session_grace_over(now);
         match state.stores().get(name) {
             Some(store) if store.retiring => RetirementVerdict::Allowed,
             Some(_) if may_retire(state, sessions, name, self.options.tolerance) => {
                 RetirementVerdict::Allowed
             }
-            _ if !knows_sessions => RetirementVerdict::Unsure,
-            Some(_) => RetirementVerdict::TooFewStay,
-            // Refused by the state itself, since nobody of this name has registered.
+            _ if !is_session_grace_over => RetirementVerdict::Undetermined,
+            Some(_) => RetirementVerdict::TooFewRemain,
+            // The control state itself rejects a name that is not registered.
             None => RetirementVerdict::Allowed,
         }
     }
 
-    /// Whether all live processes have had time to open a session since this node became the head or had a quorum
-    /// again.
-    pub fn knows_sessions(&self, now: Milliseconds) -> bool {
-        self.tenure.sessions_since.is_some_and(|since| now >= since + STORE_GRACE_MS)
+    /// Returns whether all live processes have had time to open a session since this node became the head, or since it
+    /// regained a quorum.
+    pub fn is_session_grace_over(&self, now: Milliseconds) -> bool {
+        self.tenure.sessions_since.is_some_and(|since| now >= since + SESSION_GRACE_MS)
     }
 
-    /// A learner has copied everything, or a member holds everything that was committed before the view of this epoch.
+    /// Records that a learner has copied everything, or that a member holds everything committed before the view of
+    /// `epoch`.
     pub fn learner_caught_up(&mut self, partition: u16, epoch: Epoch, member: MemberId) {
         self.placement.add_caught_up(CaughtUp { partition, epoch, member });
     }
 
-    /// Changes of the placement of partitions that are due.
+    /// Returns the change of placements that is due, if there is one.
     pub fn place(
         &mut self,
         now: Milliseconds,
@@ -142,9 +144,9 @@
         if !self.placement.take_due(now) {
             return None;
         }
-        let mut live = live_stores(state, sessions);
-        if now < since + STORE_GRACE_MS {
-            presume_members(state, &mut live);
+        let mut live = live_store_nodes(state, sessions);
+        if now < since + SESSION_GRACE_MS {
+            add_presumed_members(state, &mut live);
         }
         let copies = self.options.tolerance + 1;
         let lost = self.placement.lost_partitions(now, state, &live, copies);
@@ -167,11 +169,11 @@
     }
 }
 
-fn live_stores(state: &ControlState, sessions: &SessionTable) -> Vec<LiveStore> {
-    let live_store = |session: &Session| {
+fn live_store_nodes(state: &ControlState, sessions: &SessionTable) -> Vec<LiveStoreNode> {
+    let live_store_node = |session: &Session| {
         let health = session.health;
         let is_retiring = state.stores().get(&session.name).is_some_and(|record| record.retiring);
-        LiveStore {
+        LiveStoreNode {
             member: session.member,
             zone: session.zone.clone(),
             retiring: is_retiring || health.is_some_and(|health| health.draining),
@@ -180,12 +182,12 @@
             disk_failing: health.is_some_and(|health| health.disk_failing),
         }
     };
-    sessions.sessions().filter(|session| session.role == Role::Store).map(live_store).collect()
+    sessions.sessions().filter(|session| session.role == Role::Store).map(live_store_node).collect()
 }
 
-/// As long as sessions are waited for, members without a session count as live: they have yet to open one. A member
-/// whose address has another disk by now is lost for certain.
-fn presume_members(state: &ControlState, live: &mut Vec<LiveStore>) {
+/// Adds the members and learners without a session to `live`, while processes may still be opening their sessions. A
+/// member whose address has another disk by now is certainly lost and is not added.
+fn add_presumed_members(state: &ControlState, live: &mut Vec<LiveStoreNode>) {
     let partitions = state.partitions().iter();
     let members = partitions.flat_map(|placement| placement.members.iter().chain(&placement.learners));
     for member in members {
@@ -193,7 +195,7 @@
             continue;
         }
         let record = state.stores().values().find(|record| record.member == *member);
-        live.push(LiveStore {
+        live.push(LiveStoreNode {
             member: *member,
             zone: record.map_or(String::new(), |record| record.zone.clone()),
             retiring: record.is_some_and(|record| record.retiring),
@@ -203,7 +205,7 @@
     }
 }
 
-/// Registrations of store nodes that the control state doesn't have as they are.
+/// Returns a registration for each store node whose record in the control state is missing or out of date.
 pub fn registrations(state: &ControlState, sessions: &SessionTable) -> Vec<Change> {
     let is_unknown = |session: &&Session| {
         state.stores().get(&session.name).is_none_or(|record| record.member != session.member)
@@ -217,7 +219,7 @@
     stores.filter(is_unknown).map(registration).collect()
 }
 
-/// Whether enough store nodes would stay if `name` were retired.
+/// Returns whether enough store nodes would remain if the store node of machine `name` were retired.
 pub fn may_retire(state: &ControlState, sessions: &SessionTable, name: &str, tolerance: usize) -> bool {
     let is_retiring =
         |session: &Session| state.stores().get(&session.name).is_some_and(|record| record.retiring);
--- a/crates/control-plane/src/singleton_roles/usage_reporting.rs
+++ b/crates/control-plane/src/singleton_roles/usage_reporting.rs
@@ -1,9 +1,9 @@
-//! The leader of usage reporting: the report of each window is decided once, as a change of the control state, and then
-//! sent to the platform until it is known to be accepted.
+//! The leader of usage reporting: decides the report of each usage window once, as a change of the control state, and
+//! sends it to the platform until the platform has accepted it.
 //!
-//! Whoever is the head sends what the committed state says, so no two reports of one window differ, whichever head
-//! sends them and however often. A head decides nothing until all processes had time to open their sessions, since
-//! counts come from there; it sends nothing without its lease.
+//! A head sends only what the committed state contains, so all reports of one window are equal, no matter which head
+//! sends them and how often. A head decides no report until all processes have had time to open their sessions, since
+//! counts are received through them, and it sends no report without its lease.
 
 use std::collections::BTreeSet;
 
@@ -12,50 +12,51 @@
 use orchidvalve_net::Network;
 use serde_json::{Value, json};
 
-use super::duty_calls::{Caller, call_bytes, call_target};
+use super::platform_calls::{Caller, call_bytes, call_target};
 use super::{ExchangePurpose, SingletonRoles};
 use crate::usage_collection::UsageCollection;
 
-/// Name of this role among the duties that the settings list.
-pub const USAGE_REPORTING_DUTY: &str = "usage_reporting";
-/// A window is decided so long after its end, in milliseconds: requests count once their responses come, gateways tell
-/// their counts at intervals, and one whose control node is lost needs time to open another session.
+/// Name of this role in the settings.
+pub const USAGE_REPORTING_ROLE: &str = "usage_reporting";
+/// Time from the end of a window until its report is decided, in milliseconds. Requests are counted when their responses
+/// arrive, gateways report their counts at intervals, and a gateway whose control node fails needs time to open another
+/// session.
 pub const DECISION_DELAY_MS: Milliseconds = 2_500;
-/// Most windows that are decided in one turn: the log isn't to be flooded after a time without a head.
+/// Maximum number of windows that are decided in one turn, so that the log is not flooded after a time without a head.
 const MAX_DECISIONS_A_TURN: usize = 8;
 const REPORT_PATH: &str = "/usage-reports";
 
-/// State of usage reporting, as far as this node leads it.
+/// State of usage reporting while this node leads it.
 #[derive(Default, Debug)]
 pub(super) struct UsageReporting {
-    /// The window that was running when this node first was the head under a configuration with tenants.
+    /// The window in progress when this node first was the head under a configuration with tenants.
     first_window: Option<u64>,
-    /// Windows whose reports are on their way; at most one of this tenure.
+    /// Windows whose reports are in flight. At most one of them was sent in this tenure.
     in_flight: BTreeSet<u64>,
-    /// Windows whose reports the platform has accepted, until the committed state says so.
+    /// Windows whose reports the platform has accepted, until that is committed to the control state.
     accepted: BTreeSet<u64>,
-    /// Windows whose reports the platform has refused, which is logged once.
+    /// Windows whose reports the platform has rejected. Each rejection is logged once.
     refused: BTreeSet<u64>,
-    /// When the next window is decided, if that depends on the time alone.
+    /// When the next window is decided, if only time has to pass until then.
     next_decision_at: Option<Milliseconds>,
-    /// Reports could be sent as soon as another call is allowed.
+    /// Whether a report is waiting for the pacing to allow another call.
     is_waiting_to_send: bool,
 }
 
 impl UsageReporting {
-    /// Another node is the head. Calls that are in flight still end here.
+    /// Clears the state: another node is the head. Calls in flight are kept until they end.
     pub(super) fn stop(&mut self) {
         let in_flight = std::mem::take(&mut self.in_flight);
         *self = UsageReporting { in_flight, ..UsageReporting::default() };
     }
 
-    /// When the next window is decided, or a report may be sent; `next_call_at` is when a call is allowed.
+    /// Returns when the next window is decided or a report may be sent. `next_call_at` is when the pacing allows a call.
     pub(super) fn next_wakeup(&self, next_call_at: Milliseconds) -> Milliseconds {
         let next_send_at = if self.is_waiting_to_send { next_call_at } else { u64::MAX };
         next_send_at.min(self.next_decision_at.unwrap_or(u64::MAX))
     }
 
-    /// The window to decide next; None as long as no configuration has had tenants.
+    /// Returns the next window to decide; `None` as long as no configuration has had tenants.
     fn next_window(
         &mut self,
         state: &ControlState,
@@ -74,21 +75,21 @@
         Some(collection.earliest_window().map_or(first, |earliest| earliest.min(first)))
     }
 
-    /// Whether the report of a window has to be sent and isn't on its way.
+    /// Returns whether the report of a window has to be sent and is not in flight.
     fn is_sendable(&self, window: u64) -> bool {
         !self.in_flight.contains(&window) && !self.accepted.contains(&window)
     }
 }
 
 impl SingletonRoles {
-    /// Whether this deployment reports usage to its platform.
+    /// Returns whether this deployment reports usage to its platform.
     fn reports_usage(&self) -> bool {
-        let has_duty = self.options.duties.iter().any(|duty| duty == USAGE_REPORTING_DUTY);
-        has_duty && self.options.platform.is_some() && self.options.usage_window_ms > 0
+        let is_enabled = self.options.enabled_platform_roles.iter().any(|role| role == USAGE_REPORTING_ROLE);
+        is_enabled && self.options.platform.is_some() && self.options.usage_window_ms > 0
     }
 
-    /// Changes that decide the reports which are due, and those that note which ones the platform has accepted.
-    /// `state` is the tentative state, `wall_ms` the time of day in milliseconds since 1970.
+    /// Returns the changes that decide the reports that are due, and those that record which reports the platform has
+    /// accepted. `state` is the tentative state, `wall_ms` the time of day in milliseconds since 1970.
     pub fn decide_usage(
         &mut self,
         now: Milliseconds,
@@ -119,7 +120,7 @@
         let Some(next) = self.usage.next_window(state, collection, current_window) else {
             return Vec::new();
         };
-        if !self.knows_sessions(now) {
+        if !self.is_session_grace_over(now) {
             return Vec::new();
         }
         let mut window = oldest_reported(next, current_window);
@@ -133,7 +134,7 @@
         decisions
     }
 
-    /// Sends the reports that the committed `state` has and that may be sent now.
+    /// Sends a report of the committed `state` if one may be sent now.
     pub fn report_usage(
         &mut self,
         network: &mut Network,
@@ -151,11 +152,12 @@
         self.usage.accepted.retain(is_unaccepted);
         self.usage.refused.retain(is_unaccepted);
         let Some(fencing_token) = self.fencing_token(now, confirmed_at) else { return };
-        // All windows are one subject: a call still on its way under a former term could arrive after one of this term.
+        // The reports of all windows form one series: a call still in flight from a former term could arrive after a
+        // call of this term.
         if !self.usage.in_flight.is_empty() {
             return;
         }
-        if now < self.duty_pacing.next_at() {
+        if now < self.platform_call_pacing.next_at() {
             self.usage.is_waiting_to_send =
                 reports.unaccepted_windows().any(|window| self.usage.is_sendable(window));
             return;
@@ -163,19 +165,20 @@
         let sendable = reports.unaccepted_windows().filter(|window| self.usage.is_sendable(*window));
         let sendable: Vec<u64> = sendable.collect();
         let Some(window) = self.in_order_of_urgency(sendable, wall_ms).into_iter().next() else { return };
-        if !self.duty_pacing.take(now) {
+        if !self.platform_call_pacing.try_take(now) {
             self.usage.is_waiting_to_send = true;
             return;
         }
         self.send_report(network, reports, window, fencing_token, now);
     }
 
-    /// First the reports that can still come in time, then those that are late, each of them oldest first.
+    /// Orders windows by urgency: first the reports that can still arrive in time, then the overdue ones, each oldest
+    /// first.
     fn in_order_of_urgency(&self, windows: Vec<u64>, wall_ms: Milliseconds) -> Vec<u64> {
-        let (window_ms, late_ms) = (self.options.usage_window_ms, self.options.usage_late_ms);
-        let is_late = |window: &u64| ends_at(*window, window_ms).saturating_add(late_ms) < wall_ms;
-        let (late, mut ordered): (Vec<u64>, Vec<u64>) = windows.into_iter().partition(is_late);
-        ordered.extend(late);
+        let (window_ms, deadline_ms) = (self.options.usage_window_ms, self.options.usage_report_deadline_ms);
+        let is_overdue = |window: &u64| ends_at(*window, window_ms).saturating_add(deadline_ms) < wall_ms;
+        let (overdue, mut ordered): (Vec<u64>, Vec<u64>) = windows.into_iter().partition(is_overdue);
+        ordered.extend(overdue);
         ordered
     }
 
@@ -199,46 +202,46 @@
             Ok(()) => {
                 self.usage.in_flight.insert(window);
             }
-            Err(_) => self.duty_pacing.failed(now),
+            Err(_) => self.platform_call_pacing.failed(now),
         }
     }
 
-    /// The call with the report of a window is over; without a status its outcome is unknown.
-    pub(super) fn usage_report_answered(&mut self, window: u64, status: Option<u16>, now: Milliseconds) {
+    /// Processes the end of the call with the report of `window`; without a status its outcome is unknown.
+    pub(super) fn usage_report_completed(&mut self, window: u64, status: Option<u16>, now: Milliseconds) {
         self.usage.in_flight.remove(&window);
         if status == Some(200) {
-            self.duty_pacing.succeeded();
+            self.platform_call_pacing.succeeded();
             self.usage.accepted.insert(window);
             return;
         }
         let refusal = status.filter(|status| *status != 429 && *status < 500);
         if let Some(status) = refusal.filter(|_| self.usage.refused.insert(window)) {
-            log::error!("usage: the platform refuses the report of window {window} with status {status}");
+            log::error!("usage: the platform rejects the report of window {window} with status {status}");
         }
-        self.duty_pacing.failed(now);
+        self.platform_call_pacing.failed(now);
     }
 }
 
-/// The time of day at which a window ends.
+/// Returns the time of day at which a window ends, in milliseconds since 1970.
 fn ends_at(window: u64, window_ms: Milliseconds) -> Milliseconds {
     window.saturating_add(1).saturating_mul(window_ms)
 }
 
-/// The time of day at which a window is decided.
+/// Returns the time of day at which the report of a window is decided, in milliseconds since 1970.
 fn decided_at(window: u64, window_ms: Milliseconds) -> Milliseconds {
     ends_at(window, window_ms).saturating_add(DECISION_DELAY_MS)
 }
 
-/// The window itself, or a later one where it is so old that no counts of it can be known.
+/// Returns `next`, or a later window if `next` is so old that its counts are no longer kept.
 fn oldest_reported(next: u64, current_window: u64) -> u64 {
     let oldest = current_window.saturating_sub(MAX_UNDECIDED_WINDOWS);
     if next < oldest {
-        log::error!("usage: windows {next} to {} are too old and never reported", oldest - 1);
+        log::error!("usage: windows {next} to {} are too old and will never be reported", oldest - 1);
     }
     next.max(oldest)
 }
 
-/// Notes in the log that the report of a window is decided, where the change says that.
+/// Logs a change that decides the report of a window; other changes are ignored.
 pub fn log_usage_decision(change: &Change) {
     if let Change::DecideUsageReport(UsageReport { window, counts }) = change {
         let requests: u64 = counts.values().sum();
@@ -246,7 +249,7 @@
     }
 }
 
-/// Decided and unaccepted reports, for operators.
+/// Returns the last decided window and the unaccepted reports, for operators.
 pub fn usage_status(reports: &UsageReports) -> Value {
     let unaccepted: Vec<u64> = reports.unaccepted_windows().collect();
     let mut status = json!({ "unaccepted": unaccepted });
--- a/crates/control-plane/src/subscribers.rs
+++ b/crates/control-plane/src/subscribers.rs
@@ -1,4 +1,4 @@
-//! Sessions of gateways and store nodes with this control node, and the feed that they subscribe to.
+//! Sessions of gateways, store nodes and observers with this control node, and the feed that they subscribe to.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -15,44 +15,46 @@
 
 /// A session ends when nothing was received from its process for this time, in milliseconds.
 pub const SESSION_TIMEOUT_MS: Milliseconds = 650;
-/// A subscriber with more bytes waiting for it is sent nothing more of the feed until they are out: other messages
-/// share the line, and by then a snapshot may be smaller than what it has missed.
+/// A subscriber with more queued bytes than this gets no feed updates until they are sent: other messages share the
+/// network link, and by then a snapshot may be smaller than the missed changes.
 const MAX_QUEUED_BYTES: usize = 128 << 10;
-/// While so many bytes wait for all subscribers together, no further one is sent a large update of the server table: they
-/// get it one after the other, and meanwhile what is small and urgent isn't held up on the line that they share.
+/// While more bytes than this are queued for all subscribers together, no further subscriber gets a large update of the
+/// server table. The subscribers get large updates one after the other, so that small and urgent messages are not delayed on
+/// the network link that they share.
 const MAX_TOTAL_QUEUED_BYTES: usize = 512 << 10;
-/// An update of more bytes is large.
+/// An update of the server table with more bytes than this is large.
 const LARGE_UPDATE_BYTES: usize = 32 << 10;
-/// Changes of at most this many bytes are always sent one by one.
+/// Changes of at most this many bytes in total are always sent individually instead of as a snapshot.
 const MIN_SNAPSHOT_BYTES: usize = 64 << 10;
 
-/// Parts of a store's disk in which a change of what is used is told to other control nodes.
-const USED_SHARES: u64 = 50;
+/// Number of steps into which the capacity of a store node's disk is divided. Disk use is reported to other control nodes
+/// when it reaches another step.
+const USAGE_STEPS: u64 = 50;
 
 #[derive(Debug)]
 struct Subscriber {
     session: Session,
-    /// What it was sent last, or had when it subscribed.
+    /// The position up to which the subscriber was sent the feed, or that it had when it subscribed.
     position: FeedPosition,
     opened_at: Milliseconds,
     last_received_at: Milliseconds,
 }
 
-/// What the feed consists of at the moment.
+/// The current contents of the feed.
 pub struct Feed<'a> {
     /// The committed control state.
     pub state: &'a ControlState,
-    /// Last change applied to the state.
+    /// Number of the last change applied to the state.
     pub applied: u64,
-    /// First change that is still in the log.
+    /// Number of the first change that is still in the log.
     pub first_change: u64,
-    /// The newest server table.
+    /// The latest server table.
     pub servers: &'a ServerTable,
 }
 
 impl Feed<'_> {
-    /// What brings a subscriber at change `position` up to date: the changes since, or a snapshot where some of
-    /// them are no longer in the log or the snapshot is smaller.
+    /// Returns the message that brings a subscriber at change `position` up to date: the changes since then, or a snapshot if
+    /// some of them are no longer in the log or the snapshot is smaller.
     pub fn catch_up(&self, position: u64, changes_from: &dyn Fn(u64) -> Vec<Rc<[u8]>>) -> ControlMessage {
         let next = position + 1;
         if position == 0 || next < self.first_change {
@@ -77,16 +79,16 @@
     }
 }
 
-/// The local sessions and how far each has received the feed.
+/// The local sessions, and how much of the feed each was sent.
 #[derive(Default, Debug)]
 pub struct FeedSubscribers {
     subscribers: BTreeMap<ConnectionId, Subscriber>,
-    /// Control nodes that all subscribers have been told of.
+    /// Control nodes that were announced to all subscribers.
     announced_nodes: Vec<NodeAddress>,
 }
 
 impl FeedSubscribers {
-    /// Opens a session and welcomes the process; the feed follows with [`FeedSubscribers::send_updates`].
+    /// Opens a session and welcomes the process. The feed follows with [`FeedSubscribers::send_updates`].
     pub fn open(
         &mut self,
         network: &mut Network,
@@ -104,12 +106,12 @@
         session
     }
 
-    /// The incarnation of the process whose session this connection carries, if it does.
+    /// Returns the incarnation of the process whose session uses this connection.
     pub fn incarnation(&self, connection: ConnectionId) -> Option<u64> {
         self.subscribers.get(&connection).map(|subscriber| subscriber.session.incarnation)
     }
 
-    /// A heartbeat was received, and is answered. The session if its facts changed.
+    /// Processes a heartbeat and responds to it. Returns the session if its health has changed significantly.
     pub fn heartbeat_received(
         &mut self,
         network: &mut Network,
@@ -124,14 +126,13 @@
         is_significant_change(before, health).then(|| subscriber.session.clone())
     }
 
-    /// Whether a session is open on this connection.
+    /// Returns whether a session is open on this connection.
     pub fn contains(&self, connection: ConnectionId) -> bool {
         self.subscribers.contains_key(&connection)
     }
 
-    /// Forgets the older sessions of the process that introduces itself on a new connection, and returns their
-    /// connections. Their end must not end the newer session, and what still arrives on them is older than what it
-    /// brought.
+    /// Removes the older sessions of a process that introduces itself on a new connection, and returns their connections.
+    /// The end of these must not end the newer session, and data that still arrives on them is older than the handshake.
     pub fn supersede(&mut self, handshake: &Handshake) -> Vec<ConnectionId> {
         let same_process =
             |session: &Session| session.role == handshake.role && session.name == handshake.name;
@@ -141,48 +142,48 @@
         older
     }
 
-    /// A connection has ended: its session, if it had one.
+    /// Removes the session on a connection that has ended, and returns it if there was one.
     pub fn close(&mut self, connection: ConnectionId) -> Option<Session> {
         self.subscribers.remove(&connection).map(|subscriber| subscriber.session)
     }
 
-    /// Connections whose sessions have timed out.
+    /// Returns the connections whose sessions have timed out.
     pub fn timed_out(&self, now: Milliseconds) -> Vec<ConnectionId> {
         let has_timed_out = |subscriber: &Subscriber| now > subscriber.last_received_at + SESSION_TIMEOUT_MS;
         let timed_out = self.subscribers.iter().filter(|(_, subscriber)| has_timed_out(subscriber));
         timed_out.map(|(connection, _)| *connection).collect()
     }
 
-    /// The number of sessions.
+    /// Returns the number of sessions.
     pub fn len(&self) -> usize {
         self.subscribers.len()
     }
 
-    /// Whether there is no session.
+    /// Returns whether there are no sessions.
     pub fn is_empty(&self) -> bool {
         self.subscribers.is_empty()
     }
 
-    /// Connection of the session that was opened last, of those that may be meant.
-    pub fn youngest(&self, is_meant: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
-        let meant = self.subscribers.iter().filter(|(_, subscriber)| is_meant(&subscriber.session));
-        meant.max_by_key(|(_, subscriber)| subscriber.opened_at).map(|(connection, _)| *connection)
+    /// Returns the connection of the session that was opened last among those that match.
+    pub fn youngest(&self, is_match: impl Fn(&Session) -> bool) -> Option<ConnectionId> {
+        let matching = self.subscribers.iter().filter(|(_, subscriber)| is_match(&subscriber.session));
+        matching.max_by_key(|(_, subscriber)| subscriber.opened_at).map(|(connection, _)| *connection)
     }
 
-    /// Connections of all sessions.
+    /// Returns the connections of all sessions.
     pub fn connections(&self) -> Vec<ConnectionId> {
         self.subscribers.keys().copied().collect()
     }
 
-    /// Sends all subscribers the same message.
+    /// Sends a message to all subscribers.
     pub fn broadcast(&self, network: &mut Network, message: &ControlMessage) {
         for connection in self.subscribers.keys() {
             send(network, *connection, message);
         }
     }
 
-    /// Tells all subscribers which control nodes there are, once that has changed: they need one to go to when this
-    /// node fails, and those of their settings may all have gone.
+    /// Announces the control nodes to all subscribers if they have changed. Subscribers need another control node when this
+    /// one fails, and those in their settings may all be gone.
     pub fn announce_control_nodes(&mut self, network: &mut Network, control_nodes: Vec<NodeAddress>) {
         if control_nodes != self.announced_nodes {
             self.announced_nodes.clone_from(&control_nodes);
@@ -190,7 +191,8 @@
         }
     }
 
-    /// Sends every subscriber what it doesn't have yet. `changes_from` gives the committed changes from a number on.
+    /// Sends every subscriber the updates that it does not have yet. `changes_from` returns the committed changes from a
+    /// number on.
     pub fn send_updates(
         &mut self,
         network: &mut Network,
@@ -224,12 +226,12 @@
     }
 }
 
-/// What brings subscribers at some position up to date, encoded once for all of them.
+/// Updates for subscribers, each encoded once for all subscribers at the same position.
 #[derive(Default)]
 struct EncodedFeed {
-    /// By the last change that they have.
+    /// Updates of the control state, by the last change that the subscriber has.
     states: BTreeMap<u64, Vec<u8>>,
-    /// By the version of the table that they have.
+    /// Updates of the server table, by the version that the subscriber has.
     tables: BTreeMap<TableVersion, Vec<u8>>,
 }
 
@@ -258,12 +260,12 @@
     }
 }
 
-/// Whether others have to be told of a process's health: a store that writes uses a few bytes more with each heartbeat,
-/// which says nothing to them.
+/// Returns whether a change of a process's health has to be reported to other control nodes. A store node that writes uses a
+/// few bytes more with each heartbeat, which is not significant.
 fn is_significant_change(before: Option<StoreHealth>, after: Option<StoreHealth>) -> bool {
     let (Some(before), Some(after)) = (before, after) else { return before != after };
-    let share = |health: &StoreHealth| health.used_bytes * USED_SHARES / health.capacity_bytes.max(1);
-    let rounded = |health: &StoreHealth| StoreHealth { used_bytes: share(health), ..*health };
+    let step = |health: &StoreHealth| health.used_bytes * USAGE_STEPS / health.capacity_bytes.max(1);
+    let rounded = |health: &StoreHealth| StoreHealth { used_bytes: step(health), ..*health };
     rounded(&before) != rounded(&after)
 }
 
--- a/crates/control-plane/src/weight_rollout.rs
+++ b/crates/control-plane/src/weight_rollout.rs
@@ -1,58 +1,60 @@
-//! Weight roll-out: which server is to load which version of a model's weights next.
+//! Weight roll-out: decides which server loads which version of a model's weights next.
 //!
-//! An order makes a server load a version. Only a few servers load at a time, since loads slow each other down. The
-//! planner does no I/O: its owner sends the orders and tells how they ended.
+//! A load order makes a server load a version. Only a few servers load at a time, since concurrent loads slow each other
+//! down. The planner does no I/O: its owner sends the orders and reports their outcomes.
 
 use std::collections::BTreeMap;
 
 use orchidvalve_chain_replication::Milliseconds;
 use orchidvalve_protocol::messages::ServerEntry;
 
-/// One in this many servers of a service may load at the same time.
+/// At most one in this many servers of a service, rounded up, loads at the same time.
 const LOADING_DIVISOR: usize = 3;
-/// A load counts as done after this time, in milliseconds, where the list doesn't show it sooner.
+/// A load counts as done after this time, in milliseconds, unless the list shows the version earlier.
 const EXPECTED_LOAD_MS: Milliseconds = 700;
-/// A server is asked whether its load is done this long before it would count as done, in milliseconds.
+/// A server is probed this long before its load would count as done, in milliseconds.
 const PROBE_LEAD_MS: Milliseconds = 120;
-/// A load that wasn't done lasts at least this much longer, in milliseconds.
+/// After a probe reports that a load is in progress, the load counts as in progress for at least this time, in
+/// milliseconds.
 const REPROBE_MS: Milliseconds = 350;
-/// An order whose version the list still doesn't show after this time, in milliseconds, is given again.
+/// An order is sent again if the list does not show its version after this time, in milliseconds.
 const REORDER_AFTER_MS: Milliseconds = 5_000;
-/// Pause after an order that was refused because another one is in progress, or that failed, in milliseconds.
+/// Pause after a failed order, or one that the server rejected because another order is in progress, in milliseconds.
 const RETRY_BACKOFF_MS: Milliseconds = 400;
 
-/// An order to a server.
+/// An order that makes a server load a version of a model's weights.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LoadOrder {
-    /// The server.
+    /// Instance id of the server.
     pub instance: String,
-    /// The model whose weights it is to load.
+    /// Name of the model.
     pub model: String,
-    /// Version of the weights.
+    /// Version of the weights to load.
     pub version: u64,
 }
 
-/// How an order ended.
+/// The outcome of an order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderOutcome {
-    /// The server has accepted it.
+    /// The server has accepted the order.
     Accepted {
-        /// Whether the server holds the version already.
+        /// Whether the server already holds the version.
         already: bool,
     },
-    /// Another order is in progress at the server; nothing was accepted.
+    /// The server has rejected the order because another one is in progress there.
     Busy,
-    /// The server isn't the one that was meant, or knows of no such version.
+    /// The server is another one than the order names, or does not have the version.
     Refused,
-    /// No response: it may have been accepted.
+    /// No response was received: the server may have accepted the order.
     Unknown,
 }
 
 impl OrderOutcome {
-    /// What the status of the response to an order says; `None` for no response. 202: it is being done; 200: it holds
-    /// already; 409: another one is in progress, or the server's sequence differs; 412: a fencing token lower than one
-    /// that it has seen; 421: another server has its address; 400: no such order or version.
-    pub fn of(status: Option<u16>) -> OrderOutcome {
+    /// Maps the status of the response to an outcome; `None` means no response. 202: the load has started; 200: the server
+    /// already holds the version; 409: another order is in progress, or the server's sequence differs; 412: the fencing
+    /// token is lower than one that the server has seen; 421: the address belongs to another server; 400: no such order or
+    /// version.
+    pub fn from_status(status: Option<u16>) -> OrderOutcome {
         match status {
             Some(202) => OrderOutcome::Accepted { already: false },
             Some(200) => OrderOutcome::Accepted { already: true },
@@ -63,10 +65,10 @@
     }
 }
 
-/// A server and a model that it holds: there is at most one order in progress for both. Sorted by server first.
+/// A server and one of its models; at most one order is in progress for each pair. Sorted by server first.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Debug)]
 struct OrderKey {
-    /// The platform's id of the server.
+    /// The platform's instance id of the server.
     instance: String,
     model: String,
 }
@@ -77,7 +79,7 @@
     }
 }
 
-/// The latest order of a model's weights to a server.
+/// The latest order for a server and a model.
 #[derive(Clone, Copy, Debug)]
 struct OrderProgress {
     version: u64,
@@ -86,18 +88,18 @@
 
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum OrderStage {
-    /// Sent, without a response yet.
+    /// The order was sent and has no response yet.
     Sent,
-    /// The server is loading since this time.
+    /// The server has been loading since this time.
     Loading { since: u64 },
-    /// The server holds the version since this time.
+    /// The server has held the version since this time.
     Done { at: Milliseconds },
-    /// To be tried again at this time.
+    /// No order is sent to the server for this model until this time.
     BackingOff { until: Milliseconds },
 }
 
 impl OrderProgress {
-    /// Whether the order is sent, or its load in progress and not expected to be done.
+    /// Returns whether the order has no response yet, or its load is in progress and expected to continue.
     fn is_loading(&self, now: Milliseconds) -> bool {
         match self.stage {
             OrderStage::Sent => true,
@@ -111,13 +113,13 @@
     }
 }
 
-/// Orders given and in progress, by server and model. Times are in milliseconds.
+/// Plans load orders and tracks those in progress, by server and model. Times are in milliseconds.
 #[derive(Default, Debug)]
 pub struct RolloutPlanner {
     progress: BTreeMap<OrderKey, OrderProgress>,
-    /// How many versions behind the newest a server may be and still serve what is asked, by model.
+    /// Number of versions that a server may be behind the latest one and still serve the requests, by model.
     allowed_lags: BTreeMap<String, u64>,
-    /// Servers that were asked whether their load is done, and when.
+    /// When a server was last probed, by instance id.
     probed_at: BTreeMap<String, u64>,
 }
 
@@ -127,18 +129,19 @@
         self.progress.clear();
     }
 
-    /// Trainers allow versions that are so far behind the newest; none are allowed for models that aren't listed.
-    /// With a lag of n, every server loads one version in n + 1 only, each of n + 1 groups of servers another one.
+    /// Sets how many versions behind the latest one trainers allow, by model; 0 for models that are not in the map. With a
+    /// lag of n, each server loads only one in n + 1 versions, and the servers are divided into n + 1 groups that load
+    /// different versions.
     pub fn set_allowed_lags(&mut self, allowed_lags: BTreeMap<String, u64>) {
         self.allowed_lags = allowed_lags;
     }
 
-    /// Orders to be sent now, by the newest version of each model. Each has to be followed by
-    /// [`RolloutPlanner::order_answered`].
+    /// Returns the orders to send now. `latest_versions` holds the latest version of each model. Each returned order must
+    /// be followed by [`RolloutPlanner::order_completed`].
     pub fn plan_orders(
         &mut self,
         now: Milliseconds,
-        newest_versions: &BTreeMap<String, u64>,
+        latest_versions: &BTreeMap<String, u64>,
         servers: &[&ServerEntry],
     ) -> Vec<LoadOrder> {
         self.forget_delisted(servers);
@@ -158,7 +161,7 @@
                     if server.draining || self.is_loading(now, &server.instance) {
                         continue;
                     }
-                    if let Some(order) = self.next_order(now, rank, server, newest_versions, stale_only) {
+                    if let Some(order) = self.next_order(now, rank, server, latest_versions, stale_only) {
                         loading += 1;
                         orders.push(order);
                     }
@@ -168,18 +171,18 @@
         orders
     }
 
-    /// The order that a server is to get. `rank` is its index among those of its service; `stale_only` passes over
-    /// versions that trainers still allow.
+    /// Returns the order to send to a server, if there is one. `rank` is the index of the server among those of its
+    /// service. `stale_only` skips models whose held version trainers still allow.
     fn next_order(
         &mut self,
         now: Milliseconds,
         rank: usize,
         server: &ServerEntry,
-        newest_versions: &BTreeMap<String, u64>,
+        latest_versions: &BTreeMap<String, u64>,
         stale_only: bool,
     ) -> Option<LoadOrder> {
         for (model, listed) in &server.models {
-            let Some(&version) = newest_versions.get(model) else { continue };
+            let Some(&version) = latest_versions.get(model) else { continue };
             let key = OrderKey::new(&server.instance, model);
             let held = self.held_version(now, server, model, *listed);
             if held >= version || self.is_backing_off(now, &key) {
@@ -197,7 +200,7 @@
         None
     }
 
-    /// The version of `model` that a server holds, by the version that the list shows and the orders it accepted.
+    /// Returns the version of `model` that a server holds, according to the list and to the orders that it accepted.
     pub fn held_version(&self, now: Milliseconds, server: &ServerEntry, model: &str, listed: u64) -> u64 {
         let key = OrderKey::new(&server.instance, model);
         match self.progress.get(&key) {
@@ -216,37 +219,39 @@
             .is_some_and(|progress| matches!(progress.stage, OrderStage::BackingOff { until } if now < until))
     }
 
-    /// Whether an order is in progress at a server.
+    /// Returns whether an order is in progress at a server.
     pub fn is_loading(&self, now: Milliseconds, instance: &str) -> bool {
         let start = OrderKey::new(instance, "");
         let of_server = self.progress.range(start..).take_while(|(key, _)| key.instance == instance);
         of_server.into_iter().any(|(_, progress)| progress.is_loading(now))
     }
 
-    /// Whether an order for this model is in progress at a server: it takes no new requests for the model.
+    /// Returns whether an order for this model is in progress at a server. The server accepts no new requests for the model
+    /// then.
     pub fn is_loading_model(&self, now: Milliseconds, instance: &str, model: &str) -> bool {
         let key = OrderKey::new(instance, model);
         self.progress.get(&key).is_some_and(|progress| progress.is_loading(now))
     }
 
-    /// Servers that have to be asked now whether their load is done, before it would count as done.
+    /// Returns the servers to probe now, shortly before their loads would count as done.
     pub fn due_probes(&mut self, now: Milliseconds) -> Vec<String> {
         let due = self.progress.iter().filter(|(_, progress)| progress.is_probe_due(now));
         let due: Vec<String> = due.map(|(key, _)| key.instance.clone()).collect();
         self.probed_at.retain(|_, at| now < *at + PROBE_LEAD_MS);
-        let fresh: Vec<String> =
+        let unprobed: Vec<String> =
             due.into_iter().filter(|instance| !self.probed_at.contains_key(instance)).collect();
-        for instance in &fresh {
+        for instance in &unprobed {
             self.probed_at.insert(instance.clone(), now);
         }
-        fresh
+        unprobed
     }
 
-    /// A server told whether an order is in progress. A load that isn't done lasts at least until the next probe.
-    pub fn probe_answered(&mut self, now: Milliseconds, instance: &str, busy: bool) {
+    /// Processes the response to a probe: whether an order is in progress. If so, the load continues at least until the
+    /// next probe.
+    pub fn probe_completed(&mut self, now: Milliseconds, instance: &str, is_loading: bool) {
         for (_, progress) in self.progress.iter_mut().filter(|(key, _)| key.instance == instance) {
             if let OrderStage::Loading { since } = &mut progress.stage {
-                *since = if busy {
+                *since = if is_loading {
                     (*since).max((now + REPROBE_MS).saturating_sub(EXPECTED_LOAD_MS))
                 } else {
                     now.saturating_sub(EXPECTED_LOAD_MS)
@@ -255,8 +260,8 @@
         }
     }
 
-    /// An order has ended.
-    pub fn order_answered(&mut self, now: Milliseconds, order: &LoadOrder, outcome: OrderOutcome) {
+    /// Records the outcome of an order.
+    pub fn order_completed(&mut self, now: Milliseconds, order: &LoadOrder, outcome: OrderOutcome) {
         let stage = match outcome {
             OrderOutcome::Accepted { already: true } => OrderStage::Done { at: now },
             OrderOutcome::Accepted { already: false } => OrderStage::Loading { since: now },
@@ -269,8 +274,8 @@
         self.progress.insert(key, OrderProgress { version: order.version, stage });
     }
 
-    /// Loads that have had their time count as done, true if any came to that; pauses that are over are
-    /// forgotten.
+    /// Marks loads as done that have lasted for their expected time, and forgets pauses that are over. Returns whether any
+    /// load was marked.
     pub fn finish_due_loads(&mut self, now: Milliseconds) -> bool {
         let mut finished = false;
         self.progress.retain(
@@ -287,8 +292,8 @@
         finished
     }
 
-    /// When [`RolloutPlanner::finish_due_loads`] or [`RolloutPlanner::plan_orders`] have to be called next, if any
-    /// order is open.
+    /// Returns when [`RolloutPlanner::finish_due_loads`] or [`RolloutPlanner::plan_orders`] has to be called next; `None`
+    /// if no order is in progress or pausing.
     pub fn next_wakeup(&self) -> Option<Milliseconds> {
         let due = |(key, progress): (&OrderKey, &OrderProgress)| match progress.stage {
             OrderStage::Sent | OrderStage::Done { .. } => None,
--- a/crates/control-plane/src/workers.rs
+++ b/crates/control-plane/src/workers.rs
@@ -1,9 +1,8 @@
-//! Which gateways run generations: as few as can carry the slots of all model servers.
+//! Selects the workers: the gateways that run generations. They are as few as can handle the slots of all model servers.
 //!
-//! Every worker has a part of each server's slots, and the parts add up to the slots, so that gateways that can't see
-//! each other's attempts don't fill a server beyond them. With more gateways than slots at a server, parts for all
-//! would be under one slot. Fewer workers also share fewer connections, and a group that one gateway holds can use
-//! more servers at once.
+//! Every worker gets a quota of each server's slots, and the quotas add up to the slots. So gateways do not overload a
+//! server although they cannot see each other's attempts. With more workers than slots at a server, quotas would be below
+//! one slot. Fewer workers also need fewer connections, and a group of items at one gateway can use more servers at once.
 
 use orchidvalve_protocol::identity::NodeAddress;
 use orchidvalve_protocol::messages::{GatewayList, TableVersion};
@@ -12,33 +11,33 @@
 
 use crate::sessions::{Session, SessionTable};
 
-/// Slots that a whole core of a gateway carries at under half of its time, by measurement (`docs/further-customer.md`).
+/// Slots that a gateway with a complete CPU core handles at under half load, as measured (`docs/further-customer.md`).
 const SLOTS_PER_CORE: f32 = 400.0;
-/// Share of a core that a gateway counts with whose session isn't known yet.
+/// Fraction of a CPU core that is assumed for a gateway whose session is not known yet.
 const PRESUMED_SHARE: f32 = 0.1;
-/// Seed of the hashes by which gateways are ranked (rendezvous hashing, Thaler and Ravishankar 1998).
+/// Seed of the hashes that rank gateways (rendezvous hashing, Thaler and Ravishankar 1998).
 const RANK_SEED: u64 = 0x77_6f72_6b65_7273;
 
-/// A gateway that may be chosen.
+/// A gateway that may be selected.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Candidate {
-    /// Its address.
+    /// Address of the gateway.
     pub address: NodeAddress,
-    /// Share of a core that it may use.
+    /// Fraction of a CPU core that the gateway may use.
     pub share: f32,
 }
 
-/// Slots of model servers.
+/// Numbers of slots of the model servers.
 #[derive(Clone, Copy, PartialEq, Eq, Default, Debug)]
 pub struct SlotTotals {
-    /// The most at one server.
+    /// Largest number of slots of one server.
     pub max_per_server: u32,
-    /// Those of all servers.
+    /// Total slots of all servers.
     pub total: u32,
 }
 
 impl SlotTotals {
-    /// Those of the model servers in the table.
+    /// Returns the slot totals of the model servers in the table.
     pub fn of(servers: &ServerTable) -> SlotTotals {
         let model_servers = servers.servers().filter(|server| !server.models.is_empty());
         model_servers.fold(SlotTotals::default(), |slots, server| SlotTotals {
@@ -48,8 +47,8 @@
     }
 }
 
-/// The workers, in the order of their addresses: as many as a server has slots, so that each has one everywhere, and
-/// more where their processors can't carry all slots.
+/// Returns the workers, sorted by address: at least as many as the largest server has slots, so that each has a slot there,
+/// and more if their CPU cores cannot handle all slots.
 pub fn select(mut candidates: Vec<Candidate>, slots: SlotTotals) -> Vec<NodeAddress> {
     candidates.sort_by_key(|candidate| rendezvous::rank(RANK_SEED, candidate.address));
     let at_least = slots.max_per_server as usize;
@@ -66,7 +65,7 @@
     workers
 }
 
-/// What a selection was made from.
+/// The inputs of a selection.
 #[derive(PartialEq, Default, Debug)]
 struct SelectionInput {
     term: u64,
@@ -74,23 +73,23 @@
     slots: SlotTotals,
 }
 
-/// The newest list of workers that this node knows, and what it was made from if this node made it.
+/// The latest list of workers that this node knows, and the inputs of its last selection.
 #[derive(Default, Debug)]
 pub struct WorkerSelection {
     list: GatewayList,
     input: SelectionInput,
-    /// Version of the server table that `slots` were counted in.
+    /// Version of the server table from which `slots` were counted.
     counted: TableVersion,
     slots: SlotTotals,
 }
 
 impl WorkerSelection {
-    /// The newest list.
+    /// Returns the latest list.
     pub fn list(&self) -> &GatewayList {
         &self.list
     }
 
-    /// Adopts a list of the leader if it is newer than the one known; whether it is.
+    /// Adopts a list of the leader if it is newer than the known one. Returns whether it was adopted.
     pub fn adopt(&mut self, list: GatewayList) -> bool {
         let newer = list.version > self.list.version;
         if newer {
@@ -99,9 +98,9 @@
         newer
     }
 
-    /// Selects anew as the leader under `term`, where sessions or servers have changed; whether the list is another
-    /// one. Right after it became the head it may not know all sessions: those on the list are `presumed` to have
-    /// one.
+    /// Repeats the selection as the leader under `term` if sessions or servers have changed. Returns whether the list has
+    /// changed. With `presumed`, the gateways on the list count as candidates even without a known session, since a node
+    /// that has just become the head may not know all sessions.
     pub fn select(
         &mut self,
         term: u64,
@@ -115,7 +114,7 @@
         }
         let candidates = self.candidates(sessions, presumed);
         let input = SelectionInput { term, candidates, slots: self.slots };
-        // Before the first reading of the platform's list nobody knows how many are needed.
+        // The number of workers cannot be determined before the first reading of the platform's list.
         if input == self.input || self.slots.total == 0 {
             return false;
         }
--- a/crates/control-plane/tests/demand_window.rs
+++ b/crates/control-plane/tests/demand_window.rs
@@ -35,7 +35,7 @@
     let mut window = DemandWindow::default();
     fill(&mut window, 0, WINDOW_MS + 1, |_| 50);
     assert!(window.is_full(WINDOW_MS));
-    window.begin_anew();
+    window.restart();
     push(&mut window, WINDOW_MS + 5_000, 1, 0);
     assert!(!window.is_full(WINDOW_MS + 5_000 + WINDOW_MS - 1));
     assert!(window.is_full(WINDOW_MS + 5_000 + WINDOW_MS));
@@ -47,7 +47,7 @@
     let mut window = DemandWindow::default();
     // 200 a second on 100 slots.
     fill(&mut window, 0, 3_000, |at| 700 - (at / 5) as u32);
-    assert_eq!(window.newest().map(|newest| newest.demand.outstanding()), Some(150));
+    assert_eq!(window.latest().map(|latest| latest.demand.outstanding()), Some(150));
     push(&mut window, 3_000, 100, 1_000);
     let wait_ms = window.projected_wait_ms().unwrap();
     assert!((wait_ms - 5_000.0).abs() < 1.0, "{wait_ms}");
--- a/crates/control-plane/tests/golden_duties.rs
+++ b/crates/control-plane/tests/golden_duties.rs
@@ -8,7 +8,8 @@
 use orchidvalve_control_plane::disk_hang::DiskHangDetector;
 use orchidvalve_control_plane::node::RetirementVerdict;
 use orchidvalve_control_plane::placement::{
-    CaughtUp, LiveStore, PlacementInput, initial_placement, is_partition_lost, is_store_empty, plan,
+    CaughtUp, LiveStoreNode, PlacementInput, can_remove_store_node, initial_placement, is_partition_lost,
+    plan,
 };
 use orchidvalve_control_plane::redirector::{Redirection, Redirector};
 use orchidvalve_control_plane::role_lease::{LeaseWaits, RoleLease};
@@ -58,9 +59,9 @@
 /// Store nodes that come, go, lose disks and fill up; learners and members report at random.
 fn place(random: &mut Pcg64Mcg, trace: &mut Trace) {
     let copies = random.random_range(1..=3);
-    let mut stores: Vec<(bool, LiveStore)> = (0..7)
+    let mut stores: Vec<(bool, LiveStoreNode)> = (0..7)
         .map(|number| {
-            let live = LiveStore {
+            let live = LiveStoreNode {
                 member: member(number, 1),
                 zone: zone(number),
                 retiring: false,
@@ -90,7 +91,7 @@
                 }
             }
         }
-        let live: Vec<LiveStore> =
+        let live: Vec<LiveStoreNode> =
             stores.iter().filter(|(is_up, _)| *is_up).map(|(_, store)| store.clone()).collect();
         let none = BTreeSet::new();
         let input = PlacementInput { live: &live, caught_up: &reports, copies, lost: &none };
@@ -112,7 +113,8 @@
                 None => partitions.push(placement),
             }
         }
-        let empty = stores.iter().map(|(_, store)| u64::from(is_store_empty(&store.member, &partitions)));
+        let empty =
+            stores.iter().map(|(_, store)| u64::from(can_remove_store_node(&store.member, &partitions)));
         empty.for_each(|empty| trace.add_number(empty));
     }
 }
@@ -138,7 +140,7 @@
 fn outcome(random: &mut Pcg64Mcg) -> OrderOutcome {
     let statuses =
         [Some(202), Some(202), Some(202), Some(200), Some(409), Some(503), Some(412), Some(400), None];
-    OrderOutcome::of(statuses[random.random_range(0..statuses.len())])
+    OrderOutcome::from_status(statuses[random.random_range(0..statuses.len())])
 }
 
 fn add_order(trace: &mut Trace, order: &LoadOrder) {
@@ -181,7 +183,7 @@
             trace.add(instance.as_bytes());
             if random.random_bool(0.7) {
                 let busy = random.random_bool(0.3);
-                planner.probe_answered(now, &instance, busy);
+                planner.probe_completed(now, &instance, busy);
             }
         }
         let listed: Vec<&ServerEntry> = servers.iter().collect();
@@ -192,7 +194,7 @@
             open.drain(..).partition(|_| random.random_bool(0.7));
         open = waiting;
         for order in answered {
-            planner.order_answered(now, &order, outcome(random));
+            planner.order_completed(now, &order, outcome(random));
         }
         trace.add_number(planner.next_wakeup().unwrap_or(u64::MAX));
         for server in &servers {
@@ -299,7 +301,7 @@
 
 /// The role of placement as the head does it, by sessions that come and go: changes of the control state, what it says
 /// to retirements, and who registers.
-fn do_placement_duty(random: &mut Pcg64Mcg, trace: &mut Trace) {
+fn run_placement_role(random: &mut Pcg64Mcg, trace: &mut Trace) {
     let options = SingletonRoleOptions {
         name: "control".to_owned(),
         platform: None,
@@ -307,17 +309,17 @@
         tolerance: 1,
         ..SingletonRoleOptions::default()
     };
-    let mut duties = SingletonRoles::new(options);
+    let mut roles = SingletonRoles::new(options);
     let (mut sessions, mut state, mut now) = (SessionTable::default(), ControlState::default(), 1_000);
-    duties.view_changed(now, 1, true, random.random_bool(0.5));
+    roles.view_changed(now, 1, true, random.random_bool(0.5));
     for number in 1..300 {
         now += random.random_range(1..400);
         change_sessions(random, &mut sessions, now);
         sessions.expire(now);
         match random.random_range(0..60) {
-            0 => duties.set_has_quorum(now, false),
-            1..40 => duties.set_has_quorum(now, true),
-            40 => duties.view_changed(now, number, random.random_bool(0.8), random.random_bool(0.5)),
+            0 => roles.set_has_quorum(now, false),
+            1..40 => roles.set_has_quorum(now, true),
+            40 => roles.view_changed(now, number, random.random_bool(0.8), random.random_bool(0.5)),
             41 => {
                 drop(state.apply(&Change::Retire { name: format!("machine-{}", random.random_range(0..6)) }));
             }
@@ -326,33 +328,33 @@
         for (partition, placement) in (0u16..).zip(state.partitions()) {
             for member in placement.members.iter().chain(&placement.learners) {
                 if random.random_bool(0.2) {
-                    duties.learner_caught_up(partition, placement.epoch, *member);
+                    roles.learner_caught_up(partition, placement.epoch, *member);
                 }
             }
         }
         let mut changes = registrations(&state, &sessions);
-        changes.extend(duties.place(now, &state, &sessions));
+        changes.extend(roles.place(now, &state, &sessions));
         for change in changes {
             trace.add(&encode(&change));
             trace.add_number(u64::from(state.apply(&change).is_ok()));
         }
         let name = format!("machine-{}", random.random_range(0..7));
-        trace.add_number(match duties.retirement(now, &state, &sessions, &name) {
+        trace.add_number(match roles.retirement(now, &state, &sessions, &name) {
             RetirementVerdict::Allowed => 0,
-            RetirementVerdict::TooFewStay => 1,
-            RetirementVerdict::Unsure => 2,
+            RetirementVerdict::TooFewRemain => 1,
+            RetirementVerdict::Undetermined => 2,
         });
         trace.add_number(u64::from(may_retire(&state, &sessions, &name, 1)));
-        trace.add_number(u64::from(duties.knows_sessions(now)));
-        trace.add_number(duties.next_wakeup());
-        trace.add_number(u64::from(duties.may_act(now, Some(now - 100))));
+        trace.add_number(u64::from(roles.is_session_grace_over(now)));
+        trace.add_number(roles.next_wakeup());
+        trace.add_number(u64::from(roles.may_act(now, Some(now - 100))));
     }
     trace.add(&encode(&state.snapshot()));
 }
 
 #[test]
 fn the_leader_of_placement_acts_as_recorded() {
-    check("placement-duty.txt", 30, do_placement_duty);
+    check("placement-duty.txt", 30, run_placement_role);
 }
 
 fn choose_workers(random: &mut Pcg64Mcg, trace: &mut Trace) {
--- a/crates/control-plane/tests/golden_requests.rs
+++ b/crates/control-plane/tests/golden_requests.rs
@@ -21,7 +21,7 @@
 
 struct Head {
     network: Network,
-    duties: SingletonRoles,
+    roles: SingletonRoles,
     table: ServerTable,
     state: ControlState,
     now: u64,
@@ -36,18 +36,18 @@
     fn turn(&mut self) {
         for event in self.network.poll(TURN).unwrap() {
             let completed = match event {
-                Event::Data(id) if self.duties.owns(id) => self.duties.client().data(&mut self.network, id),
-                Event::Closed { connection, .. } if self.duties.owns(connection) => {
-                    self.duties.client().closed(&mut self.network, connection)
+                Event::Data(id) if self.roles.owns(id) => self.roles.client().data(&mut self.network, id),
+                Event::Closed { connection, .. } if self.roles.owns(connection) => {
+                    self.roles.client().closed(&mut self.network, connection)
                 }
                 _ => None,
             };
             if let Some(completed) = completed {
-                self.duties.exchange_completed(&mut self.network, completed, &mut self.table, self.now);
+                self.roles.exchange_completed(&mut self.network, completed, &mut self.table, self.now);
             }
         }
         let (network, table) = (&mut self.network, &mut self.table);
-        self.duties.order_weights(network, &self.state, Some(self.now), table, self.now);
+        self.roles.order_weights(network, &self.state, Some(self.now), table, self.now);
     }
 
     fn accept(&mut self, listener: &TcpListener) -> Peer {
@@ -88,16 +88,16 @@
         tolerance: 1,
         ..SingletonRoleOptions::default()
     };
-    let mut duties = SingletonRoles::new(options);
-    duties.view_changed(SINCE, 1, true, true);
-    duties.set_term(Some(TERM));
+    let mut roles = SingletonRoles::new(options);
+    roles.view_changed(SINCE, 1, true, true);
+    roles.set_term(Some(TERM));
     let mut state = ControlState::default();
     state.apply(&Change::NameVersion { model: MODEL.to_owned(), version: 2 }).unwrap();
     let usage = ModelUsage { single_version, lag: Some(0) };
     state.apply(&Change::RecordModelUsage { model: MODEL.to_owned(), usage }).unwrap();
     let network = Network::new().unwrap();
-    let mut head = Head { network, duties, table: ServerTable::default(), state, now: SINCE };
-    head.duties.poll_list(&mut head.network, SINCE);
+    let mut head = Head { network, roles, table: ServerTable::default(), state, now: SINCE };
+    head.roles.poll_list(&mut head.network, SINCE);
     let mut peer = head.accept(&platform);
     let first_page = head.request(&mut peer, 0);
     peer.send(&json_answer(&json!({ "instances": [], "next-token": "t-2" })));
--- a/crates/control-plane/tests/graceful_shutdown_support/mod.rs
+++ b/crates/control-plane/tests/graceful_shutdown_support/mod.rs
@@ -44,10 +44,10 @@
         platform: None,
         lease_ms: 1_000,
         catch_up_ms: 4_400,
-        duties: Vec::new(),
-        duty_per_s: 10.0,
+        enabled_platform_roles: Vec::new(),
+        platform_calls_per_second: 10.0,
         usage_window_ms: 5_000,
-        usage_late_ms: 10_000,
+        usage_report_deadline_ms: 10_000,
     }
 }
 
--- a/crates/control-plane/tests/load_summaries.rs
+++ b/crates/control-plane/tests/load_summaries.rs
@@ -50,9 +50,9 @@
 #[test]
 fn reports_are_complete_if_each_process_reported_lately() {
     let mut summaries = LoadSummaries::default();
-    assert!(summaries.cover(&BTreeSet::new(), 0));
+    assert!(summaries.has_recent_reports(&BTreeSet::new(), 0));
     summaries.record(1, Vec::new(), 0);
-    assert!(summaries.cover(&BTreeSet::from([1]), 0));
-    assert!(!summaries.cover(&BTreeSet::from([1, 2]), 0));
-    assert!(!summaries.cover(&BTreeSet::from([1]), MAX_REPORT_AGE_MS));
+    assert!(summaries.has_recent_reports(&BTreeSet::from([1]), 0));
+    assert!(!summaries.has_recent_reports(&BTreeSet::from([1, 2]), 0));
+    assert!(!summaries.has_recent_reports(&BTreeSet::from([1]), MAX_REPORT_AGE_MS));
 }
--- a/crates/control-plane/tests/node_retirement.rs
+++ b/crates/control-plane/tests/node_retirement.rs
@@ -61,7 +61,7 @@
 fn a_refusal_is_answered_once_the_others_have_confirmed_the_view() {
     let mut control_node = settled_head();
     let origin = ask(&mut control_node);
-    control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewStay);
+    control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewRemain);
     let reported = outcomes(&mut control_node, true);
     assert!(matches!(reported[..], [RequestOutcome::Conflict { .. }]), "{reported:?}");
 }
@@ -71,7 +71,7 @@
 fn a_partitioned_head_refuses_nothing() {
     let mut control_node = settled_head();
     let origin = ask(&mut control_node);
-    control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewStay);
+    control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewRemain);
     assert_eq!(outcomes(&mut control_node, false), []);
     control_node.tick(1_000 + REQUEST_TIMEOUT_MS);
     assert_eq!(outcomes(&mut control_node, false), [RequestOutcome::Unknown]);
@@ -81,7 +81,7 @@
 fn without_knowledge_there_is_no_verdict() {
     let mut control_node = settled_head();
     let origin = ask(&mut control_node);
-    control_node.decide_retirement(origin, "store-1", RetirementVerdict::Unsure);
+    control_node.decide_retirement(origin, "store-1", RetirementVerdict::Undetermined);
     assert_eq!(outcomes(&mut control_node, true), [RequestOutcome::Unknown]);
 }
 
@@ -90,6 +90,6 @@
     let mut control_node = settled_head();
     let origin = ask(&mut control_node);
     control_node.tick(10_000);
-    control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewStay);
+    control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewRemain);
     assert_eq!(outcomes(&mut control_node, true), [RequestOutcome::Unknown]);
 }
--- a/crates/control-plane/tests/node_thaw.rs
+++ b/crates/control-plane/tests/node_thaw.rs
@@ -20,7 +20,7 @@
     control_node
 }
 
-/// Number of the newest ping that was sent.
+/// Number of the latest ping that was sent.
 fn last_ping(control_node: &mut ControlNode<NumberingDisk>) -> u64 {
     let number = |event: NodeOutput| match event {
         NodeOutput::Send { message: PeerMessage::Agreement(Message::Ping { number, .. }), .. } => {
--- a/crates/control-plane/tests/placement.rs
+++ b/crates/control-plane/tests/placement.rs
@@ -4,8 +4,8 @@
 use std::net::Ipv4Addr;
 
 use orchidvalve_control_plane::placement::{
-    CaughtUp, LiveStore, PARTITIONS, PlacementInput, initial_placement, is_partition_lost, is_store_empty,
-    plan,
+    CaughtUp, LiveStoreNode, PARTITIONS, PlacementInput, can_remove_store_node, initial_placement,
+    is_partition_lost, plan,
 };
 use orchidvalve_control_state::Placement;
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
@@ -21,8 +21,8 @@
     }
 }
 
-fn store(number: u8, zone: &str) -> LiveStore {
-    LiveStore {
+fn store(number: u8, zone: &str) -> LiveStoreNode {
+    LiveStoreNode {
         member: member(number),
         zone: zone.to_owned(),
         retiring: false,
@@ -52,12 +52,12 @@
 }
 
 /// Stores by number and zone; a mark behind the zone: `r`etiring, `f`ull, `d`isk fault, `w`iped: it has another disk.
-fn stores(text: &str) -> Vec<LiveStore> {
+fn stores(text: &str) -> Vec<LiveStoreNode> {
     let read = |word: &str| {
         let (number, rest) = word.split_at(1);
         let (number, zone) = (number.parse().unwrap(), &rest[..1]);
         let disk = if rest.contains('w') { 1 } else { member(number).disk };
-        LiveStore {
+        LiveStoreNode {
             member: MemberId { disk, ..member(number) },
             retiring: rest.contains('r'),
             is_full: rest.contains('f'),
@@ -68,7 +68,7 @@
     text.split_whitespace().map(read).collect()
 }
 
-fn first(live: &[LiveStore], copies: usize) -> Vec<(u16, Placement)> {
+fn first(live: &[LiveStoreNode], copies: usize) -> Vec<(u16, Placement)> {
     initial_placement(&PlacementInput { live, caught_up: &Reports::new(), copies, lost: &Lost::new() })
 }
 
@@ -265,7 +265,7 @@
 
 #[test]
 fn a_machine_that_comes_back_with_another_disk_is_another_member() {
-    let wiped = LiveStore { member: MemberId { disk: 999, ..member(2) }, ..store(2, "b") };
+    let wiped = LiveStoreNode { member: MemberId { disk: 999, ..member(2) }, ..store(2, "b") };
     let live = [store(1, "a"), wiped.clone()];
     let input = PlacementInput { live: &live, caught_up: &Reports::new(), copies: 2, lost: &Lost::new() };
     let changes = plan(&[placement(1, &[1, 2], &[])], &input);
@@ -277,7 +277,7 @@
 fn the_copies_of_a_lost_machine_are_spread() {
     let live = stores("1a 2a 3b 4b 5b");
     let partitions: Vec<Placement> = first(&live, 2).into_iter().map(|(_, p)| p).collect();
-    let left: Vec<LiveStore> = live.iter().filter(|s| s.member != member(1)).cloned().collect();
+    let left: Vec<LiveStoreNode> = live.iter().filter(|s| s.member != member(1)).cloned().collect();
     let changes = plan(
         &partitions,
         &PlacementInput { live: &left, caught_up: &Reports::new(), copies: 2, lost: &Lost::new() },
@@ -299,7 +299,10 @@
 #[test]
 fn only_a_machine_without_copies_is_empty() {
     let partitions = [placement(1, &[1, 2], &[3])];
-    assert_eq!([1, 2, 3, 4].map(|m| is_store_empty(&member(m), &partitions)), [false, false, false, true]);
+    assert_eq!(
+        [1, 2, 3, 4].map(|m| can_remove_store_node(&member(m), &partitions)),
+        [false, false, false, true]
+    );
 }
 
 /// At `completed` a machine is removed with its disk, and that counts as no loss: members and those known to hold
@@ -317,7 +320,7 @@
     let whole = placement(1, &[2, 3], &[]);
     let other =
         Placement { complete_replicas: members(&numbers(holders)), ..placement(4, &numbers(in_chain), &[]) };
-    assert_eq!(is_store_empty(&member(1), &[whole, other]), expected);
+    assert_eq!(can_remove_store_node(&member(1), &[whole, other]), expected);
 }
 
 /// A member joined a chain of which the former ones were lost or left before it could report: that it holds everything
--- a/crates/control-plane/tests/placement_random.rs
+++ b/crates/control-plane/tests/placement_random.rs
@@ -8,8 +8,8 @@
 use std::net::Ipv4Addr;
 
 use orchidvalve_control_plane::placement::{
-    CaughtUp, LiveStore, PARTITIONS, PlacementInput, initial_placement, is_partition_lost, is_store_empty,
-    plan,
+    CaughtUp, LiveStoreNode, PARTITIONS, PlacementInput, can_remove_store_node, initial_placement,
+    is_partition_lost, plan,
 };
 use orchidvalve_control_state::Placement;
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
@@ -114,9 +114,9 @@
         model
     }
 
-    fn live(&self) -> Vec<LiveStore> {
+    fn live(&self) -> Vec<LiveStoreNode> {
         let up = self.machines.iter().zip(ZONES).filter(|(machine, _)| machine.up);
-        let store = |(machine, zone): (&Machine, &str)| LiveStore {
+        let store = |(machine, zone): (&Machine, &str)| LiveStoreNode {
             member: machine.member,
             zone: zone.to_owned(),
             retiring: machine.retiring,
@@ -294,7 +294,7 @@
     /// disks that were lost count, as those are other losses.
     fn check_emptied(&self) {
         for machine in
-            self.machines.iter().filter(|m| m.retiring && is_store_empty(&m.member, &self.partitions))
+            self.machines.iter().filter(|m| m.retiring && can_remove_store_node(&m.member, &self.partitions))
         {
             for (partition, placement) in (0u16..).zip(&self.partitions) {
                 let is_lost = |m: &MemberId| !self.machines.iter().any(|machine| machine.member == *m);
@@ -372,7 +372,7 @@
             assert_eq!((placement.members.len(), placement.learners.len()), (copies, 0), "{placement:?}");
             assert!(model.journals[index].committed > 50, "seed {seed}: partition {index} stood still");
         }
-        assert!(is_store_empty(&model.machines[0].member, &model.partitions));
+        assert!(can_remove_store_node(&model.machines[0].member, &model.partitions));
         waited += model.waited;
         went_on_with_former += model.went_on_with_former;
     }
--- a/crates/control-plane/tests/role_discovery.rs
+++ b/crates/control-plane/tests/role_discovery.rs
@@ -18,7 +18,7 @@
 
 struct Head {
     network: Network,
-    duties: SingletonRoles,
+    roles: SingletonRoles,
     table: ServerTable,
     platform: TcpListener,
     /// Number of calls that are over.
@@ -37,11 +37,11 @@
             tolerance: 1,
             ..SingletonRoleOptions::default()
         };
-        let mut duties = SingletonRoles::new(options);
-        duties.view_changed(SINCE, 1, true, false);
-        duties.set_term(Some(TERM));
+        let mut roles = SingletonRoles::new(options);
+        roles.view_changed(SINCE, 1, true, false);
+        roles.set_term(Some(TERM));
         let network = Network::new().unwrap();
-        Head { network, duties, table: ServerTable::default(), platform, completed: 0, now: SINCE }
+        Head { network, roles, table: ServerTable::default(), platform, completed: 0, now: SINCE }
     }
 
     /// Takes up what has come; the updates of the table that follow.
@@ -49,10 +49,10 @@
         let mut updates = Vec::new();
         for event in self.network.poll(TURN).unwrap() {
             if let Event::Data(id) = event
-                && let Some(completed) = self.duties.client().data(&mut self.network, id)
+                && let Some(completed) = self.roles.client().data(&mut self.network, id)
             {
                 self.completed += 1;
-                updates.extend(self.duties.exchange_completed(
+                updates.extend(self.roles.exchange_completed(
                     &mut self.network,
                     completed,
                     &mut self.table,
@@ -65,7 +65,7 @@
 
     /// The platform's end of the next reading.
     fn asked(&mut self) -> Peer {
-        self.duties.poll_list(&mut self.network, self.now);
+        self.roles.poll_list(&mut self.network, self.now);
         for _ in 0..MOST_TURNS {
             if let Ok((stream, _)) = self.platform.accept() {
                 let mut peer = Peer::new(stream);
@@ -140,9 +140,9 @@
 fn a_late_page_of_a_former_reading_is_no_part_of_the_next_one() {
     let mut head = Head::new();
     let mut former = head.asked();
-    head.duties.view_changed(SINCE + 500, 2, false, false);
-    head.duties.view_changed(SINCE + 1_000, 4, true, false);
-    head.duties.set_term(Some(TERM + 1));
+    head.roles.view_changed(SINCE + 500, 2, false, false);
+    head.roles.view_changed(SINCE + 1_000, 4, true, false);
+    head.roles.set_term(Some(TERM + 1));
     head.now = SINCE + 1_000;
     let mut next = head.asked();
     assert!(head.answered(&mut former, &["long gone"]).is_empty());
@@ -156,11 +156,11 @@
 fn a_list_that_comes_between_two_terms_is_read_again_at_once() {
     let mut head = Head::new();
     let mut peer = head.asked();
-    head.duties.set_term(None);
+    head.roles.set_term(None);
     assert!(head.answered(&mut peer, &["one"]).is_empty());
-    head.duties.set_term(Some(TERM + 1));
-    assert!(head.duties.next_wakeup() <= head.now);
-    head.duties.poll_list(&mut head.network, head.now);
+    head.roles.set_term(Some(TERM + 1));
+    assert!(head.roles.next_wakeup() <= head.now);
+    head.roles.poll_list(&mut head.network, head.now);
     peer.got.clear();
     head.request(&mut peer);
     assert_eq!(head.answered(&mut peer, &["one"]).len(), 1);
@@ -171,7 +171,7 @@
 
 /// The next request on the connection.
 fn next_request(head: &mut Head, peer: &mut Peer) -> String {
-    head.duties.poll_list(&mut head.network, head.now);
+    head.roles.poll_list(&mut head.network, head.now);
     peer.got.clear();
     head.request(peer);
     peer.text().lines().next().unwrap_or_default().to_owned()
@@ -188,8 +188,8 @@
     for _ in 0..4 {
         assert!(line.contains("page-token=p-1"), "{line}");
         assert!(head.answered_with(&mut peer, TOO_MANY).is_empty());
-        assert!(head.duties.next_wakeup() > head.now, "after a pause");
-        head.now = head.duties.next_wakeup();
+        assert!(head.roles.next_wakeup() > head.now, "after a pause");
+        head.now = head.roles.next_wakeup();
         line = next_request(&mut head, &mut peer);
     }
     assert!(line.contains("page-token=p-1"), "{line}");
@@ -206,7 +206,7 @@
     for _ in 0..7 {
         lines.push(next_request(&mut head, &mut peer).contains("page-token"));
         assert!(head.answered_with(&mut peer, TOO_MANY).is_empty());
-        head.now = head.duties.next_wakeup();
+        head.now = head.roles.next_wakeup();
     }
     assert_eq!(lines, [true, true, true, true, true, false, false]);
 }
--- a/crates/control-plane/tests/role_lease_model.rs
+++ b/crates/control-plane/tests/role_lease_model.rs
@@ -100,7 +100,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    /// Newest view that it knows.
+    /// Latest view that it knows.
     epoch: u64,
     /// Since when it has been the head: each view that it entered as such, oldest first.
     tenure: Vec<EnteredView>,
@@ -132,8 +132,8 @@
     nodes: [Node; 2],
     in_flight: BTreeSet<SentCall>,
     thawed_at: BTreeMap<Machine, u64>,
-    /// Number of the newest entry that begins a term.
-    newest_term: u64,
+    /// Number of the latest entry that begins a term.
+    latest_term: u64,
     platform: Platform,
     freezes: u8,
     restarts: u8,
@@ -159,7 +159,7 @@
 }
 
 impl State {
-    fn newest_epoch(&self) -> u64 {
+    fn latest_epoch(&self) -> u64 {
         self.heads.len() as u64
     }
 
@@ -171,20 +171,20 @@
         self.head_of(self.nodes[machine].epoch) == machine
     }
 
-    /// Quorums are in the newest view: machines in that one are confirmed, its head begins a term, and notes on its disk
+    /// Quorums are in the latest view: machines in that one are confirmed, its head begins a term, and notes on its disk
     /// that it acts.
     fn settle(&mut self, waits: LeaseWaits) {
-        let newest = self.newest_epoch();
+        let latest = self.latest_epoch();
         for machine in MACHINES {
             let is_head = self.is_head(machine);
             let node = &mut self.nodes[machine];
-            if node.is_frozen || node.epoch != newest || !is_head {
+            if node.is_frozen || node.epoch != latest || !is_head {
                 continue;
             }
             node.confirmed_at = Some(NOW);
             if node.term.is_none() {
-                self.newest_term += 1;
-                node.term = Some(self.newest_term);
+                self.latest_term += 1;
+                node.term = Some(self.latest_term);
             }
             node.has_acted |= node.valid_token(waits).is_some();
         }
@@ -298,8 +298,8 @@
 
     fn restart(&self, state: &mut State, machine: Machine) {
         let Node { epoch, has_acted, term, .. } = state.nodes[machine].clone();
-        if self.planted == Planted::TokenReused && term == Some(state.newest_term) {
-            state.newest_term -= 1;
+        if self.planted == Planted::TokenReused && term == Some(state.latest_term) {
+            state.latest_term -= 1;
         }
         state.restarts += 1;
         state.nodes[machine] = Node::started(epoch, has_acted);
@@ -327,8 +327,8 @@
         if node.is_frozen {
             return actions.push(Action::Thaw(machine));
         }
-        let newest = state.newest_epoch();
-        actions.extend((node.epoch + 1..=newest).map(|epoch| Action::Learn { machine, epoch }));
+        let latest = state.latest_epoch();
+        actions.extend((node.epoch + 1..=latest).map(|epoch| Action::Learn { machine, epoch }));
         if node.begun.is_some() {
             actions.push(Action::WriteCall(machine));
         } else if self.may_begin(state, machine) {
@@ -353,7 +353,7 @@
             nodes: [Node::started(1, false), Node::started(1, false)],
             in_flight: BTreeSet::new(),
             thawed_at: BTreeMap::new(),
-            newest_term: 0,
+            latest_term: 0,
             platform: Platform::default(),
             freezes: 0,
             restarts: 0,
@@ -367,7 +367,7 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         actions.push(Action::Pass);
-        if state.newest_epoch() < self.disturbances.views {
+        if state.latest_epoch() < self.disturbances.views {
             actions.extend(MACHINES.map(|head| Action::DecideView { head }));
         }
         for machine in MACHINES {
--- a/crates/control-plane/tests/role_placement.rs
+++ b/crates/control-plane/tests/role_placement.rs
@@ -48,7 +48,7 @@
     state
 }
 
-fn duties() -> SingletonRoles {
+fn roles() -> SingletonRoles {
     let options = SingletonRoleOptions {
         name: "control".to_owned(),
         platform: None,
@@ -56,9 +56,9 @@
         tolerance: 1,
         ..SingletonRoleOptions::default()
     };
-    let mut duties = SingletonRoles::new(options);
-    duties.view_changed(SINCE, 1, true, false);
-    duties
+    let mut roles = SingletonRoles::new(options);
+    roles.view_changed(SINCE, 1, true, false);
+    roles
 }
 
 /// The next placement of the first partition.
@@ -69,20 +69,20 @@
 
 /// The time at which the role first wants another placement, looking every 50 ms for `longest`, and what it wants.
 fn first_change(
-    duties: &mut SingletonRoles,
+    roles: &mut SingletonRoles,
     state: &ControlState,
     sessions: &SessionTable,
     longest: u64,
 ) -> Option<(u64, Placement)> {
     let mut times = (SINCE..SINCE + longest).step_by(50);
-    times.find_map(|now| next(duties.place(now, state, sessions)).map(|placement| (now - SINCE, placement)))
+    times.find_map(|now| next(roles.place(now, state, sessions)).map(|placement| (now - SINCE, placement)))
 }
 
 #[test]
 fn a_new_head_waits_for_the_sessions_of_members_before_it_takes_them_for_lost() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let here = sessions(&[member(1, 1), member(3, 1)]);
-    let (after, placement) = first_change(&mut duties(), &state, &here, 5_000).unwrap();
+    let (after, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
     assert_eq!(after, 1_500);
     assert_eq!(placement.members, [member(1, 1)]);
 }
@@ -91,7 +91,7 @@
 fn a_wiped_member_is_taken_out_at_once() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let here = sessions(&[member(1, 1), member(2, 2)]);
-    let (after, placement) = first_change(&mut duties(), &state, &here, 5_000).unwrap();
+    let (after, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
     assert_eq!(after, 0);
     assert_eq!((placement.members, placement.learners), (vec![member(1, 1)], vec![member(2, 2)]));
 }
@@ -108,7 +108,7 @@
 fn the_copies_of_a_store_that_leaves_go_to_others_first() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let here = one_is_leaving(&[member(1, 1), member(2, 1), member(3, 1)]);
-    let (after, placement) = first_change(&mut duties(), &state, &here, 5_000).unwrap();
+    let (after, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
     assert_eq!(after, 0);
     assert_eq!(placement.members, [member(1, 1), member(2, 1)]);
     assert_eq!(placement.learners, [member(3, 1)]);
@@ -118,7 +118,7 @@
 fn nothing_changes_where_nobody_could_take_the_copies_of_a_store_that_leaves() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let here = one_is_leaving(&[member(1, 1), member(2, 1)]);
-    assert_eq!(first_change(&mut duties(), &state, &here, 5_000), None);
+    assert_eq!(first_change(&mut roles(), &state, &here, 5_000), None);
 }
 
 #[test]
@@ -126,7 +126,7 @@
     let state = placed(&[member(2, 1), member(3, 1)]);
     let mut here = one_is_leaving(&[member(1, 1), member(2, 1)]);
     here.open(Session { incarnation: 9, ..session(member(1, 1)) }, 0);
-    let (_, placement) = first_change(&mut duties(), &state, &here, 5_000).unwrap();
+    let (_, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
     assert_eq!((placement.members, placement.learners), (vec![member(2, 1)], vec![member(1, 1)]));
 }
 
@@ -139,12 +139,12 @@
     let state = placed(&[member(1, 1), member(2, 1)]);
     let mut leaving = one_is_leaving(&[member(1, 1), member(2, 1)]);
     leaving.open(full(76), 0);
-    assert_eq!(first_change(&mut duties(), &state, &leaving, 5_000), None);
+    assert_eq!(first_change(&mut roles(), &state, &leaving, 5_000), None);
     leaving.open(full(75), 0);
-    assert!(first_change(&mut duties(), &state, &leaving, 5_000).is_some());
+    assert!(first_change(&mut roles(), &state, &leaving, 5_000).is_some());
     let mut lost = sessions(&[member(1, 1)]);
     lost.open(full(76), 0);
-    let (_, placement) = first_change(&mut duties(), &state, &lost, 5_000).unwrap();
+    let (_, placement) = first_change(&mut roles(), &state, &lost, 5_000).unwrap();
     assert_eq!((placement.members, placement.learners), (vec![member(1, 1)], vec![member(3, 1)]));
 }
 
@@ -152,7 +152,7 @@
 fn a_partition_begins_anew_only_after_its_loss_was_seen_for_a_while() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
-    let (after, placement) = first_change(&mut duties(), &state, &wiped, 20_000).unwrap();
+    let (after, placement) = first_change(&mut roles(), &state, &wiped, 20_000).unwrap();
     assert_eq!(after, 10_000);
     assert_eq!(placement.reset_epoch, 2);
 }
@@ -162,30 +162,30 @@
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
     let one_back = sessions(&[member(1, 2), member(3, 1)]);
-    let mut duties = duties();
-    assert_eq!(next(duties.place(SINCE, &state, &wiped)), None);
-    assert_eq!(next(duties.place(SINCE + 9_000, &state, &one_back)), None);
-    assert_eq!(next(duties.place(SINCE + 11_000, &state, &wiped)), None);
-    assert_eq!(next(duties.place(SINCE + 20_900, &state, &wiped)), None);
-    assert!(next(duties.place(SINCE + 21_000, &state, &wiped)).is_some());
+    let mut roles = roles();
+    assert_eq!(next(roles.place(SINCE, &state, &wiped)), None);
+    assert_eq!(next(roles.place(SINCE + 9_000, &state, &one_back)), None);
+    assert_eq!(next(roles.place(SINCE + 11_000, &state, &wiped)), None);
+    assert_eq!(next(roles.place(SINCE + 20_900, &state, &wiped)), None);
+    assert!(next(roles.place(SINCE + 21_000, &state, &wiped)).is_some());
 }
 
 #[test]
 fn a_node_that_loses_the_lease_waits_anew() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
-    let mut duties = duties();
-    assert_eq!(next(duties.place(SINCE, &state, &wiped)), None);
-    duties.view_changed(SINCE + 1_000, 2, false, false);
-    duties.view_changed(SINCE + 9_000, 3, true, false);
-    assert_eq!(next(duties.place(SINCE + 18_900, &state, &wiped)), None);
+    let mut roles = roles();
+    assert_eq!(next(roles.place(SINCE, &state, &wiped)), None);
+    roles.view_changed(SINCE + 1_000, 2, false, false);
+    roles.view_changed(SINCE + 9_000, 3, true, false);
+    assert_eq!(next(roles.place(SINCE + 18_900, &state, &wiped)), None);
 }
 
 #[test]
 fn a_partition_whose_members_are_only_away_waits_for_them() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let away = sessions(&[member(3, 1), member(4, 1)]);
-    assert_eq!(first_change(&mut duties(), &state, &away, 60_000), None);
+    assert_eq!(first_change(&mut roles(), &state, &away, 60_000), None);
 }
 
 /// All control nodes stood still: the view is the same, and no session is left.
@@ -194,14 +194,14 @@
     let state = placed(&[member(1, 1), member(2, 1)]);
     let all = sessions(&[member(1, 1), member(2, 1), member(3, 1)]);
     let first_back = sessions(&[member(2, 1)]);
-    let mut duties = duties();
-    assert_eq!(next(duties.place(SINCE + 10_000, &state, &all)), None);
-    duties.set_has_quorum(SINCE + 20_000, false);
-    duties.set_has_quorum(SINCE + 20_200, true);
-    assert_eq!(next(duties.place(SINCE + 20_200, &state, &first_back)), None);
-    duties.set_has_quorum(SINCE + 21_650, true);
-    assert_eq!(next(duties.place(SINCE + 21_650, &state, &first_back)), None);
-    let placement = next(duties.place(SINCE + 21_700, &state, &first_back)).expect("a store is lost");
+    let mut roles = roles();
+    assert_eq!(next(roles.place(SINCE + 10_000, &state, &all)), None);
+    roles.set_has_quorum(SINCE + 20_000, false);
+    roles.set_has_quorum(SINCE + 20_200, true);
+    assert_eq!(next(roles.place(SINCE + 20_200, &state, &first_back)), None);
+    roles.set_has_quorum(SINCE + 21_650, true);
+    assert_eq!(next(roles.place(SINCE + 21_650, &state, &first_back)), None);
+    let placement = next(roles.place(SINCE + 21_700, &state, &first_back)).expect("a store is lost");
     assert_eq!(placement.members, [member(2, 1)]);
 }
 
@@ -215,14 +215,14 @@
     }
     let name = session(stores[0]).name;
     let first_back = sessions(&stores[..1]);
-    let mut duties = duties();
-    duties.set_has_quorum(SINCE + 20_000, false);
-    assert_eq!(duties.retirement(SINCE + 20_100, &state, &first_back, &name), RetirementVerdict::Unsure);
-    duties.set_has_quorum(SINCE + 20_200, true);
-    assert_eq!(duties.retirement(SINCE + 21_650, &state, &first_back, &name), RetirementVerdict::Unsure);
-    assert_eq!(duties.retirement(SINCE + 21_700, &state, &first_back, &name), RetirementVerdict::TooFewStay);
+    let mut roles = roles();
+    roles.set_has_quorum(SINCE + 20_000, false);
+    assert_eq!(roles.retirement(SINCE + 20_100, &state, &first_back, &name), RetirementVerdict::Undetermined);
+    roles.set_has_quorum(SINCE + 20_200, true);
+    assert_eq!(roles.retirement(SINCE + 21_650, &state, &first_back, &name), RetirementVerdict::Undetermined);
+    assert_eq!(roles.retirement(SINCE + 21_700, &state, &first_back, &name), RetirementVerdict::TooFewRemain);
     assert_eq!(
-        duties.retirement(SINCE + 21_700, &state, &sessions(&stores), &name),
+        roles.retirement(SINCE + 21_700, &state, &sessions(&stores), &name),
         RetirementVerdict::Allowed
     );
 }
@@ -232,9 +232,9 @@
 fn a_head_that_had_no_quorum_confirms_a_loss_anew() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
-    let mut duties = duties();
-    assert_eq!(next(duties.place(SINCE, &state, &wiped)), None);
-    duties.set_has_quorum(SINCE + 1_000, false);
-    duties.set_has_quorum(SINCE + 9_000, true);
-    assert_eq!(next(duties.place(SINCE + 18_900, &state, &wiped)), None);
+    let mut roles = roles();
+    assert_eq!(next(roles.place(SINCE, &state, &wiped)), None);
+    roles.set_has_quorum(SINCE + 1_000, false);
+    roles.set_has_quorum(SINCE + 9_000, true);
+    assert_eq!(next(roles.place(SINCE + 18_900, &state, &wiped)), None);
 }
--- a/crates/control-plane/tests/role_scaling.rs
+++ b/crates/control-plane/tests/role_scaling.rs
@@ -56,15 +56,15 @@
 
 impl Head {
     /// A head that has read a list with three servers in one zone.
-    fn new(duties: &[&str]) -> Head {
+    fn new(enabled_roles: &[&str]) -> Head {
         let (platform, address) = listen();
         let options = SingletonRoleOptions {
             name: "control".to_owned(),
             platform: Some(address),
             lease_ms: 1_000,
             tolerance: 1,
-            duties: duties.iter().map(|duty| (*duty).to_owned()).collect(),
-            duty_per_s: 10.0,
+            enabled_platform_roles: enabled_roles.iter().map(|role| (*role).to_owned()).collect(),
+            platform_calls_per_second: 10.0,
             ..SingletonRoleOptions::default()
         };
         let mut roles = SingletonRoles::new(options);
--- a/crates/control-plane/tests/role_weight_rollout.rs
+++ b/crates/control-plane/tests/role_weight_rollout.rs
@@ -20,7 +20,7 @@
 
 struct Head {
     network: Network,
-    duties: SingletonRoles,
+    roles: SingletonRoles,
     table: ServerTable,
     state: ControlState,
     server: TcpListener,
@@ -48,14 +48,14 @@
             tolerance: 1,
             ..SingletonRoleOptions::default()
         };
-        let mut duties = SingletonRoles::new(options);
-        duties.view_changed(SINCE, 1, true, true);
-        duties.set_term(Some(TERM));
+        let mut roles = SingletonRoles::new(options);
+        roles.view_changed(SINCE, 1, true, true);
+        roles.set_term(Some(TERM));
         let mut state = ControlState::default();
         state.apply(&Change::NameVersion { model: MODEL.to_owned(), version: 2 }).unwrap();
         let network = Network::new().unwrap();
-        let mut head = Head { network, duties, table: ServerTable::default(), state, server, now: SINCE };
-        head.duties.poll_list(&mut head.network, SINCE);
+        let mut head = Head { network, roles, table: ServerTable::default(), state, server, now: SINCE };
+        head.roles.poll_list(&mut head.network, SINCE);
         let mut peer = head.accept_at(&platform);
         let list = json!({ "instances": [{
             "instance-id": "i-1", "service": "s", "address": server_address.to_string(), "zone": "z",
@@ -70,14 +70,14 @@
     fn turn(&mut self) {
         for event in self.network.poll(TURN).unwrap() {
             let completed = match event {
-                Event::Data(id) if self.duties.owns(id) => self.duties.client().data(&mut self.network, id),
-                Event::Closed { connection, .. } if self.duties.owns(connection) => {
-                    self.duties.client().closed(&mut self.network, connection)
+                Event::Data(id) if self.roles.owns(id) => self.roles.client().data(&mut self.network, id),
+                Event::Closed { connection, .. } if self.roles.owns(connection) => {
+                    self.roles.client().closed(&mut self.network, connection)
                 }
                 _ => None,
             };
             if let Some(completed) = completed {
-                self.duties.exchange_completed(&mut self.network, completed, &mut self.table, self.now);
+                self.roles.exchange_completed(&mut self.network, completed, &mut self.table, self.now);
             }
         }
     }
@@ -119,7 +119,7 @@
     fn order(&mut self, now: u64) {
         self.now = now;
         let (network, table) = (&mut self.network, &mut self.table);
-        self.duties.order_weights(network, &self.state, Some(now), table, now);
+        self.roles.order_weights(network, &self.state, Some(now), table, now);
     }
 
     /// Whether gateways are told of the model at the server, which they aren't while it loads.
@@ -129,7 +129,7 @@
 
     /// When the load is asked after for the first time, or next.
     fn ask_due(&mut self) -> u64 {
-        self.duties.next_wakeup().max(self.now + 1)
+        self.roles.next_wakeup().max(self.now + 1)
     }
 }
 
@@ -201,10 +201,10 @@
     let mut published = Vec::new();
     for now in head.now..head.now + 400 {
         head.now = now;
-        let mut list = head.duties.publish_if_due(&mut head.table, now).is_some();
+        let mut list = head.roles.publish_if_due(&mut head.table, now).is_some();
         // What changes the table: an order is sent, or a load is done.
         list |= head
-            .duties
+            .roles
             .order_weights(&mut head.network, &head.state, Some(now), &mut head.table, now)
             .is_some();
         if list {
--- a/crates/control-plane/tests/scaling_orders.rs
+++ b/crates/control-plane/tests/scaling_orders.rs
@@ -16,7 +16,7 @@
     assert_eq!(orders.take_due(10), Some(order("a", 5)));
     assert_eq!(orders.take_due(10), None, "it is in flight");
     assert_eq!(orders.next_due(), None);
-    orders.answered(&order("a", 5), ScalingOutcome::Accepted, 20);
+    orders.completed(&order("a", 5), ScalingOutcome::Accepted, 20);
     assert_eq!((orders.take_due(100_000), orders.has_open("s")), (None, false));
 }
 
@@ -28,7 +28,7 @@
     let mut pauses = Vec::new();
     for _ in 0..7 {
         assert_eq!(orders.take_due(now), Some(order("a", 5)));
-        orders.answered(&order("a", 5), ScalingOutcome::Unknown, now);
+        orders.completed(&order("a", 5), ScalingOutcome::Unknown, now);
         let due = orders.next_due().unwrap();
         assert_eq!(orders.take_due(due - 1), None);
         pauses.push(due - now);
@@ -42,7 +42,7 @@
     let mut orders = ScalingOrders::default();
     orders.decide(&order("a", 5), 0);
     assert!(orders.take_due(0).is_some());
-    orders.answered(&order("a", 5), ScalingOutcome::Unknown, 0);
+    orders.completed(&order("a", 5), ScalingOutcome::Unknown, 0);
     orders.decide(&order("a", 7), 100);
     assert_eq!(orders.take_due(100), Some(order("a", 7)), "it doesn't wait for the pause of the older one");
 }
@@ -55,7 +55,7 @@
         assert!(orders.take_due(0).is_some());
         orders.decide(&order("a", 7), 100);
         assert_eq!(orders.take_due(100), None);
-        orders.answered(&order("a", 5), outcome, 200);
+        orders.completed(&order("a", 5), outcome, 200);
         assert_eq!(orders.take_due(200), Some(order("a", 7)));
     }
 }
@@ -67,7 +67,7 @@
     assert!(orders.take_due(0).is_some());
     orders.decide(&order("a", 7), 100);
     orders.decide(&order("a", 5), 150);
-    orders.answered(&order("a", 5), ScalingOutcome::Accepted, 200);
+    orders.completed(&order("a", 5), ScalingOutcome::Accepted, 200);
     assert_eq!(orders.take_due(10_000), None);
 }
 
@@ -76,7 +76,7 @@
     let mut orders = ScalingOrders::default();
     orders.decide(&order("a", 5), 0);
     assert!(orders.take_due(0).is_some());
-    orders.answered(&order("a", 5), ScalingOutcome::Refused, 0);
+    orders.completed(&order("a", 5), ScalingOutcome::Refused, 0);
     assert_eq!(orders.take_due(100_000), None);
 }
 
@@ -95,14 +95,14 @@
     orders.decide(&order("a", 5), 0);
     let sent = orders.take_due(0).unwrap();
     orders.clear();
-    orders.answered(&sent, ScalingOutcome::Unknown, 10);
+    orders.completed(&sent, ScalingOutcome::Unknown, 10);
     assert_eq!(orders.take_due(100_000), None);
 }
 
 #[test]
 fn outcomes_go_by_the_status() {
-    let outcomes =
-        [Some(200), Some(400), Some(403), Some(429), Some(500), Some(503), None].map(ScalingOutcome::of);
+    let outcomes = [Some(200), Some(400), Some(403), Some(429), Some(500), Some(503), None]
+        .map(ScalingOutcome::from_status);
     use ScalingOutcome::{Accepted, Refused, Unknown};
     assert_eq!(outcomes, [Accepted, Refused, Refused, Unknown, Unknown, Unknown, Unknown]);
 }
--- a/crates/control-plane/tests/scaling_support/simulation.rs
+++ b/crates/control-plane/tests/scaling_support/simulation.rs
@@ -183,8 +183,8 @@
                 });
             }
             let leaving = staying.saturating_sub(zone.desired) as usize;
-            let newest = zone.servers.iter_mut().rev().filter(|server| !server.is_draining);
-            newest.take(leaving).for_each(|server| server.is_draining = true);
+            let latest = zone.servers.iter_mut().rev().filter(|server| !server.is_draining);
+            latest.take(leaving).for_each(|server| server.is_draining = true);
         }
     }
 
--- a/crates/control-plane/tests/usage_collection.rs
+++ b/crates/control-plane/tests/usage_collection.rs
@@ -32,7 +32,7 @@
 
 /// Everything that `from` passes on reaches `to`.
 fn pass_on(from: &mut UsageCollection, to: &mut UsageCollection) {
-    for (gateway, windows) in from.take_untold() {
+    for (gateway, windows) in from.take_unsent() {
         to.add(gateway, windows, WINDOW + 1);
     }
 }
@@ -57,9 +57,9 @@
     pass_on(&mut node, &mut head);
     assert_eq!(total(&head, WINDOW), [row("cuka620", 3)]);
     add(&mut node, NORTH, WINDOW, &[("cuka620", 3)]);
-    assert!(node.take_untold().is_empty());
+    assert!(node.take_unsent().is_empty());
     pass_on(&mut head, &mut node);
-    assert!(node.take_untold().is_empty());
+    assert!(node.take_unsent().is_empty());
 }
 
 // Guards against counts of a gateway that has died, which a new head would never hear of again.
@@ -70,8 +70,8 @@
     add(&mut node, NORTH, WINDOW, &[("cuka620", 3)]);
     add(&mut node, NORTH, WINDOW + 1, &[("cuka620", 1)]);
     pass_on(&mut node, &mut head);
-    assert!(node.take_untold().is_empty());
-    node.tell_all_again();
+    assert!(node.take_unsent().is_empty());
+    node.mark_all_unsent();
     pass_on(&mut node, &mut next);
     assert_eq!(total(&next, WINDOW), [row("cuka620", 3)]);
     assert_eq!(total(&next, WINDOW + 1), [row("cuka620", 1)]);
@@ -84,7 +84,7 @@
         (UsageCollection::default(), UsageCollection::default(), UsageCollection::default());
     add(&mut node, NORTH, WINDOW, &[("cuka620", 3)]);
     pass_on(&mut node, &mut head);
-    head.tell_all_again();
+    head.mark_all_unsent();
     pass_on(&mut head, &mut next);
     assert_eq!(total(&next, WINDOW), [row("cuka620", 3)]);
 }
@@ -106,14 +106,14 @@
 fn counts_that_come_after_the_decision_are_not_passed_on() {
     let mut collection = UsageCollection::default();
     add(&mut collection, NORTH, WINDOW, &[("cuka620", 3)]);
-    collection.decided_before(WINDOW + 1);
-    assert!(collection.take_untold().is_empty());
+    collection.set_decided_before(WINDOW + 1);
+    assert!(collection.take_unsent().is_empty());
     add(&mut collection, NORTH, WINDOW, &[("cuka620", 4)]);
-    assert!(collection.take_untold().is_empty());
-    collection.tell_all_again();
-    assert!(collection.take_untold().is_empty());
+    assert!(collection.take_unsent().is_empty());
+    collection.mark_all_unsent();
+    assert!(collection.take_unsent().is_empty());
     assert_eq!(collection.earliest_window(), None);
-    collection.decided_before(WINDOW + 50);
+    collection.set_decided_before(WINDOW + 50);
     assert!(collection.total(WINDOW).is_empty());
 }
 
@@ -125,7 +125,7 @@
     let later = WINDOW + 1 + MAX_UNDECIDED_WINDOWS;
     collection.add(SOUTH, vec![usage(later, &[("cuka620", 1)])], later);
     assert_eq!(collection.earliest_window(), Some(later));
-    let told: BTreeMap<u64, Vec<WindowUsage>> = collection.take_untold();
+    let told: BTreeMap<u64, Vec<WindowUsage>> = collection.take_unsent();
     assert_eq!(told.keys().copied().collect::<Vec<u64>>(), [SOUTH]);
 }
 
--- a/crates/control-plane/tests/usage_support/mod.rs
+++ b/crates/control-plane/tests/usage_support/mod.rs
@@ -7,7 +7,7 @@
 use orchidvalve_control_plane::http_client::{CONNECT_TIMEOUT_MS, CompletedExchange, NEW_USER_TIMEOUT_MS};
 use orchidvalve_control_plane::singleton_roles::{
     DECISION_DELAY_MS, ExchangePurpose, ORDER_VALIDITY_MS, SingletonRoleOptions, SingletonRoles,
-    USAGE_REPORTING_DUTY,
+    USAGE_REPORTING_ROLE,
 };
 use orchidvalve_control_plane::usage_collection::UsageCollection;
 use orchidvalve_control_state::{Change, ControlState, UsageReport};
@@ -54,16 +54,16 @@
     state.apply(&Change::AcceptUsageReport { window }).expect("it fits");
 }
 
-fn options(platform: SocketAddrV4, duties: &[&str]) -> SingletonRoleOptions {
+fn options(platform: SocketAddrV4, enabled_roles: &[&str]) -> SingletonRoleOptions {
     SingletonRoleOptions {
         name: "control-1".to_owned(),
         platform: Some(platform),
         lease_ms: LEASE_MS,
         tolerance: 1,
-        duties: duties.iter().map(|duty| (*duty).to_owned()).collect(),
-        duty_per_s: 10.0,
+        enabled_platform_roles: enabled_roles.iter().map(|role| (*role).to_owned()).collect(),
+        platform_calls_per_second: 10.0,
         usage_window_ms: WINDOW_MS,
-        usage_late_ms: LATE_MS,
+        usage_report_deadline_ms: LATE_MS,
     }
 }
 
@@ -90,12 +90,12 @@
 impl Head {
     /// A head since the window starts, with the lease.
     pub fn new(platform: &Platform, term: u64, state: ControlState) -> Head {
-        Head::begin(options(platform.address, &[USAGE_REPORTING_DUTY]), term, state, SINCE, true)
+        Head::begin(options(platform.address, &[USAGE_REPORTING_ROLE]), term, state, SINCE, true)
     }
 
     /// A head that follows another one at this time.
     pub fn successor(platform: &Platform, term: u64, state: ControlState, at: u64) -> Head {
-        Head::begin(options(platform.address, &[USAGE_REPORTING_DUTY]), term, state, at, false)
+        Head::begin(options(platform.address, &[USAGE_REPORTING_ROLE]), term, state, at, false)
     }
 
     pub fn without_duty(platform: &Platform, state: ControlState) -> Head {
--- a/crates/control-plane/tests/weight_rollout.rs
+++ b/crates/control-plane/tests/weight_rollout.rs
@@ -72,7 +72,7 @@
         assert!(!orders.is_empty() && orders.len() <= wave, "{} at {now}", orders.len());
         assert_eq!(plan_orders(&mut planner, now, &named, &fleet), [], "the wave is full");
         for order in &orders {
-            planner.order_answered(now, order, TAKEN);
+            planner.order_completed(now, order, TAKEN);
         }
         assert_eq!(plan_orders(&mut planner, now + LOAD_MS - 1, &named, &fleet), []);
         now += LOAD_MS;
@@ -132,7 +132,7 @@
     let mut planner = RolloutPlanner::default();
     let (fleet, named) = (fleet(1), named(&[("large", 2)]));
     let first = plan_orders(&mut planner, 1_000, &named, &fleet);
-    planner.order_answered(1_000, &first[0], outcome);
+    planner.order_completed(1_000, &first[0], outcome);
     for now in (1_000..1_000 + pause).step_by(50) {
         planner.finish_due_loads(now);
         assert_eq!(plan_orders(&mut planner, now, &named, &fleet), [], "at {now}");
@@ -146,7 +146,7 @@
     let mut planner = RolloutPlanner::default();
     let (fleet, named) = (fleet(3), named(&[("large", 2)]));
     let first = plan_orders(&mut planner, 0, &named, &fleet);
-    planner.order_answered(0, &first[0], OrderOutcome::Busy);
+    planner.order_completed(0, &first[0], OrderOutcome::Busy);
     let second = plan_orders(&mut planner, 1, &named, &fleet);
     assert_eq!(second.len(), 1);
     assert_ne!(second[0].instance, first[0].instance);
@@ -167,7 +167,7 @@
     let named = named(&[("large", 2), ("small", 4)]);
     let first = plan_orders(&mut planner, 0, &named, &servers);
     assert_eq!(first, [order(1, "large", 2)]);
-    planner.order_answered(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], TAKEN);
     assert_eq!(plan_orders(&mut planner, LOAD_MS - 1, &named, &servers), []);
     planner.finish_due_loads(LOAD_MS);
     assert_eq!(plan_orders(&mut planner, LOAD_MS, &named, &servers), [order(1, "small", 4)]);
@@ -179,7 +179,7 @@
     let servers = [server(1, "blue", &[("large", 1), ("small", 1)])];
     let named = named(&[("large", 2), ("small", 4)]);
     let first = plan_orders(&mut planner, 0, &named, &servers);
-    planner.order_answered(0, &first[0], OrderOutcome::Refused);
+    planner.order_completed(0, &first[0], OrderOutcome::Refused);
     assert_eq!(plan_orders(&mut planner, 1, &named, &servers), [order(1, "small", 4)]);
 }
 
@@ -188,7 +188,7 @@
     let mut planner = RolloutPlanner::default();
     let servers = fleet(1);
     let first = plan_orders(&mut planner, 0, &named(&[("large", 2)]), &servers);
-    planner.order_answered(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], TAKEN);
     assert_eq!(plan_orders(&mut planner, 100, &named(&[("large", 3)]), &servers), []);
     planner.finish_due_loads(LOAD_MS);
     assert_eq!(plan_orders(&mut planner, LOAD_MS, &named(&[("large", 3)]), &servers), [order(0, "large", 3)]);
@@ -200,7 +200,7 @@
     let servers = fleet(1);
     let first = plan_orders(&mut planner, 0, &named(&[("large", 2)]), &servers);
     assert_eq!(planner.held_version(0, &servers[0], "large", 1), 1);
-    planner.order_answered(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], TAKEN);
     assert_eq!(planner.held_version(LOAD_MS - 1, &servers[0], "large", 1), 1);
     planner.finish_due_loads(LOAD_MS);
     assert_eq!(planner.held_version(LOAD_MS, &servers[0], "large", 1), 2);
@@ -213,11 +213,11 @@
     let mut planner = RolloutPlanner::default();
     let (fleet, named) = (fleet(3), named(&[("large", 2)]));
     let first = plan_orders(&mut planner, 0, &named, &fleet);
-    planner.order_answered(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], TAKEN);
     planner.reset();
     let again = plan_orders(&mut planner, 100, &named, &fleet);
     assert_eq!(again, first);
-    planner.order_answered(100, &again[0], HELD);
+    planner.order_completed(100, &again[0], HELD);
     assert_eq!(plan_orders(&mut planner, 101, &named, &fleet), [order(1, "large", 2)]);
 }
 
@@ -231,7 +231,7 @@
     let mut planner = RolloutPlanner::default();
     let named = named(&[("large", 2)]);
     let first = plan_orders(&mut planner, 0, &named, &fleet(1));
-    planner.order_answered(0, &first[0], outcome);
+    planner.order_completed(0, &first[0], outcome);
     let after: Vec<ServerEntry> = stays
         .iter()
         .map(|draining| ServerEntry { draining: *draining == 1, ..server(0, "blue", &[("large", listed)]) })
@@ -248,7 +248,7 @@
     let mut planner = RolloutPlanner::default();
     let named = named(&[("large", 2)]);
     let first = plan_orders(&mut planner, 0, &named, &fleet(1));
-    planner.order_answered(0, &first[0], OrderOutcome::Busy);
+    planner.order_completed(0, &first[0], OrderOutcome::Busy);
     planner.finish_due_loads(10_000);
     assert!(planner.next_wakeup().is_none_or(|at| at > 10_000));
 }
@@ -292,7 +292,7 @@
                     TAKEN
                 }
             };
-            planner.order_answered(now, &order, outcome);
+            planner.order_completed(now, &order, outcome);
         }
         let loading = |service: &str| {
             let of_service = servers.iter().filter(|s| s.service == service);
@@ -415,5 +415,5 @@
 #[case::no_such_order(Some(400), OrderOutcome::Refused)]
 #[case::no_answer(None, OrderOutcome::Unknown)]
 fn the_answer_to_an_order_has_one_meaning(#[case] status: Option<u16>, #[case] outcome: OrderOutcome) {
-    assert_eq!(OrderOutcome::of(status), outcome);
+    assert_eq!(OrderOutcome::from_status(status), outcome);
 }
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -67,10 +67,10 @@
         platform: settings.cloud_api.address,
         lease_ms: settings.bounds.lease_ms,
         catch_up_ms: (settings.bounds.catch_up_s * 1_000.0) as u64,
-        duties: settings.cloud_api.duties.clone(),
-        duty_per_s: settings.cloud_api.duty_per_s,
+        enabled_platform_roles: settings.cloud_api.duties.clone(),
+        platform_calls_per_second: settings.cloud_api.duty_per_s,
         usage_window_ms: usage_window_ms(settings),
-        usage_late_ms: (settings.bounds.usage_late_s * 1_000.0) as u64,
+        usage_report_deadline_ms: (settings.bounds.usage_late_s * 1_000.0) as u64,
     })
 }
 
