--- a/crates/control-plane/tests/golden_disk.rs
+++ b/crates/control-plane/tests/golden_disk.rs
@@ -47,7 +47,7 @@
         let options = Options { file_bytes: FILE_BYTES, ..Options::with_capacity(4 * FILE_BYTES) };
         let (ring, recovery) = Ring::open(&self.0, options, Box::new(|| {})).unwrap();
         drop(ring);
-        assert!(!recovery.fresh);
+        assert!(!recovery.is_first_use);
         recovery.records
     }
 }
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -27,7 +27,7 @@
     /// Random, nonzero number drawn at the disk's first use.
     pub disk_identity: u64,
     /// Whether this was the first use: a new machine, or one whose disk was lost.
-    pub fresh: bool,
+    pub is_first_use: bool,
     /// The records in order, without gaps; released ones may be among them. All records of a [`crate::Ring`] are
     /// durable. Those of a [`crate::writer::Writer`] are durable through its `durable_through`, which is below the last
     /// one only while the disk fails to sync. As long as it does, a loss of power may restore records that the previous
--- a/crates/wal/src/writer.rs
+++ b/crates/wal/src/writer.rs
@@ -92,14 +92,18 @@
             return Err(OpenError::TooSmall { capacity_bytes, file_bytes });
         }
         let names = storage.list().map_err(OpenError::disk("list the files"))?;
-        let DiskIdentity { number: disk_identity, is_new: fresh } =
+        let DiskIdentity { number: disk_identity, is_new: is_first_use } =
             identity::load_or_create(&mut storage, &names)?;
-        let names = if fresh { Vec::new() } else { names };
+        let names = if is_first_use { Vec::new() } else { names };
         let mut scanned = recovery::scan_segments(&mut storage, &names)?;
         let next_position = scanned.next_position;
         let records = std::mem::take(&mut scanned.records);
         let writer = Self::from_scan(storage, scanned, options);
-        Ok(OpenedWriter { writer, recovery: Recovery { disk_identity, fresh, records }, next_position })
+        Ok(OpenedWriter {
+            writer,
+            recovery: Recovery { disk_identity, is_first_use, records },
+            next_position,
+        })
     }
 
     fn from_scan(storage: S, scanned: ScannedRing<S::File>, options: &Options) -> Self {
--- a/crates/wal/tests/golden_directories.rs
+++ b/crates/wal/tests/golden_directories.rs
@@ -63,9 +63,9 @@
     let storage = FolderStorage::new(&folder).expect("a folder");
     let OpenedWriter { mut writer, recovery, next_position: next } =
         Writer::open(storage, &options()).expect("an intact directory");
-    let Recovery { disk_identity, fresh, records } = recovery;
+    let Recovery { disk_identity, is_first_use, records } = recovery;
     assert_eq!(disk_identity, expected.identity);
-    assert!(!fresh);
+    assert!(!is_first_use);
     assert_eq!(records, (expected.first..=expected.last).map(record).collect::<Vec<_>>());
     assert_eq!(next, expected.last + 1);
     assert_eq!(writer.durable_through(), expected.last);
--- a/crates/wal/tests/golden_writing.rs
+++ b/crates/wal/tests/golden_writing.rs
@@ -127,7 +127,7 @@
 
 fn add_recovery(trace: &mut Trace, recovery: &Recovery, next: u64) {
     trace.add_number(recovery.disk_identity);
-    trace.add_number(u64::from(recovery.fresh));
+    trace.add_number(u64::from(recovery.is_first_use));
     trace.add_number(next);
     for record in &recovery.records {
         trace.add_number(record.position);
--- a/crates/wal/tests/random.rs
+++ b/crates/wal/tests/random.rs
@@ -151,7 +151,9 @@
         (self.durable_through, self.known_durable) = (0, 0);
         let OpenedWriter { writer, recovery, next_position } =
             Writer::open(self.disk.clone(), &self.options).unwrap();
-        assert!(recovery.fresh && recovery.records.is_empty() && recovery.disk_identity != self.identity);
+        assert!(
+            recovery.is_first_use && recovery.records.is_empty() && recovery.disk_identity != self.identity
+        );
         assert_eq!(next_position, 1);
         self.identity = recovery.disk_identity;
         self.writer = Some(writer);
@@ -168,7 +170,7 @@
             }
             opened => opened.unwrap(),
         };
-        assert!(!recovery.fresh);
+        assert!(!recovery.is_first_use);
         assert_eq!(recovery.disk_identity, self.identity);
         assert!(next_position > self.durable_through);
         let first = recovery.records.first().map_or(next_position, |record| record.position);
--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -59,15 +59,15 @@
     let disk = Disk::new(3);
     let options = small_options(4, 1000);
     let OpenedWriter { recovery: first, next_position: next, .. } = open(&disk, &options);
-    assert!(first.fresh && first.disk_identity != 0 && first.records.is_empty());
+    assert!(first.is_first_use && first.disk_identity != 0 && first.records.is_empty());
     assert_eq!(next, 1);
     disk.lose_all_unsynced();
     let second = open(&disk, &options).recovery;
-    assert!(!second.fresh);
+    assert!(!second.is_first_use);
     assert_eq!(second.disk_identity, first.disk_identity);
     disk.wipe();
     let OpenedWriter { recovery: third, next_position: next, .. } = open(&disk, &options);
-    assert!(third.fresh);
+    assert!(third.is_first_use);
     assert_ne!(third.disk_identity, first.disk_identity);
     assert_eq!(next, 1);
 }
@@ -82,7 +82,7 @@
         let second = open(&disk, &small_options(3, 1000)).recovery;
         match first {
             Ok(first) => {
-                assert_eq!((second.disk_identity, second.fresh), (first.disk_identity, false))
+                assert_eq!((second.disk_identity, second.is_first_use), (first.disk_identity, false))
             }
             Err(OpenError::Disk { .. }) => {}
             Err(error) => panic!("{error}"),
@@ -98,10 +98,10 @@
     disk.replace("identity", identity);
     orchidvalve_wal::Storage::remove(&mut disk.clone(), "identity").unwrap();
     let OpenedWriter { recovery, next_position: next, .. } = open(&disk, &options);
-    assert!(recovery.fresh && recovery.records.is_empty());
+    assert!(recovery.is_first_use && recovery.records.is_empty());
     assert_eq!(next, 1);
     let recovery = open(&disk, &options).recovery;
-    assert!(!recovery.fresh && recovery.records.is_empty());
+    assert!(!recovery.is_first_use && recovery.records.is_empty());
 }
 
 #[test]
--- a/crates/wal/tests/ring.rs
+++ b/crates/wal/tests/ring.rs
@@ -28,7 +28,7 @@
     let disk = Disk::new(1);
     let (on_progress, receiver) = progress();
     let (ring, recovery) = Ring::open_with(disk.clone(), small_options(4, 2000), on_progress).unwrap();
-    assert!(recovery.fresh);
+    assert!(recovery.is_first_use);
     assert_eq!(ring.durable_through(), 0);
     for position in 1..=20 {
         assert_eq!(ring.next_position(), position);
@@ -239,7 +239,7 @@
     wait_durable(&ring, &receiver, 100);
     drop(ring);
     let (ring, second) = Ring::open(&folder, options, progress().0).unwrap();
-    assert!(first.fresh && !second.fresh);
+    assert!(first.is_first_use && !second.is_first_use);
     assert_eq!(first.disk_identity, second.disk_identity);
     assert_eq!(second.records.len(), 100);
     assert!(second.records.iter().all(|record| record.payload == vec![record.position as u8; 1000]));
