--- a/crates/consensus/src/agreement.rs
+++ b/crates/consensus/src/agreement.rs
@@ -256,9 +256,9 @@
     }
 
     /// Returns the next view according to the membership policy and the current state of the members.
-    pub(crate) fn wanted_view(&self) -> Option<View> {
+    pub(crate) fn next_view(&self) -> Option<View> {
         match &self.state.view {
-            None => self.seeds.wanted_view(self.clock.now(), self.timing.voter_limit),
+            None => self.seeds.first_view(self.clock.now(), self.timing.voter_limit),
             Some(view) => {
                 let policy = MembershipPolicy {
                     view,
@@ -267,7 +267,7 @@
                     timing: &self.timing,
                     health: |member| self.health_for_chain(view, member),
                 };
-                policy.wanted_view()
+                policy.next_view()
             }
         }
     }
--- a/crates/consensus/src/instance.rs
+++ b/crates/consensus/src/instance.rs
@@ -14,7 +14,7 @@
     /// The highest round seen in the instance.
     pub highest_round: u32,
     /// Time at which a next view became desired.
-    pub wanted_since: Option<Milliseconds>,
+    pub desired_since: Option<Milliseconds>,
     /// Time of the latest step by this process or another proposer.
     pub progress_at: Option<Milliseconds>,
     /// Time at which a proposal is due, as computed by the last tick.
@@ -25,12 +25,12 @@
     /// Abandons the proposal. Its ballot is never used again.
     pub fn abandon(&mut self) {
         self.proposal = None;
-        self.wanted_since = None;
+        self.desired_since = None;
         self.next_attempt_at = None;
     }
 
     /// Records the higher ballot that a voter had promised; the next attempt exceeds it.
-    pub fn refused(&mut self, ballot: Ballot, promised: Ballot) {
+    pub fn ballot_rejected(&mut self, ballot: Ballot, promised: Ballot) {
         if self.proposal.as_ref().is_some_and(|proposal| proposal.ballot() == ballot) {
             self.highest_round = self.highest_round.max(promised.round);
         }
--- a/crates/consensus/src/leave.rs
+++ b/crates/consensus/src/leave.rs
@@ -60,9 +60,9 @@
         if self.others(view).all(|member| self.health(member).is_leaving()) {
             return true;
         }
-        let may_go = !view.is_voter(self.me)
+        let can_leave = !view.is_voter(self.me)
             || (!self.has_successor(view) && self.is_majority_without_me(view, leaving_since));
-        self.is_effective() && !view.in_chain(self.me) && may_go
+        self.is_effective() && !view.in_chain(self.me) && can_leave
     }
 
     pub(crate) fn status(&self) -> MemberStatus {
--- a/crates/consensus/src/membership_policy.rs
+++ b/crates/consensus/src/membership_policy.rs
@@ -30,7 +30,7 @@
     /// requires that a majority of the voters before and after it can vote. Only members of the chain remove lost
     /// members from it: a process outside may be the only one that is partitioned from them, and its removal would
     /// take away copies without need.
-    pub fn wanted_view(&self) -> Option<View> {
+    pub fn next_view(&self) -> Option<View> {
         if !self.has_majority(&self.view.voters) {
             return None;
         }
--- a/crates/consensus/src/messaging.rs
+++ b/crates/consensus/src/messaging.rs
@@ -29,7 +29,7 @@
             Message::Accepted { epoch, ballot } => self.accepted_received(from, epoch, ballot, outputs),
             Message::Nack { epoch, ballot, promised } => {
                 if epoch == self.epoch() + 1 {
-                    self.instance.refused(ballot, promised);
+                    self.instance.ballot_rejected(ballot, promised);
                 }
             }
             Message::Decided { view } => self.adopt(view, outputs),
--- a/crates/consensus/src/paxos.rs
+++ b/crates/consensus/src/paxos.rs
@@ -21,13 +21,13 @@
         if !self.may_vote() || self.condition.impaired {
             return;
         }
-        let Some(view) = self.wanted_view().or_else(|| self.accepted_view()) else {
+        let Some(view) = self.next_view().or_else(|| self.accepted_view()) else {
             self.instance.abandon();
             return;
         };
         let rank = self.rank();
-        let wanted_since = *self.instance.wanted_since.get_or_insert(self.clock.now());
-        let turn_at = wanted_since + rank * PROPOSER_STAGGER;
+        let desired_since = *self.instance.desired_since.get_or_insert(self.clock.now());
+        let turn_at = desired_since + rank * PROPOSER_STAGGER;
         let retry_at = self.instance.progress_at.map_or(0, |at| at + RETRY_TIMEOUT + rank * RETRY_STAGGER);
         let due_at = turn_at.max(retry_at);
         if self.clock.now() >= due_at {
@@ -178,9 +178,9 @@
         let Some(view) = acceptances.accepted(from).cloned() else {
             return;
         };
-        let informed = self.others_involved(&view);
+        let members_to_notify = self.others_involved(&view);
         self.adopt(view, outputs);
-        for member in informed {
+        for member in members_to_notify {
             self.send_decided(member, outputs);
         }
     }
--- a/crates/consensus/src/seeds.rs
+++ b/crates/consensus/src/seeds.rs
@@ -85,7 +85,7 @@
 
     /// Returns the first view once all seeds are known, or once a majority of them is known and [`SEED_WAIT`] has
     /// passed. Seeds beyond `voter_limit` are left out and become learners.
-    pub fn wanted_view(&self, now: Milliseconds, voter_limit: usize) -> Option<View> {
+    pub fn first_view(&self, now: Milliseconds, voter_limit: usize) -> Option<View> {
         let mut voters: Vec<MemberId> = self.bootstrapping().collect();
         let waited = self.started_at.is_some_and(|started_at| now >= started_at + SEED_WAIT);
         let expected = self.voting_seeds().len();
--- a/crates/consensus/tests/reconfiguration_model/mod.rs
+++ b/crates/consensus/tests/reconfiguration_model/mod.rs
@@ -321,14 +321,14 @@
         if node.me == member(2, 1) {
             learners.reverse();
         }
-        let situation = MembershipPolicy {
+        let policy = MembershipPolicy {
             view: &node.stored,
             me: node.me,
             learners: &learners,
             timing: &self.scenario.timing(),
             health: |member| self.health(state, node, member),
         };
-        situation.wanted_view()
+        policy.next_view()
     }
 
     fn health(&self, state: &State, node: &Node, member: MemberId) -> Health {
--- a/crates/control-client/src/candidates.rs
+++ b/crates/control-client/src/candidates.rs
@@ -27,9 +27,9 @@
     hints: Vec<NodeAddress>,
     attempted_at: BTreeMap<NodeAddress, u64>,
     /// Time at which the last session ended.
-    search_began: u64,
+    search_started_at: u64,
     /// Consecutive attempts at nodes of the last session's list.
-    listed_in_a_row: u32,
+    consecutive_listed: u32,
     /// Random: determines where each list is started, so that processes spread over the nodes.
     spread: usize,
 }
@@ -41,8 +41,8 @@
             listed: Vec::new(),
             hints: Vec::new(),
             attempted_at: BTreeMap::new(),
-            search_began: 0,
-            listed_in_a_row: 0,
+            search_started_at: 0,
+            consecutive_listed: 0,
             spread: spread as usize,
         }
     }
@@ -80,24 +80,25 @@
 
     /// Records that the session with `address` has ended; the search for another one starts with other nodes.
     pub fn session_ended(&mut self, address: NodeAddress, now: u64) {
-        self.search_began = now;
+        self.search_started_at = now;
         self.attempted_at.insert(address, now);
     }
 
     /// Returns the control node to contact now, or `None` while all were contacted too recently.
     pub fn next(&mut self, now: u64) -> Option<NodeAddress> {
-        let listed = self.longest_ago(&self.listed, now);
+        let listed = self.least_recently_attempted(&self.listed, now);
         let others: Vec<NodeAddress> = self.others().collect();
-        let other = self.longest_ago(&others, now);
-        let is_new =
-            |address: &NodeAddress| self.attempted_at.get(address).is_none_or(|at| *at < self.search_began);
+        let other = self.least_recently_attempted(&others, now);
+        let is_new = |address: &NodeAddress| {
+            self.attempted_at.get(address).is_none_or(|at| *at < self.search_started_at)
+        };
         let chosen = match (listed, other) {
             (Some(listed), _) if is_new(&listed) => listed,
-            (Some(_), Some(other)) if self.listed_in_a_row >= LISTED_PER_OTHER => other,
+            (Some(_), Some(other)) if self.consecutive_listed >= LISTED_PER_OTHER => other,
             (Some(address), _) | (None, Some(address)) => address,
             (None, None) => return None,
         };
-        self.listed_in_a_row = if Some(chosen) == listed { self.listed_in_a_row + 1 } else { 0 };
+        self.consecutive_listed = if Some(chosen) == listed { self.consecutive_listed + 1 } else { 0 };
         self.attempted_at.insert(chosen, now);
         Some(chosen)
     }
@@ -113,7 +114,7 @@
     }
 
     /// Returns the node that was never contacted, or longest ago, among those in `list` that may be contacted.
-    fn longest_ago(&self, list: &[NodeAddress], now: u64) -> Option<NodeAddress> {
+    fn least_recently_attempted(&self, list: &[NodeAddress], now: u64) -> Option<NodeAddress> {
         let start = self.spread % list.len().max(1);
         let rotated = list[start..].iter().chain(&list[..start]);
         let due = rotated
--- a/crates/control-client/src/load_reports.rs
+++ b/crates/control-client/src/load_reports.rs
@@ -79,10 +79,11 @@
 fn differ(before: &[ServiceLoad], after: &[ServiceLoad]) -> bool {
     let has_same_services =
         before.iter().map(|load| &load.service).eq(after.iter().map(|load| &load.service));
-    let differ_much =
+    let differ_significantly =
         |before: u32, after: u32| before.abs_diff(after) >= REPORTED_STEP || (before == 0) != (after == 0);
     !has_same_services
         || before.iter().zip(after).any(|(before, after)| {
-            differ_much(before.running, after.running) || differ_much(before.waiting, after.waiting)
+            differ_significantly(before.running, after.running)
+                || differ_significantly(before.waiting, after.waiting)
         })
 }
--- a/crates/control-client/src/session.rs
+++ b/crates/control-client/src/session.rs
@@ -301,8 +301,8 @@
 
     /// Turns the attempt into the session and drops the other attempts.
     fn welcomed(&mut self, network: &mut Network, connection: ConnectionId, now: u64) {
-        let is_meant = |attempt: &Attempt| attempt.connection == connection;
-        let Some(index) = self.attempts.iter().position(is_meant) else { return };
+        let is_same = |attempt: &Attempt| attempt.connection == connection;
+        let Some(index) = self.attempts.iter().position(is_same) else { return };
         let Attempt { address, .. } = self.attempts.remove(index);
         let next_heartbeat_at = now + HEARTBEAT_MS;
         self.sessions_opened += 1;
--- a/crates/wal/src/assembler.rs
+++ b/crates/wal/src/assembler.rs
@@ -16,7 +16,7 @@
     /// Left over from an earlier use of the file: the valid fragments end before it.
     Stale,
     /// Records that are still needed are missing before it.
-    Hole,
+    Gap,
 }
 
 /// The records assembled so far.
@@ -55,11 +55,11 @@
         if self.expected.position == 0 {
             self.restart_at(cursor);
         } else if cursor < self.expected && after_marker {
-            self.go_back_to(cursor);
+            self.rewind_to(cursor);
         } else if cursor > self.expected && after_marker {
             let first_needed = cursor.position + u64::from(cursor.offset > 0);
             if first_needed > self.released_before {
-                return FragmentStatus::Hole;
+                return FragmentStatus::Gap;
             }
             self.restart_at(cursor);
         } else if cursor != self.expected {
@@ -77,7 +77,7 @@
     }
 
     /// Drops everything from `cursor` on, because it was written again.
-    fn go_back_to(&mut self, cursor: Cursor) {
+    fn rewind_to(&mut self, cursor: Cursor) {
         if cursor.position < self.expected.position {
             self.partial.clear();
             self.start_is_missing = cursor.offset > 0;
--- a/crates/wal/src/backlog.rs
+++ b/crates/wal/src/backlog.rs
@@ -26,7 +26,7 @@
     }
 
     /// Removes the batches whose records are all durable. `next_position` is the position after the latest record.
-    pub(crate) fn forget_durable(&mut self, durable_through: Position, next_position: Position) {
+    pub(crate) fn remove_durable(&mut self, durable_through: Position, next_position: Position) {
         while !self.batches.is_empty() {
             let end = self.batches.get(1).map_or(next_position, |batch| batch.first_position);
             if end > durable_through + 1 {
--- a/crates/wal/src/recovery.rs
+++ b/crates/wal/src/recovery.rs
@@ -160,7 +160,7 @@
         match assembler.accept(&header, payload, after_marker) {
             FragmentStatus::Accepted => segment.last_position = segment.last_position.max(header.position),
             FragmentStatus::Stale => break,
-            FragmentStatus::Hole => {
+            FragmentStatus::Gap => {
                 let position = assembler.next_position();
                 return Err(OpenError::Damaged { file: file_name(segment.index), position });
             }
--- a/crates/wal/src/ring.rs
+++ b/crates/wal/src/ring.rs
@@ -270,7 +270,7 @@
         queue.disk_error = disk_error;
         queue.used_bytes = self.writer.used_bytes();
         let next_position = queue.next_position;
-        queue.backlog.forget_durable(self.writer.durable_through(), next_position);
+        queue.backlog.remove_durable(self.writer.durable_through(), next_position);
     }
 
     /// Prepares the next file after the sync, when no record is waiting for it.
