--- a/crates/data-plane/src/admission.rs
+++ b/crates/data-plane/src/admission.rs
@@ -12,7 +12,7 @@
 
 /// The configuration may be outdated after this long without a message from the control plane, in milliseconds. More
 /// than two of its heartbeats.
-const FEED_SILENCE_MS: u64 = 600;
+const FEED_TIMEOUT_MS: u64 = 600;
 
 /// Whether the configuration of this gateway is up to date.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -28,7 +28,7 @@
     /// session, or `None` without a session. Both are in milliseconds of the steady clock.
     pub fn of_feed(last_message_at: Option<u64>, now: u64) -> ConfigurationAge {
         match last_message_at {
-            Some(at) if now <= at.saturating_add(FEED_SILENCE_MS) => ConfigurationAge::Current,
+            Some(at) if now <= at.saturating_add(FEED_TIMEOUT_MS) => ConfigurationAge::Current,
             _ => ConfigurationAge::MayBeOutdated,
         }
     }
--- a/crates/data-plane/src/gateway/shutdown.rs
+++ b/crates/data-plane/src/gateway/shutdown.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: after SIGTERM a gateway accepts no new work and responds to all requests that it has accepted.
+//! Graceful shutdown: after SIGTERM a gateway is assigned no new groups, and responds to all requests that it has
+//! accepted.
 
 use orchidvalve_protocol::messages::StoreHealth;
 
--- a/crates/data-plane/tests/golden_generations.rs
+++ b/crates/data-plane/tests/golden_generations.rs
@@ -64,7 +64,7 @@
                     scenario.gateway.with_runner(|runner, _| runner.set_server(&info));
                 }
                 (7, 2) => {
-                    scenario.gateway.with_runner(|runner, _| runner.remove_server(ServerKey(number % 14)))
+                    scenario.gateway.with_runner(|runner, _| runner.remove_server(ServerKey(number % 14)));
                 }
                 (7, 3) => {
                     let info = ServerInfo { draining: true, ..server(number % 14, 7) };
