--- a/crates/wal/tests/recovery.rs
+++ b/crates/wal/tests/recovery.rs
@@ -82,7 +82,7 @@
         let second = open(&disk, &small_options(3, 1000)).recovery;
         match first {
             Ok(first) => {
-                assert_eq!((second.disk_identity, second.is_first_use), (first.disk_identity, false))
+                assert_eq!((second.disk_identity, second.is_first_use), (first.disk_identity, false));
             }
             Err(OpenError::Disk { .. }) => {}
             Err(error) => panic!("{error}"),
