--- a/crates/maintenance/src/datagrams.rs
+++ b/crates/maintenance/src/datagrams.rs
@@ -1,25 +1,25 @@
-//! Messages of front nodes cut into datagrams, and put together again.
+//! Fragmentation of messages into datagrams, and reassembly.
 
 use std::collections::VecDeque;
 
 use crate::node::NodeMessage;
 
-/// At the start of each datagram; the last byte is the format's version.
+/// First bytes of each datagram. The last one is the format version.
 const MAGIC: [u8; 3] = [b'O', b'M', 1];
-/// Bytes of a message in one datagram: with the header under the usual MTU.
+/// Message bytes per datagram. With the header, a datagram is below the usual MTU.
 const FRAGMENT_BYTES: usize = 1200;
 const HEADER_BYTES: usize = 3 + 8 + 4 + 2;
-/// Fragments of a message at most, as the header counts them in a byte.
+/// The largest number of fragments of a message, as the header counts them in a byte.
 const MAX_FRAGMENTS: usize = 255;
-/// Messages that may be incomplete at once, of all senders.
+/// The largest number of incomplete messages, over all senders.
 const MAX_INCOMPLETE: usize = 64;
 
-/// Cuts a message into datagrams. `number` tells this sender's messages apart.
+/// Splits a message into datagrams. `number` distinguishes the messages of a sender.
 pub fn split(from: u64, number: u32, message: &NodeMessage) -> Vec<Vec<u8>> {
     let bytes = postcard::to_stdvec(message).unwrap_or_default();
     let fragments = bytes.chunks(FRAGMENT_BYTES).count();
     if fragments == 0 || fragments > MAX_FRAGMENTS {
-        // No message is so long; a queue of four thousand machines is 240 fragments.
+        // No message is this long: a queue of 4,000 machines has 240 fragments.
         return Vec::new();
     }
     let datagram = |(index, fragment): (usize, &[u8])| {
@@ -34,16 +34,16 @@
     bytes.chunks(FRAGMENT_BYTES).enumerate().map(datagram).collect()
 }
 
-/// A fragment of a message as a datagram carries it.
+/// A fragment of a message, as carried by a datagram.
 struct Fragment<'a> {
     message: MessageId,
     index: usize,
-    /// Fragments of the message.
+    /// The number of fragments of the message.
     count: usize,
     bytes: &'a [u8],
 }
 
-/// A message of a sender.
+/// Identifies a message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct MessageId {
     from: u64,
@@ -57,39 +57,39 @@
         let (number, rest) = rest.split_first_chunk::<4>()?;
         let (&[index, count], bytes) = rest.split_first_chunk::<2>()?;
         let message = MessageId { from: u64::from_le_bytes(*from), number: u32::from_le_bytes(*number) };
-        let is_sound = index < count && bytes.len() <= FRAGMENT_BYTES;
-        is_sound.then_some(Fragment { message, index: usize::from(index), count: usize::from(count), bytes })
+        let is_valid = index < count && bytes.len() <= FRAGMENT_BYTES;
+        is_valid.then_some(Fragment { message, index: usize::from(index), count: usize::from(count), bytes })
     }
 }
 
-/// A message whose fragments are coming in; `None` for one that has not come.
+/// A message whose fragments are being received; `None` for a missing fragment.
 struct Incomplete {
     message: MessageId,
     fragments: Vec<Option<Vec<u8>>>,
 }
 
-/// A message that came whole.
+/// A complete message.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedMessage {
-    /// The number of the node that sent it.
+    /// Number of the node that sent it.
     pub from: u64,
     /// The message.
     pub message: NodeMessage,
 }
 
-/// Puts messages together from their datagrams.
+/// Reassembles messages from their datagrams.
 #[derive(Default)]
 pub struct Reassembler {
-    /// Oldest first.
+    /// Incomplete messages, oldest first.
     incomplete: VecDeque<Incomplete>,
-    /// Datagrams and messages that could not be read.
+    /// Datagrams and messages that could not be decoded.
     pub undecodable: u64,
-    /// Messages given up incomplete.
+    /// Incomplete messages that were dropped.
     pub abandoned: u64,
 }
 
 impl Reassembler {
-    /// Takes a datagram; the message that it completes.
+    /// Adds a datagram. Returns the message that it completes, if any.
     pub fn take(&mut self, datagram: &[u8]) -> Option<ReceivedMessage> {
         let Some(fragment) = Fragment::decode(datagram) else {
             self.undecodable += 1;
@@ -112,7 +112,7 @@
         }
     }
 
-    /// Where the message of a fragment is; begins it if it is new.
+    /// Returns the position of a fragment's message, which is added if it is new.
     fn position_of(&mut self, fragment: &Fragment<'_>) -> usize {
         let is_same =
             |known: &Incomplete| known.message == fragment.message && known.fragments.len() == fragment.count;
--- a/crates/maintenance/src/disruption_budget.rs
+++ b/crates/maintenance/src/disruption_budget.rs
@@ -1,62 +1,62 @@
-//! When a machine may go out: a disruption budget (as of Kubernetes) over what the leader last saw of all machines and
-//! over those already taken. It is part of the replicated state, so that every node that applies the same log admits
-//! the same machines at the same entry, whatever its own file says.
+//! A disruption budget (as of Kubernetes) for taking machines out of service. It is evaluated on the leader's last
+//! observation of all machines and on those already taken out. It is part of the replicated state, so that every node that
+//! applies the same log admits the same machines at the same entry, whatever its own settings are.
 
 use std::collections::BTreeMap;
 
 use serde::{Deserialize, Serialize};
 
-/// What a machine is good for, as the leader saw it.
+/// Health of a machine, as observed by the leader.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Health {
-    /// It does its work.
+    /// It has its full capacity.
     Healthy,
-    /// It started lately and bears a share of its work only.
+    /// It started recently and has only a fraction of its capacity.
     WarmingUp,
     /// It fails a service class, or is ejected.
     Failing,
-    /// Discovery says that it takes nothing new.
+    /// Discovery reports that it accepts no new requests.
     Draining,
 }
 
-/// A machine as the leader saw it.
+/// A machine as observed by the leader.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ObservedMachine {
-    /// Where it stands on the ring of cells.
+    /// Its cell on the ring.
     pub cell: u32,
     /// Its zone.
     pub zone: String,
-    /// What it is good for.
+    /// Its health.
     pub health: Health,
-    /// When it last started, Unix milliseconds; 0 for long ago.
+    /// Its last start, in Unix milliseconds; 0 if long ago.
     pub started_ms: i64,
 }
 
-/// Where a machine stood when it was taken: it holds its shards and belongs to its zone until it is back, whether
-/// discovery names it meanwhile or not. Counted only while named, as at first, one that is worked on made room for the
-/// next.
+/// Location of a machine when it was taken out of service. Until it is back, it counts as a replica of its shards and as
+/// part of its zone, whether or not discovery lists it. Were it counted only while it is listed, a machine that is being
+/// worked on would make room for the next one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Location {
-    /// Cell of the ring.
+    /// Its cell on the ring.
     pub cell: u32,
-    /// Zone.
+    /// Its zone.
     pub zone: String,
 }
 
-/// Limits on what is out at once.
+/// Limits on the machines that are out of service at the same time.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct DisruptionBudget {
-    /// Cells of the ring.
+    /// The number of cells on the ring.
     pub cells: u32,
-    /// A shard is held by the machines of its cell and of the `reach - 1` cells after it.
+    /// A shard is held by the machines of its cell and of the next `reach - 1` cells.
     pub reach: u32,
-    /// Share of a shard's holders that may be out of use or unhealthy at once, one at least.
+    /// Fraction of a shard's replicas that may be unavailable or unhealthy at the same time, but at least one.
     pub share: f64,
-    /// Healthy holders that each shard keeps.
+    /// The number of healthy replicas that each shard must keep.
     pub least_sound: u32,
-    /// Share of a zone's machines that may be out of use at once, one at least.
+    /// Fraction of a zone's machines that may be unavailable at the same time, but at least one.
     pub zone_share: f64,
-    /// Machines out of use at once in all.
+    /// The largest number of unavailable machines in total.
     pub most: u32,
 }
 
@@ -66,47 +66,47 @@
     }
 }
 
-/// Why a machine may not go out now.
+/// Why a machine cannot be taken out of service now.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum BlockedBy {
-    /// Discovery does not name it.
+    /// Discovery does not list it.
     Unknown,
-    /// Of that shard's holders so many may be missing at once, and these are or would be.
+    /// Too many replicas of a shard are or would be missing.
     Shard {
         /// The shard.
         shard: u32,
-        /// Ids of the machines.
+        /// Ids of the missing machines, including the requested one.
         missing: Vec<String>,
-        /// How many may be missing.
+        /// The number that may be missing.
         most: u32,
     },
-    /// That shard would keep fewer healthy holders than it must.
+    /// A shard would keep fewer healthy replicas than required.
     TooFewHealthy {
         /// The shard.
         shard: u32,
-        /// Healthy holders that would be left.
+        /// The number of healthy replicas that would remain.
         left: u32,
     },
-    /// As many of that zone are out of use as may be.
+    /// The largest number of machines of a zone is unavailable.
     Zone {
         /// The zone.
         zone: String,
-        /// Machines out of use.
+        /// The number of unavailable machines in the zone.
         unavailable: u32,
-        /// How many may be.
+        /// The number that may be unavailable.
         most: u32,
     },
-    /// As many are out of use as may be in all.
+    /// The largest number of machines in total is unavailable.
     Most {
-        /// Machines out of use.
+        /// The number of unavailable machines.
         unavailable: u32,
     },
-    /// One that asked before it waits for a holder of the same shard, and would wait for good behind those after it.
+    /// An earlier request for a machine with a common shard is waiting. Later requests could delay it indefinitely.
     Earlier {
-        /// Its id.
+        /// Id of the other machine.
         machine: String,
     },
-    /// Nothing was seen of the machines for too long to judge by.
+    /// The last observation of the machines is too old.
     Stale,
 }
 
@@ -131,7 +131,7 @@
 }
 
 impl DisruptionBudget {
-    /// Shards that a machine of that cell holds.
+    /// Returns the shards that a machine of this cell holds.
     pub fn shards(&self, cell: u32) -> impl Iterator<Item = u32> + use<> {
         let (cells, reach) = (self.cells.max(1), self.reach.clamp(1, self.cells.max(1)));
         (0..reach).map(move |back| (cell % cells + cells - back) % cells)
@@ -142,7 +142,7 @@
         (cell % cells + cells - shard) % cells < reach
     }
 
-    /// What keeps a machine from being taken out of use, beside those that are; `None` where it may be.
+    /// Returns why a machine cannot be taken out of service, given the ones that are unavailable, or `None` if it can.
     pub fn blocked_by(
         &self,
         machine: &str,
@@ -181,7 +181,7 @@
         (others + 1 > self.most).then_some(BlockedBy::Most { unavailable: others })
     }
 
-    /// Whether two machines hold a shard in common.
+    /// Whether two machines have a shard in common.
     pub fn share_shard(&self, a: &ObservedMachine, b: &ObservedMachine) -> bool {
         self.shards(a.cell).any(|shard| self.shards(b.cell).any(|other| other == shard))
     }
--- a/crates/maintenance/src/lib.rs
+++ b/crates/maintenance/src/lib.rs
@@ -1,10 +1,10 @@
-//! Machines taken out for work, in an order that front nodes agree on: never more of a shard's holders than a stated
-//! share at once, never one whose shard would be left to one that warms up or fails, and every node knows the queue.
-//! Free of I/O and of clocks.
+//! Planned maintenance of index servers, coordinated by the front nodes. A replicated queue ensures that at most a
+//! configured fraction of each shard's replicas is out of service at a time, and that no shard is left to replicas that
+//! are warming up or failing. Every front node knows the queue. The crate does no I/O and reads no clock.
 //!
-//! [`queue`] is the state that a replicated log builds, with the [`disruption_budget`] that admits by it;
-//! [`raft_group`] is the log itself, by the crate `raft`, among a few front nodes; [`node`] carries its messages and
-//! the queue to all others, in [`datagrams`].
+//! [`queue`] is the state machine that the replicated log builds, and [`disruption_budget`] decides which machines it
+//! admits. [`raft_group`] is the log, replicated among a few front nodes by the crate `raft`. [`node`] transfers the log's
+//! messages, and the queue to all other front nodes, in the form of [`datagrams`].
 
 pub mod datagrams;
 pub mod disruption_budget;
@@ -15,5 +15,5 @@
 mod log_records;
 mod log_storage;
 
-/// A moment or a length of time, in whole nanoseconds; Unix time where it is a leader's.
+/// A point in time or a duration, in whole nanoseconds. Points in time of the leader are Unix time.
 pub type Nanos = i64;
--- a/crates/maintenance/src/log_records.rs
+++ b/crates/maintenance/src/log_records.rs
@@ -1,23 +1,23 @@
-//! The log on disk: what is to be saved, and what an earlier run has left.
+//! The durable form of the log: updates to be saved, and the state recovered from an earlier run.
 
 use std::collections::BTreeMap;
 
-/// What must be durable, as one: all of it or none.
+/// An update that must become durable atomically.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct LogUpdate {
-    /// Term, vote and commit (Raft's hard state), encoded; `None` where it stays.
+    /// Raft's hard state (term, vote and commit index), encoded; `None` if unchanged.
     pub hard: Option<Vec<u8>>,
-    /// The snapshot, encoded; `None` where it stays.
+    /// The snapshot, encoded; `None` if unchanged.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries by their index, encoded.
+    /// Encoded entries with their indices.
     pub entries: Vec<(u64, Vec<u8>)>,
-    /// Indices of entries that are no more.
+    /// Indices of deleted entries.
     pub removed: Vec<u64>,
 }
 
 impl LogUpdate {
-    /// Keys and their values, `None` for one that is no more, in the order in which they are to be written. Hosts with
-    /// a store of keys keep them as they are; [`RecoveredLog::insert_record`] takes them back.
+    /// Returns keys with their values (`None` to delete the key), in the order in which they must be written. Hosts with a
+    /// key-value store can save them as they are; [`RecoveredLog::insert_record`] reads them back.
     pub fn records(&self) -> impl Iterator<Item = (Vec<u8>, Option<&[u8]>)> {
         let state = [(HARD, &self.hard), (SNAPSHOT, &self.snapshot)].into_iter();
         let state = state.filter_map(|(key, value)| value.as_deref().map(|value| (vec![key], Some(value))));
@@ -27,7 +27,7 @@
     }
 }
 
-/// First bytes of the keys.
+/// First byte of each kind of key.
 const HARD: u8 = 0;
 const SNAPSHOT: u8 = 1;
 const ENTRY: u8 = 2;
@@ -36,19 +36,19 @@
     [&[ENTRY][..], &index.to_be_bytes()].concat()
 }
 
-/// What an earlier run left, as it was saved.
+/// The log as saved by an earlier run.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredLog {
     /// Raft's hard state, encoded.
     pub hard: Option<Vec<u8>>,
     /// The snapshot, encoded.
     pub snapshot: Option<Vec<u8>>,
-    /// Entries by their index, encoded.
+    /// Encoded entries by index.
     pub entries: BTreeMap<u64, Vec<u8>>,
 }
 
 impl RecoveredLog {
-    /// A record that was kept; false for one that is none of the log's.
+    /// Adds a saved record. Returns false if the key is not one of the log's.
     pub fn insert_record(&mut self, key: &[u8], value: Vec<u8>) -> bool {
         match key {
             [HARD] => self.hard = Some(value),
@@ -62,7 +62,7 @@
         true
     }
 
-    /// Takes in what was saved, as a disk does.
+    /// Applies an update, as a disk does.
     pub fn apply(&mut self, saved: &LogUpdate) {
         if saved.hard.is_some() {
             self.hard.clone_from(&saved.hard);
--- a/crates/maintenance/src/log_storage.rs
+++ b/crates/maintenance/src/log_storage.rs
@@ -1,4 +1,4 @@
-//! The log in memory, as the crate `raft` reads it.
+//! The log in memory, as read by the crate `raft`.
 
 use std::collections::VecDeque;
 
@@ -7,28 +7,28 @@
 use raft::storage::{RaftState, Storage};
 use raft::{GetEntriesContext, StorageError};
 
-/// The log as `raft` reads it.
+/// The log in memory.
 #[derive(Default)]
 pub(crate) struct LogStorage {
     pub hard: HardState,
     pub conf: ConfState,
     pub snapshot: Snapshot,
-    /// Entries after the snapshot, without a gap.
+    /// Entries after the snapshot, without gaps.
     pub entries: VecDeque<Entry>,
 }
 
 impl LogStorage {
-    /// Index of the last entry that the snapshot holds.
+    /// Returns the index of the last entry that is included in the snapshot.
     pub fn base(&self) -> u64 {
         self.snapshot.get_metadata().index
     }
 
-    /// Index of the last entry.
+    /// Returns the index of the last entry.
     pub fn last(&self) -> u64 {
         self.base() + self.entries.len() as u64
     }
 
-    /// Puts entries in, in the place of those from the first of them on; the indices that went.
+    /// Appends entries, which replace those from the index of the first one on. Returns the indices that no longer exist.
     pub fn append(&mut self, entries: &[Entry]) -> Vec<u64> {
         let Some(first) = entries.first().map(|e| e.index) else { return Vec::new() };
         let (keep, last) = (first.saturating_sub(self.base() + 1) as usize, self.last());
--- a/crates/maintenance/src/node.rs
+++ b/crates/maintenance/src/node.rs
@@ -1,6 +1,6 @@
-//! One front node's part in maintenance: the group's messages among its members, and the queue itself to all others,
-//! who ask for it. A node that is no member follows: it asks one member after another for what is newer, and passes
-//! commands on until it sees them in the queue.
+//! A front node's part in maintenance. Members of the Raft group exchange its messages. All other front nodes follow: they
+//! query one member after the other for a newer version of the queue, and send commands to members until they see them in
+//! the queue.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -13,54 +13,54 @@
 use crate::queue::{Command, MaintenanceQueue, Timing};
 use crate::raft_group::{self, Group, LogUpdate};
 
-/// A command that no queue shows for so long is given up.
+/// A command that does not appear in the queue for this long is abandoned.
 const COMMAND_TIMEOUT: Nanos = 60_000_000_000;
 const COMMAND_RETRY_INTERVAL: Nanos = 250_000_000;
-/// Commands on their way from one node at once.
+/// The largest number of pending commands of this node.
 const MAX_COMMANDS: usize = 1024;
-/// How often a command is passed on at most: two members that each take the other for the leader must not keep one
-/// going.
+/// The largest number of times that a command is forwarded. Two members that each take the other for the leader must not
+/// forward it forever.
 const MAX_FORWARDS: u8 = 2;
 
-/// What one node sends to another.
+/// A message between front nodes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum NodeMessage {
-    /// Between members of the group.
+    /// A Raft message between members of the group.
     Raft(Vec<u8>),
-    /// A command on its way to the leader, and how often it was passed on.
+    /// A command on its way to the leader, and how often it was forwarded.
     Forward(Command, u8),
-    /// What is newer than that version? And where the answer goes, where that is not whence it came.
+    /// Queries for a queue newer than this version. The response goes to the given address, or to the sender if `None`.
     Follow(u64, Option<SocketAddrV4>),
-    /// Nothing is: the sender has this version.
+    /// The sender has no newer queue than this version.
     Fresh(u64),
-    /// The queue as the sender has it.
+    /// The sender's queue.
     Queue(Box<MaintenanceQueue>),
 }
 
-/// Where a node stands, and the pace of it all.
+/// Identity and timing of a node.
 #[derive(Clone, Debug)]
 pub struct NodeSettings {
-    /// This node's number; a member's is its place in `group`, from 1.
+    /// Number of this node. A member's number is its position in `group`, from 1.
     pub me: u64,
-    /// Members of the group by their numbers.
+    /// Addresses of the group's members by number.
     pub group: BTreeMap<u64, SocketAddrV4>,
-    /// Time between two questions of a node that follows.
+    /// Interval between queries of a following node.
     pub follow_interval: Nanos,
-    /// Where others reach this node, where that is not whence its datagrams come.
+    /// Address at which others reach this node, if it differs from the source of its datagrams.
     pub reached_at: Option<SocketAddrV4>,
-    /// The disruption budget, where this node leads.
+    /// The disruption budget that this node uses as the leader.
     pub rule: DisruptionBudget,
-    /// The timing, where this node leads.
+    /// The timing that this node uses as the leader.
     pub pace: Timing,
 }
 
-/// A datagram and where it came from.
+/// A received datagram with its source address.
 struct ReceivedDatagram {
     bytes: Vec<u8>,
     from: SocketAddrV4,
 }
 
-/// What came in since the last round.
+/// Inputs of a round.
 #[derive(Default)]
 pub struct Inbox {
     datagrams: Vec<ReceivedDatagram>,
@@ -70,68 +70,68 @@
 }
 
 impl Inbox {
-    /// A datagram and where it came from.
+    /// Adds a received datagram with its source address.
     pub fn datagram(&mut self, bytes: Vec<u8>, from: SocketAddrV4) {
         self.datagrams.push(ReceivedDatagram { bytes, from });
     }
 
-    /// An operator's, at this node.
+    /// Adds a command that an operator sent to this node.
     pub fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 
-    /// What was to be saved up to that number is durable.
+    /// Reports that all updates up to this number are durable.
     pub fn durable(&mut self, number: u64) {
         self.durable = Some(number);
     }
 
-    /// The machines as this node sees them.
+    /// Sets the machines as observed by this node.
     pub fn seen(&mut self, seen: BTreeMap<String, ObservedMachine>) {
         self.seen = Some(seen);
     }
 }
 
-/// Where the output of a round goes.
+/// Receives the outputs of a round.
 pub trait OutputSink {
-    /// Sends a datagram; it may get lost.
+    /// Sends a datagram, which may get lost.
     fn send(&mut self, to: SocketAddrV4, datagram: Vec<u8>);
-    /// To be made durable; the host says so with the number once it is.
+    /// Stores an update. The host reports the number with [`Inbox::durable`] once it is durable.
     fn save(&mut self, number: u64, saved: LogUpdate);
 }
 
-/// A command of this node that the queue does not show yet.
+/// A command of this node that is not yet in the queue.
 struct PendingCommand {
     command: Command,
-    /// When it is given up.
+    /// When it is abandoned.
     until: Nanos,
     /// When it is sent again.
     next: Nanos,
-    /// The member that it goes to next, where this node knows no leader. Each command takes its own turns: where they
-    /// were those of the questions for news too, five of these to one of it, every try went to the same one of three
-    /// members.
-    turn: usize,
+    /// Selects the member that it is sent to next if no leader is known. Each command has its own counter: when commands
+    /// shared one with the queries of a following node, five of which are sent per retry of a command, every retry went to
+    /// the same of three members.
+    next_member: usize,
 }
 
-/// One front node's part in maintenance.
+/// A front node's part in maintenance.
 pub struct Node {
     settings: NodeSettings,
     group: Option<Group>,
-    /// The queue as this node follows it, where it is no member.
+    /// The queue as received from members, if this node is not a member.
     followed: MaintenanceQueue,
     last_contact: Option<Nanos>,
     next_follow: Nanos,
-    turn: usize,
+    next_member: usize,
     pending: Vec<PendingCommand>,
     reassembler: Reassembler,
     /// Number of the last message sent.
     last_message: u32,
-    /// Commands of this node that no queue showed in time.
+    /// Commands of this node that did not appear in a queue in time.
     expired: u64,
-    /// What was last seen here, told to the group in each round.
+    /// The machines as last observed by this node. Passed to the group in each round.
     seen: BTreeMap<String, ObservedMachine>,
 }
 
-/// Sends messages as datagrams, those of the group to its members' addresses.
+/// Splits messages into datagrams, and looks up the addresses of members.
 struct MessageSender<'a> {
     me: u64,
     last_message: &'a mut u32,
@@ -160,7 +160,7 @@
     }
 }
 
-/// What the messages of a round bring for the group and its leader.
+/// Received messages for the group and its leader.
 #[derive(Default)]
 struct Received {
     raft: Vec<Vec<u8>>,
@@ -170,7 +170,7 @@
 /// A command of another node on its way to the leader.
 struct ForwardedCommand {
     command: Command,
-    /// How often it was passed on.
+    /// How often it was forwarded.
     hops: u8,
 }
 
@@ -189,12 +189,12 @@
     }
 }
 
-/// The commands of this node that the queue does not show.
+/// Commands of this node that are not in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CommandCounts {
-    /// Those on their way to the leader.
+    /// Commands on their way to the leader.
     pub pending: usize,
-    /// Those that no queue showed in time, since the start.
+    /// Commands that did not appear in the queue in time, since the start.
     pub expired: u64,
 }
 
@@ -206,16 +206,16 @@
 }
 
 impl Node {
-    /// `group`: where this node is a member of it.
+    /// Returns a node. `group` is `None` if the node is not a member.
     pub fn new(settings: NodeSettings, group: Option<Group>, now: Nanos) -> Node {
-        let turn = settings.me as usize;
+        let next_member = settings.me as usize;
         Node {
             settings,
             group,
             followed: MaintenanceQueue::default(),
             last_contact: None,
             next_follow: now,
-            turn,
+            next_member,
             pending: Vec::new(),
             reassembler: Reassembler::default(),
             last_message: 0,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// One round: handles what came in, and writes what is to be sent and saved.
+    /// Runs one round: handles the inputs, and passes the datagrams and updates to the sink.
     pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn OutputSink) {
         let mut inbox = Inbox::default();
         inputs(&mut inbox);
@@ -256,8 +256,8 @@
     fn add_commands(&mut self, commands: Vec<Command>, now: Nanos) {
         for command in commands {
             if self.pending.len() < MAX_COMMANDS {
-                let (until, turn) = (now + COMMAND_TIMEOUT, self.settings.me as usize);
-                self.pending.push(PendingCommand { command, until, next: now, turn });
+                let (until, next_member) = (now + COMMAND_TIMEOUT, self.settings.me as usize);
+                self.pending.push(PendingCommand { command, until, next: now, next_member });
             } else {
                 self.expired += 1;
             }
@@ -271,7 +271,7 @@
                 continue;
             };
             match message {
-                // Only members speak in the group, each from its own address or a relay's.
+                // Raft messages are accepted from members only. The address may be that of a relay.
                 NodeMessage::Raft(bytes) if self.settings.group.contains_key(&sender) => {
                     received.raft.push(bytes);
                 }
@@ -302,8 +302,8 @@
         received
     }
 
-    /// Sends commands of this node, and those on their way through it, to the leader. Returns those that this node is
-    /// to propose as the leader.
+    /// Sends the commands of this node, and forwarded ones, to the leader. Returns those that this node must propose as the
+    /// leader.
     fn route_commands(
         &mut self,
         forwarded: Vec<ForwardedCommand>,
@@ -335,26 +335,26 @@
             } else if let Some(to) = leader {
                 outgoing.push(to, NodeMessage::Forward(command, 0));
             } else if !members.is_empty() {
-                pending.turn = pending.turn.wrapping_add(1);
-                outgoing.push(members[pending.turn % members.len()], NodeMessage::Forward(command, 0));
+                pending.next_member = pending.next_member.wrapping_add(1);
+                outgoing.push(members[pending.next_member % members.len()], NodeMessage::Forward(command, 0));
             }
         }
         proposals
     }
 
-    /// A node that is no member asks the next member for news, if that is due.
+    /// Queries the next member for a newer queue, if this node is not a member and a query is due.
     fn follow(&mut self, now: Nanos, outgoing: &mut Outgoing) {
         let members = self.other_members();
         if self.group.is_some() || now < self.next_follow || members.is_empty() {
             return;
         }
         self.next_follow = now + self.settings.follow_interval;
-        self.turn = self.turn.wrapping_add(1);
-        let question = NodeMessage::Follow(self.followed.version, self.settings.reached_at);
-        outgoing.push(members[self.turn % members.len()], question);
+        self.next_member = self.next_member.wrapping_add(1);
+        let query = NodeMessage::Follow(self.followed.version, self.settings.reached_at);
+        outgoing.push(members[self.next_member % members.len()], query);
     }
 
-    /// The leader's address, if it is another one.
+    /// Returns the leader's address, unless this node leads.
     fn leader_address(&self) -> Option<SocketAddrV4> {
         let leader = self.group.as_ref().and_then(Group::leader).filter(|id| *id != self.settings.me)?;
         self.settings.group.get(&leader).copied()
@@ -365,12 +365,12 @@
         others.map(|(_, address)| *address).collect()
     }
 
-    /// The queue as this node knows it.
+    /// Returns the queue as known to this node.
     pub fn queue(&self) -> &MaintenanceQueue {
         self.group.as_ref().map_or(&self.followed, Group::queue)
     }
 
-    /// Machines that get nothing new from here.
+    /// Returns the machines that get no new requests.
     pub fn closed(&self) -> BTreeSet<&str> {
         self.queue().closed().collect()
     }
@@ -380,22 +380,22 @@
         self.group.as_ref().is_some_and(Group::leads)
     }
 
-    /// The term of the group's log; 0 at a follower.
+    /// Returns the term of the group's log, or 0 at a node that is not a member.
     pub fn term(&self) -> u64 {
         self.group.as_ref().map_or(0, |group| group.progress().term)
     }
 
-    /// When this node last heard of the group; `None` before it did.
+    /// Returns when this node last had contact with the group, or `None` before the first time.
     pub fn last_contact(&self) -> Option<Nanos> {
         self.last_contact
     }
 
-    /// The commands of this node that the queue does not show.
+    /// Returns the number of commands of this node that are not in the queue.
     pub fn commands(&self) -> CommandCounts {
         CommandCounts { pending: self.pending.len(), expired: self.expired }
     }
 
-    /// When the next round is due at the latest.
+    /// Returns the latest time of the next round.
     pub fn next_due(&self) -> Nanos {
         let group = self.group.as_ref().map(Group::next_due);
         let follow = if self.group.is_none() { self.next_follow } else { Nanos::MAX };
--- a/crates/maintenance/src/queue.rs
+++ b/crates/maintenance/src/queue.rs
@@ -1,11 +1,11 @@
-//! The maintenance queue: which machine was requested to go out, which may, which is, as every node computes it from
-//! the same log (a replicated state machine, Schneider 1990). No clock is read: each command carries the leader's time,
+//! The maintenance queue: which machines were requested, are draining, or are out of service. Every node computes it from
+//! the same log (a replicated state machine, Schneider 1990). It reads no clock: each command carries the leader's time,
 //! and the queue's own time never goes back.
 //!
-//! A machine passes through: requested, draining (admitted: the front nodes send it nothing new), out, returning
-//! (started again, and warming up), back. One that is admitted is recalled while it drains if the disruption budget no
-//! longer allows it; once out it stays counted until it is seen healthy again, however late, as forgetting it would let
-//! the other holder of its shard go.
+//! The stages of a machine are: requested, draining (admitted: the front nodes send it no new requests), out, returning
+//! (restarted, and warming up), and back. A machine that drains is recalled if the disruption budget no longer allows it
+//! to go. Once out, it counts as unavailable until it is seen healthy again, however late: if it were forgotten, another
+//! replica of its shard could be admitted.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -14,138 +14,139 @@
 use crate::Nanos;
 use crate::disruption_budget::{BlockedBy, DisruptionBudget, Health, Location, ObservedMachine};
 
-/// Events, and nonces of commands, kept for those who ask.
+/// The number of events, and of command nonces, that are kept.
 const MAX_KEPT: usize = 512;
-/// Requests that may wait at once.
+/// The largest number of entries in the queue.
 pub const MAX_WAITING: usize = 4096;
 
 /// A change of the queue.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// A machine is to go out.
+    /// Requests that a machine be taken out of service.
     Request {
-        /// Its id.
+        /// Id of the machine.
         machine: String,
-        /// Who requests it.
+        /// Name of the requester.
         by: String,
-        /// The reason, for people.
+        /// The reason, for operators.
         why: String,
-        /// How long it is to be out.
+        /// How long the machine will be out.
         lasts: Nanos,
-        /// How long the request waits unless it is renewed.
+        /// How long the request waits for admission unless it is renewed.
         waits: Nanos,
-        /// Tells a repetition of one command from a second one.
+        /// Identifies the command, so that a repetition is recognized.
         nonce: u64,
     },
-    /// The request is taken back, or the machine is declared back by whoever took it out.
+    /// Withdraws a request, or declares a machine back in service.
     Cancel {
-        /// Its id.
+        /// Id of the machine.
         machine: String,
-        /// Who cancels.
+        /// Name of the requester.
         by: String,
-        /// Tells a repetition of one command from a second one.
+        /// Identifies the command, so that a repetition is recognized.
         nonce: u64,
     },
-    /// What the leader sees of all machines.
+    /// The leader's observation of all machines.
     Observe {
-        /// The machines by their ids.
+        /// The machines by id.
         seen: BTreeMap<String, ObservedMachine>,
-        /// The disruption budget of the leader's settings.
+        /// The disruption budget in the leader's settings.
         rule: DisruptionBudget,
-        /// The timing of the leader's settings.
+        /// The timing in the leader's settings.
         pace: Timing,
     },
 }
 
-/// How long the steps take.
+/// Durations of the stages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Timing {
-    /// From admission until a machine may go: every front node has learned of it and its parts have ended.
+    /// Time from admission until a machine may go out: long enough for every front node to learn of it and for its shard
+    /// requests to end.
     pub drain: Nanos,
-    /// An observation older than this admits nobody.
+    /// Nothing is admitted if the latest observation is older than this.
     pub look_lasts: Nanos,
 }
 
-/// A command in the log: with the time of the leader that proposed it.
+/// A command in the log, with the time of the leader that proposed it.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct LoggedCommand {
     /// The leader's time.
     pub at: Nanos,
-    /// What to apply.
+    /// The command.
     pub command: Command,
 }
 
-/// How far a machine is.
+/// Stage of a machine in the queue.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Stage {
     /// It waits for admission.
     Requested,
-    /// Admitted: the front nodes send it nothing new.
+    /// It is admitted: the front nodes send it no new requests.
     Draining,
-    /// It may be worked on.
+    /// It is out of service and may be worked on.
     Out,
-    /// It has started again, and is not healthy yet.
+    /// It has restarted, and is not healthy yet.
     Returning,
 }
 
-/// A machine in the queue.
+/// An entry of the queue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QueueEntry {
-    /// Its id.
+    /// Id of the machine.
     pub machine: String,
-    /// Who requested it.
+    /// Name of the requester.
     pub by: String,
-    /// The reason, for people.
+    /// The reason, for operators.
     pub why: String,
-    /// How far it is.
+    /// Stage of the machine.
     pub stage: Stage,
     /// When the stage began.
     pub since: Nanos,
-    /// How long it is to be out.
+    /// How long the machine will be out.
     pub lasts: Nanos,
-    /// While requested: when the request expires.
+    /// When the request expires, if it is not admitted before.
     pub expires_at: Nanos,
-    /// Its start as last seen before it went out, Unix milliseconds.
+    /// Start time of the machine before it went out, in Unix milliseconds.
     pub started_ms: i64,
-    /// Where it stood then.
+    /// Location of the machine before it went out.
     pub location: Location,
-    /// Whether it was seen absent while it was out: not listed by discovery, or as draining.
+    /// Whether the machine was seen absent while it was out, that is, draining or not listed by discovery.
     pub was_absent: bool,
-    /// Out for longer than was requested.
+    /// Whether the machine is out for longer than was requested.
     pub overdue: bool,
-    /// Of the request.
+    /// Nonce of the request.
     pub nonce: u64,
 }
 
-/// What happened, in the order of the log.
+/// What happened to a machine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Event {
-    /// It was put into the queue.
+    /// It was added to the queue.
     Requested,
-    /// It begins to drain.
+    /// It was admitted and starts to drain.
     Admitted,
-    /// Called back while it drained, as its shard needs it.
+    /// It was recalled while it drained, as its shard needs it.
     Recalled,
-    /// It may be worked on.
+    /// It is out of service and may be worked on.
     WentOut,
     /// It is out for longer than was requested.
     Overdue,
-    /// It has started again.
+    /// It has restarted.
     Returning,
     /// It is healthy again.
     Back,
-    /// Its request was not renewed, or it was admitted and never went.
+    /// Its request was not renewed, or it was admitted and never taken out.
     Expired,
-    /// It was taken out of the queue.
+    /// It was removed from the queue by a command.
     Cancelled,
 }
 
-/// What happened to a machine, and when.
+/// An event of the queue.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct QueueEvent {
-    /// Version of the queue.
+    /// Version of the queue after the event.
     pub version: u64,
-    /// The queue's time.
+    /// Time of the queue at the event.
     pub at: Nanos,
     /// Id of the machine.
     pub machine: String,
@@ -156,11 +157,11 @@
 /// The replicated state.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct MaintenanceQueue {
-    /// Commands applied: a later state has a greater one.
+    /// The number of commands applied. A later state has a higher version.
     pub version: u64,
-    /// The latest time of a command.
+    /// The latest time of any command.
     pub at: Nanos,
-    /// In the order in which they were requested.
+    /// The entries, in the order of their requests.
     pub entries: Vec<QueueEntry>,
     /// The machines as last observed.
     pub seen: BTreeMap<String, ObservedMachine>,
@@ -168,15 +169,15 @@
     pub rule: DisruptionBudget,
     /// The timing of the last observation.
     pub pace: Option<Timing>,
-    /// When that was.
+    /// Time of the last observation.
     pub observed_at: Option<Nanos>,
     /// The latest events, oldest first.
     pub events: VecDeque<QueueEvent>,
-    /// Nonces of the last commands, so that one that was sent twice is carried out once.
+    /// Nonces of the latest commands, so that a command that was sent twice is applied once.
     nonces: VecDeque<u64>,
 }
 
-/// An operator's request to take a machine out of use, as [`Command::Request`] has it.
+/// The fields of [`Command::Request`].
 struct MaintenanceRequest<'a> {
     machine: &'a str,
     by: &'a str,
@@ -186,9 +187,9 @@
     nonce: u64,
 }
 
-/// What becomes of an entry by what was observed and by the time.
+/// The effect of an observation and of time on an entry.
 enum Transition {
-    /// Its stage stays; `is_absent` if it is out and was seen absent: not listed by discovery, or as draining.
+    /// The stage does not change. `is_absent` if the machine is out and was seen absent.
     Stays {
         is_absent: bool,
     },
@@ -202,7 +203,7 @@
 }
 
 impl MaintenanceQueue {
-    /// Applies a command. The same commands in the same order give the same state everywhere.
+    /// Applies a command. The same commands in the same order give the same state on every node.
     pub fn apply(&mut self, logged: &LoggedCommand) {
         self.version += 1;
         self.at = self.at.max(logged.at);
@@ -242,12 +243,12 @@
         true
     }
 
-    /// Whether a command of that nonce was carried out, lately.
+    /// Whether a command with that nonce was applied recently.
     pub fn has_applied(&self, nonce: u64) -> bool {
         self.nonces.contains(&nonce)
     }
 
-    /// Nonces of the commands carried out lately.
+    /// Returns the nonces of the commands applied recently.
     pub fn recent_nonces(&self) -> impl Iterator<Item = u64> {
         self.nonces.iter().copied()
     }
@@ -263,7 +264,7 @@
         }
     }
 
-    /// A second request of a machine in the queue renews the first: its operator is still there.
+    /// Adds a request. A second request for a machine in the queue renews the first one.
     fn request(&mut self, request: &MaintenanceRequest) {
         let MaintenanceRequest { machine, by, why, lasts, waits, nonce } = *request;
         let expires_at = self.at.saturating_add(waits);
@@ -293,19 +294,19 @@
         self.record_event(machine.to_owned(), Event::Requested);
     }
 
-    /// Machines taken out of use: those that drain, are out, or have not warmed up again.
+    /// Returns the machines that are draining, out, or not yet back, with their locations.
     pub fn unavailable(&self) -> BTreeMap<String, Location> {
         let unavailable = self.entries.iter().filter(|e| e.stage != Stage::Requested);
         unavailable.map(|e| (e.machine.clone(), e.location.clone())).collect()
     }
 
-    /// Machines that the front nodes send nothing new: one that returns gets what one that warms up may.
+    /// Returns the machines that get no new requests: those that are draining or out. Returning ones are in slow start.
     pub fn closed(&self) -> impl Iterator<Item = &str> {
         let closed = |e: &&QueueEntry| matches!(e.stage, Stage::Draining | Stage::Out);
         self.entries.iter().filter(closed).map(|e| e.machine.as_str())
     }
 
-    /// Stages that end by what was observed, or by the time.
+    /// Applies the transitions due to the latest observation and to time.
     fn step(&mut self) {
         let mut ended: Vec<(usize, Event)> = Vec::new();
         let mut moved: Vec<(String, Event)> = Vec::new();
@@ -343,7 +344,7 @@
             }
             Stage::Out => self.transition_from_out(entry, seen),
             Stage::Returning if is_healthy => Transition::Ends { event: Event::Back },
-            // Gone again before it had warmed up.
+            // It disappeared again before it had warmed up.
             Stage::Returning if seen.is_none() => {
                 Transition::Moves { stage: Stage::Out, event: Event::WentOut }
             }
@@ -356,9 +357,9 @@
         let returns = Transition::Moves { stage: Stage::Returning, event: Event::Returning };
         match seen {
             Some(seen) if seen.started_ms > entry.started_ms => returns,
-            // It was away, and is back without having started again: its process ran on, or discovery lagged.
+            // It was absent, and is back without a restart: its process kept running, or discovery lagged.
             Some(seen) if entry.was_absent && seen.health == Health::Healthy => returns,
-            // Nobody took it out within its time: its operator has gone.
+            // It was not taken out within the requested time: the operator has given up.
             Some(seen) if is_over && !entry.was_absent && seen.health != Health::Draining => {
                 Transition::Ends { event: Event::Expired }
             }
@@ -367,8 +368,8 @@
         }
     }
 
-    /// Whether a shard of a draining machine needs it back: what it was admitted by no longer holds. Judged by the
-    /// queue as it stands by now, as of several that a shard needs back one may be enough.
+    /// Whether a draining machine must be recalled because the conditions of its admission no longer hold for one of its
+    /// shards. Uses the current state of the queue, as recalling one of several machines may be enough.
     fn is_needed_back(&self, machine: &str) -> bool {
         let mut others = self.unavailable();
         others.remove(machine);
@@ -383,7 +384,7 @@
         match event {
             Event::Overdue => entry.overdue = true,
             Event::Recalled => {
-                // It keeps its place, and its request is as fresh as at first: not its operator gave it up.
+                // It keeps its position and gets its full waiting time again, as its operator has not given up.
                 entry.expires_at = at.saturating_add((entry.expires_at - entry.since).max(0));
                 (entry.stage, entry.since) = (stage, at);
             }
@@ -394,7 +395,7 @@
         }
     }
 
-    /// What keeps the machine of an entry from being admitted now.
+    /// Returns why the machine of an entry cannot be admitted now, or `None` if it can.
     fn blocked_by(&self, position: usize) -> Option<BlockedBy> {
         let is_fresh =
             |p: Timing| self.observed_at.is_some_and(|observed_at| self.at - observed_at <= p.look_lasts);
@@ -403,7 +404,7 @@
         }
         let entry = &self.entries[position];
         let blocked_by = self.rule.blocked_by(&entry.machine, &self.seen, &self.unavailable());
-        // One that waits before it for the same shard goes first, or later ones could keep it out for good.
+        // An earlier request for a machine with a common shard goes first; otherwise later ones could delay it indefinitely.
         let earlier = || {
             let of = self.seen.get(&entry.machine)?;
             let waits = self.entries[..position].iter().filter(|e| e.stage == Stage::Requested);
@@ -414,7 +415,7 @@
         blocked_by.or_else(earlier)
     }
 
-    /// Admits what the disruption budget allows, in the order of the queue.
+    /// Admits the machines that the disruption budget allows, in the order of the queue.
     fn admit(&mut self) {
         for position in 0..self.entries.len() {
             if self.entries[position].stage == Stage::Requested && self.blocked_by(position).is_none() {
@@ -431,7 +432,7 @@
         }
     }
 
-    /// Why a machine is where it is, in words; `None` where it is not in the queue.
+    /// Describes the state of a machine, or returns `None` if it is not in the queue.
     pub fn explain(&self, machine: &str) -> Option<String> {
         let position = self.position(machine)?;
         let e = &self.entries[position];
@@ -452,7 +453,7 @@
         })
     }
 
-    /// Whether an observation would change anything: what was seen differs, or a stage falls due by the time.
+    /// Whether an observation would change the queue, because it differs from the last one or a transition is due.
     pub fn needs_observation(
         &self,
         seen: &BTreeMap<String, ObservedMachine>,
--- a/crates/maintenance/src/raft_group.rs
+++ b/crates/maintenance/src/raft_group.rs
@@ -1,6 +1,6 @@
-//! The replicated log that the queue is built from: a few front nodes, one of them the leader, by Raft (Ongaro 2014) of
-//! the crate `raft`. Free of I/O: the host hands over messages, commands and what became durable, and carries out what
-//! is written. Nothing that says a record is kept is sent before the host says that it is.
+//! The replicated log of the queue: a few front nodes, one of them the leader, run Raft (Ongaro 2014) with the crate `raft`.
+//! This module does no I/O: the host passes in messages, commands and the numbers of durable updates, and executes the
+//! outputs. A message that acknowledges a record is not sent before the host reports the record as durable.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,14 +18,15 @@
 
 const ELECTION_TICKS: usize = 10;
 const HEARTBEAT_TICKS: usize = 2;
-/// Ticks between the election timeouts of two members: more than a vote takes to come and go.
+/// Ticks between the election time-outs of two members: more than a vote needs for its round trip.
 const ELECTION_SPACING_TICKS: usize = 3;
-/// How often a member's tick is doubled at most while elections bring no leader.
+/// Limit on the doublings of a member's tick while elections produce no leader.
 const MAX_TICK_DOUBLINGS: u32 = 4;
-/// Ticks made up for at most where rounds come late: a node that stalled must not start elections for each it missed.
+/// The largest number of missed ticks that are made up in a round. A node that stalled must not start an election for each
+/// of them.
 const MAX_TICKS: usize = 2 * ELECTION_TICKS;
 
-/// What came in since the last round.
+/// Inputs of a round.
 #[derive(Default)]
 pub struct Inbox {
     messages: Vec<Vec<u8>>,
@@ -34,7 +35,7 @@
     observation: Option<Observation>,
 }
 
-/// What this node sees of the machines, and its settings.
+/// The machines as observed by this node, and its settings.
 struct Observation {
     seen: BTreeMap<String, ObservedMachine>,
     rule: DisruptionBudget,
@@ -42,22 +43,22 @@
 }
 
 impl Inbox {
-    /// A message of another member.
+    /// Adds a message from another member.
     pub fn message(&mut self, bytes: Vec<u8>) {
         self.messages.push(bytes);
     }
 
-    /// A command to be proposed, where this node leads.
+    /// Adds a command to be proposed if this node leads.
     pub fn command(&mut self, command: Command) {
         self.commands.push(command);
     }
 
-    /// All that was handed over to be saved up to that number is durable.
+    /// Reports that all updates up to this number are durable.
     pub fn durable(&mut self, number: u64) {
         self.durable = Some(self.durable.map_or(number, |n| n.max(number)));
     }
 
-    /// What this node sees of the machines, and the rule and pace of its file: told where it leads.
+    /// Sets the machines as observed by this node, and its settings. They are proposed if this node leads.
     pub fn observation(
         &mut self,
         seen: BTreeMap<String, ObservedMachine>,
@@ -68,76 +69,76 @@
     }
 }
 
-/// Where the output of a round goes.
+/// Receives the outputs of a round.
 pub trait OutputSink {
-    /// To another member of the group, by its number.
+    /// Sends a message to another member of the group, given by its number.
     fn send(&mut self, to: u64, message: Vec<u8>);
-    /// To be made durable; the host says so with the number once it is.
+    /// Stores an update. The host reports the number with [`Inbox::durable`] once it is durable.
     fn save(&mut self, number: u64, saved: LogUpdate);
 }
 
-/// What a member of the group is told at its start.
+/// Settings of a member of the group.
 #[derive(Clone, Debug)]
 pub struct GroupSettings {
-    /// Its number.
+    /// Number of this member.
     pub me: u64,
-    /// The numbers of all members.
+    /// Numbers of all members.
     pub voters: Vec<u64>,
     /// Raft's unit of time.
     pub tick: Nanos,
-    /// Entries applied beyond a snapshot before the next one is made.
+    /// The number of entries applied after a snapshot before the next one is made.
     pub snapshot_interval: u64,
 }
 
 impl GroupSettings {
-    /// Settings with a snapshot every 256 entries.
+    /// Returns settings with a snapshot every 256 entries.
     pub fn new(me: u64, voters: Vec<u64>, tick: Nanos) -> GroupSettings {
         GroupSettings { me, voters, tick, snapshot_interval: 256 }
     }
 }
 
-/// Why a member cannot begin with the log that an earlier run left. It must not begin without it under its number, as
-/// it could vote twice.
+/// Why a member cannot start with the log of an earlier run. It must not start without that log under the same number, as
+/// it could vote twice in a term.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum GroupError {
-    /// The state of the log, its snapshot or its entries are damaged.
-    #[display("the log's {part} cannot be read")]
+    /// The hard state, the snapshot or an entry is damaged.
+    #[display("the {part} of the log cannot be decoded")]
     Undecodable {
-        /// The part of the log.
+        /// The damaged part of the log.
         part: &'static str,
     },
     /// Entries of the log are missing.
-    #[display("the log lacks entry {index}")]
+    #[display("entry {index} of the log is missing")]
     MissingEntry {
-        /// The first of them.
+        /// Index of the first missing entry.
         index: u64,
     },
-    /// The log ends before what the member knew to be agreed.
-    #[display("the log ends at {last} of {committed} agreed entries")]
+    /// The log ends before the committed index in its hard state.
+    #[display("the log ends at entry {last}, but {committed} entries were committed")]
     TooShort {
-        /// Its last entry.
+        /// Index of the last entry.
         last: u64,
-        /// The last agreed one.
+        /// The committed index.
         committed: u64,
     },
-    /// The settings break Raft's rules.
+    /// The settings are invalid for Raft.
     #[display("maintenance group: {reason}")]
     Config {
-        /// What Raft says of them.
+        /// The error of the crate `raft`.
         reason: String,
     },
 }
 
-/// How far a member is.
+/// Progress of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Progress {
-    /// Its term.
+    /// Current term.
     pub term: u64,
-    /// Index of the last entry that it applied.
+    /// Index of the last applied entry.
     pub applied: u64,
 }
 
-/// One member of the group.
+/// A member of the group.
 pub struct Group {
     raw: RawNode<LogStorage>,
     queue: MaintenanceQueue,
@@ -145,31 +146,31 @@
     tick: Nanos,
     snapshot_interval: u64,
     next_tick: Nanos,
-    /// Elections that brought no leader since one was last known.
+    /// The number of elections without a result since a leader was last known.
     elections_without_leader: u32,
-    /// Term of the last one.
+    /// Term at the last check for elections.
     term: u64,
-    /// Messages that say a record is kept, in the order of the records' numbers.
+    /// Messages that acknowledge records, in the order of the records' numbers.
     deferred: VecDeque<DeferredMessages>,
-    /// A snapshot taken over from the leader: it counts as applied once that number is durable.
-    snapshot_awaits: Option<u64>,
-    /// Up to where the log was when an observation was last proposed: one at a time.
+    /// Number of the update with a snapshot from the leader. The snapshot counts as applied once the update is durable.
+    pending_snapshot: Option<u64>,
+    /// Index of the last proposed observation. The next one is proposed only after it was applied.
     last_observation: u64,
 }
 
-/// Messages that say a record is kept, which are sent once it is.
+/// Messages that acknowledge a record, to be sent once it is durable.
 struct DeferredMessages {
-    /// The number that the record was handed over under.
+    /// Number of the update that contains the record.
     number: u64,
     messages: Vec<Message>,
 }
 
 impl Group {
-    /// `recovered` is what an earlier run of this member saved. A member that lost it must not come back under its
-    /// number: it could vote twice.
+    /// Returns a member with the log that its earlier run saved. A member that lost its log must not return under the same
+    /// number: it could vote twice in a term.
     ///
     /// # Errors
-    /// If the log is damaged or not whole, or the settings break Raft's rules.
+    /// If the log is damaged or incomplete, or the settings are invalid for Raft.
     pub fn new(settings: &GroupSettings, recovered: &RecoveredLog, now: Nanos) -> Result<Group, GroupError> {
         let conf = ConfState::from((settings.voters.clone(), Vec::new()));
         let mut storage = LogStorage { conf, ..LogStorage::default() };
@@ -194,30 +195,30 @@
             elections_without_leader: 0,
             term: raw.raft.term,
             deferred: VecDeque::new(),
-            snapshot_awaits: None,
+            pending_snapshot: None,
             last_observation: 0,
             raw,
         })
     }
 
-    /// One round: handles what came in, and writes what is to be sent and saved.
+    /// Runs one round: handles the inputs, and passes the messages and updates to the sink.
     pub fn round(&mut self, now: Nanos, inputs: impl FnOnce(&mut Inbox), sink: &mut dyn OutputSink) {
         let mut inbox = Inbox::default();
         inputs(&mut inbox);
         if let Some(number) = inbox.durable {
-            self.saved_up_to(number, sink);
+            self.handle_durable(number, sink);
         }
         for bytes in inbox.messages {
             let mut message = Message::default();
-            // One that cannot be read, or that the crate has no use for, is one that was lost.
+            // A message that cannot be decoded, or that the crate rejects, counts as lost.
             if message.merge_from_bytes(&bytes).is_ok() {
                 let _ = self.raw.step(message);
             }
         }
         self.run_ticks(now);
-        self.pace();
+        self.update_election_backoff();
         if self.raw.raft.state != StateRole::Leader {
-            // An observation that was proposed and lost again must not hold up those of a later lead.
+            // An observation that was proposed and then lost must not delay those of a later term as leader.
             self.last_observation = 0;
         }
         if self.leads() {
@@ -229,16 +230,16 @@
             }
         }
         while self.raw.has_ready() {
-            self.carry_out(sink);
+            self.process_ready(sink);
         }
-        self.snapshot(sink);
+        self.make_snapshot(sink);
     }
 
-    /// All that was handed over up to that number is durable: what waited for it is sent.
-    fn saved_up_to(&mut self, number: u64, sink: &mut dyn OutputSink) {
+    /// Handles durable updates: sends the messages that waited for them.
+    fn handle_durable(&mut self, number: u64, sink: &mut dyn OutputSink) {
         self.raw.on_persist_ready(number);
-        if self.snapshot_awaits.is_some_and(|snapshot_awaits| snapshot_awaits <= number) {
-            self.snapshot_awaits = None;
+        if self.pending_snapshot.is_some_and(|pending_snapshot| pending_snapshot <= number) {
+            self.pending_snapshot = None;
             self.raw.advance_apply_to(self.applied);
         }
         while let Some(deferred) = self.deferred.pop_front_if(|deferred| deferred.number <= number) {
@@ -246,14 +247,14 @@
         }
     }
 
-    /// Raft's ticks that fell due, those that were missed among them up to [`MAX_TICKS`].
+    /// Runs the due Raft ticks, including at most [`MAX_TICKS`] missed ones.
     fn run_ticks(&mut self, now: Nanos) {
         for _ in 0..MAX_TICKS {
             if now < self.next_tick {
                 break;
             }
             self.raw.tick();
-            self.pace();
+            self.update_election_backoff();
             self.next_tick += self.tick << self.elections_without_leader;
         }
         if now >= self.next_tick {
@@ -261,7 +262,7 @@
         }
     }
 
-    /// Proposes what the leader sees of the machines, where the queue needs it and none is on its way.
+    /// Proposes the leader's observation of the machines, if the queue needs it and none is in progress.
     fn propose_observation(&mut self, observation: Observation, now: Nanos) {
         let Observation { seen, rule, pace } = observation;
         if self.last_observation <= self.applied && self.queue.needs_observation(&seen, &rule, pace, now) {
@@ -270,11 +271,11 @@
         }
     }
 
-    /// A vote waits for two disks, the candidate's and the voter's. Where they take longer than a member waits before
-    /// it tries again, every vote is overtaken by the next one, and nobody leads for as long as the disks are slow. So
-    /// a member takes its time, twice as long after each term that brought no leader; its harm is a later leader by as
-    /// much.
-    fn pace(&mut self) {
+    /// Updates the number of elections without a leader, by which the tick is lengthened. A vote waits for two disks, the
+    /// candidate's and the voter's. If they take longer than the time between two attempts of a member, every vote is
+    /// overtaken by the next one, and there is no leader while the disks are slow. So a member's time-outs double after each
+    /// term without a leader. Cost: a leader is elected later by as much.
+    fn update_election_backoff(&mut self) {
         let term = self.raw.raft.term;
         if self.raw.raft.leader_id != 0 {
             self.elections_without_leader = 0;
@@ -287,12 +288,12 @@
     fn propose(&mut self, command: Command, now: Nanos) {
         let logged = LoggedCommand { at: now.max(self.queue.at), command };
         if let Ok(bytes) = postcard::to_stdvec(&logged) {
-            // Refused where too much is under way: whoever sent the command sends it again.
+            // Rejected if too many proposals are in progress. The sender of the command retries.
             let _ = self.raw.propose(Vec::new(), bytes);
         }
     }
 
-    fn carry_out(&mut self, sink: &mut dyn OutputSink) {
+    fn process_ready(&mut self, sink: &mut dyn OutputSink) {
         let mut ready = self.raw.ready();
         let mut saved = LogUpdate::default();
         ready.take_messages().into_iter().for_each(|m| send(m, sink));
@@ -308,7 +309,7 @@
             storage.conf = snapshot.get_metadata().get_conf_state().clone();
             saved.snapshot = snapshot.write_to_bytes().ok();
             storage.snapshot = snapshot;
-            self.snapshot_awaits = Some(ready.number());
+            self.pending_snapshot = Some(ready.number());
         }
         let committed = ready.take_committed_entries();
         if !ready.entries().is_empty() {
@@ -323,14 +324,14 @@
         }
         self.apply(committed);
         let number = ready.number();
-        let (at_once, after): (Vec<_>, Vec<_>) =
-            ready.take_persisted_messages().into_iter().partition(says_nothing_kept);
-        at_once.into_iter().for_each(|m| send(m, sink));
-        // A ready with nothing to save is numbered all the same, and its turn comes after those before it.
-        self.deferred.push_back(DeferredMessages { number, messages: after });
+        let (immediate, deferred): (Vec<_>, Vec<_>) =
+            ready.take_persisted_messages().into_iter().partition(needs_no_durability);
+        immediate.into_iter().for_each(|m| send(m, sink));
+        // An update without contents is numbered too, and its messages are sent after those of earlier updates.
+        self.deferred.push_back(DeferredMessages { number, messages: deferred });
         sink.save(number, saved);
         self.raw.advance_append_async(ready);
-        if self.snapshot_awaits.is_none() {
+        if self.pending_snapshot.is_none() {
             self.raw.advance_apply_to(self.applied);
         }
     }
@@ -338,15 +339,15 @@
     fn apply(&mut self, committed: Vec<Entry>) {
         for entry in committed {
             self.applied = entry.index;
-            // The leader's first entry of its term is empty.
+            // The first entry of a leader's term is empty.
             if let Ok(logged) = postcard::from_bytes::<LoggedCommand>(entry.get_data()) {
                 self.queue.apply(&logged);
             }
         }
     }
 
-    /// Folds the log that was applied into a snapshot, now and then.
-    fn snapshot(&mut self, sink: &mut dyn OutputSink) {
+    /// Makes a snapshot of the applied log if enough entries were applied since the last one.
+    fn make_snapshot(&mut self, sink: &mut dyn OutputSink) {
         let base = self.raw.store().base();
         let is_deferred = self.deferred.iter().any(|deferred| !deferred.messages.is_empty());
         if self.applied < base + self.snapshot_interval || is_deferred {
@@ -367,31 +368,31 @@
         storage.entries.drain(..(applied - base) as usize);
         let saved = LogUpdate { snapshot: snapshot.write_to_bytes().ok(), removed, ..LogUpdate::default() };
         storage.snapshot = snapshot;
-        // Under the number handed over last: nothing waits for it.
+        // Saved under number 0, as nothing waits for it.
         sink.save(0, saved);
     }
 
-    /// Whether this member leads, and knows all that was agreed before it did.
+    /// Whether this member leads and knows all entries that were committed before.
     pub fn leads(&self) -> bool {
         self.raw.raft.state == StateRole::Leader && self.raw.raft.commit_to_current_term()
     }
 
-    /// The leader as far as this member knows.
+    /// Returns the leader as known to this member.
     pub fn leader(&self) -> Option<u64> {
         Some(self.raw.raft.leader_id).filter(|id| *id != 0)
     }
 
-    /// The queue as this member has applied it.
+    /// Returns the queue as applied by this member.
     pub fn queue(&self) -> &MaintenanceQueue {
         &self.queue
     }
 
-    /// When the next round is due at the latest.
+    /// Returns the latest time of the next round.
     pub fn next_due(&self) -> Nanos {
         self.next_tick
     }
 
-    /// How far this member is.
+    /// Returns the progress of this member.
     pub fn progress(&self) -> Progress {
         Progress { term: self.raw.raft.term, applied: self.applied }
     }
@@ -401,7 +402,7 @@
     GroupError::Undecodable { part }
 }
 
-/// Puts a snapshot in the place of the log up to it; the queue that it holds.
+/// Restores a snapshot. Returns the queue that it contains.
 fn recover_snapshot(storage: &mut LogStorage, snapshot: &[u8]) -> Result<MaintenanceQueue, GroupError> {
     storage.snapshot.merge_from_bytes(snapshot).map_err(|_| undecodable("snapshot"))?;
     let queue = postcard::from_bytes(storage.snapshot.get_data()).map_err(|_| undecodable("snapshot"))?;
@@ -409,7 +410,7 @@
     Ok(queue)
 }
 
-/// Puts the entries after the snapshot into the log, which must be whole up to what was committed.
+/// Restores the entries after the snapshot. The log must be complete up to the committed index.
 fn recover_entries(storage: &mut LogStorage, recovered: &RecoveredLog) -> Result<(), GroupError> {
     for (&index, bytes) in recovered.entries.range(storage.base() + 1..) {
         let mut entry = Entry::default();
@@ -426,9 +427,9 @@
 }
 
 fn raft_config(settings: &GroupSettings, applied: u64) -> Config {
-    // Each member waits for its own number of ticks, by its position among the voters. Drawn from seeds, as it was at
-    // first, two of them were alike at times and split every vote; drawn anew each time, as the crate does, no run is
-    // like another.
+    // Each member has its own election time-out, by its position among the voters. When time-outs were drawn from seeds,
+    // two members sometimes had the same one and split every vote; random ones, the crate's default, would make runs not
+    // reproducible.
     let position = settings.voters.iter().position(|voter| *voter == settings.me).unwrap_or(0);
     let own = ELECTION_TICKS + ELECTION_SPACING_TICKS * position;
     Config {
@@ -440,16 +441,17 @@
         applied,
         max_size_per_msg: 32 << 10,
         max_inflight_msgs: 64,
-        // A member that was cut off must not depose the leader when it is back, nor a leader lead on that is.
+        // A member must not depose the leader when it returns from a network partition, and a partitioned leader must step
+        // down.
         check_quorum: true,
         pre_vote: true,
         ..Config::default()
     }
 }
 
-/// Messages that vouch for nothing on this member's disk: that it is there, and whether it would vote. Held up behind a
-/// slow disk they cost a leader its lead, as it hears nothing from most of its members for longer than it may.
-fn says_nothing_kept(message: &Message) -> bool {
+/// Whether a message depends on nothing on this member's disk: it says that the member is alive, or how it would vote.
+/// Delayed by a slow disk, such messages would depose a leader, which must hear from a majority of members in time.
+fn needs_no_durability(message: &Message) -> bool {
     use MessageType::{MsgHeartbeatResponse, MsgRequestPreVote, MsgRequestPreVoteResponse};
     matches!(message.get_msg_type(), MsgHeartbeatResponse | MsgRequestPreVote | MsgRequestPreVoteResponse)
 }
--- a/crates/maintenance/tests/golden_messages.rs
+++ b/crates/maintenance/tests/golden_messages.rs
@@ -1,24 +1,24 @@
-//! Letters, records and simulated runs of the maintenance group have the recorded bytes.
+//! The bytes of messages, log records and simulated runs of the maintenance group, compared with recorded ones.
 
 #[path = "site/mod.rs"]
-mod site;
+mod cluster;
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
 
+use cluster::{Cluster, MS, S};
 use orchidvalve_golden::{Trace, check_hashes, check_samples, read_samples};
 use orchidvalve_maintenance::datagrams::{Reassembler, ReceivedMessage, split};
 use orchidvalve_maintenance::disruption_budget::{DisruptionBudget, Health, ObservedMachine};
 use orchidvalve_maintenance::node::NodeMessage;
 use orchidvalve_maintenance::queue::{Command, LoggedCommand, MaintenanceQueue, Timing};
 use orchidvalve_maintenance::raft_group::{LogUpdate, RecoveredLog};
-use site::{MS, S, Site};
 
 fn golden(name: &str) -> PathBuf {
     [env!("CARGO_MANIFEST_DIR"), "tests", "golden", name].iter().collect()
 }
 
-fn ask(machine: &str, nonce: u64) -> Command {
+fn request(machine: &str, nonce: u64) -> Command {
     let (machine, by, why) = (machine.to_owned(), "an operator".to_owned(), "kernel".to_owned());
     Command::Request { machine, by, why, lasts: 20 * S, waits: 600 * S, nonce }
 }
@@ -27,26 +27,26 @@
     Command::Cancel { machine: machine.to_owned(), by: "an operator".to_owned(), nonce }
 }
 
-fn look(health: [Health; 4], started_ms: i64) -> Command {
+fn observation(health: [Health; 4], started_ms: i64) -> Command {
     let names = ["m0a", "m0b", "m1a", "m1b"];
-    let seen = |place: usize| ObservedMachine {
-        cell: place as u32 / 2,
-        zone: if place.is_multiple_of(2) { "east" } else { "west" }.to_owned(),
-        health: health[place],
-        started_ms: if place == 0 { started_ms } else { 1 },
+    let seen = |position: usize| ObservedMachine {
+        cell: position as u32 / 2,
+        zone: if position.is_multiple_of(2) { "east" } else { "west" }.to_owned(),
+        health: health[position],
+        started_ms: if position == 0 { started_ms } else { 1 },
     };
     let seen: BTreeMap<String, ObservedMachine> =
-        (0..4).map(|place| (names[place].to_owned(), seen(place))).collect();
+        (0..4).map(|position| (names[position].to_owned(), seen(position))).collect();
     let rule = DisruptionBudget { cells: 2, reach: 1, share: 0.5, least_sound: 1, zone_share: 1.0, most: 8 };
     Command::Observe { seen, rule, pace: Timing { drain: 2 * S, look_lasts: 4 * S } }
 }
 
-const SOUND: [Health; 4] = [Health::Healthy; 4];
+const ALL_HEALTHY: [Health; 4] = [Health::Healthy; 4];
 
-/// Commands that take one machine through all stages while others wait, are blocked_by, lapse or are cancelled.
+/// Commands that take one machine through all stages while others wait, are blocked, expire or are cancelled.
 fn log() -> Vec<LoggedCommand> {
     use Health::{Draining, Failing, Healthy, WarmingUp};
-    let lapsing = Command::Request {
+    let expiring = Command::Request {
         machine: "m1a".to_owned(),
         by: "x".to_owned(),
         why: String::new(),
@@ -55,58 +55,60 @@
         nonce: 4,
     };
     let steps = [
-        (10, look(SOUND, 1)),
-        (11, ask("m0a", 1)),
-        (11, ask("m0b", 2)),
-        (11, ask("m0b", 2)),
-        (12, look([Healthy, Failing, Healthy, Healthy], 1)),
-        (13, look(SOUND, 1)),
-        (15, look([Draining, Healthy, WarmingUp, Healthy], 1)),
-        (16, look([Draining, Healthy, WarmingUp, Healthy], 1)),
-        (17, lapsing),
-        (18, ask("unknown", 5)),
-        (40, look([Draining, Healthy, WarmingUp, Healthy], 1)),
-        (41, look([WarmingUp, Healthy, WarmingUp, Healthy], 30_000)),
-        (43, look([Healthy, Healthy, WarmingUp, Healthy], 30_000)),
+        (10, observation(ALL_HEALTHY, 1)),
+        (11, request("m0a", 1)),
+        (11, request("m0b", 2)),
+        (11, request("m0b", 2)),
+        (12, observation([Healthy, Failing, Healthy, Healthy], 1)),
+        (13, observation(ALL_HEALTHY, 1)),
+        (15, observation([Draining, Healthy, WarmingUp, Healthy], 1)),
+        (16, observation([Draining, Healthy, WarmingUp, Healthy], 1)),
+        (17, expiring),
+        (18, request("unknown", 5)),
+        (40, observation([Draining, Healthy, WarmingUp, Healthy], 1)),
+        (41, observation([WarmingUp, Healthy, WarmingUp, Healthy], 30_000)),
+        (43, observation([Healthy, Healthy, WarmingUp, Healthy], 30_000)),
         (44, cancel("unknown", 6)),
-        (47, look(SOUND, 30_000)),
+        (47, observation(ALL_HEALTHY, 30_000)),
     ];
     steps.into_iter().map(|(at, command)| LoggedCommand { at: at * S, command }).collect()
 }
 
-fn order() -> MaintenanceQueue {
-    let mut order = MaintenanceQueue::default();
-    log().iter().for_each(|logged| order.apply(logged));
-    order
+fn queue() -> MaintenanceQueue {
+    let mut queue = MaintenanceQueue::default();
+    log().iter().for_each(|logged| queue.apply(logged));
+    queue
 }
 
 fn messages() -> Vec<(&'static str, NodeMessage)> {
     let address = "10.0.0.9:7500".parse().expect("an address");
     vec![
         ("group", NodeMessage::Raft(vec![8, 1, 0xff])),
-        ("forward-ask", NodeMessage::Forward(ask("m0a", 1 << 40), 0)),
+        ("forward-ask", NodeMessage::Forward(request("m0a", 1 << 40), 0)),
         ("forward-cancel", NodeMessage::Forward(cancel("m0a", 7), 2)),
-        ("forward-look", NodeMessage::Forward(look(SOUND, -1), 1)),
+        ("forward-look", NodeMessage::Forward(observation(ALL_HEALTHY, -1), 1)),
         ("follow", NodeMessage::Follow(300, None)),
         ("follow-reached-at", NodeMessage::Follow(0, Some(address))),
         ("nothing-newer", NodeMessage::Fresh(300)),
-        ("order", NodeMessage::Queue(Box::new(order()))),
+        ("order", NodeMessage::Queue(Box::new(queue()))),
         ("order-empty", NodeMessage::Queue(Box::default())),
     ]
 }
 
 #[test]
-fn letters_have_the_recorded_bytes_and_are_read_back() {
+fn messages_have_the_recorded_bytes_and_decode_back() {
     let datagrams = |message: &NodeMessage| split(0x0102_0304_0506_0708, 0x090a_0b0c, message);
     let mut samples = Vec::new();
     for (name, message) in messages() {
-        let parts = datagrams(&message);
-        samples.extend(parts.into_iter().enumerate().map(|(part, bytes)| (format!("{name}.{part}"), bytes)));
+        let fragments = datagrams(&message);
+        samples.extend(
+            fragments.into_iter().enumerate().map(|(index, bytes)| (format!("{name}.{index}"), bytes)),
+        );
     }
     check_samples(&golden("letters.txt"), &samples);
-    let mut pieces = Reassembler::default();
+    let mut reassembler = Reassembler::default();
     let read = read_samples(&golden("letters.txt"));
-    let read: Vec<_> = read.iter().filter_map(|(_, bytes)| pieces.take(bytes)).collect();
+    let read: Vec<_> = read.iter().filter_map(|(_, bytes)| reassembler.take(bytes)).collect();
     let written: Vec<_> = messages()
         .into_iter()
         .map(|(_, message)| ReceivedMessage { from: 0x0102_0304_0506_0708, message })
@@ -115,24 +117,24 @@
 }
 
 #[test]
-fn logged_commands_have_the_recorded_bytes_and_build_the_recorded_orders() {
+fn logged_commands_have_the_recorded_bytes_and_build_the_recorded_queues() {
     let encode = |logged: &LoggedCommand| postcard::to_stdvec(logged).expect("can be encoded");
     let samples: Vec<_> =
         log().iter().enumerate().map(|(n, logged)| (format!("{n:02}"), encode(logged))).collect();
     check_samples(&golden("log.txt"), &samples);
-    let mut order = MaintenanceQueue::default();
-    let mut orders = Vec::new();
+    let mut queue = MaintenanceQueue::default();
+    let mut queues = Vec::new();
     for (name, bytes) in read_samples(&golden("log.txt")) {
-        order.apply(&postcard::from_bytes::<LoggedCommand>(&bytes).expect("can be decoded"));
+        queue.apply(&postcard::from_bytes::<LoggedCommand>(&bytes).expect("can be decoded"));
         let mut trace = Trace::new();
-        trace.add(&postcard::to_stdvec(&order).expect("can be encoded"));
-        orders.push((name, trace.finish()));
+        trace.add(&postcard::to_stdvec(&queue).expect("can be encoded"));
+        queues.push((name, trace.finish()));
     }
-    check_hashes(&golden("orders.txt"), &orders);
+    check_hashes(&golden("orders.txt"), &queues);
 }
 
 #[test]
-fn records_have_the_recorded_keys_and_are_taken_back() {
+fn records_have_the_recorded_keys_and_are_recovered() {
     let saved = LogUpdate {
         hard: Some(vec![1, 2]),
         snapshot: Some(vec![3]),
@@ -145,37 +147,37 @@
     };
     let samples: Vec<_> = saved.records().enumerate().flat_map(line).collect();
     check_samples(&golden("records.txt"), &samples);
-    let mut left = RecoveredLog::default();
+    let mut recovered = RecoveredLog::default();
     for (key, value) in saved.records() {
-        assert!(value.is_none_or(|value| left.insert_record(&key, value.to_vec())));
+        assert!(value.is_none_or(|value| recovered.insert_record(&key, value.to_vec())));
     }
-    assert_eq!(left.hard, Some(vec![1, 2]));
-    assert_eq!(left.snapshot, Some(vec![3]));
-    assert_eq!(left.entries, BTreeMap::from([(300, vec![4]), (301, Vec::new())]));
+    assert_eq!(recovered.hard, Some(vec![1, 2]));
+    assert_eq!(recovered.snapshot, Some(vec![3]));
+    assert_eq!(recovered.entries, BTreeMap::from([(300, vec![4]), (301, Vec::new())]));
 }
 
-/// Three members and three followers through loss, a slow disk, a death and a cut.
+/// Three members and three followers with losses, a slow disk, a crash and a network partition.
 #[test]
-fn simulated_sites_send_and_save_the_recorded_bytes() {
+fn simulated_clusters_send_and_save_the_recorded_bytes() {
     let mut hashes = Vec::new();
     for run in 0..6_u64 {
-        let mut site = Site::new(3, 3, run + 1);
-        site.trace = Some(Trace::new());
-        (site.loss, site.save_takes) = (0.05 * run as f64, (3 + 10 * run as i64) * MS);
-        site.run(4 * S);
-        site.ask(0, "m0a");
-        site.ask(5, "m0b");
-        site.run(6 * S);
-        site.kill(run as usize % 3);
-        site.ask(4, "m1a");
-        site.run(8 * S);
-        site.start(run as usize % 3);
-        site.side = vec![0, 1, 1, 0, 1, 1];
-        site.run(5 * S);
-        site.side = vec![0; 6];
-        site.cancel(3, "m0b");
-        site.run(5 * S);
-        hashes.push((format!("run-{run}"), site.trace.expect("recorded").finish()));
+        let mut cluster = Cluster::new(3, 3, run + 1);
+        cluster.trace = Some(Trace::new());
+        (cluster.loss, cluster.save_latency) = (0.05 * run as f64, (3 + 10 * run as i64) * MS);
+        cluster.run(4 * S);
+        cluster.request(0, "m0a");
+        cluster.request(5, "m0b");
+        cluster.run(6 * S);
+        cluster.kill(run as usize % 3);
+        cluster.request(4, "m1a");
+        cluster.run(8 * S);
+        cluster.start(run as usize % 3);
+        cluster.side = vec![0, 1, 1, 0, 1, 1];
+        cluster.run(5 * S);
+        cluster.side = vec![0; 6];
+        cluster.cancel(3, "m0b");
+        cluster.run(5 * S);
+        hashes.push((format!("run-{run}"), cluster.trace.expect("recorded").finish()));
     }
     check_hashes(&golden("simulation.txt"), &hashes);
 }
--- a/crates/maintenance/tests/recovery.rs
+++ b/crates/maintenance/tests/recovery.rs
@@ -1,5 +1,5 @@
-//! The log on the logbook's simulated disk, dying at every call: what a member said of the order, and what it answered to
-//! others, it still holds when it is back.
+//! The log on the simulated disk of the log store, which crashes at every call: what a member reported about the queue, and
+//! what it sent to others, is still there after a restart.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,19 +15,19 @@
 const SPACE: u16 = 5;
 const COMMANDS: u64 = 14;
 
-fn book() -> LogStoreOptions {
+fn store_options() -> LogStoreOptions {
     LogStoreOptions { segment_bytes: 2000, ..LogStoreOptions::named("order") }
 }
 
-fn left(store: &LogStore) -> RecoveredLog {
-    let mut left = RecoveredLog::default();
+fn recovered(store: &LogStore) -> RecoveredLog {
+    let mut recovered = RecoveredLog::default();
     for (key, value) in store.snapshot().scan(SPACE) {
-        assert!(left.insert_record(&key, value.expect("it can be read")));
+        assert!(recovered.insert_record(&key, value.expect("it can be read")));
     }
-    left
+    recovered
 }
 
-/// Saves at once, and remembers what is durable; a write that fails is the end of this run.
+/// Saves updates immediately and records what is durable. A failed write ends the run.
 struct Disk<'a> {
     store: &'a mut LogStore,
     durable: Option<u64>,
@@ -49,17 +49,18 @@
     }
 }
 
-/// Runs a group of one on that disk until it has carried out its commands or the disk dies; the events that it told.
+/// Runs a group of one member on the disk until it has applied its commands or the disk fails. Returns the events that it
+/// reported, and whether it ended in order.
 fn run(disk: &SimulatedDisk) -> (Vec<QueueEvent>, bool) {
-    let Ok((mut store, _)) = LogStore::open(Arc::new(disk.clone()), book()) else {
+    let Ok((mut store, _)) = LogStore::open(Arc::new(disk.clone()), store_options()) else {
         return (Vec::new(), false);
     };
-    let orders = GroupSettings { snapshot_interval: 5, ..GroupSettings::new(1, vec![1], TICK) };
-    let mut group = Group::new(&orders, &left(&store), 0).expect("what is durable is whole");
-    let (mut told, mut now, mut next, mut durable) = (Vec::new(), 0, 0, None);
+    let settings = GroupSettings { snapshot_interval: 5, ..GroupSettings::new(1, vec![1], TICK) };
+    let mut group = Group::new(&settings, &recovered(&store), 0).expect("the durable log is complete");
+    let (mut reported, mut now, mut next, mut durable) = (Vec::new(), 0, 0, None);
     while next < COMMANDS || group.queue().recent_nonces().count() < COMMANDS as usize {
         now += 12 * TICK;
-        assert!(now < 4_000 * TICK, "it stands still");
+        assert!(now < 4_000 * TICK, "no progress");
         let mut disk = Disk { store: &mut store, durable: None, dead: false };
         group.round(
             now,
@@ -94,19 +95,19 @@
         );
         durable = disk.durable;
         if disk.dead {
-            return (told, false);
+            return (reported, false);
         }
         if group.leads() {
             next += 1;
         }
-        // What it applied was agreed, which for a group of one means durable: it may have told anybody.
-        told = group.queue().events.iter().cloned().collect();
+        // An applied command is committed, which means durable in a group of one. So it may have been reported.
+        reported = group.queue().events.iter().cloned().collect();
     }
-    (told, true)
+    (reported, true)
 }
 
 #[test]
-fn what_was_told_of_the_order_survives_a_crash_at_every_call_of_the_disk() {
+fn reported_events_survive_a_crash_at_every_disk_call() {
     let disk = SimulatedDisk::new(1 << 20);
     let (whole, ended) = run(&disk);
     assert!(ended && whole.len() > 10, "{whole:?}");
@@ -115,13 +116,15 @@
     for call in 1..=calls {
         let disk = SimulatedDisk::new(1 << 20);
         disk.die_at(call);
-        let (told, _) = run(&disk);
+        let (reported, _) = run(&disk);
         for storage in [Persisted::Nothing, Persisted::All, Persisted::First(1), Persisted::Without(0)] {
             let disk = disk.after_crash(CrashLoss { files: storage, names: storage });
-            let (mut store, _) = LogStore::open(Arc::new(disk.clone()), book()).expect("it opens");
-            let orders = GroupSettings { snapshot_interval: 5, ..GroupSettings::new(1, vec![1], TICK) };
-            let mut group = Group::new(&orders, &left(&store), 0).expect("what is durable is whole");
-            // It leads again, and with that knows all that was agreed.
+            let (mut store, _) =
+                LogStore::open(Arc::new(disk.clone()), store_options()).expect("the store opens");
+            let settings = GroupSettings { snapshot_interval: 5, ..GroupSettings::new(1, vec![1], TICK) };
+            let mut group =
+                Group::new(&settings, &recovered(&store), 0).expect("the durable log is complete");
+            // After it is elected again, it knows all committed entries.
             let mut durable = None;
             for n in 1..40 {
                 let mut disk = Disk { store: &mut store, durable: None, dead: false };
@@ -134,8 +137,8 @@
             }
             let found: Vec<QueueEvent> = group.queue().events.iter().cloned().collect();
             assert!(
-                found.len() >= told.len() && found[..told.len()] == told[..],
-                "call {call}, {storage:?}: {found:?} after {told:?}"
+                found.len() >= reported.len() && found[..reported.len()] == reported[..],
+                "call {call}, {storage:?}: {found:?} after {reported:?}"
             );
             states += 1;
         }
--- a/crates/maintenance/tests/site/mod.rs
+++ b/crates/maintenance/tests/site/mod.rs
@@ -1,7 +1,7 @@
 #![allow(dead_code)]
-//! Front nodes on a network of virtual time: some members of the group, the others following; links that lose and delay, and
-//! are cut; disks that are slow; nodes that die and come back with what was durable. Every event of every node's order is
-//! recorded and checked as it comes.
+//! Front nodes on a network in virtual time: members of the group, and followers. Links lose, delay and are partitioned, disks
+//! are slow, and nodes crash and restart with their durable data. Every event of every node's queue is recorded and checked
+//! at once.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddrV4;
@@ -18,12 +18,12 @@
 
 pub struct SimulatedNode {
     pub node: Option<Node>,
-    /// What was handed over to be saved and is not durable yet, and when it will be.
-    saving: Vec<(Nanos, u64, LogUpdate)>,
+    /// Updates that are not durable yet, with their number and the time when they will be.
+    pending_writes: Vec<(Nanos, u64, LogUpdate)>,
     pub disk: RecoveredLog,
 }
 
-pub struct Site {
+pub struct Cluster {
     pub nodes: Vec<SimulatedNode>,
     pub members: usize,
     follow_interval: Nanos,
@@ -33,25 +33,25 @@
     pub pace: Timing,
     pub loss: f64,
     pub delay: Nanos,
-    pub save_takes: Nanos,
+    pub save_latency: Nanos,
     pub side: Vec<u8>,
     queue: BTreeMap<(Nanos, u64), (usize, usize, Vec<u8>)>,
     count: u64,
-    chance: u64,
-    /// Events by the order's version and their place in it, as the first node had them.
+    random_state: u64,
+    /// Events by version, machine and kind, as first seen at any node.
     pub events: BTreeMap<(u64, String, Event), QueueEvent>,
     pub by_version: BTreeMap<u64, Vec<(String, Event)>>,
-    /// Taken machines as each node's order has them, by version.
-    taken: BTreeMap<u64, BTreeSet<String>>,
-    pub most_out: usize,
+    /// Unavailable machines by version of the queue, as first seen at any node.
+    unavailable: BTreeMap<u64, BTreeSet<String>>,
+    pub max_unavailable: usize,
     nonce: u64,
-    /// Of all that was sent and saved, if it is recorded.
+    /// Trace of everything sent and saved, if recorded.
     pub trace: Option<Trace>,
 }
 
 struct Sent<'a> {
     out: &'a mut Vec<(SocketAddrV4, Vec<u8>)>,
-    saving: &'a mut Vec<(Nanos, u64, LogUpdate)>,
+    pending_writes: &'a mut Vec<(Nanos, u64, LogUpdate)>,
     at: Nanos,
     trace: Option<&'a mut Trace>,
 }
@@ -74,7 +74,7 @@
                 trace.add(value.unwrap_or_default());
             }
         }
-        self.saving.push((self.at, number, saved));
+        self.pending_writes.push((self.at, number, saved));
     }
 }
 
@@ -82,7 +82,7 @@
     SocketAddrV4::new([10, 0, (n / 250) as u8, (n % 250) as u8 + 1].into(), 7500)
 }
 
-/// Two machines in each of `cells`, in two zones.
+/// Returns two machines in each of `cells` cells, in two zones.
 pub fn machines(cells: u32) -> BTreeMap<String, ObservedMachine> {
     let machine = |n: u32| {
         let (cell, zone) = (n % cells, if n < cells { "east" } else { "west" });
@@ -92,15 +92,15 @@
     (0..2 * cells).map(machine).collect()
 }
 
-impl Site {
-    pub fn new(members: usize, followers: usize, seed: u64) -> Site {
-        Site::following_every(200 * MS, members, followers, seed)
+impl Cluster {
+    pub fn new(members: usize, followers: usize, seed: u64) -> Cluster {
+        Cluster::following_every(200 * MS, members, followers, seed)
     }
 
-    pub fn following_every(follow_interval: Nanos, members: usize, followers: usize, seed: u64) -> Site {
+    pub fn following_every(follow_interval: Nanos, members: usize, followers: usize, seed: u64) -> Cluster {
         let rule =
             DisruptionBudget { cells: 4, reach: 1, share: 0.5, least_sound: 1, zone_share: 1.0, most: 8 };
-        let mut site = Site {
+        let mut cluster = Cluster {
             nodes: Vec::new(),
             members,
             follow_interval,
@@ -110,30 +110,34 @@
             pace: Timing { drain: 2 * S, look_lasts: 4 * S },
             loss: 0.0,
             delay: 2 * MS,
-            save_takes: 3 * MS,
+            save_latency: 3 * MS,
             side: vec![0; members + followers],
             queue: BTreeMap::new(),
             count: 0,
-            chance: seed | 1,
+            random_state: seed | 1,
             events: BTreeMap::new(),
             by_version: BTreeMap::new(),
-            taken: BTreeMap::new(),
-            most_out: 0,
+            unavailable: BTreeMap::new(),
+            max_unavailable: 0,
             nonce: 1,
             trace: None,
         };
         for n in 0..members + followers {
-            site.nodes.push(SimulatedNode { node: None, saving: Vec::new(), disk: RecoveredLog::default() });
-            site.start(n);
+            cluster.nodes.push(SimulatedNode {
+                node: None,
+                pending_writes: Vec::new(),
+                disk: RecoveredLog::default(),
+            });
+            cluster.start(n);
         }
-        site
+        cluster
     }
 
     fn draw(&mut self) -> f64 {
-        self.chance ^= self.chance << 13;
-        self.chance ^= self.chance >> 7;
-        self.chance ^= self.chance << 17;
-        (self.chance >> 11) as f64 / (1u64 << 53) as f64
+        self.random_state ^= self.random_state << 13;
+        self.random_state ^= self.random_state >> 7;
+        self.random_state ^= self.random_state << 17;
+        (self.random_state >> 11) as f64 / (1u64 << 53) as f64
     }
 
     pub fn start(&mut self, n: usize) {
@@ -143,25 +147,25 @@
         let me = n as u64 + 1;
         let member = (n < self.members).then(|| {
             Group::new(&GroupSettings::new(me, voters.clone(), 50 * MS), &self.nodes[n].disk, self.now)
-                .expect("the log is whole")
+                .expect("the log is complete")
         });
         let (rule, pace) = (self.rule.clone(), self.pace);
-        let orders =
+        let settings =
             NodeSettings { me, group, follow_interval: self.follow_interval, reached_at: None, rule, pace };
-        self.nodes[n].node = Some(Node::new(orders, member, self.now));
+        self.nodes[n].node = Some(Node::new(settings, member, self.now));
     }
 
-    /// Dies: what was not durable is lost.
+    /// Crashes a node. Updates that are not durable are lost.
     pub fn kill(&mut self, n: usize) {
         self.nodes[n].node = None;
-        self.nodes[n].saving.clear();
+        self.nodes[n].pending_writes.clear();
     }
 
     pub fn leader(&self) -> Option<usize> {
         self.nodes.iter().position(|n| n.node.as_ref().is_some_and(Node::leads))
     }
 
-    pub fn ask(&mut self, at: usize, machine: &str) -> u64 {
+    pub fn request(&mut self, at: usize, machine: &str) -> u64 {
         self.nonce += 1;
         let (machine, by, why) = (machine.to_owned(), "operator".to_owned(), "patch".to_owned());
         let command = Command::Request { machine, by, why, lasts: 20 * S, waits: 600 * S, nonce: self.nonce };
@@ -195,26 +199,26 @@
         for (n, simulated) in self.nodes.iter_mut().enumerate() {
             let Some(node) = simulated.node.as_mut() else { continue };
             let mut durable = None;
-            let (done, saving): (Vec<_>, Vec<_>) =
-                simulated.saving.drain(..).partition(|(at, ..)| *at <= now);
-            simulated.saving = saving;
+            let (done, pending_writes): (Vec<_>, Vec<_>) =
+                simulated.pending_writes.drain(..).partition(|(at, ..)| *at <= now);
+            simulated.pending_writes = pending_writes;
             for (_, number, saved) in done {
                 simulated.disk.apply(&saved);
                 durable = durable.max((number > 0).then_some(number));
             }
             let mut out = Vec::new();
-            let mut w = Sent {
+            let mut sink = Sent {
                 out: &mut out,
-                saving: &mut simulated.saving,
-                at: now + self.save_takes,
+                pending_writes: &mut simulated.pending_writes,
+                at: now + self.save_latency,
                 trace: self.trace.as_mut(),
             };
             let seen = self.seen.clone();
             node.round(
                 now,
                 |inbox| {
-                    let mine = std::mem::take(&mut inboxes[n]);
-                    mine.into_iter().for_each(|(from, bytes)| inbox.datagram(bytes, address(from)));
+                    let received = std::mem::take(&mut inboxes[n]);
+                    received.into_iter().for_each(|(from, bytes)| inbox.datagram(bytes, address(from)));
                     durable.into_iter().for_each(|number| inbox.durable(number));
                     inbox.seen(seen);
                     if let Some((at, command)) = &command
@@ -223,7 +227,7 @@
                         inbox.command(command.clone());
                     }
                 },
-                &mut w,
+                &mut sink,
             );
             sent.extend(out.into_iter().map(|(to, bytes)| (n, to, bytes)));
         }
@@ -233,13 +237,13 @@
                 continue;
             }
             self.count += 1;
-            let late = self.delay + (self.draw() * self.delay as f64) as Nanos;
-            self.queue.insert((now + late, self.count), (from, to, bytes));
+            let delay = self.delay + (self.draw() * self.delay as f64) as Nanos;
+            self.queue.insert((now + delay, self.count), (from, to, bytes));
         }
         self.check();
     }
 
-    pub fn until(&mut self, what: &str, within: Nanos, mut holds: impl FnMut(&Site) -> bool) {
+    pub fn until(&mut self, what: &str, within: Nanos, mut holds: impl FnMut(&Cluster) -> bool) {
         let end = self.now + within;
         while !holds(self) {
             assert!(self.now < end, "{what}: {:#?}", self.by_version);
@@ -255,21 +259,21 @@
     }
 
     pub fn stage(&self, node: usize, machine: &str) -> Option<Stage> {
-        let order = self.nodes[node].node.as_ref()?.queue();
-        order.entries.iter().find(|e| e.machine == machine).map(|e| e.stage)
+        let queue = self.nodes[node].node.as_ref()?.queue();
+        queue.entries.iter().find(|e| e.machine == machine).map(|e| e.stage)
     }
 
-    pub fn record_event(&self, machine: &str, event: Event) -> usize {
+    pub fn event_count(&self, machine: &str, event: Event) -> usize {
         self.events.keys().filter(|(_, m, e)| m == machine && *e == event).count()
     }
 
-    /// What must hold at every node in every round.
+    /// Checks the invariants that hold at every node in every round.
     fn check(&mut self) {
         for node in &self.nodes {
             let Some(node) = &node.node else { continue };
-            let order = node.queue();
+            let queue = node.queue();
             let mut versions: BTreeMap<u64, Vec<(String, Event)>> = BTreeMap::new();
-            for e in &order.events {
+            for e in &queue.events {
                 versions.entry(e.version).or_default().push((e.machine.clone(), e.event));
                 let key = (e.version, e.machine.clone(), e.event);
                 let first = self.events.entry(key).or_insert_with(|| e.clone());
@@ -279,20 +283,20 @@
                 let first = self.by_version.entry(version).or_insert_with(|| events.clone());
                 assert_eq!(*first, events, "version {version} differs between nodes");
             }
-            let taken: BTreeSet<String> = order.unavailable().into_keys().collect();
-            let first = self.taken.entry(order.version).or_insert_with(|| taken.clone());
-            assert_eq!(*first, taken, "what is out at version {} differs", order.version);
-            let out: Vec<&String> = taken.iter().collect();
-            self.most_out = self.most_out.max(out.len());
-            // Never both machines of a cell: each shard has two holders, and one may be missing.
+            let unavailable: BTreeSet<String> = queue.unavailable().into_keys().collect();
+            let first = self.unavailable.entry(queue.version).or_insert_with(|| unavailable.clone());
+            assert_eq!(*first, unavailable, "what is out at version {} differs", queue.version);
+            let out: Vec<&String> = unavailable.iter().collect();
+            self.max_unavailable = self.max_unavailable.max(out.len());
+            // Each shard has two replicas and one may be missing, so never both machines of a cell.
             for cell in 0..4 {
                 let of_cell = out.iter().filter(|m| m.starts_with(&format!("m{cell}"))).count();
-                assert!(of_cell <= 1, "both holders of shard {cell} are out at version {}", order.version);
+                assert!(of_cell <= 1, "both replicas of shard {cell} are out at version {}", queue.version);
             }
-            let mut machines: Vec<&String> = order.entries.iter().map(|e| &e.machine).collect();
+            let mut machines: Vec<&String> = queue.entries.iter().map(|e| &e.machine).collect();
             machines.sort();
             machines.dedup();
-            assert_eq!(machines.len(), order.entries.len(), "a machine stands in the order twice");
+            assert_eq!(machines.len(), queue.entries.len(), "a machine is in the queue twice");
         }
     }
 }
