--- a/crates/control-plane/src/http_client.rs
+++ b/crates/control-plane/src/http_client.rs
@@ -219,7 +219,8 @@
         for (connection, exchange) in &mut self.exchanges {
             // If the connection was established while this process was suspended, the request is still in the outbox.
             let is_unsent = || !network.is_open(*connection) || network.queued_bytes(*connection) > 0;
-            let unsent = exchange.send_deadline.take_if(|by| *by <= now).is_some_and(|_| is_unsent());
+            let unsent =
+                exchange.send_deadline.take_if(|deadline| *deadline <= now).is_some_and(|_| is_unsent());
             if unsent || exchange.target.deadline <= now {
                 expired.push(*connection);
             }
--- a/crates/control-plane/src/observer/mod.rs
+++ b/crates/control-plane/src/observer/mod.rs
@@ -46,7 +46,7 @@
     /// Failure domain of the machine.
     pub zone: String,
     /// Fraction of a CPU core that the process may use.
-    pub share: f32,
+    pub cpu_share: f32,
     /// Address on which the process listens for operators and trainers.
     pub control_address: SocketAddrV4,
     /// Address at which the system's own processes reach this one.
@@ -121,7 +121,7 @@
             zone: options.zone.clone(),
             member: MemberId { address: NodeAddress::new(*options.internal_address.ip(), port), disk: 0 },
             incarnation,
-            cpu_share: options.share,
+            cpu_share: options.cpu_share,
         };
         Ok(Observer {
             report_isolation_at: Some(clock.now() + ISOLATION_MS),
--- a/crates/control-plane/src/placement/complete_replicas.rs
+++ b/crates/control-plane/src/placement/complete_replicas.rs
@@ -45,10 +45,10 @@
     let outside = complete.iter().filter(|m| !members.contains(m));
     let eligible = members.iter().filter(|m| input.is_eligible(m)).count();
     let missing = input.copies.saturating_sub(eligible);
-    let back: Vec<MemberId> =
+    let returned: Vec<MemberId> =
         outside.clone().filter(|m| input.is_eligible(m)).take(missing).copied().collect();
-    let has_complete = members.iter().chain(&back).any(|m| complete.contains(m));
-    if has_complete { back } else { outside.filter(|m| input.is_healthy(m)).take(1).copied().collect() }
+    let has_complete = members.iter().chain(&returned).any(|m| complete.contains(m));
+    if has_complete { returned } else { outside.filter(|m| input.is_healthy(m)).take(1).copied().collect() }
 }
 
 /// Moves complete members to the front, since entries that the head's log lacks are lost. Returns false if no member is
--- a/crates/control-plane/src/placement/mod.rs
+++ b/crates/control-plane/src/placement/mod.rs
@@ -147,9 +147,9 @@
             next_step(partition, placement, input, &load)
         };
         if let Some(next) = next {
-            let copying = next.learners.iter().filter(|l| !placement.learners.contains(l));
-            let beginning = next.members.iter().filter(|_| next.reset_epoch != placement.reset_epoch);
-            for added in copying.chain(beginning) {
+            let added_learners = next.learners.iter().filter(|l| !placement.learners.contains(l));
+            let restarted = next.members.iter().filter(|_| next.reset_epoch != placement.reset_epoch);
+            for added in added_learners.chain(restarted) {
                 *load.entry(*added).or_default() += 1;
             }
             changes.push((partition, Placement { epoch: placement.epoch + 1, ..next }));
--- a/crates/control-plane/src/process/operator_connections/tests.rs
+++ b/crates/control-plane/src/process/operator_connections/tests.rs
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn an_idle_connection_ends_after_its_time() {
+fn an_idle_connection_is_closed_after_the_timeout() {
     let mut fixture = Fixture::new();
     assert!(fixture.is_open_after(IDLE_TIMEOUT_MS - 1));
     assert!(!fixture.is_open_after(1));
@@ -74,14 +74,14 @@
     assert!(fixture.operators.has_open_requests(&fixture.network));
     assert!(fixture.is_open_after(REQUEST_STALL_TIMEOUT_MS - 1));
     fixture.send(b"12345");
-    assert!(fixture.is_open_after(REQUEST_STALL_TIMEOUT_MS - 1), "the rest is on its way");
+    assert!(fixture.is_open_after(REQUEST_STALL_TIMEOUT_MS - 1), "the request is still arriving");
     assert!(!fixture.is_open_after(1));
     assert!(!fixture.operators.has_open_requests(&fixture.network));
     assert!(fixture.received().starts_with("HTTP/1.1 408 "));
 }
 
 #[test]
-fn half_a_head_is_a_request_that_has_begun() {
+fn a_partial_header_counts_as_a_request_in_progress() {
     let mut fixture = Fixture::new();
     fixture.send(&HEAD[..20]);
     assert!(fixture.is_open_after(REQUEST_STALL_TIMEOUT_MS - 1));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_request_that_waits_for_its_response_has_no_limit_here() {
+fn a_pending_request_has_no_time_limit_here() {
     let mut fixture = Fixture::new();
     fixture.operators.open(fixture.connection, RequestKind::ReadConfiguration);
     assert!(fixture.is_open_after(10 * IDLE_TIMEOUT_MS));
--- a/crates/control-plane/src/singleton_roles/partition_placement.rs
+++ b/crates/control-plane/src/singleton_roles/partition_placement.rs
@@ -67,19 +67,19 @@
         live: &[LiveStoreNode],
         copies: usize,
     ) -> BTreeSet<u16> {
-        let none = BTreeSet::new();
-        let input = PlacementInput { live, caught_up: &self.caught_up, copies, lost: &none };
+        let no_restarts = BTreeSet::new();
+        let input = PlacementInput { live, caught_up: &self.caught_up, copies, lost: &no_restarts };
         let partitions = (0u16..).zip(state.partitions());
-        let seen: BTreeSet<u16> = partitions
+        let lost_now: BTreeSet<u16> = partitions
             .filter(|(partition, placement)| placement::is_partition_lost(*partition, placement, &input))
             .map(|(partition, _)| partition)
             .collect();
-        self.lost_since.retain(|partition, _| seen.contains(partition));
-        for partition in seen {
+        self.lost_since.retain(|partition, _| lost_now.contains(partition));
+        for partition in lost_now {
             self.lost_since.entry(partition).or_insert(now);
         }
-        let is_certain = |since: &u64| now >= since + LOSS_CONFIRMATION_MS;
-        let lost = self.lost_since.iter().filter(|(_, since)| is_certain(since));
+        let is_confirmed = |since: &u64| now >= since + LOSS_CONFIRMATION_MS;
+        let lost = self.lost_since.iter().filter(|(_, since)| is_confirmed(since));
         let lost: BTreeSet<u16> = lost.map(|(partition, _)| *partition).collect();
         if !lost.is_empty() {
             log::error!(
--- a/crates/control-plane/src/workers.rs
+++ b/crates/control-plane/src/workers.rs
@@ -14,7 +14,7 @@
 /// Slots that a gateway with a complete CPU core handles at under half load, as measured (`docs/further-customer.md`).
 const SLOTS_PER_CORE: f32 = 400.0;
 /// Fraction of a CPU core that is assumed for a gateway whose session is not known yet.
-const PRESUMED_SHARE: f32 = 0.1;
+const PRESUMED_CPU_SHARE: f32 = 0.1;
 /// Seed of the hashes that rank gateways (rendezvous hashing, Thaler and Ravishankar 1998).
 const RANK_SEED: u64 = 0x77_6f72_6b65_7273;
 
@@ -24,7 +24,7 @@
     /// Address of the gateway.
     pub address: NodeAddress,
     /// Fraction of a CPU core that the gateway may use.
-    pub share: f32,
+    pub cpu_share: f32,
 }
 
 /// Numbers of slots of the model servers.
@@ -51,14 +51,14 @@
 /// and more if their CPU cores cannot handle all slots.
 pub fn select(mut candidates: Vec<Candidate>, slots: SlotTotals) -> Vec<NodeAddress> {
     candidates.sort_by_key(|candidate| rendezvous::rank(RANK_SEED, candidate.address));
-    let at_least = slots.max_per_server as usize;
-    let mut carried = 0.0;
+    let min_workers = slots.max_per_server as usize;
+    let mut handled_slots = 0.0;
     let mut workers: Vec<NodeAddress> = Vec::new();
     for candidate in candidates {
-        if workers.len() >= at_least && carried >= slots.total as f32 {
+        if workers.len() >= min_workers && handled_slots >= slots.total as f32 {
             break;
         }
-        carried += candidate.share * SLOTS_PER_CORE;
+        handled_slots += candidate.cpu_share * SLOTS_PER_CORE;
         workers.push(candidate.address);
     }
     workers.sort_unstable();
@@ -79,7 +79,7 @@
     list: GatewayList,
     input: SelectionInput,
     /// Version of the server table from which `slots` were counted.
-    counted: TableVersion,
+    counted_version: TableVersion,
     slots: SlotTotals,
 }
 
@@ -108,8 +108,8 @@
         presumed: bool,
         servers: &ServerTable,
     ) -> bool {
-        if servers.version() != self.counted {
-            self.counted = servers.version();
+        if servers.version() != self.counted_version {
+            self.counted_version = servers.version();
             self.slots = SlotTotals::of(servers);
         }
         let candidates = self.candidates(sessions, presumed);
@@ -131,12 +131,12 @@
     fn candidates(&self, sessions: &SessionTable, presumed: bool) -> Vec<Candidate> {
         let gateways = sessions.gateways();
         let candidate =
-            |gateway: &Session| Candidate { address: gateway.member.address, share: gateway.share };
+            |gateway: &Session| Candidate { address: gateway.member.address, cpu_share: gateway.share };
         let mut candidates: Vec<Candidate> = gateways.map(candidate).collect();
         let listed = self.list.gateways.iter().filter(|_| presumed);
         for &address in listed {
             if !candidates.iter().any(|candidate| candidate.address == address) {
-                candidates.push(Candidate { address, share: PRESUMED_SHARE });
+                candidates.push(Candidate { address, cpu_share: PRESUMED_CPU_SHARE });
             }
         }
         candidates
--- a/crates/control-plane/tests/demand_window.rs
+++ b/crates/control-plane/tests/demand_window.rs
@@ -1,4 +1,4 @@
-//! The window of demand: peaks, memory, speed, and work that piles up.
+//! The demand window: peaks, remembered peaks, speed, and work that piles up.
 
 use orchidvalve_control_plane::demand_window::{DemandSample, DemandWindow, MEMORY_MS, WINDOW_MS};
 use orchidvalve_control_plane::load_summaries::ServiceDemand;
@@ -10,7 +10,7 @@
     window.push(DemandSample { at, demand: ServiceDemand { running, waiting }, slots: SLOTS });
 }
 
-/// Samples from `from` to before `to`, of work that `outstanding` gives.
+/// Adds samples from `from` until before `to`, with the work that `outstanding` returns.
 fn fill(window: &mut DemandWindow, from: u64, to: u64, outstanding: impl Fn(u64) -> u32) {
     for at in (from..to).step_by(STEP_MS as usize) {
         let outstanding = outstanding(at);
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn the_peak_leaves_the_window_and_stays_in_the_memory() {
+fn a_peak_outside_the_window_is_remembered() {
     let mut window = DemandWindow::default();
     push(&mut window, 0, 90, 5);
     fill(&mut window, STEP_MS, WINDOW_MS, |_| 10);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn after_a_gap_the_window_is_covered_anew_and_the_memory_stays() {
+fn a_restarted_window_keeps_the_remembered_peaks() {
     let mut window = DemandWindow::default();
     fill(&mut window, 0, WINDOW_MS + 1, |_| 50);
     assert!(window.is_full(WINDOW_MS));
@@ -43,9 +43,9 @@
 }
 
 #[test]
-fn the_wait_is_projected_from_how_fast_work_became_less() {
+fn the_wait_is_projected_from_the_best_speed() {
     let mut window = DemandWindow::default();
-    // 200 a second on 100 slots.
+    // 200 requests per second on 100 slots.
     fill(&mut window, 0, 3_000, |at| 700 - (at / 5) as u32);
     assert_eq!(window.latest().map(|latest| latest.demand.outstanding()), Some(150));
     push(&mut window, 3_000, 100, 1_000);
@@ -54,16 +54,16 @@
 }
 
 #[test]
-fn no_wait_is_projected_while_nothing_waits_or_no_work_ended() {
+fn no_wait_is_projected_without_waiting_work_or_a_known_speed() {
     let mut window = DemandWindow::default();
     fill(&mut window, 0, 5_000, |_| 90);
     assert_eq!(window.projected_wait_ms(), None);
     fill(&mut window, 5_000, 7_000, |_| 500);
-    assert_eq!(window.projected_wait_ms(), None, "it isn't known how fast the servers are");
+    assert_eq!(window.projected_wait_ms(), None, "the speed of the servers is unknown");
 }
 
 #[test]
-fn work_that_waits_while_servers_are_free_calls_for_none() {
+fn work_that_waits_while_slots_are_free_does_not_count() {
     let mut window = DemandWindow::default();
     for at in (0..10_000).step_by(STEP_MS as usize) {
         push(&mut window, at, 30, 500 - (at / 100) as u32);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn work_piles_up_only_if_it_never_fits_and_does_not_become_less() {
+fn work_piles_up_only_if_it_exceeds_the_slots_and_does_not_decrease() {
     let mut rising = DemandWindow::default();
     fill(&mut rising, 0, 6_000, |at| 150 + (at / 100) as u32);
     assert!(rising.is_piling_up(5_750));
@@ -85,5 +85,5 @@
     assert!(!interrupted.is_piling_up(5_750));
     let mut short = DemandWindow::default();
     fill(&mut short, 2_000, 6_000, |_| 200);
-    assert!(!short.is_piling_up(5_750), "it hasn't been seen for long enough");
+    assert!(!short.is_piling_up(5_750), "the time is too short");
 }
--- a/crates/control-plane/tests/discovery.rs
+++ b/crates/control-plane/tests/discovery.rs
@@ -1,4 +1,4 @@
-//! Readings of the platform's list: pages, fields, malformed entries.
+//! Reading of the platform's list: pages, fields and malformed entries.
 
 use std::net::Ipv4Addr;
 
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn pages_add_up() {
+fn pages_are_joined_to_a_list() {
     let mut list_reader = ListReader::default();
     let first = list_reader.add_page(&page(&[instance("i-1"), instance("i-2")], json!("p-2"))).unwrap();
     assert_eq!(first, PageOutcome::NextPage { token: "p-2".to_owned() });
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn an_empty_list_is_a_list() {
+fn an_empty_list_is_valid() {
     assert_eq!(
         ListReader::default().add_page(&page(&[], Value::Null)),
         Ok(PageOutcome::Complete(Vec::new()))
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn pages_that_never_end_are_given_up() {
+fn a_list_that_never_ends_is_abandoned() {
     let mut list_reader = ListReader::default();
     let body = page(&[], json!("p"));
     let result = (0..2_000).map(|_| list_reader.add_page(&body)).find(Result::is_err);
@@ -76,16 +76,16 @@
 #[case::a_list(b"[]", ListError::NoInstances)]
 #[case::null(b"null", ListError::NoInstances)]
 #[case::instances_of_another_kind(br#"{"instances":{}}"#, ListError::NoInstances)]
-fn a_page_that_is_none_is_an_error(#[case] body: &[u8], #[case] expected: ListError) {
+fn a_malformed_page_is_an_error(#[case] body: &[u8], #[case] expected: ListError) {
     assert_eq!(ListReader::default().add_page(body), Err(expected));
 }
 
-/// Every length of a page but the whole is an error.
+/// Every truncation of a page is an error.
 #[test]
-fn a_page_cut_off_anywhere_is_an_error() {
-    let whole = page(&[instance("i-1")], Value::Null);
-    for length in 0..whole.len() {
-        assert_eq!(ListReader::default().add_page(&whole[..length]), Err(ListError::NotJson), "{length}");
+fn a_truncated_page_is_an_error() {
+    let complete = page(&[instance("i-1")], Value::Null);
+    for length in 0..complete.len() {
+        assert_eq!(ListReader::default().add_page(&complete[..length]), Err(ListError::NotJson), "{length}");
     }
 }
 
@@ -93,7 +93,7 @@
 #[case::instance("instance-id")]
 #[case::service("service")]
 #[case::address("address")]
-fn an_entry_without_a_needed_field_is_an_error(
+fn an_entry_without_a_required_field_is_an_error(
     #[case] key: &'static str,
     #[values(None, Some(json!(7)), Some(Value::Null), Some(json!([])))] value: Option<Value>,
 ) {
--- a/crates/control-plane/tests/golden_control.rs
+++ b/crates/control-plane/tests/golden_control.rs
@@ -1,4 +1,4 @@
-//! Recorded runs of the simulated control plane: every message, commitment and answer, with its time, and the disks.
+//! Recorded runs of the simulated control plane: every message, commit and response with its time, and the disks.
 
 use std::path::{Path, PathBuf};
 
@@ -41,7 +41,7 @@
     check_hashes(&file(name), &hashes);
 }
 
-/// Three, four or five machines, in turn.
+/// Returns three, four and five machines in turn.
 fn machines(number: usize) -> u8 {
     [3, 4, 5][number % 3]
 }
@@ -96,7 +96,7 @@
     check("blackouts.txt", (0..6).map(run));
 }
 
-/// Large configurations and many small changes, both of which call for checkpoints.
+/// Runs with large configurations, and with many small changes; both cause checkpoints.
 #[test]
 fn runs_with_checkpoints_are_as_recorded() {
     let large = |seed: u64| Scenario {
--- a/crates/control-plane/tests/golden_disk.rs
+++ b/crates/control-plane/tests/golden_disk.rs
@@ -1,5 +1,5 @@
-//! A control node's disk that an earlier build wrote, and what a start finds on it: entries, a checkpoint, states of
-//! the agreement, the note that this machine gave orders, and ends that were torn off.
+//! Recovery from a control node's disk that an earlier build wrote: entries, a checkpoint, states of the agreement, the
+//! record that the node gave orders, and torn tails.
 
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -28,7 +28,7 @@
     recovered
 }
 
-/// A folder of the fixture, copied to where it may be written.
+/// A copy of a fixture directory that may be written.
 struct Copy(PathBuf);
 
 impl Copy {
@@ -62,19 +62,19 @@
     MemberId { address: NodeAddress::new(Ipv4Addr::new(10, 0, 0, number), 7000), disk: u64::from(number) }
 }
 
-/// Sequence, epoch and position on the disk of each entry that is held.
-fn entries(journal: &ReplicatedLog) -> Vec<(u64, u64, u64)> {
+/// Returns sequence number, epoch and disk position of each entry held.
+fn entries(log: &ReplicatedLog) -> Vec<(u64, u64, u64)> {
     let held = |sequence| {
-        let entry = journal.get(sequence).unwrap();
-        (entry.sequence, entry.epoch, journal.disk_position(sequence).unwrap())
+        let entry = log.get(sequence).unwrap();
+        (entry.sequence, entry.epoch, log.disk_position(sequence).unwrap())
     };
-    (journal.first()..=journal.end()).map(held).collect()
+    (log.first()..=log.end()).map(held).collect()
 }
 
-fn state(journal: &ReplicatedLog) -> ControlState {
+fn state(log: &ReplicatedLog) -> ControlState {
     let mut state = ControlState::default();
-    for sequence in journal.first()..=journal.end() {
-        let change: Change = decode(&journal.get(sequence).unwrap().payload).unwrap();
+    for sequence in log.first()..=log.end() {
+        let change: Change = decode(&log.get(sequence).unwrap().payload).unwrap();
         state.apply(&change).unwrap();
     }
     state
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_whole_disk_is_recovered() {
+fn an_intact_disk_is_recovered() {
     let records = Copy::of("disk-whole").open();
     assert_eq!((records.first().unwrap().position, records.last().unwrap().position), (1, 17));
     let recovered = recover(&records);
@@ -101,34 +101,34 @@
     assert_eq!(recovered.agreement_position, Some(14));
     assert_eq!(recovered.leadership_epoch, Some(3));
     assert_eq!(recovered.unreadable, 0);
-    let journal = &recovered.log;
-    assert_eq!((journal.first(), journal.end(), journal.previous_epoch()), (4, 8, 1));
-    assert_eq!(entries(journal), [(4, 1, 6), (5, 3, 10), (6, 3, 11), (7, 3, 16), (8, 3, 17)]);
-    let journal_state = journal.state();
-    assert_eq!((journal_state.first, journal_state.end, journal_state.committed), (4, 8, 3));
+    let log = &recovered.log;
+    assert_eq!((log.first(), log.end(), log.previous_epoch()), (4, 8, 1));
+    assert_eq!(entries(log), [(4, 1, 6), (5, 3, 10), (6, 3, 11), (7, 3, 16), (8, 3, 17)]);
+    let log_state = log.state();
+    assert_eq!((log_state.first, log_state.end, log_state.committed), (4, 8, 3));
     let runs = [EpochRun { epoch: 1, first: 3 }, EpochRun { epoch: 3, first: 5 }];
-    assert_eq!(journal_state.runs, runs);
-    let state = state(journal);
+    assert_eq!(log_state.runs, runs);
+    let state = state(log);
     assert_eq!(state.versions()["large"], 7);
     assert_eq!(state.stores()["store-1"].member, member(9));
     assert_eq!(state.configuration_version(), 1);
 }
 
 #[test]
-fn a_disk_whose_last_records_were_torn_off_is_recovered_up_to_them() {
+fn a_disk_with_a_torn_tail_is_recovered_up_to_it() {
     let records = Copy::of("disk-torn").open();
     assert_eq!(records.last().unwrap().position, 16);
     let recovered = recover(&records);
     assert_agreement(&recovered);
     assert_eq!((recovered.leadership_epoch, recovered.unreadable), (Some(3), 0));
-    let journal = &recovered.log;
-    assert_eq!(entries(journal), [(4, 1, 6), (5, 3, 10), (6, 3, 11), (7, 3, 16)]);
-    assert_eq!(state(journal).versions()["large"], 6);
+    let log = &recovered.log;
+    assert_eq!(entries(log), [(4, 1, 6), (5, 3, 10), (6, 3, 11), (7, 3, 16)]);
+    assert_eq!(state(log).versions()["large"], 6);
 }
 
-/// The same records, without those that were released, and with bytes that are none.
+/// The same records, without released ones and with two unreadable ones.
 #[test]
-fn records_are_recovered_by_their_bytes_alone() {
+fn records_are_recovered_from_their_bytes_alone() {
     let mut recovered = RecoveredState::default();
     for (position, payload) in read_samples(&golden("disk-released.txt")) {
         recovered.apply_record(position.parse().unwrap(), &payload);
@@ -136,9 +136,9 @@
     assert_agreement(&recovered);
     assert_eq!((recovered.agreement_position, recovered.leadership_epoch), (Some(14), Some(3)));
     assert_eq!(recovered.unreadable, 2);
-    let journal = &recovered.log;
-    assert_eq!((journal.first(), journal.end(), journal.previous_epoch()), (4, 8, 1));
-    assert_eq!(entries(journal), [(4, 1, 6), (5, 3, 10), (6, 3, 11), (7, 3, 16), (8, 3, 17)]);
-    assert_eq!(journal.checkpoint_bytes(), journal.get(4).unwrap().payload.len());
-    assert_eq!(state(journal).versions()["large"], 7);
+    let log = &recovered.log;
+    assert_eq!((log.first(), log.end(), log.previous_epoch()), (4, 8, 1));
+    assert_eq!(entries(log), [(4, 1, 6), (5, 3, 10), (6, 3, 11), (7, 3, 16), (8, 3, 17)]);
+    assert_eq!(log.checkpoint_bytes(), log.get(4).unwrap().payload.len());
+    assert_eq!(state(log).versions()["large"], 7);
 }
--- a/crates/control-plane/tests/golden_duties.rs
+++ b/crates/control-plane/tests/golden_duties.rs
@@ -1,5 +1,5 @@
-//! Recorded decisions of the head's singleton roles: placement of partitions, weight orders, who may give them, sessions,
-//! workers, redirections. Seeded random inputs, the encoded decisions.
+//! Recorded decisions of the singleton roles and of other parts of the head: placement of partitions, weight orders, leases,
+//! sessions, workers, redirects and disk hangs. The inputs are random with fixed seeds; the encoded decisions are recorded.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -56,8 +56,8 @@
     ZONES[usize::from(number) % ZONES.len()].to_owned()
 }
 
-/// Store nodes that come, go, lose disks and fill up; learners and members report at random.
-fn place(random: &mut Pcg64Mcg, trace: &mut Trace) {
+/// Store nodes start, fail, lose disks and fill up; learners and members report at random.
+fn place_partitions(random: &mut Pcg64Mcg, trace: &mut Trace) {
     let copies = random.random_range(1..=3);
     let mut stores: Vec<(bool, LiveStoreNode)> = (0..7)
         .map(|number| {
@@ -109,7 +109,7 @@
         trace.add(&encode(&Change::Place(changes.clone())));
         for (partition, placement) in changes {
             match partitions.get_mut(usize::from(partition)) {
-                Some(place) => *place = placement,
+                Some(current) => *current = placement,
                 None => partitions.push(placement),
             }
         }
@@ -121,7 +121,7 @@
 
 #[test]
 fn placements_are_as_recorded() {
-    check("placements.txt", 60, place);
+    check("placements.txt", 60, place_partitions);
 }
 
 fn server(number: u8, random: &mut Pcg64Mcg) -> ServerEntry {
@@ -149,7 +149,7 @@
     trace.add_number(order.version);
 }
 
-/// Servers that load, refuse, don't answer, drain and come late to the list; versions that are named.
+/// Servers load, refuse, do not respond, drain and show up late in the list, while versions are named.
 fn order_weights(random: &mut Pcg64Mcg, trace: &mut Trace) {
     let mut servers: Vec<ServerEntry> = (0..random.random_range(1..20)).map(|n| server(n, random)).collect();
     let mut planner = RolloutPlanner::default();
@@ -170,8 +170,9 @@
         }
         if random.random_bool(0.3) {
             let models = servers[index].models.clone();
-            for (place, (model, listed)) in models.iter().enumerate() {
-                servers[index].models[place].1 = planner.held_version(now, &servers[index], model, *listed);
+            for (position, (model, listed)) in models.iter().enumerate() {
+                servers[index].models[position].1 =
+                    planner.held_version(now, &servers[index], model, *listed);
             }
         }
         if random.random_bool(0.005) {
@@ -190,10 +191,10 @@
         let orders = planner.plan_orders(now, &named, &listed);
         orders.iter().for_each(|order| add_order(trace, order));
         open.extend(orders);
-        let (answered, waiting): (Vec<LoadOrder>, Vec<LoadOrder>) =
+        let (completed, waiting): (Vec<LoadOrder>, Vec<LoadOrder>) =
             open.drain(..).partition(|_| random.random_bool(0.7));
         open = waiting;
-        for order in answered {
+        for order in completed {
             planner.order_completed(now, &order, outcome(random));
         }
         trace.add_number(planner.next_wakeup().unwrap_or(u64::MAX));
@@ -207,12 +208,12 @@
 }
 
 #[test]
-fn orders_of_weights_are_as_recorded() {
+fn weight_orders_are_as_recorded() {
     check("orders.txt", 40, order_weights);
 }
 
-/// Views with and without this machine as their head, confirmations that come late or not at all.
-fn hold(random: &mut Pcg64Mcg, trace: &mut Trace) {
+/// Views with and without this node as the head, and confirmations that arrive late or not at all.
+fn hold_lease(random: &mut Pcg64Mcg, trace: &mut Trace) {
     let (mut lease, mut now, mut epoch, mut confirmed) = (RoleLease::default(), 1_000, 0, None);
     for _ in 0..300 {
         now += random.random_range(1..300);
@@ -228,14 +229,14 @@
             2..8 => confirmed = Some(now - random.random_range(0..200)),
             _ => {}
         }
-        let fence = lease.valid_epoch(now, confirmed, random.random_range(1..500));
-        trace.add_number(fence.unwrap_or(u64::MAX));
+        let valid_epoch = lease.valid_epoch(now, confirmed, random.random_range(1..500));
+        trace.add_number(valid_epoch.unwrap_or(u64::MAX));
     }
 }
 
 #[test]
-fn holders_of_orders_are_as_recorded() {
-    check("holders.txt", 20, hold);
+fn leases_are_as_recorded() {
+    check("holders.txt", 20, hold_lease);
 }
 
 fn session(random: &mut Pcg64Mcg) -> Session {
@@ -271,15 +272,15 @@
     }
 }
 
-/// Something happens to the sessions of the system.
+/// Changes the sessions of the system at random.
 fn change_sessions(random: &mut Pcg64Mcg, sessions: &mut SessionTable, now: u64) {
     match random.random_range(0..4) {
         0 => sessions.open(session(random), now),
         1 => sessions.close(&session(random), now),
         _ => {
             let reporter = member(200 + random.random_range(0..3), 1);
-            let told = (0..random.random_range(0..6)).map(|_| session(random)).collect();
-            sessions.apply_report(reporter, told, now);
+            let reported = (0..random.random_range(0..6)).map(|_| session(random)).collect();
+            sessions.apply_report(reporter, reported, now);
         }
     }
 }
@@ -299,8 +300,8 @@
     check("sessions.txt", 40, keep_sessions);
 }
 
-/// The role of placement as the head does it, by sessions that come and go: changes of the control state, what it says
-/// to retirements, and who registers.
+/// Runs the placement role of the head while sessions change: the changes of the control state, the decisions on
+/// retirements, and the registrations.
 fn run_placement_role(random: &mut Pcg64Mcg, trace: &mut Trace) {
     let options = SingletonRoleOptions {
         name: "control".to_owned(),
@@ -353,7 +354,7 @@
 }
 
 #[test]
-fn the_leader_of_placement_acts_as_recorded() {
+fn the_placement_role_acts_as_recorded() {
     check("placement-duty.txt", 30, run_placement_role);
 }
 
@@ -372,8 +373,8 @@
             }
             4 => {
                 let version = TableVersion { term, number: random.random_range(1..5) };
-                let doors = (0..3).map(|_| address(random.random_range(0..6))).collect();
-                trace.add_number(u64::from(workers.adopt(GatewayList { version, gateways: doors })));
+                let gateways = (0..3).map(|_| address(random.random_range(0..6))).collect();
+                trace.add_number(u64::from(workers.adopt(GatewayList { version, gateways })));
             }
             _ => {}
         }
@@ -382,7 +383,7 @@
         trace.add(&encode(workers.list()));
         let slots = SlotTotals::of(&table);
         let candidates = (0..random.random_range(0..30))
-            .map(|number| Candidate { address: address(number), share: random.random_range(0.01..1.0) })
+            .map(|number| Candidate { address: address(number), cpu_share: random.random_range(0.01..1.0) })
             .collect();
         for worker in select(candidates, slots) {
             trace.add(&encode(&worker));
@@ -425,16 +426,16 @@
     check("redirections.txt", 10, redirect);
 }
 
-fn watch_disk(random: &mut Pcg64Mcg, trace: &mut Trace) {
-    let (mut watch, mut now, mut durable) = (DiskHangDetector::default(), 1_000, 0);
+fn observe_disk(random: &mut Pcg64Mcg, trace: &mut Trace) {
+    let (mut detector, mut now, mut durable) = (DiskHangDetector::default(), 1_000, 0);
     for _ in 0..300 {
         now += random.random_range(1..200);
         durable += u64::from(random.random_bool(0.2));
-        trace.add_number(u64::from(watch.observe(now, durable, random.random_bool(0.9))));
+        trace.add_number(u64::from(detector.observe(now, durable, random.random_bool(0.9))));
     }
 }
 
 #[test]
 fn hanging_disks_are_as_recorded() {
-    check("hanging-disks.txt", 10, watch_disk);
+    check("hanging-disks.txt", 10, observe_disk);
 }
--- a/crates/control-plane/tests/golden_requests.rs
+++ b/crates/control-plane/tests/golden_requests.rs
@@ -27,7 +27,7 @@
     now: u64,
 }
 
-fn json_answer(body: &serde_json::Value) -> String {
+fn json_response(body: &serde_json::Value) -> String {
     let body = body.to_string();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
@@ -57,10 +57,10 @@
             }
             self.turn();
         }
-        panic!("nobody calls");
+        panic!("no connection was opened");
     }
 
-    /// The next whole request on a connection, at a time at which it may be due.
+    /// Reads the next complete request on a connection, advancing the time by `step_ms` with each turn.
     fn request(&mut self, peer: &mut Peer, step_ms: u64) -> String {
         for _ in 0..MOST_TURNS {
             peer.look();
@@ -73,11 +73,11 @@
             self.turn();
             self.now += step_ms;
         }
-        panic!("no request comes");
+        panic!("no request was received");
     }
 }
 
-/// What is sent for a list of two pages, an order to a server and the question after it.
+/// Returns the requests for a list of two pages, for an order to a server and for the probe after it.
 fn requests(single_version: bool) -> [String; 4] {
     let (platform, platform_address) = listen();
     let (server, server_address) = listen();
@@ -100,9 +100,9 @@
     head.roles.poll_list(&mut head.network, SINCE);
     let mut peer = head.accept(&platform);
     let first_page = head.request(&mut peer, 0);
-    peer.send(&json_answer(&json!({ "instances": [], "next-token": "t-2" })));
+    peer.send(&json_response(&json!({ "instances": [], "next-token": "t-2" })));
     let second_page = head.request(&mut peer, 0);
-    peer.send(&json_answer(&json!({ "instances": [{
+    peer.send(&json_response(&json!({ "instances": [{
         "instance-id": "i-1", "service": "s", "address": server_address.to_string(), "zone": "z",
         "config-version": "v1", "slots": 4, "state": "available", "cold-remaining-ms": 0,
         "models": [{ "name": MODEL, "config-version": 1, "adapters": [] }],
@@ -111,16 +111,16 @@
     let mut peer = head.accept(&server);
     let order = head.request(&mut peer, 0);
     peer.send("HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n");
-    // The load is asked after when it should be done.
-    let question = head.request(&mut peer, 20);
+    // The load is probed when it should be done.
+    let probe = head.request(&mut peer, 20);
     let platform_address = platform_address.to_string();
-    [first_page, second_page, order, question].map(|text| text.replace(&platform_address, "PLATFORM"))
+    [first_page, second_page, order, probe].map(|text| text.replace(&platform_address, "PLATFORM"))
 }
 
 #[test]
 fn requests_are_as_recorded() {
     let file = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/requests.txt");
-    let [first_page, second_page, order, question] = requests(false);
+    let [first_page, second_page, order, probe] = requests(false);
     let [.., order_of_single_version, _] = requests(true);
     check_samples(
         &file,
@@ -129,7 +129,7 @@
             ("second-page", second_page),
             ("order", order),
             ("order-where-a-text-needs-one-version", order_of_single_version),
-            ("question-after-a-load", question),
+            ("question-after-a-load", probe),
         ],
     );
 }
--- a/crates/control-plane/tests/golden_samples.rs
+++ b/crates/control-plane/tests/golden_samples.rs
@@ -1,5 +1,5 @@
-//! Recorded bytes of every message between control nodes, of every record on their disks and of every message of a
-//! session: their encoding is the wire and the disk.
+//! Recorded bytes of every message between control nodes, of every record on their disks and of every session message.
+//! Their encoding must not change, since other versions read it from the network and from disks.
 
 use std::net::Ipv4Addr;
 use std::path::{Path, PathBuf};
@@ -29,7 +29,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// The samples have the recorded bytes, and these decode to the samples.
+/// Checks that the samples have the recorded bytes, and that these decode to the samples.
 fn check<T>(name: &str, samples: &[(&str, T)])
 where
     T: PartialEq + std::fmt::Debug + Encode<Binary> + for<'de> Decode<'de, Binary, Global>,
@@ -82,7 +82,7 @@
     }
 }
 
-fn whole_table() -> ServerTableUpdate {
+fn complete_table() -> ServerTableUpdate {
     ServerTableUpdate::Snapshot { version: version(2, 9), servers: vec![entry(), entry()] }
 }
 
@@ -112,7 +112,7 @@
     MemberStatus { caught_up: true, unsettled: false, reaches_chain: true, leaving: true, impaired: false }
 }
 
-fn journal_entry(sequence: u64) -> Entry {
+fn log_entry(sequence: u64) -> Entry {
     Entry { sequence, epoch: 2, payload: Rc::from(&b"change"[..]) }
 }
 
@@ -136,7 +136,7 @@
         position_id: 9,
         previous_sequence: 7,
         previous_epoch: 1,
-        entries: vec![journal_entry(8), journal_entry(9)],
+        entries: vec![log_entry(8), log_entry(9)],
         committed: 7,
         epoch_base: Some(8),
     };
@@ -177,7 +177,7 @@
             ("sessions", PeerMessage::Sessions { sessions }),
             ("no-sessions", PeerMessage::Sessions { sessions: Vec::new() }),
             ("sessions-unchanged", PeerMessage::SessionsUnchanged),
-            ("whole-table", PeerMessage::Servers(whole_table())),
+            ("whole-table", PeerMessage::Servers(complete_table())),
             ("table-difference", PeerMessage::Servers(table_difference())),
             ("workers", PeerMessage::Workers(workers())),
             ("no-workers", PeerMessage::Workers(GatewayList::default())),
@@ -198,7 +198,7 @@
     check(
         "disk-records.txt",
         &[
-            ("entry", DiskRecord::Entry(journal_entry(300))),
+            ("entry", DiskRecord::Entry(log_entry(300))),
             ("truncation", DiskRecord::Truncate { after: 300 }),
             ("reset", DiskRecord::Reset { start: 300, previous_epoch: 2 }),
             ("agreement", DiskRecord::Agreement(agreement)),
@@ -254,14 +254,14 @@
             ("heartbeat", ControlMessage::Heartbeat),
             ("snapshot", ControlMessage::Snapshot { sequence: 300, state: vec![1, 2, 250] }),
             ("changes", ControlMessage::Changes { first: 299, changes: vec![vec![1], vec![], vec![200, 3]] }),
-            ("whole-table", ControlMessage::Servers(whole_table())),
+            ("whole-table", ControlMessage::Servers(complete_table())),
             ("table-difference", ControlMessage::Servers(table_difference())),
             ("workers", ControlMessage::Gateways(workers())),
         ],
     );
 }
 
-/// A state that every kind of change has had a part in.
+/// Returns changes of every kind.
 fn changes() -> Vec<(&'static str, Change)> {
     let configuration = br#"{"config-version":1,"routes":[],"services":[]}"#;
     let placement = Placement {
--- a/crates/control-plane/tests/graceful_shutdown.rs
+++ b/crates/control-plane/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A control process that is told to stop while a call is open answers it before it ends.
+//! A control process that shuts down while a request is open responds to it before it exits.
 
 mod graceful_shutdown_support;
 
@@ -10,12 +10,12 @@
 use orchidvalve_control_plane::process::run;
 use orchidvalve_net::Network;
 
-const NAME: &str = "a_process_that_is_told_to_stop_answers_its_open_call";
+const NAME: &str = "a_process_responds_to_its_open_request_before_a_shutdown";
 
-/// Large enough that the call is still open when the signal comes.
+/// Large enough that the request is still open when the signal arrives.
 const FILLING_BYTES: usize = 4 << 20;
 
-/// The answer to a call that is open when the process is told to stop.
+/// Returns the response to a request that is open when the shutdown begins.
 fn operate(address: SocketAddrV4) -> String {
     put_first(address);
     call(address, &put(2, FILLING_BYTES), tell_to_stop)
@@ -28,8 +28,8 @@
     let data_directory = options.machine.data_directory.clone();
     let operator = thread::spawn(move || operate(control_address));
     let ended = run(options);
-    let answer = operator.join().expect("the operator ends");
+    let response = operator.join().expect("the operator ends");
     let _ = std::fs::remove_dir_all(data_directory);
-    let passed = ended.is_ok() && answer.starts_with("HTTP/1.1 200");
-    report(NAME, passed, &format!("ended: {ended:?}, answer: {answer:?}"))
+    let passed = ended.is_ok() && response.starts_with("HTTP/1.1 200");
+    report(NAME, passed, &format!("ended: {ended:?}, response: {response:?}"))
 }
--- a/crates/control-plane/tests/load_summaries.rs
+++ b/crates/control-plane/tests/load_summaries.rs
@@ -1,4 +1,4 @@
-//! Reports of work: sums by service, completeness, and processes that die.
+//! Load reports: sums by service, completeness, and processes that fail.
 
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn the_newest_report_of_each_process_counts() {
+fn the_latest_report_of_each_process_counts() {
     let mut summaries = LoadSummaries::default();
     summaries.record(1, vec![load("a", 5, 2), load("b", 1, 0)], 0);
     summaries.record(2, vec![load("a", 3, 0)], 0);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_process_that_lost_its_session_counts_for_a_while() {
+fn the_report_of_a_process_without_a_session_is_kept_for_a_while() {
     let mut summaries = LoadSummaries::default();
     summaries.record(1, vec![load("a", 5, 0)], 0);
     summaries.expire(&BTreeSet::from([1]), 1_000);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_session_that_is_opened_elsewhere_in_time_keeps_the_report() {
+fn a_session_opened_in_time_keeps_the_report() {
     let mut summaries = LoadSummaries::default();
     summaries.record(1, vec![load("a", 5, 0)], 0);
     summaries.expire(&BTreeSet::new(), DEAD_PROCESS_RETENTION_MS - 1);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn reports_are_complete_if_each_process_reported_lately() {
+fn all_processes_need_a_recent_report() {
     let mut summaries = LoadSummaries::default();
     assert!(summaries.has_recent_reports(&BTreeSet::new(), 0));
     summaries.record(1, Vec::new(), 0);
--- a/crates/control-plane/tests/messages.rs
+++ b/crates/control-plane/tests/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between control nodes and their subscribers: every variant with each single change of its bytes.
 //!
-//! A new variant breaks the build of the `place` functions here until it has a number, and the tests until there
-//! is a sample of it.
+//! A new variant breaks the build of the `_index` functions until it has an index, and the tests until there is a sample
+//! of it.
 
 use std::collections::BTreeSet;
 use std::net::Ipv4Addr;
@@ -73,7 +73,7 @@
     GatewayList { version: TableVersion { term: 2, number: 300 }, gateways: vec![address(1), address(3)] }
 }
 
-fn agreement_place(message: &AgreementMessage) -> usize {
+fn agreement_index(message: &AgreementMessage) -> usize {
     match message {
         AgreementMessage::Hello { .. } => 0,
         AgreementMessage::Ping { .. } => 1,
@@ -109,7 +109,7 @@
     ]
 }
 
-fn chain_place(message: &ChainMessage) -> usize {
+fn chain_index(message: &ChainMessage) -> usize {
     match message {
         ChainMessage::Position { .. } => 0,
         ChainMessage::Entries { .. } => 1,
@@ -144,7 +144,7 @@
     ]
 }
 
-fn outcome_place(outcome: &RequestOutcome) -> usize {
+fn outcome_index(outcome: &RequestOutcome) -> usize {
     match outcome {
         RequestOutcome::Done => 0,
         RequestOutcome::VersionConflict { .. } => 1,
@@ -167,7 +167,7 @@
     ]
 }
 
-fn peer_place(message: &PeerMessage) -> usize {
+fn peer_index(message: &PeerMessage) -> usize {
     match message {
         PeerMessage::Handshake { .. } => 0,
         PeerMessage::Agreement(_) => 1,
@@ -185,13 +185,13 @@
 }
 
 fn peer_samples() -> Vec<PeerMessage> {
-    let call = HeadRequest::Change { change: vec![1, 200, 3] };
+    let change = HeadRequest::Change { change: vec![1, 200, 3] };
     let session = Session { health: Some(health()), ..Session::new(&handshake(Role::Store)) };
-    let door = Session::new(&handshake(Role::Gateway));
+    let gateway = Session::new(&handshake(Role::Gateway));
     let mut samples = vec![
         PeerMessage::Handshake { handshake: handshake(Role::Control) },
-        PeerMessage::Forward { number: ForwardNumber(u64::MAX), request: call },
-        PeerMessage::Sessions { sessions: vec![session, door] },
+        PeerMessage::Forward { number: ForwardNumber(u64::MAX), request: change },
+        PeerMessage::Sessions { sessions: vec![session, gateway] },
         PeerMessage::Sessions { sessions: Vec::new() },
         PeerMessage::SessionsUnchanged,
         PeerMessage::LearnerCaughtUp { partition: 7, epoch: 300, member: member(3) },
@@ -220,7 +220,7 @@
     vec![ServiceLoad { service: "blue".to_owned(), running: 300, waiting: 7 }]
 }
 
-fn to_control_place(message: &SessionMessage) -> usize {
+fn to_control_index(message: &SessionMessage) -> usize {
     match message {
         SessionMessage::Handshake { .. } => 0,
         SessionMessage::Heartbeat { .. } => 1,
@@ -248,7 +248,7 @@
     ]
 }
 
-fn from_control_place(message: &ControlMessage) -> usize {
+fn from_control_index(message: &ControlMessage) -> usize {
     match message {
         ControlMessage::Welcome { .. } => 0,
         ControlMessage::Redirect { .. } => 1,
@@ -273,20 +273,20 @@
     samples
 }
 
-/// Every variant up to the highest place has a sample.
-fn assert_complete<T>(samples: &[T], place: impl Fn(&T) -> usize, variants: usize) {
-    let places: BTreeSet<usize> = samples.iter().map(place).collect();
-    assert_eq!(places, (0..variants).collect());
+/// Checks that every variant up to the highest index has a sample.
+fn assert_complete<T>(samples: &[T], index: impl Fn(&T) -> usize, variants: usize) {
+    let indices: BTreeSet<usize> = samples.iter().map(index).collect();
+    assert_eq!(indices, (0..variants).collect());
 }
 
 #[test]
 fn every_variant_has_a_sample() {
-    assert_complete(&agreement_samples(), agreement_place, 9);
-    assert_complete(&chain_samples(), chain_place, 7);
-    assert_complete(&outcome_samples(), outcome_place, 6);
-    assert_complete(&peer_samples(), peer_place, 12);
-    assert_complete(&to_control_samples(), to_control_place, 7);
-    assert_complete(&from_control_samples(), from_control_place, 7);
+    assert_complete(&agreement_samples(), agreement_index, 9);
+    assert_complete(&chain_samples(), chain_index, 7);
+    assert_complete(&outcome_samples(), outcome_index, 6);
+    assert_complete(&peer_samples(), peer_index, 12);
+    assert_complete(&to_control_samples(), to_control_index, 7);
+    assert_complete(&from_control_samples(), from_control_index, 7);
 }
 
 trait Message: PartialEq + std::fmt::Debug + Encode<Binary> + for<'de> Decode<'de, Binary, Global> {}
@@ -298,7 +298,7 @@
     bytes
 }
 
-/// All messages that a connection with these bytes brings, and whether it has to be dropped then.
+/// Returns all messages decoded from the bytes of a connection, and whether the connection has to be dropped then.
 fn receive<T: Message>(mut bytes: &[u8]) -> (Vec<T>, bool) {
     let mut messages = Vec::new();
     loop {
@@ -313,28 +313,28 @@
     }
 }
 
-/// Each sample comes back; cut off anywhere it isn't there yet; the bytes of a frame that ends too early are no
-/// message; with a bit flipped it is refused, awaited or read as one message, and nothing panics. (Numbers have
-/// several encodings, so that a few bits say nothing.)
+/// Checks that each sample is decoded unchanged; that a truncated frame is incomplete; that a frame whose length field is too
+/// short or too long is refused; and that a flipped bit leads to a refusal, an incomplete frame or one message without a
+/// panic. (Numbers have several encodings, so a few bits do not matter.)
 fn check_bytes<T: Message>(samples: &[T]) {
     for sample in samples {
-        let whole = frame(sample);
-        assert_eq!(receive::<T>(&whole), (vec![receive::<T>(&whole).0.remove(0)], false));
-        assert_eq!(&receive::<T>(&whole).0[0], sample);
-        for length in 0..whole.len() {
-            assert_eq!(receive::<T>(&whole[..length]), (Vec::new(), false), "{sample:?} at {length}");
+        let complete = frame(sample);
+        assert_eq!(receive::<T>(&complete), (vec![receive::<T>(&complete).0.remove(0)], false));
+        assert_eq!(&receive::<T>(&complete).0[0], sample);
+        for length in 0..complete.len() {
+            assert_eq!(receive::<T>(&complete[..length]), (Vec::new(), false), "{sample:?} at {length}");
         }
-        for body in 0..whole.len() - 4 {
+        for body in 0..complete.len() - 4 {
             let mut short = (body as u32).to_le_bytes().to_vec();
-            short.extend_from_slice(&whole[4..4 + body]);
+            short.extend_from_slice(&complete[4..4 + body]);
             assert_eq!(receive::<T>(&short), (Vec::new(), true), "{sample:?} with {body} bytes");
         }
-        let mut longer = ((whole.len() - 3) as u32).to_le_bytes().to_vec();
-        longer.extend_from_slice(&whole[4..]);
+        let mut longer = ((complete.len() - 3) as u32).to_le_bytes().to_vec();
+        longer.extend_from_slice(&complete[4..]);
         longer.push(0);
-        assert_eq!(receive::<T>(&longer), (Vec::new(), true), "{sample:?} with a byte more");
-        for bit in 0..whole.len() * 8 {
-            let mut flipped = whole.clone();
+        assert_eq!(receive::<T>(&longer), (Vec::new(), true), "{sample:?} with an extra byte");
+        for bit in 0..complete.len() * 8 {
+            let mut flipped = complete.clone();
             flipped[bit / 8] ^= 1 << (bit % 8);
             let (messages, dropped) = receive::<T>(&flipped);
             assert!(messages.len() <= 1 && !(dropped && messages.first() == Some(sample)), "bit {bit}");
@@ -343,50 +343,50 @@
 }
 
 #[test]
-fn messages_of_peers_with_changed_bytes() {
+fn peer_messages_with_changed_bytes_are_detected() {
     check_bytes(&peer_samples());
 }
 
 #[test]
-fn messages_to_control_with_changed_bytes() {
+fn messages_to_control_with_changed_bytes_are_detected() {
     check_bytes(&to_control_samples());
 }
 
 #[test]
-fn messages_from_control_with_changed_bytes() {
+fn messages_from_control_with_changed_bytes_are_detected() {
     check_bytes(&from_control_samples());
 }
 
-/// Frames that are dropped, doubled or replayed as a whole leave the boundaries of the others alone.
+/// Checks that frames which are dropped, doubled or replayed as a complete leave the boundaries of the others intact.
 fn check_frames<T: Message + Clone>(samples: &[T]) {
-    for place in 0..samples.len() {
+    for index in 0..samples.len() {
         let mut dropped = samples.to_vec();
-        dropped.remove(place);
+        dropped.remove(index);
         let mut doubled = samples.to_vec();
-        doubled.insert(place, samples[place].clone());
+        doubled.insert(index, samples[index].clone());
         let mut replayed = samples.to_vec();
-        replayed.push(samples[place].clone());
+        replayed.push(samples[index].clone());
         for changed in [dropped, doubled, replayed] {
             let bytes: Vec<u8> = changed.iter().flat_map(frame).collect();
             assert_eq!(receive::<T>(&bytes), (changed, false));
         }
-        // A malformed frame ends the connection; those before it are taken.
-        let mut bytes: Vec<u8> = samples[..place].iter().flat_map(frame).collect();
+        // A malformed frame ends the connection; the messages before it are delivered.
+        let mut bytes: Vec<u8> = samples[..index].iter().flat_map(frame).collect();
         bytes.extend_from_slice(&[1, 0, 0, 0, 0xff]);
-        bytes.extend(samples[place..].iter().flat_map(frame));
-        assert_eq!(receive::<T>(&bytes), (samples[..place].to_vec(), true));
+        bytes.extend(samples[index..].iter().flat_map(frame));
+        assert_eq!(receive::<T>(&bytes), (samples[..index].to_vec(), true));
     }
 }
 
 #[test]
-fn whole_frames_dropped_doubled_and_replayed() {
+fn dropped_doubled_and_replayed_frames_leave_the_others_intact() {
     check_frames(&peer_samples());
     check_frames(&to_control_samples());
     check_frames(&from_control_samples());
 }
 
 #[test]
-fn a_frame_too_large_is_refused_at_its_length() {
+fn an_oversized_frame_is_refused_by_its_length() {
     let bytes = (MAX_FRAME_BYTES as u32 + 1).to_le_bytes();
     let refused = read_frame::<ControlMessage>(&bytes);
     assert_eq!(refused, Err(FrameError::TooLarge { bytes: MAX_FRAME_BYTES + 1 }));
--- a/crates/control-plane/tests/node_epochs.rs
+++ b/crates/control-plane/tests/node_epochs.rs
@@ -1,4 +1,4 @@
-//! What a machine may rely on while it knows of a newer view than the one it acts in.
+//! The confirmations that count while a node knows a newer view than the one it acts in.
 
 mod single_node;
 
@@ -11,7 +11,7 @@
     head_of_three(false, 1_000)
 }
 
-/// Numbers of the pings that the machine has sent.
+/// Returns the numbers of the pings that the node has sent.
 fn pings(control_node: &mut ControlNode<NumberingDisk>) -> Vec<u64> {
     let number = |event: &NodeOutput| match event {
         NodeOutput::Send { message: PeerMessage::Agreement(Message::Ping { number, .. }), .. } => {
@@ -22,8 +22,8 @@
     control_node.take_outputs().iter().filter_map(number).collect()
 }
 
-/// Both others answer a ping as members of `epoch`.
-fn answer(control_node: &mut ControlNode<NumberingDisk>, number: u64, epoch: u64) {
+/// Responds to a ping for both other nodes, as members of `epoch`.
+fn respond(control_node: &mut ControlNode<NumberingDisk>, number: u64, epoch: u64) {
     let status = MemberStatus { caught_up: true, ..MemberStatus::default() };
     for other in [2, 3] {
         let pong = Message::Pong { number, epoch, status };
@@ -32,11 +32,11 @@
 }
 
 #[test]
-fn a_majority_in_the_view_in_force_counts() {
+fn a_majority_in_the_current_view_counts() {
     let mut control_node = head_of_view_one();
     control_node.tick(1_000);
     let number = pings(&mut control_node)[0];
-    answer(&mut control_node, number, 1);
+    respond(&mut control_node, number, 1);
     assert_eq!(control_node.quorum_confirmed_at(), Some(1_000));
 }
 
@@ -45,11 +45,11 @@
     let mut control_node = head_of_view_one();
     control_node.tick(1_000);
     let _ = pings(&mut control_node);
-    // After a cut, the others tell of the next view; its record isn't on the disk yet.
+    // After a network partition, another node sends the next view, whose record is not on the disk yet.
     control_node.agreement_message(member(2), Message::Decided { view: view(2, &[2, 3]) });
     control_node.tick(1_250);
     let number = *pings(&mut control_node).last().unwrap();
-    answer(&mut control_node, number, 2);
+    respond(&mut control_node, number, 2);
     assert_eq!((control_node.epoch(), control_node.quorum_confirmed_at()), (1, None));
     control_node.durable(u64::MAX);
     assert_eq!(control_node.epoch(), 2);
--- a/crates/control-plane/tests/node_links.rs
+++ b/crates/control-plane/tests/node_links.rs
@@ -1,4 +1,4 @@
-//! What a machine does when a link to another one comes up.
+//! The behaviour of a control node when a link to another one is established.
 
 use std::net::Ipv4Addr;
 
@@ -25,10 +25,10 @@
     MemberId { address: NodeAddress::new(Ipv4Addr::new(10, 0, 0, number), 7000), disk: u64::from(number) }
 }
 
-/// Machine 1 right after a start; with a view on its disk it is the head.
+/// Returns node 1 right after its start. With a view on its disk it is the head.
 fn started(view: Option<View>) -> ControlNode<NoDisk> {
     let seeds = [1, 2, 3].map(|m| member(m).address).to_vec();
-    let identity = NodeConfig {
+    let config = NodeConfig {
         me: member(1),
         bootstrap: false,
         seeds,
@@ -38,7 +38,7 @@
     };
     let agreement = view.map(|view| DurableState { view: Some(view), ..DurableState::default() });
     let recovered = RecoveredState { agreement, ..RecoveredState::default() };
-    ControlNode::new(identity, recovered, NoDisk, START)
+    ControlNode::new(config, recovered, NoDisk, START)
 }
 
 fn status(unsettled: bool) -> MemberStatus {
@@ -50,7 +50,7 @@
     View { epoch: 1, voters: members.clone(), chain: members }
 }
 
-/// The messages of the agreement that were sent to `to`.
+/// Returns the messages of the agreement that were sent to `to`.
 fn sent_to(control_node: &mut ControlNode<NoDisk>, to: MemberId) -> Vec<Message> {
     let message = |event: NodeOutput| match event {
         NodeOutput::Send { to: receiver, message: PeerMessage::Agreement(message) } if receiver == to => {
@@ -61,11 +61,11 @@
     control_node.take_outputs().into_iter().filter_map(message).collect()
 }
 
-/// A start sends pings while no link is up: they are lost, and the next round is due 200 ms later.
+/// A starting node sends pings before any link is up: they are lost, and the next round is due 200 ms later.
 #[rstest]
 #[case(2)]
 #[case(3)]
-fn a_start_has_a_quorum_as_soon_as_one_other_is_linked_and_answers(#[case] other: u8) {
+fn a_starting_node_has_a_quorum_once_one_linked_node_responds(#[case] other: u8) {
     let other = member(other);
     let mut control_node = started(Some(view_of_three()));
     control_node.tick(START);
@@ -83,11 +83,11 @@
     assert_eq!(control_node.quorum_confirmed_at(), Some(START + 7));
 }
 
-/// An answer that tells of a later view, or of one that may be decided, confirms nothing.
+/// A response that reports a later view, or a view that is being decided, confirms nothing.
 #[rstest]
 #[case::later_view(2, false)]
-#[case::view_under_way(1, true)]
-fn what_is_answered_to_the_ping_of_a_new_link_is_checked(#[case] epoch: u64, #[case] unsettled: bool) {
+#[case::view_being_decided(1, true)]
+fn the_response_to_a_ping_on_a_new_link_is_checked(#[case] epoch: u64, #[case] unsettled: bool) {
     let mut control_node = started(Some(view_of_three()));
     control_node.tick(START);
     let _ = control_node.take_outputs();
@@ -99,9 +99,9 @@
     assert!(!control_node.has_quorum());
 }
 
-/// Before the first view, the greeting of the link says all there is to say.
+/// Before the first view, the hello of the agreement on the new link is sufficient.
 #[test]
-fn without_a_view_a_new_link_calls_for_no_ping() {
+fn no_ping_is_sent_on_a_new_link_without_a_view() {
     let mut control_node = started(None);
     control_node.tick(START);
     let _ = control_node.take_outputs();
--- a/crates/control-plane/tests/node_log_size.rs
+++ b/crates/control-plane/tests/node_log_size.rs
@@ -1,4 +1,4 @@
-//! What the log takes of the disk while configurations are large.
+//! Disk use of the log while configurations are large.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -18,16 +18,16 @@
 
 const START_MS: u64 = 1_000;
 const MEGABYTE: usize = 1 << 20;
-/// What the ring may take of a disk of 64 MB.
+/// Capacity of the ring on a disk of 64 MB.
 const RING_BYTES: usize = 64 * MEGABYTE * 85 / 100;
 
-/// Counts the bytes that aren't released; all records are durable at once.
+/// Counts the bytes that are not released; all records are durable at once.
 #[derive(Default)]
 struct CountedRecords {
     held: VecDeque<(u64, usize)>,
     last: u64,
     held_bytes: usize,
-    most_held_bytes: usize,
+    max_held_bytes: usize,
     written_bytes: usize,
 }
 
@@ -42,7 +42,7 @@
         records.held.push_back((position, payload.len()));
         records.held_bytes += payload.len();
         records.written_bytes += payload.len();
-        records.most_held_bytes = records.most_held_bytes.max(records.held_bytes);
+        records.max_held_bytes = records.max_held_bytes.max(records.held_bytes);
         position
     }
 
@@ -54,22 +54,22 @@
     }
 }
 
-/// The only machine of a control plane of which nothing may be lost.
-struct Single {
+/// The only control node of a system in which no loss has to be tolerated.
+struct SingleNode {
     control_node: ControlNode<CountingDisk>,
     disk: CountingDisk,
     now: u64,
-    calls: u64,
+    requests: u64,
 }
 
-impl Single {
-    fn start() -> Single {
+impl SingleNode {
+    fn start() -> SingleNode {
         let address = NodeAddress::new(Ipv4Addr::new(10, 0, 0, 1), 7000);
         let me = MemberId { address, disk: 1 };
         let view = View { epoch: 1, voters: vec![me], chain: vec![me] };
         let agreement = DurableState { view: Some(view), ..DurableState::default() };
         let recovered = RecoveredState { agreement: Some(agreement), ..RecoveredState::default() };
-        let identity = NodeConfig {
+        let config = NodeConfig {
             me,
             bootstrap: false,
             seeds: Vec::new(),
@@ -78,10 +78,10 @@
             incarnation: 7,
         };
         let disk = CountingDisk::default();
-        let control_node = ControlNode::new(identity, recovered, disk.clone(), START_MS);
-        let mut single = Single { control_node, disk, now: START_MS, calls: 0 };
-        single.turn();
-        single
+        let control_node = ControlNode::new(config, recovered, disk.clone(), START_MS);
+        let mut node = SingleNode { control_node, disk, now: START_MS, requests: 0 };
+        node.turn();
+        node
     }
 
     fn turn(&mut self) -> Vec<NodeOutput> {
@@ -96,13 +96,13 @@
         outputs
     }
 
-    /// Puts a change through.
+    /// Makes a change and checks that it is committed.
     fn change(&mut self, change: &Change) {
-        self.calls += 1;
-        let number = RequestNumber(self.calls);
+        self.requests += 1;
+        let number = RequestNumber(self.requests);
         self.control_node.submit(number, HeadRequest::Change { change: encode(change) });
         let is_done = |event: &NodeOutput| matches!(event, NodeOutput::RequestDecided { request, outcome: RequestOutcome::Done } if *request == number);
-        assert!(self.turn().iter().any(is_done), "change {number:?} isn't confirmed");
+        assert!(self.turn().iter().any(is_done), "change {number:?} is not confirmed");
     }
 
     fn put(&mut self, version: u64, filling: usize) {
@@ -113,27 +113,27 @@
     }
 }
 
-/// A ring that is full of records that are needed never gets the checkpoint that would end the need.
+/// A ring filled with records that are still needed could not accept the checkpoint that would release them.
 #[rstest]
 #[case::of_4_megabytes(4 * MEGABYTE, 15)]
-#[case::the_longest_that_are_taken(MAX_DOCUMENT_BYTES - 1_000, 8)]
+#[case::the_largest_accepted(MAX_DOCUMENT_BYTES - 1_000, 8)]
 fn large_configurations_fit_the_disk(#[case] bytes: usize, #[case] versions: u64) {
-    let mut single = Single::start();
+    let mut node = SingleNode::start();
     for version in 1..=versions {
-        single.put(version, bytes);
+        node.put(version, bytes);
     }
-    let most = single.disk.0.borrow().most_held_bytes;
-    assert!(most < RING_BYTES, "{most} bytes were needed at once");
+    let max = node.disk.0.borrow().max_held_bytes;
+    assert!(max < RING_BYTES, "{max} bytes were needed at once");
 }
 
 #[test]
-fn small_changes_of_a_large_configuration_do_not_write_it_again_and_again() {
-    let mut single = Single::start();
-    single.put(1, 3 * MEGABYTE);
-    let before = single.disk.0.borrow().written_bytes;
+fn small_changes_do_not_rewrite_a_large_configuration() {
+    let mut node = SingleNode::start();
+    node.put(1, 3 * MEGABYTE);
+    let before = node.disk.0.borrow().written_bytes;
     for version in 2..=100 {
-        single.change(&Change::NameVersion { model: "duge".to_owned(), version });
+        node.change(&Change::NameVersion { model: "duge".to_owned(), version });
     }
-    let written = single.disk.0.borrow().written_bytes - before;
+    let written = node.disk.0.borrow().written_bytes - before;
     assert!(written < MEGABYTE, "{written} bytes for 99 small changes");
 }
--- a/crates/control-plane/tests/node_retirement.rs
+++ b/crates/control-plane/tests/node_retirement.rs
@@ -1,4 +1,4 @@
-//! Orders to empty a store node: decided at the head, refused only under proof.
+//! Retirement of a store node: the head decides, and refuses only after the view was confirmed.
 
 mod single_node;
 
@@ -10,10 +10,10 @@
 use orchidvalve_control_plane::peer_messages::{HeadRequest, PeerMessage, RequestOutcome};
 use single_node::{NumberingDisk, head_of_three};
 
-const CALL: RequestNumber = RequestNumber(41);
+const REQUEST: RequestNumber = RequestNumber(41);
 
-/// The head of a chain of three that a majority has just confirmed.
-fn settled_head() -> ControlNode<NumberingDisk> {
+/// Returns the head of a chain of three that a majority has just confirmed.
+fn confirmed_head() -> ControlNode<NumberingDisk> {
     let mut control_node = head_of_three(false, 1_000);
     control_node.tick(1_000);
     let status = MemberStatus { caught_up: true, ..MemberStatus::default() };
@@ -27,16 +27,16 @@
     control_node
 }
 
-fn ask(control_node: &mut ControlNode<NumberingDisk>) -> RequestOrigin {
-    control_node.submit(CALL, HeadRequest::Retire { name: "store-1".to_owned() });
-    let asked = control_node.take_outputs().into_iter().find_map(|event| match event {
+fn request_retirement(control_node: &mut ControlNode<NumberingDisk>) -> RequestOrigin {
+    control_node.submit(REQUEST, HeadRequest::Retire { name: "store-1".to_owned() });
+    let origin = control_node.take_outputs().into_iter().find_map(|event| match event {
         NodeOutput::RetirementRequested { origin, name } if name == "store-1" => Some(origin),
         _ => None,
     });
-    asked.expect("the head is asked")
+    origin.expect("the head has to decide")
 }
 
-/// The outcomes told, after all others confirmed the view if they can be reached.
+/// Returns the reported outcomes, after all other nodes have confirmed the view if `others_confirm`.
 fn outcomes(control_node: &mut ControlNode<NumberingDisk>, others_confirm: bool) -> Vec<RequestOutcome> {
     let mut outcomes = Vec::new();
     for event in control_node.take_outputs() {
@@ -46,31 +46,31 @@
             {
                 control_node.chain_message(to, ChainMessage::Confirmed { epoch, round, committed: 0 });
             }
-            NodeOutput::RequestDecided { request: CALL, outcome } => outcomes.push(outcome),
+            NodeOutput::RequestDecided { request: REQUEST, outcome } => outcomes.push(outcome),
             _ => {}
         }
     }
     outcomes.extend(control_node.take_outputs().into_iter().filter_map(|event| match event {
-        NodeOutput::RequestDecided { request: CALL, outcome } => Some(outcome),
+        NodeOutput::RequestDecided { request: REQUEST, outcome } => Some(outcome),
         _ => None,
     }));
     outcomes
 }
 
 #[test]
-fn a_refusal_is_answered_once_the_others_have_confirmed_the_view() {
-    let mut control_node = settled_head();
-    let origin = ask(&mut control_node);
+fn a_refusal_is_reported_once_the_view_is_confirmed() {
+    let mut control_node = confirmed_head();
+    let origin = request_retirement(&mut control_node);
     control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewRemain);
     let reported = outcomes(&mut control_node, true);
     assert!(matches!(reported[..], [RequestOutcome::Conflict { .. }]), "{reported:?}");
 }
 
-/// A machine that was cut off knows too few sessions and would refuse everything.
+/// A partitioned node knows too few sessions and would refuse every retirement.
 #[test]
 fn a_partitioned_head_refuses_nothing() {
-    let mut control_node = settled_head();
-    let origin = ask(&mut control_node);
+    let mut control_node = confirmed_head();
+    let origin = request_retirement(&mut control_node);
     control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewRemain);
     assert_eq!(outcomes(&mut control_node, false), []);
     control_node.tick(1_000 + REQUEST_TIMEOUT_MS);
@@ -78,17 +78,17 @@
 }
 
 #[test]
-fn without_knowledge_there_is_no_verdict() {
-    let mut control_node = settled_head();
-    let origin = ask(&mut control_node);
+fn an_undetermined_verdict_leaves_the_outcome_unknown() {
+    let mut control_node = confirmed_head();
+    let origin = request_retirement(&mut control_node);
     control_node.decide_retirement(origin, "store-1", RetirementVerdict::Undetermined);
     assert_eq!(outcomes(&mut control_node, true), [RequestOutcome::Unknown]);
 }
 
 #[test]
-fn a_node_that_was_the_head_when_asked_refuses_nothing_later() {
-    let mut control_node = settled_head();
-    let origin = ask(&mut control_node);
+fn a_former_head_refuses_nothing() {
+    let mut control_node = confirmed_head();
+    let origin = request_retirement(&mut control_node);
     control_node.tick(10_000);
     control_node.decide_retirement(origin, "store-1", RetirementVerdict::TooFewRemain);
     assert_eq!(outcomes(&mut control_node, true), [RequestOutcome::Unknown]);
--- a/crates/control-plane/tests/node_terms.rs
+++ b/crates/control-plane/tests/node_terms.rs
@@ -1,4 +1,4 @@
-//! Terms of the head's singleton roles: new for every start, also within one view.
+//! Leadership terms: each start of the head has a new one, even within one view.
 
 use std::cell::RefCell;
 use std::net::Ipv4Addr;
@@ -14,11 +14,11 @@
 
 const START_MS: u64 = 100_000;
 
-/// A disk that outlives the process; all records are durable at once.
+/// A disk that survives the process; all records are durable at once.
 #[derive(Clone, Default)]
-struct KeptDisk(Rc<RefCell<Vec<Vec<u8>>>>);
+struct SharedDisk(Rc<RefCell<Vec<Vec<u8>>>>);
 
-impl Disk for KeptDisk {
+impl Disk for SharedDisk {
     fn append(&mut self, payload: Vec<u8>) -> u64 {
         self.0.borrow_mut().push(payload);
         self.0.borrow().len() as u64
@@ -43,17 +43,17 @@
     }
 }
 
-/// A disk that holds the first view: this machine alone, since nothing may be lost.
-fn disk_with_view() -> KeptDisk {
-    let mut disk = KeptDisk::default();
+/// Returns a disk with the first view, whose only member is this node, since no loss has to be tolerated.
+fn disk_with_view() -> SharedDisk {
+    let mut disk = SharedDisk::default();
     let view = View { epoch: 1, voters: vec![member(1)], chain: vec![member(1)] };
     disk.append(encode(&DiskRecord::Agreement(DurableState { view: Some(view), ..DurableState::default() })));
     disk
 }
 
-/// A start of the process over what the disk holds.
-fn start(disk: &KeptDisk, incarnation: u64) -> ControlNode<KeptDisk> {
-    let identity = NodeConfig {
+/// Starts the process with the contents of the disk.
+fn start(disk: &SharedDisk, incarnation: u64) -> ControlNode<SharedDisk> {
+    let config = NodeConfig {
         me: member(1),
         bootstrap: false,
         seeds: Vec::new(),
@@ -65,18 +65,18 @@
     for (index, record) in disk.0.borrow().iter().enumerate() {
         recovered.apply_record(index as u64 + 1, record);
     }
-    ControlNode::new(identity, recovered, disk.clone(), START_MS)
+    ControlNode::new(config, recovered, disk.clone(), START_MS)
 }
 
-/// Lets the machine come to its term.
-fn term(control_node: &mut ControlNode<KeptDisk>, disk: &KeptDisk) -> u64 {
+/// Runs the node until it has its term.
+fn term(control_node: &mut ControlNode<SharedDisk>, disk: &SharedDisk) -> u64 {
     for step in 0..20 {
         control_node.tick(START_MS + 50 * step);
         let written = disk.0.borrow().len() as u64;
         control_node.durable(written);
         control_node.take_outputs();
     }
-    control_node.leadership_term().expect("the only machine of the view has the duties")
+    control_node.leadership_term().expect("the only node of the view is the leader")
 }
 
 #[test]
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_head_that_starts_again_in_its_view_has_a_higher_term() {
+fn a_restarted_head_has_a_higher_term_in_the_same_view() {
     let disk = disk_with_view();
     let first = term(&mut start(&disk, 1), &disk);
     let mut again = start(&disk, 2);
@@ -98,26 +98,26 @@
     assert!(second > first, "{second} after {first}");
 }
 
-/// All control nodes went down at once and came back in the same view. A door that wasn't restarted holds a
-/// table with a higher number than the new ones have, and has to go by the new ones all the same.
+/// All control nodes were down at once and returned in the same view. A gateway that was not restarted has a table with a
+/// higher number than the new ones, and must adopt the new ones all the same.
 #[test]
-fn subscribers_take_the_table_of_a_head_that_started_again_in_its_view() {
+fn subscribers_adopt_the_table_of_a_restarted_head() {
     let disk = disk_with_view();
     let first = term(&mut start(&disk, 1), &disk);
     let mut before = ServerTable::default();
-    let mut door = ServerTable::default();
+    let mut gateway = ServerTable::default();
     for count in 1..=5 {
-        let update = before.replace(first, (1..=count).map(server).collect()).expect("a server came");
-        assert!(door.apply(&update));
+        let update = before.replace(first, (1..=count).map(server).collect()).expect("the table has changed");
+        assert!(gateway.apply(&update));
     }
     let second = term(&mut start(&disk, 2), &disk);
     let mut after = ServerTable::default();
-    let leaving = ServerEntry { draining: true, ..server(1) };
-    let update = after.replace(second, vec![leaving]).expect("a term begins");
+    let draining = ServerEntry { draining: true, ..server(1) };
+    let update = after.replace(second, vec![draining]).expect("the term has changed");
     assert!(matches!(update, ServerTableUpdate::Snapshot { .. }));
-    assert!(door.apply(&update));
+    assert!(gateway.apply(&update));
     assert_eq!(
-        door.servers().map(|s| (s.instance.as_str(), s.draining)).collect::<Vec<_>>(),
+        gateway.servers().map(|s| (s.instance.as_str(), s.draining)).collect::<Vec<_>>(),
         [("i-1", true)]
     );
 }
--- a/crates/control-plane/tests/node_usage_reports.rs
+++ b/crates/control-plane/tests/node_usage_reports.rs
@@ -1,4 +1,4 @@
-//! Decided reports of usage on the disk of a control node: a loss of all power changes none of them.
+//! Decided usage reports on the disk of a control node: a power loss changes none of them.
 
 mod recorded_node;
 
@@ -21,9 +21,9 @@
     node.state().usage_reports().unaccepted().collect()
 }
 
-// Guards against a report that is decided anew after a loss of all power, when the platform may have the first one.
+// Guards against a report that is decided again after a power loss, when the platform may have received the first one.
 #[test]
-fn what_was_decided_is_the_same_after_a_loss_of_power() {
+fn decided_reports_are_unchanged_after_a_power_loss() {
     let disk = RecordingDisk::default();
     let mut node = start(RecoveredState::default(), disk.clone());
     let first_term = node.leadership_term().expect("it is the head");
@@ -40,7 +40,7 @@
     assert_eq!(unaccepted(&node), [report(WINDOW + 1, 5)]);
 }
 
-// Guards against a report that is sent before its decision is on disk: a power loss would forget what was sent.
+// Guards against a report that is sent before its decision is on the disk: a power loss would lose what was sent.
 #[test]
 fn a_report_is_not_committed_before_its_disk_record() {
     let disk = RecordingDisk::default();
@@ -54,18 +54,18 @@
     assert_eq!(unaccepted(&node), [report(WINDOW, 3)]);
 }
 
-// Guards against decisions that are lost when the log is cut behind a checkpoint.
+// Guards against decisions that are lost when the log is compacted to a checkpoint.
 #[test]
-fn a_report_outlasts_the_records_that_are_released() {
+fn a_report_survives_the_release_of_its_record() {
     let disk = RecordingDisk::default();
     let mut node = start(RecoveredState::default(), disk.clone());
     decide(&mut node, &disk, WINDOW, 3);
-    let noted = disk.last();
+    let recorded = disk.last();
     for version in 2..10_002 {
         assert!(node.propose(Change::NameVersion { model: "model".to_owned(), version }));
         turn(&mut node, &disk);
     }
-    assert!(disk.released_before() > noted);
+    assert!(disk.released_before() > recorded);
     drop(node);
     let node = start(disk.recover(), disk);
     assert_eq!(unaccepted(&node), [report(WINDOW, 3)]);
--- a/crates/control-plane/tests/observer.rs
+++ b/crates/control-plane/tests/observer.rs
@@ -1,5 +1,5 @@
-//! A control node without a disk, over loopback: it names the members to whoever asks, also where its own settings
-//! name no machine that has a disk.
+//! A control node without a disk, over loopback: it sends the members to its callers, even if its own settings name no node
+//! with a disk.
 
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddrV4, TcpListener, TcpStream};
@@ -18,8 +18,8 @@
     ControlMessage, FeedPosition, Handshake, LinkProtocol, PROTOCOL_VERSION, Role, SessionMessage,
 };
 
-/// A peer that says nothing for this time has failed.
-const SILENCE: Duration = Duration::from_secs(20);
+/// A peer that sends nothing for this time has failed.
+const READ_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn free_address() -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
@@ -42,14 +42,14 @@
     }
 }
 
-/// A control node without a disk whose only seed is itself.
+/// Starts a control node without a disk whose only seed is itself.
 fn start_observer() -> ObserverOptions {
     let internal_address = free_address();
     let control_address = free_address();
     let options = ObserverOptions {
         name: "edge-north-2".to_owned(),
         zone: "north".to_owned(),
-        share: 1.0,
+        cpu_share: 1.0,
         control_address,
         internal_address,
         internal_listener: internal_address,
@@ -64,7 +64,7 @@
 fn connect(address: SocketAddrV4) -> TcpStream {
     loop {
         if let Ok(stream) = TcpStream::connect(address) {
-            stream.set_read_timeout(Some(SILENCE)).expect("a socket");
+            stream.set_read_timeout(Some(READ_TIMEOUT)).expect("a socket");
             return stream;
         }
         thread::yield_now();
@@ -84,7 +84,7 @@
     bytes
 }
 
-/// The next message on a connection, with the bytes before it left out.
+/// Reads the next message on a connection after skipping the given number of bytes.
 fn receive<M: for<'de> Decode<'de, Binary, Global>>(stream: &mut TcpStream, skipped: usize) -> M {
     let mut inbox = vec![0; skipped];
     stream.read_exact(&mut inbox).expect("the kind of the link");
@@ -94,24 +94,24 @@
             return message;
         }
         let mut byte = [0];
-        stream.read_exact(&mut byte).expect("a message comes");
+        stream.read_exact(&mut byte).expect("a message arrives");
         inbox.push(byte[0]);
     }
 }
 
-/// Opens a link as a member does, and returns it with the answer.
+/// Opens a link as a member does, and returns it with the response.
 fn link_as_member(observer: &ObserverOptions, member: NodeAddress) -> (TcpStream, ControlMessage) {
     let introduce = PeerMessage::Handshake { handshake: handshake(Role::Control, member) };
     let mut link = call(observer.internal_address, LinkProtocol::ControlPeer, &frame_of(&introduce));
-    let answer = receive(&mut link, 0);
-    (link, answer)
+    let response = receive(&mut link, 0);
+    (link, response)
 }
 
-/// What a gateway is told that asks for a session.
-fn ask_for_session(observer: &ObserverOptions) -> ControlMessage {
-    let door = handshake(Role::Gateway, NodeAddress::new(Ipv4Addr::LOCALHOST, 0));
-    let ask = SessionMessage::Handshake { handshake: door, position: FeedPosition::default() };
-    receive(&mut call(observer.internal_address, LinkProtocol::Session, &frame_of(&ask)), 0)
+/// Returns the response to a gateway that requests a session.
+fn request_session(observer: &ObserverOptions) -> ControlMessage {
+    let gateway = handshake(Role::Gateway, NodeAddress::new(Ipv4Addr::LOCALHOST, 0));
+    let request = SessionMessage::Handshake { handshake: gateway, position: FeedPosition::default() };
+    receive(&mut call(observer.internal_address, LinkProtocol::Session, &frame_of(&request)), 0)
 }
 
 fn controls(message: ControlMessage) -> Vec<NodeAddress> {
@@ -121,16 +121,16 @@
     }
 }
 
-/// Keeps a session with the observer, as a member that has a quorum, until the test ends.
+/// Keeps a session with the observer open until the test ends, as a member with a quorum does.
 fn welcome(listener: TcpListener, members: Vec<NodeAddress>) -> thread::JoinHandle<Handshake> {
     thread::spawn(move || {
-        let (mut session, _) = listener.accept().expect("the observer calls");
-        session.set_read_timeout(Some(SILENCE)).expect("a socket");
+        let (mut session, _) = listener.accept().expect("the observer connects");
+        session.set_read_timeout(Some(READ_TIMEOUT)).expect("a socket");
         let SessionMessage::Handshake { handshake, .. } = receive(&mut session, 1) else {
-            panic!("no introduction")
+            panic!("no handshake")
         };
         session.write_all(&frame_of(&ControlMessage::Welcome { controls: members })).expect("sent");
-        // Its heartbeats are answered for as long as the test runs.
+        // Responds to its heartbeats until the test ends.
         thread::spawn(move || {
             let mut byte = [0];
             while session.read_exact(&mut byte).is_ok() {
@@ -144,51 +144,51 @@
 }
 
 #[test]
-fn members_that_call_are_named_to_all_others() {
+fn members_with_a_link_are_sent_to_all_callers() {
     let observer = start_observer();
     let first = free_address();
-    let (_first_link, answer) = link_as_member(&observer, node(first));
-    assert_eq!(controls(answer), vec![], "nobody is known yet");
-    let (_second_link, answer) = link_as_member(&observer, node(free_address()));
-    assert!(controls(answer).contains(&node(first)));
-    assert!(controls(ask_for_session(&observer)).contains(&node(first)));
+    let (_first_link, response) = link_as_member(&observer, node(first));
+    assert_eq!(controls(response), vec![], "no member is known yet");
+    let (_second_link, response) = link_as_member(&observer, node(free_address()));
+    assert!(controls(response).contains(&node(first)));
+    assert!(controls(request_session(&observer)).contains(&node(first)));
 }
 
 #[test]
-fn the_list_of_a_member_is_named_once_it_keeps_a_session() {
+fn the_list_of_a_member_with_a_session_is_sent_to_callers() {
     let observer = start_observer();
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     let port = listener.local_addr().expect("bound").port();
     let member = NodeAddress::new(Ipv4Addr::LOCALHOST, port);
-    let never_called = NodeAddress::new(Ipv4Addr::new(127, 0, 0, 9), port);
-    let session = welcome(listener, vec![member, never_called]);
+    let without_link = NodeAddress::new(Ipv4Addr::new(127, 0, 0, 9), port);
+    let session = welcome(listener, vec![member, without_link]);
     let (_link, _) = link_as_member(&observer, member);
-    let introduced = session.join().expect("the observer asks for a session");
+    let introduced = session.join().expect("the observer requests a session");
     assert_eq!(
         (introduced.role, introduced.member.address),
         (Role::Control, node(observer.internal_address))
     );
-    while !controls(ask_for_session(&observer)).contains(&never_called) {
+    while !controls(request_session(&observer)).contains(&without_link) {
         thread::yield_now();
     }
     let port = observer.control_address.port();
-    assert_eq!(operator_is_sent_to(&observer), format!("http://127.0.0.1:{port}/v1/configuration"));
+    assert_eq!(operator_redirect_target(&observer), format!("http://127.0.0.1:{port}/v1/configuration"));
 }
 
-fn operator_is_sent_to(observer: &ObserverOptions) -> String {
+fn operator_redirect_target(observer: &ObserverOptions) -> String {
     let mut operator = connect(observer.control_address);
     operator
         .write_all(b"GET /v1/configuration HTTP/1.1\r\nHost: control\r\nConnection: close\r\n\r\n")
         .expect("sent");
-    let mut answer = String::new();
-    operator.read_to_string(&mut answer).expect("an answer");
-    assert!(answer.starts_with("HTTP/1.1 307"), "{answer}");
-    let location = answer.lines().find_map(|line| line.strip_prefix("Location: ")).expect("a location");
+    let mut response = String::new();
+    operator.read_to_string(&mut response).expect("a response");
+    assert!(response.starts_with("HTTP/1.1 307"), "{response}");
+    let location = response.lines().find_map(|line| line.strip_prefix("Location: ")).expect("a location");
     location.to_owned()
 }
 
 #[test]
-fn a_member_that_calls_no_more_is_forgotten() {
+fn a_member_without_a_recent_link_is_forgotten() {
     let mut network = Network::new().expect("an event loop");
     let address = network.listen(SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0), 1).expect("a free port");
     let _peers: Vec<TcpStream> = (0..3).map(|_| TcpStream::connect(address).expect("connected")).collect();
@@ -207,7 +207,7 @@
     assert_eq!(
         directory.link_opened(accepted[2], one, 4_000),
         Some(accepted[0]),
-        "a newer link of the same machine"
+        "a newer link of the same member"
     );
     assert_eq!(directory.expire(5_999), vec![]);
     assert_eq!(directory.expire(6_000), vec![accepted[1]]);
--- a/crates/control-plane/tests/operator.rs
+++ b/crates/control-plane/tests/operator.rs
@@ -1,4 +1,4 @@
-//! Calls of operators and trainers: each pair of a call and its answer, with every field missing or wrong.
+//! The API for operators and trainers: every kind of request with its response, and each field missing or malformed.
 
 use orchidvalve_control_plane::operator_api::{
     OperatorRequest, OperatorResponse, change_response, parse_request,
@@ -32,7 +32,7 @@
 #[case::replace("PUT", "/v1/configuration", "If-Match: 5\r\n", "{}", replace(5))]
 #[case::replace_first("PUT", "/v1/configuration", "If-Match: 0\r\n", "{}", replace(0))]
 #[case::quoted("PUT", "/v1/configuration", "if-match: \"5\"\r\n", "{}", replace(5))]
-#[case::broken_body_is_the_states_affair("PUT", "/v1/configuration", "If-Match: 1\r\n", "{",
+#[case::a_malformed_body_is_checked_by_the_control_state("PUT", "/v1/configuration", "If-Match: 1\r\n", "{",
     OperatorRequest::Change(Change::Replace { base: 1, body: b"{".to_vec() }))]
 #[case::patch("PATCH", "/v1/configuration", "If-Match: 7\r\n", "{}",
     OperatorRequest::Change(Change::Patch { base: 7, body: b"{}".to_vec() }))]
@@ -45,7 +45,7 @@
 #[case::read_retirement("GET", "/v1/retire/storage-1", "", "",
     OperatorRequest::ReadRetirement { node: "storage-1".to_owned() })]
 #[case::status("GET", "/v1/status", "", "", OperatorRequest::ReadStatus)]
-fn calls_are_read(
+fn requests_are_parsed(
     #[case] method: &str,
     #[case] target: &str,
     #[case] headers: &str,
@@ -71,7 +71,7 @@
 #[case::base_any("PUT", "/v1/configuration", "If-Match: *\r\n", "{}", 400, "If-Match")]
 #[case::base_of_patch_missing("PATCH", "/v1/configuration", "", "{}", 400, "If-Match")]
 #[case::base_of_patch_text("PATCH", "/v1/configuration", "If-Match: x\r\n", "{}", 400, "If-Match")]
-#[case::no_json("POST", "/v1/version-put", "", "model", 400, "JSON")]
+#[case::not_json("POST", "/v1/version-put", "", "model", 400, "JSON")]
 #[case::no_body("POST", "/v1/version-put", "", "", 400, "JSON")]
 #[case::cut_off("POST", "/v1/version-put", "", r#"{"model":"daka","config-version":2"#, 400, "JSON")]
 #[case::model_missing("POST", "/v1/version-put", "", r#"{"config-version":2}"#, 400, "model")]
@@ -118,10 +118,10 @@
 #[case::root("GET", "/", "", "", 404, "no such call")]
 #[case::longer_path("GET", "/v1/configuration/x", "", "", 404, "no such call")]
 #[case::other_case("GET", "/V1/configuration", "", "", 404, "no such call")]
-#[case::retire_nobody("POST", "/v1/retire/", "", "", 404, "no such call")]
-#[case::retirement_of_nobody("GET", "/v1/retire/", "", "", 404, "no such call")]
+#[case::retire_without_a_name("POST", "/v1/retire/", "", "", 404, "no such call")]
+#[case::retirement_without_a_name("GET", "/v1/retire/", "", "", 404, "no such call")]
 #[case::retire_without_slash("POST", "/v1/retire", "", "", 404, "no such call")]
-fn what_is_no_call_is_answered(
+fn invalid_requests_get_an_error_response(
     #[case] method: &str,
     #[case] target: &str,
     #[case] headers: &str,
@@ -129,9 +129,9 @@
     #[case] status: u16,
     #[case] part: &str,
 ) {
-    let answer = read(method, target, headers, body).unwrap_err();
-    let document: Value = serde_json::from_slice(&answer.body).unwrap();
-    assert_eq!(answer.status, status);
+    let response = read(method, target, headers, body).unwrap_err();
+    let document: Value = serde_json::from_slice(&response.body).unwrap();
+    assert_eq!(response.status, status);
     assert!(document["error"].as_str().unwrap().contains(part), "{document}");
 }
 
@@ -142,10 +142,10 @@
 #[case::not_found(RequestOutcome::NotFound { reason: "why".to_owned() }, 404)]
 #[case::conflict(RequestOutcome::Conflict { reason: "why".to_owned() }, 409)]
 #[case::outcome_unknown(RequestOutcome::Unknown, 503)]
-fn outcomes_have_their_status(#[case] outcome: RequestOutcome, #[case] status: u16) {
-    let answer = change_response(&outcome);
-    assert_eq!(answer.status, status);
-    let document: Value = serde_json::from_slice(&answer.body).unwrap();
+fn each_outcome_has_its_status(#[case] outcome: RequestOutcome, #[case] status: u16) {
+    let response = change_response(&outcome);
+    assert_eq!(response.status, status);
+    let document: Value = serde_json::from_slice(&response.body).unwrap();
     match outcome {
         RequestOutcome::Done => assert_eq!(document, serde_json::json!({})),
         RequestOutcome::Unknown => assert!(document["error"].is_string()),
@@ -159,13 +159,13 @@
 #[case::status(OperatorRequest::ReadStatus, false)]
 #[case::retire(OperatorRequest::Retire { node: "storage-1".to_owned() }, false)]
 #[case::change(replace(4), false)]
-fn only_readings_of_the_control_state_need_a_member(#[case] call: OperatorRequest, #[case] reads: bool) {
-    assert_eq!(call.is_read(), reads);
+fn only_reads_of_the_control_state_need_a_member(#[case] request: OperatorRequest, #[case] reads: bool) {
+    assert_eq!(request.is_read(), reads);
 }
 
 #[test]
-fn a_request_for_another_node_is_redirected_with_its_whole_target() {
-    let answer = OperatorResponse::redirect("10.0.0.4:8080".parse().unwrap(), "/v1/configuration?x=1");
-    assert_eq!(answer.status, 307);
-    assert_eq!(answer.location.as_deref(), Some("http://10.0.0.4:8080/v1/configuration?x=1"));
+fn a_redirect_keeps_the_complete_target() {
+    let response = OperatorResponse::redirect("10.0.0.4:8080".parse().unwrap(), "/v1/configuration?x=1");
+    assert_eq!(response.status, 307);
+    assert_eq!(response.location.as_deref(), Some("http://10.0.0.4:8080/v1/configuration?x=1"));
 }
--- a/crates/control-plane/tests/pipelined_calls.rs
+++ b/crates/control-plane/tests/pipelined_calls.rs
@@ -1,4 +1,4 @@
-//! A client that sends thousands of calls without waiting for the answers gets them all, and the process lives.
+//! A client that sends thousands of requests without waiting gets all responses, and the process does not crash.
 
 mod graceful_shutdown_support;
 
@@ -11,11 +11,11 @@
 use orchidvalve_net::Network;
 use serde_json::json;
 
-const NAME: &str = "a_client_that_sends_thousands_of_calls_gets_all_answers";
+const NAME: &str = "a_client_that_pipelines_thousands_of_requests_gets_all_responses";
 
-const CALLS: usize = 20_000;
+const REQUESTS: usize = 20_000;
 
-/// Names the version that every model begins with, so that the answer comes at once.
+/// Names the version that every model has at the beginning, so that the response follows at once.
 fn name_version(headers: &str) -> Vec<u8> {
     let body = json!({ "model": "model", "config-version": 1 }).to_string();
     let length = body.len();
@@ -23,14 +23,14 @@
     format!("{head}{headers}\r\n{body}").into_bytes()
 }
 
-/// Number of calls of one connection that are confirmed.
+/// Returns the number of confirmed requests on one connection.
 fn operate(address: SocketAddrV4) -> usize {
     put_first(address);
-    let mut calls = name_version("").repeat(CALLS - 1);
-    calls.extend(name_version("Connection: close\r\n"));
-    let answers = call(address, &calls, || {});
+    let mut requests = name_version("").repeat(REQUESTS - 1);
+    requests.extend(name_version("Connection: close\r\n"));
+    let responses = call(address, &requests, || {});
     tell_to_stop();
-    answers.matches("HTTP/1.1 200").count()
+    responses.matches("HTTP/1.1 200").count()
 }
 
 fn main() -> ExitCode {
@@ -42,6 +42,6 @@
     let ended = run(options);
     let confirmed = operator.join().expect("the operator ends");
     let _ = std::fs::remove_dir_all(data_directory);
-    let details = format!("ended: {ended:?}, confirmed: {confirmed} of {CALLS}");
-    report(NAME, ended.is_ok() && confirmed == CALLS, &details)
+    let details = format!("ended: {ended:?}, confirmed: {confirmed} of {REQUESTS}");
+    report(NAME, ended.is_ok() && confirmed == REQUESTS, &details)
 }
--- a/crates/control-plane/tests/placement_random.rs
+++ b/crates/control-plane/tests/placement_random.rs
@@ -1,8 +1,8 @@
-//! Random losses, wiped disks, retirements and changes of the control head over a model of what stores hold.
+//! Random losses, wiped disks, retirements and changes of the control head, over a model of the copies on store nodes.
 //!
-//! The model knows what the planner can only be told: how much every disk holds of every partition. No view may
-//! begin under a head that lacks something committed, whatever is lost at once; and once the machines are back
-//! and stay, every partition is whole again.
+//! The model knows what the planner only learns from reports: how many entries of each partition every disk holds. No view
+//! may begin with a head that lacks a committed entry, no matter how many nodes are lost at once, and every partition is
+//! complete again once all nodes have returned and stay.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Ipv4Addr;
@@ -19,18 +19,18 @@
 
 const ZONES: [&str; 6] = ["a", "a", "b", "b", "c", "c"];
 const STEPS: usize = 1_500;
-/// Steps of which no report reaches the control head, after it has changed.
-const SILENT_STEPS: usize = 12;
-/// Steps for which a partition is seen to be lost before it begins anew: longer than reports may be silent.
+/// Number of steps after a change of the control head in which no report reaches it.
+const LOST_REPORT_STEPS: usize = 12;
+/// Number of steps after which a lost partition restarts empty: more than the steps without reports.
 const LOSS_STEPS: usize = 40;
 
 fn member(number: usize, disk: u64) -> MemberId {
     MemberId { address: NodeAddress::new(Ipv4Addr::new(10, 0, 2, number as u8 + 1), 7000), disk }
 }
 
-/// A store node.
+/// A store node in the model.
 #[derive(Clone, Debug)]
-struct Machine {
+struct StoreNode {
     member: MemberId,
     up: bool,
     retiring: bool,
@@ -38,44 +38,44 @@
     is_full: bool,
 }
 
-/// What the disks hold of one partition.
+/// The entries of one partition on the disks.
 #[derive(Clone, Default, Debug)]
-struct Journals {
-    /// Entries that were committed.
+struct CopiesHeld {
+    /// Number of committed entries.
     committed: u64,
-    /// Entries on each disk.
+    /// Number of entries on each disk.
     held: BTreeMap<MemberId, u64>,
-    /// Members that hold everything committed before the view in force.
+    /// Members that hold everything committed before the current view.
     synchronized: BTreeSet<MemberId>,
 }
 
 struct Model {
     random: Pcg64Mcg,
     copies: usize,
-    machines: Vec<Machine>,
+    nodes: Vec<StoreNode>,
     partitions: Vec<Placement>,
-    journals: Vec<Journals>,
+    copies_held: Vec<CopiesHeld>,
     caught_up: BTreeSet<CaughtUp>,
     disks: u64,
-    silent_until: usize,
+    reports_lost_until: usize,
     step: usize,
     losses_at_once: usize,
-    /// Partitions that begin anew.
+    /// Partitions that restart empty.
     lost: BTreeSet<u16>,
-    /// Steps since which each partition is seen to be lost.
+    /// Number of steps for which each partition has been lost.
     lost_steps: BTreeMap<u16, usize>,
-    began_anew: usize,
-    /// Whether a disk may be lost that is the last to hold something.
+    restarted_empty: usize,
+    /// Whether the last complete disk may be lost.
     wipes_last: bool,
-    /// How often a chain that was too short went on with a former member.
-    went_on_with_former: usize,
-    /// How often nothing could be done for want of a machine that is known to hold everything.
+    /// How often a chain with too few members continued with a former member.
+    continued_with_former: usize,
+    /// How often nothing could be done because no live node was known to be complete.
     waited: usize,
 }
 
 impl Model {
     fn new(seed: u64, copies: usize, losses_at_once: usize) -> Model {
-        let machine = |number| Machine {
+        let node = |number| StoreNode {
             member: member(number, 1),
             up: true,
             retiring: false,
@@ -85,19 +85,19 @@
         let mut model = Model {
             random: Pcg64Mcg::seed_from_u64(seed),
             copies,
-            machines: (0..ZONES.len()).map(machine).collect(),
+            nodes: (0..ZONES.len()).map(node).collect(),
             partitions: Vec::new(),
-            journals: vec![Journals::default(); usize::from(PARTITIONS)],
+            copies_held: vec![CopiesHeld::default(); usize::from(PARTITIONS)],
             caught_up: BTreeSet::new(),
             disks: 1,
-            silent_until: 0,
+            reports_lost_until: 0,
             step: 0,
             losses_at_once,
             lost: BTreeSet::new(),
             lost_steps: BTreeMap::new(),
-            began_anew: 0,
+            restarted_empty: 0,
             wipes_last: false,
-            went_on_with_former: 0,
+            continued_with_former: 0,
             waited: 0,
         };
         let live = model.live();
@@ -109,135 +109,135 @@
         });
         for (partition, placement) in first {
             model.partitions.push(placement);
-            model.take_up(usize::from(partition));
+            model.enter_view(usize::from(partition));
         }
         model
     }
 
     fn live(&self) -> Vec<LiveStoreNode> {
-        let up = self.machines.iter().zip(ZONES).filter(|(machine, _)| machine.up);
-        let store = |(machine, zone): (&Machine, &str)| LiveStoreNode {
-            member: machine.member,
+        let up = self.nodes.iter().zip(ZONES).filter(|(node, _)| node.up);
+        let store = |(node, zone): (&StoreNode, &str)| LiveStoreNode {
+            member: node.member,
             zone: zone.to_owned(),
-            retiring: machine.retiring,
+            retiring: node.retiring,
             is_full: false,
-            disk_failing: machine.disk_failing,
+            disk_failing: node.disk_failing,
         };
         up.map(store).collect()
     }
 
     fn is_up(&self, member: &MemberId) -> bool {
-        self.machines.iter().any(|machine| machine.up && machine.member == *member)
+        self.nodes.iter().any(|node| node.up && node.member == *member)
     }
 
-    fn is_sound(&self, member: &MemberId) -> bool {
-        self.machines.iter().any(|machine| machine.up && !machine.disk_failing && machine.member == *member)
+    fn is_healthy(&self, member: &MemberId) -> bool {
+        self.nodes.iter().any(|node| node.up && !node.disk_failing && node.member == *member)
     }
 
-    fn holds_everything(&self, partition: u16, member: &MemberId) -> bool {
-        let journals = &self.journals[usize::from(partition)];
-        // A disk that was never written holds everything as long as nothing is committed.
-        journals.held.get(member).copied().unwrap_or(0) >= journals.committed
+    fn is_complete(&self, partition: u16, member: &MemberId) -> bool {
+        let copies_held = &self.copies_held[usize::from(partition)];
+        // A disk that was never written is complete as long as nothing is committed.
+        copies_held.held.get(member).copied().unwrap_or(0) >= copies_held.committed
     }
 
-    /// A view is in force: its head's log is the truth.
-    fn take_up(&mut self, partition: usize) {
+    /// Enters a new view: the log of its head is authoritative.
+    fn enter_view(&mut self, partition: usize) {
         let placement = &self.partitions[partition];
-        let journals = &mut self.journals[partition];
+        let copies_held = &mut self.copies_held[partition];
         let head = placement.members[0];
-        let held = journals.held.entry(head).or_default();
+        let held = copies_held.held.entry(head).or_default();
         assert!(
-            *held >= journals.committed,
+            *held >= copies_held.committed,
             "the head of {placement:?} holds {held} of {}",
-            journals.committed
+            copies_held.committed
         );
-        journals.synchronized = BTreeSet::from([head]);
+        copies_held.synchronized = BTreeSet::from([head]);
     }
 
-    /// The members of one partition pass entries on; all of them together commit one.
+    /// Passes entries along the chain of one partition; the members commit one entry when all of them are up to date.
     fn run_chain(&mut self, partition: usize) {
         let placement = self.partitions[partition].clone();
         let chain: Vec<MemberId> = placement.members.iter().chain(&placement.learners).copied().collect();
         for pair in chain.windows(2) {
             let (from, to) = (pair[0], pair[1]);
             let passes = self.is_up(&from) && self.is_up(&to) && self.random.random_bool(0.3);
-            let journals = &mut self.journals[partition];
-            if !passes || !journals.synchronized.contains(&from) {
+            let copies_held = &mut self.copies_held[partition];
+            if !passes || !copies_held.synchronized.contains(&from) {
                 continue;
             }
-            journals.held.insert(to, journals.held[&from]);
+            copies_held.held.insert(to, copies_held.held[&from]);
             if placement.members.contains(&to) {
-                journals.synchronized.insert(to);
+                copies_held.synchronized.insert(to);
             } else {
                 self.report(partition, placement.epoch, to);
             }
         }
         let all_up = placement.members.iter().all(|m| self.is_up(m));
-        let journals = &mut self.journals[partition];
-        let complete = placement.members.iter().all(|m| journals.synchronized.contains(m));
+        let copies_held = &mut self.copies_held[partition];
+        let complete = placement.members.iter().all(|m| copies_held.synchronized.contains(m));
         if all_up && complete && placement.members.len() >= self.copies {
-            journals.committed += 1;
-            journals.held.extend(placement.members.iter().map(|m| (*m, journals.committed)));
+            copies_held.committed += 1;
+            copies_held.held.extend(placement.members.iter().map(|m| (*m, copies_held.committed)));
         }
-        for member in journals.synchronized.clone() {
+        for member in copies_held.synchronized.clone() {
             if self.is_up(&member) {
                 self.report(partition, placement.epoch, member);
             }
         }
     }
 
-    /// A report that may be lost.
+    /// Adds a report, which may be lost.
     fn report(&mut self, partition: usize, epoch: u64, member: MemberId) {
-        if self.step >= self.silent_until && self.random.random_bool(0.4) {
+        if self.step >= self.reports_lost_until && self.random.random_bool(0.4) {
             self.caught_up.insert(CaughtUp { partition: partition as u16, epoch, member });
         }
     }
 
-    fn trouble(&mut self) {
-        let index = self.random.random_range(0..self.machines.len());
+    fn inject_fault(&mut self) {
+        let index = self.random.random_range(0..self.nodes.len());
         match self.random.random_range(0..100) {
             0..8 => {
-                self.machines.iter_mut().for_each(|machine| machine.up = true);
+                self.nodes.iter_mut().for_each(|node| node.up = true);
                 for _ in 0..self.random.random_range(0..=self.losses_at_once) {
-                    let lost = self.random.random_range(0..self.machines.len());
-                    self.machines[lost].up = false;
+                    let lost = self.random.random_range(0..self.nodes.len());
+                    self.nodes[lost].up = false;
                 }
             }
-            8..12 => self.machines[index].up = true,
+            8..12 => self.nodes[index].up = true,
             12..14 => {
-                let retiring = self.machines.iter().filter(|machine| machine.retiring).count();
-                self.machines[index].retiring = retiring < 2 && !self.machines[index].retiring;
+                let retiring = self.nodes.iter().filter(|node| node.retiring).count();
+                self.nodes[index].retiring = retiring < 2 && !self.nodes[index].retiring;
             }
-            14..16 => self.machines[index].disk_failing = !self.machines[index].disk_failing,
+            14..16 => self.nodes[index].disk_failing = !self.nodes[index].disk_failing,
             16..18 => {
-                // Another control node is the head and hasn't heard any store yet.
+                // Another control node is the head and has received no report yet.
                 self.caught_up.clear();
-                self.silent_until = self.step + SILENT_STEPS;
+                self.reports_lost_until = self.step + LOST_REPORT_STEPS;
             }
             18..21 => self.wipe(index),
-            21..23 => self.machines[index].is_full = !self.machines[index].is_full,
+            21..23 => self.nodes[index].is_full = !self.nodes[index].is_full,
             _ => {}
         }
     }
 
-    /// A disk is lost unless it is the last that is known to hold everything.
+    /// Replaces a disk, unless it is the last one that is known to be complete.
     fn wipe(&mut self, index: usize) {
-        let lost = self.machines[index].member;
-        let exists = |member: &MemberId| self.machines.iter().any(|machine| machine.member == *member);
-        let spared = |placement: &Placement| {
-            placement.complete_replicas.iter().any(|holder| *holder != lost && exists(holder))
+        let lost = self.nodes[index].member;
+        let exists = |member: &MemberId| self.nodes.iter().any(|node| node.member == *member);
+        let keeps_complete_replica = |placement: &Placement| {
+            placement.complete_replicas.iter().any(|replica| *replica != lost && exists(replica))
         };
-        if self.wipes_last || self.partitions.iter().all(spared) {
+        if self.wipes_last || self.partitions.iter().all(keeps_complete_replica) {
             self.disks += 1;
-            self.machines[index].member = member(index, self.disks);
-            for journals in &mut self.journals {
-                journals.held.remove(&lost);
+            self.nodes[index].member = member(index, self.disks);
+            for copies_held in &mut self.copies_held {
+                copies_held.held.remove(&lost);
             }
         }
     }
 
-    /// Looks for partitions that are lost for certain, as the control head does.
-    fn look_for_losses(&mut self) {
+    /// Finds the partitions that are certainly lost, as the control head does.
+    fn find_lost_partitions(&mut self) {
         let live = self.live();
         let none = BTreeSet::new();
         let input =
@@ -254,20 +254,23 @@
         self.lost_steps = steps;
     }
 
-    /// The partition begins anew: that is right only if the disks of all holders and of all members that hold
-    /// everything are lost.
+    /// Restarts a partition empty, which is correct only if the disks of all complete replicas and of all synchronized
+    /// members are lost.
     fn restart_empty(&mut self, partition: usize) {
         let placement = &self.partitions[partition];
-        let journals = &mut self.journals[partition];
-        let mut holders = placement.complete_replicas.iter().chain(&journals.synchronized);
-        let whole = holders.find(|m| self.machines.iter().any(|machine| machine.member == **m));
-        assert!(whole.is_none(), "partition {partition} began anew, though {whole:?} holds everything");
-        *journals = Journals::default();
-        self.began_anew += 1;
+        let copies_held = &mut self.copies_held[partition];
+        let mut candidates = placement.complete_replicas.iter().chain(&copies_held.synchronized);
+        let complete = candidates.find(|m| self.nodes.iter().any(|node| node.member == **m));
+        assert!(
+            complete.is_none(),
+            "partition {partition} restarted empty although {complete:?} is complete"
+        );
+        *copies_held = CopiesHeld::default();
+        self.restarted_empty += 1;
     }
 
     fn place(&mut self) {
-        self.look_for_losses();
+        self.find_lost_partitions();
         let live = self.live();
         let input =
             PlacementInput { live: &live, caught_up: &self.caught_up, copies: self.copies, lost: &self.lost };
@@ -285,33 +288,33 @@
                 self.check(partition, &next);
             }
             self.partitions[usize::from(partition)] = next;
-            self.take_up(usize::from(partition));
+            self.enter_view(usize::from(partition));
         }
-        self.check_emptied();
+        self.check_removable();
     }
 
-    /// A machine that is told to be emptied goes with its disk at once: enough others have to hold everything. Copies on
-    /// disks that were lost count, as those are other losses.
-    fn check_emptied(&self) {
-        for machine in
-            self.machines.iter().filter(|m| m.retiring && can_remove_store_node(&m.member, &self.partitions))
+    /// Checks that a retiring node may be removed with its disk at once: enough other nodes have to be complete. Copies on
+    /// lost disks count, since those are other losses.
+    fn check_removable(&self) {
+        for node in
+            self.nodes.iter().filter(|m| m.retiring && can_remove_store_node(&m.member, &self.partitions))
         {
             for (partition, placement) in (0u16..).zip(&self.partitions) {
-                let is_lost = |m: &MemberId| !self.machines.iter().any(|machine| machine.member == *m);
-                let holds = |m: &&MemberId| is_lost(m) || self.holds_everything(partition, m);
-                let copies = placement.members.iter().filter(|m| **m != machine.member).filter(holds).count();
-                assert!(copies >= self.copies, "{} may not be removed: {placement:?}", machine.member);
+                let is_lost = |m: &MemberId| !self.nodes.iter().any(|node| node.member == *m);
+                let holds = |m: &&MemberId| is_lost(m) || self.is_complete(partition, m);
+                let copies = placement.members.iter().filter(|m| **m != node.member).filter(holds).count();
+                assert!(copies >= self.copies, "{} may not be removed: {placement:?}", node.member);
             }
         }
     }
 
     fn check(&mut self, partition: u16, next: &Placement) {
         let before = &self.partitions[usize::from(partition)];
-        let whole = |placement: &Placement| {
-            placement.members.iter().filter(|m| self.is_up(m) && self.holds_everything(partition, m)).count()
+        let complete = |placement: &Placement| {
+            placement.members.iter().filter(|m| self.is_up(m) && self.is_complete(partition, m)).count()
         };
-        let lost = before.members.iter().any(|m| !self.is_sound(m));
-        assert!(lost || whole(next) >= whole(before).min(self.copies), "{before:?} -> {next:?}");
+        let lost = before.members.iter().any(|m| !self.is_healthy(m));
+        assert!(lost || complete(next) >= complete(before).min(self.copies), "{before:?} -> {next:?}");
         assert_eq!(next.epoch, before.epoch + 1);
         let listed: BTreeSet<_> = next.members.iter().chain(&next.learners).collect();
         assert_eq!(listed.len(), next.members.len() + next.learners.len(), "{before:?} -> {next:?}");
@@ -322,18 +325,22 @@
             assert!(has_caught_up || is_former, "{before:?} -> {next:?}");
         }
         if !next.members.iter().any(|m| before.members.contains(m)) {
-            self.went_on_with_former += 1;
+            self.continued_with_former += 1;
         }
-        let journals = &self.journals[usize::from(partition)];
-        for holder in next.complete_replicas.iter().filter(|holder| journals.held.contains_key(holder)) {
-            assert!(journals.held[holder] >= journals.committed, "{holder} is no holder: {next:?}");
+        let copies_held = &self.copies_held[usize::from(partition)];
+        for replica in next.complete_replicas.iter().filter(|replica| copies_held.held.contains_key(replica))
+        {
+            assert!(
+                copies_held.held[replica] >= copies_held.committed,
+                "{replica} is recorded as complete but is not: {next:?}"
+            );
         }
     }
 
     fn run(&mut self) {
         for step in 0..STEPS {
             self.step = step;
-            self.trouble();
+            self.inject_fault();
             self.place();
             for partition in 0..self.partitions.len() {
                 self.run_chain(partition);
@@ -341,13 +348,13 @@
         }
     }
 
-    /// All machines are back, one is to be emptied.
-    fn calm(&mut self) {
-        for machine in &mut self.machines {
-            let member = machine.member;
-            *machine = Machine { member, up: true, retiring: false, disk_failing: false, is_full: false };
+    /// Ends all faults and retires one node.
+    fn recover(&mut self) {
+        for node in &mut self.nodes {
+            let member = node.member;
+            *node = StoreNode { member, up: true, retiring: false, disk_failing: false, is_full: false };
         }
-        self.machines[0].retiring = true;
+        self.nodes[0].retiring = true;
         for _ in 0..100 {
             self.step += 1;
             self.place();
@@ -359,43 +366,49 @@
 }
 
 #[rstest]
-fn no_partition_is_led_by_a_store_that_lacks_something(
+fn no_partition_is_led_by_an_incomplete_store_node(
     #[values(2, 3)] copies: usize,
     #[values(1, 2, 4)] losses_at_once: usize,
 ) {
-    let (mut waited, mut went_on_with_former) = (0, 0);
+    let (mut waited, mut continued_with_former) = (0, 0);
     for seed in 0..25 {
         let mut model = Model::new(seed, copies, losses_at_once);
         model.run();
-        model.calm();
+        model.recover();
         for (index, placement) in model.partitions.iter().enumerate() {
             assert_eq!((placement.members.len(), placement.learners.len()), (copies, 0), "{placement:?}");
-            assert!(model.journals[index].committed > 50, "seed {seed}: partition {index} stood still");
+            assert!(
+                model.copies_held[index].committed > 50,
+                "seed {seed}: partition {index} made no progress"
+            );
         }
-        assert!(can_remove_store_node(&model.machines[0].member, &model.partitions));
+        assert!(can_remove_store_node(&model.nodes[0].member, &model.partitions));
         waited += model.waited;
-        went_on_with_former += model.went_on_with_former;
+        continued_with_former += model.continued_with_former;
     }
     if losses_at_once >= copies {
-        assert!(waited > 100, "{waited} steps without a known holder aren't enough");
-        assert!(went_on_with_former > 10, "former members went on only {went_on_with_former} times");
+        assert!(waited > 100, "{waited} steps without a known complete replica are too few");
+        assert!(
+            continued_with_former > 10,
+            "chains continued with former members only {continued_with_former} times"
+        );
     }
 }
 
-/// Disks are lost whatever they hold: a partition begins anew only if all that held everything are lost, and in the
-/// end all are whole again.
+/// Disks are lost no matter what they hold: a partition restarts empty only if all complete disks are lost, and in the end
+/// all partitions are complete again.
 #[rstest]
-fn a_partition_whose_holders_are_all_wiped_begins_anew(#[values(2, 3)] copies: usize) {
-    let mut began_anew = 0;
+fn a_partition_without_complete_disks_restarts_empty(#[values(2, 3)] copies: usize) {
+    let mut restarted_empty = 0;
     for seed in 0..25 {
         let mut model = Model::new(seed, copies, 2);
         model.wipes_last = true;
         model.run();
-        model.calm();
+        model.recover();
         for placement in &model.partitions {
             assert_eq!((placement.members.len(), placement.learners.len()), (copies, 0), "{placement:?}");
         }
-        began_anew += model.began_anew;
+        restarted_empty += model.restarted_empty;
     }
-    assert!(began_anew > 20, "only {began_anew} partitions began anew");
+    assert!(restarted_empty > 20, "only {restarted_empty} partitions restarted empty");
 }
--- a/crates/control-plane/tests/redirector.rs
+++ b/crates/control-plane/tests/redirector.rs
@@ -1,4 +1,4 @@
-//! Where a control node without a disk sends its callers.
+//! The targets to which a control node without a disk redirects its callers.
 
 use std::net::{Ipv4Addr, SocketAddrV4};
 
@@ -10,7 +10,7 @@
     SocketAddrV4::new(Ipv4Addr::new(10, 0, 0, number), 8080)
 }
 
-fn request(target: &str) -> Request {
+fn request_for(target: &str) -> Request {
     Request {
         method: "POST".to_owned(),
         target: target.to_owned(),
@@ -25,43 +25,51 @@
 }
 
 #[test]
-fn callers_are_sent_to_each_seed_in_turn() {
+fn callers_are_redirected_to_each_seed_in_turn() {
     let mut redirector = Redirector::new(address(9), &[address(1), address(2)]);
-    let call = request("/v1/retire/storage-1?x=1");
-    let answers: Vec<Redirection> = (0..3).map(|_| redirector.redirect(&call)).collect();
+    let request = request_for("/v1/retire/storage-1?x=1");
+    let redirections: Vec<Redirection> = (0..3).map(|_| redirector.redirect(&request)).collect();
     let expected = ["10.0.0.1", "10.0.0.2", "10.0.0.1"];
-    assert_eq!(answers, expected.map(|ip| to(&format!("http://{ip}:8080/v1/retire/storage-1?x=1"))));
+    assert_eq!(redirections, expected.map(|ip| to(&format!("http://{ip}:8080/v1/retire/storage-1?x=1"))));
 }
 
 #[test]
-fn callers_are_never_redirected_to_the_same_machine() {
+fn callers_are_never_redirected_to_the_same_node() {
     let mut redirector = Redirector::new(address(1), &[address(1), address(2)]);
-    let call = request("/v1/configuration");
-    assert_eq!(redirector.redirect(&call), to("http://10.0.0.2:8080/v1/configuration"));
-    assert_eq!(redirector.redirect(&call), to("http://10.0.0.2:8080/v1/configuration"));
+    let request = request_for("/v1/configuration");
+    assert_eq!(redirector.redirect(&request), to("http://10.0.0.2:8080/v1/configuration"));
+    assert_eq!(redirector.redirect(&request), to("http://10.0.0.2:8080/v1/configuration"));
 }
 
 #[test]
-fn without_another_machine_callers_are_asked_to_come_again() {
+fn without_another_node_no_redirection_is_possible() {
     let mut redirector = Redirector::new(address(1), &[address(1)]);
-    assert_eq!(redirector.redirect(&request("/v1/status")), Redirection::Unavailable);
+    assert_eq!(redirector.redirect(&request_for("/v1/status")), Redirection::Unavailable);
 }
 
-/// The seeds of its settings may all have gone, or may have no disk either.
+/// The seeds in its settings may all be gone, or may have no disk either.
 #[test]
-fn callers_are_sent_to_the_members_once_these_are_known() {
+fn callers_are_redirected_to_members_once_they_are_known() {
     let mut redirector = Redirector::new(address(9), &[address(1), address(2)]);
     let member = |number| NodeAddress::new(Ipv4Addr::new(10, 0, 0, number), 7_660);
     redirector.set_members(None, &[member(5)]);
-    let call = request("/v1/status");
-    assert_eq!(redirector.redirect(&call), to("http://10.0.0.5:8080/v1/status"), "at the control port");
+    let request = request_for("/v1/status");
+    assert_eq!(
+        redirector.redirect(&request),
+        to("http://10.0.0.5:8080/v1/status"),
+        "the control port is used"
+    );
     redirector.set_members(None, &[]);
-    assert_eq!(redirector.redirect(&call), to("http://10.0.0.5:8080/v1/status"), "the last ones known");
+    assert_eq!(
+        redirector.redirect(&request),
+        to("http://10.0.0.5:8080/v1/status"),
+        "the last known members remain"
+    );
     redirector.set_members(Some(member(4)), &[member(5), member(4), member(6)]);
-    let answers: Vec<Redirection> = (0..3).map(|_| redirector.redirect(&call)).collect();
+    let redirections: Vec<Redirection> = (0..3).map(|_| redirector.redirect(&request)).collect();
     assert_eq!(
-        answers,
+        redirections,
         ["10.0.0.4"; 3].map(|ip| to(&format!("http://{ip}:8080/v1/status"))),
-        "it is in touch"
+        "the member with the session is preferred"
     );
 }
--- a/crates/control-plane/tests/role_discovery.rs
+++ b/crates/control-plane/tests/role_discovery.rs
@@ -1,4 +1,4 @@
-//! The role of reading the platform's list, against a platform over loopback whose answers come late.
+//! The role of reading the platform's list, against a platform over loopback that responds late.
 
 #[path = "../../data-plane/tests/sockets_support/mod.rs"]
 mod sockets_support;
@@ -12,7 +12,7 @@
 use serde_json::json;
 use sockets_support::*;
 
-/// When this machine became the head.
+/// Time at which this node became the head, in milliseconds.
 const SINCE: u64 = 1_000;
 const TERM: u64 = 5;
 
@@ -21,7 +21,7 @@
     roles: SingletonRoles,
     table: ServerTable,
     platform: TcpListener,
-    /// Number of calls that are over.
+    /// Number of completed exchanges.
     completed: usize,
     now: u64,
 }
@@ -44,7 +44,7 @@
         Head { network, roles, table: ServerTable::default(), platform, completed: 0, now: SINCE }
     }
 
-    /// Takes up what has come; the updates of the table that follow.
+    /// Processes the received data and returns the resulting updates of the table.
     fn turn(&mut self) -> Vec<ServerTableUpdate> {
         let mut updates = Vec::new();
         for event in self.network.poll(TURN).unwrap() {
@@ -63,8 +63,8 @@
         updates
     }
 
-    /// The platform's end of the next reading.
-    fn asked(&mut self) -> Peer {
+    /// Starts the next reading and returns the platform's end of its connection.
+    fn next_reading(&mut self) -> Peer {
         self.roles.poll_list(&mut self.network, self.now);
         for _ in 0..MOST_TURNS {
             if let Ok((stream, _)) = self.platform.accept() {
@@ -74,7 +74,7 @@
             }
             assert!(self.turn().is_empty());
         }
-        panic!("the list isn't asked for");
+        panic!("the list was not requested");
     }
 
     fn request(&mut self, peer: &mut Peer) {
@@ -85,16 +85,16 @@
             }
             assert!(self.turn().is_empty());
         }
-        panic!("the list isn't asked for");
+        panic!("the list was not requested");
     }
 
-    /// The platform answers, and the answer is taken up.
-    fn answered(&mut self, peer: &mut Peer, instances: &[&str]) -> Vec<ServerTableUpdate> {
-        self.answered_with(peer, &page(instances))
+    /// Sends a page as the platform and waits until the head has processed it.
+    fn respond(&mut self, peer: &mut Peer, instances: &[&str]) -> Vec<ServerTableUpdate> {
+        self.respond_with(peer, &page(instances))
     }
 
-    fn answered_with(&mut self, peer: &mut Peer, answer: &str) -> Vec<ServerTableUpdate> {
-        peer.send(answer);
+    fn respond_with(&mut self, peer: &mut Peer, response: &str) -> Vec<ServerTableUpdate> {
+        peer.send(response);
         let completed = self.completed;
         for _ in 0..MOST_TURNS {
             let updates = self.turn();
@@ -102,7 +102,7 @@
                 return updates;
             }
         }
-        panic!("the answer isn't taken up");
+        panic!("the response was not processed");
     }
 
     fn servers(&self) -> Vec<&str> {
@@ -110,7 +110,7 @@
     }
 }
 
-/// The only page of a list.
+/// A list of a single page.
 fn page(instances: &[&str]) -> String {
     page_with_next(instances, None)
 }
@@ -130,46 +130,46 @@
 #[test]
 fn the_list_is_read_and_published() {
     let mut head = Head::new();
-    let mut peer = head.asked();
-    assert_eq!(head.answered(&mut peer, &["one", "two"]).len(), 1);
+    let mut peer = head.next_reading();
+    assert_eq!(head.respond(&mut peer, &["one", "two"]).len(), 1);
     assert_eq!(head.servers(), ["one", "two"]);
 }
 
-/// The role went to another machine and came back while the platform was slow.
+/// The role passed to another node and returned while the platform was slow to respond.
 #[test]
-fn a_late_page_of_a_former_reading_is_no_part_of_the_next_one() {
+fn a_late_page_of_an_earlier_reading_is_ignored() {
     let mut head = Head::new();
-    let mut former = head.asked();
+    let mut former = head.next_reading();
     head.roles.view_changed(SINCE + 500, 2, false, false);
     head.roles.view_changed(SINCE + 1_000, 4, true, false);
     head.roles.set_term(Some(TERM + 1));
     head.now = SINCE + 1_000;
-    let mut next = head.asked();
-    assert!(head.answered(&mut former, &["long gone"]).is_empty());
+    let mut next = head.next_reading();
+    assert!(head.respond(&mut former, &["long gone"]).is_empty());
     assert!(head.servers().is_empty());
-    assert_eq!(head.answered(&mut next, &["one", "two"]).len(), 1);
+    assert_eq!(head.respond(&mut next, &["one", "two"]).len(), 1);
     assert_eq!(head.servers(), ["one", "two"]);
 }
 
 /// While a view changes, the head has no term for a moment.
 #[test]
-fn a_list_that_comes_between_two_terms_is_read_again_at_once() {
+fn a_list_completed_between_two_terms_is_read_again_at_once() {
     let mut head = Head::new();
-    let mut peer = head.asked();
+    let mut peer = head.next_reading();
     head.roles.set_term(None);
-    assert!(head.answered(&mut peer, &["one"]).is_empty());
+    assert!(head.respond(&mut peer, &["one"]).is_empty());
     head.roles.set_term(Some(TERM + 1));
     assert!(head.roles.next_wakeup() <= head.now);
     head.roles.poll_list(&mut head.network, head.now);
     peer.got.clear();
     head.request(&mut peer);
-    assert_eq!(head.answered(&mut peer, &["one"]).len(), 1);
+    assert_eq!(head.respond(&mut peer, &["one"]).len(), 1);
     assert_eq!(head.servers(), ["one"]);
 }
 
 const TOO_MANY: &str = "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n";
 
-/// The next request on the connection.
+/// Reads the next request on the connection.
 fn next_request(head: &mut Head, peer: &mut Peer) -> String {
     head.roles.poll_list(&mut head.network, head.now);
     peer.got.clear();
@@ -177,35 +177,35 @@
     peer.text().lines().next().unwrap_or_default().to_owned()
 }
 
-/// The platform takes few requests a second from all machines together: a list of many pages would never be read if one
-/// refusal began it anew.
+/// The platform accepts few requests per second from all nodes together, so a long list could never be read if one rejected
+/// request restarted the reading.
 #[test]
-fn a_page_that_was_refused_is_requested_once_more_by_itself() {
+fn only_the_rejected_page_is_requested_again() {
     let mut head = Head::new();
-    let mut peer = head.asked();
-    assert!(head.answered_with(&mut peer, &page_with_next(&["one"], Some("p-1"))).is_empty());
+    let mut peer = head.next_reading();
+    assert!(head.respond_with(&mut peer, &page_with_next(&["one"], Some("p-1"))).is_empty());
     let mut line = next_request(&mut head, &mut peer);
     for _ in 0..4 {
         assert!(line.contains("page-token=p-1"), "{line}");
-        assert!(head.answered_with(&mut peer, TOO_MANY).is_empty());
-        assert!(head.roles.next_wakeup() > head.now, "after a pause");
+        assert!(head.respond_with(&mut peer, TOO_MANY).is_empty());
+        assert!(head.roles.next_wakeup() > head.now, "the retry has to pause");
         head.now = head.roles.next_wakeup();
         line = next_request(&mut head, &mut peer);
     }
     assert!(line.contains("page-token=p-1"), "{line}");
-    assert_eq!(head.answered(&mut peer, &["two"]).len(), 1);
+    assert_eq!(head.respond(&mut peer, &["two"]).len(), 1);
     assert_eq!(head.servers(), ["one", "two"]);
 }
 
 #[test]
-fn a_page_that_is_always_refused_begins_the_list_anew() {
+fn a_page_that_is_always_rejected_restarts_the_reading() {
     let mut head = Head::new();
-    let mut peer = head.asked();
-    assert!(head.answered_with(&mut peer, &page_with_next(&["one"], Some("p-1"))).is_empty());
+    let mut peer = head.next_reading();
+    assert!(head.respond_with(&mut peer, &page_with_next(&["one"], Some("p-1"))).is_empty());
     let mut lines = Vec::new();
     for _ in 0..7 {
         lines.push(next_request(&mut head, &mut peer).contains("page-token"));
-        assert!(head.answered_with(&mut peer, TOO_MANY).is_empty());
+        assert!(head.respond_with(&mut peer, TOO_MANY).is_empty());
         head.now = head.roles.next_wakeup();
     }
     assert_eq!(lines, [true, true, true, true, true, false, false]);
--- a/crates/control-plane/tests/role_lease_model.rs
+++ b/crates/control-plane/tests/role_lease_model.rs
@@ -1,10 +1,11 @@
-//! Model check of the lease of the singleton roles: two machines that are the head in turn, with freezes between the
-//! proof and the sending of a call, calls that arrive late, and restarts. Whether a machine may act is decided by
-//! [`RoleLease`]; the calls are judged as the platform's page states.
+//! Model check of the lease of the singleton roles: two nodes are the head in turn, and are frozen between the confirmation
+//! of the view and the sending of a call, restart, and send calls that arrive late. [`RoleLease`] decides whether a node may
+//! act; the calls are checked against the rules of the platform.
 //!
-//! Time goes on in steps, and it's always the step [`NOW`]: as one passes, all that was moves back by one, so that
-//! equal situations at different times are one state. A confirmation of a view is as late as it can be, a term begins
-//! and is noted on the disk as early: what is allowed later or not yet is allowed then, too.
+//! Time passes in steps, and the current step is always [`NOW`]: with each step all earlier times move back by one, so that
+//! equal situations at different times are one state. Confirmations of a view are as late as possible, and a term begins
+//! and is recorded on the disk as early as possible. Every action
+//! that is possible with another timing is possible with this one, too.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,53 +15,53 @@
 
 const THREADS: usize = 3;
 
-/// A quorum has to have confirmed the view within this time before a call is begun, in steps.
+/// A call is started only if a quorum has confirmed the view within this time, in steps.
 const VALIDITY: u64 = 2;
-/// A call that isn't written within this time after its beginning is dropped, in steps.
+/// A call that is not written within this time after its start is dropped, in steps.
 const WRITE_LIMIT: u64 = 1;
-/// A call that was written arrives within this time or never, in steps.
+/// A written call arrives within this time or never, in steps.
 const TRANSIT: u64 = 1;
 /// A call arrives at most this long after the last confirmation of its sender's view, in steps.
 const ARRIVAL: u64 = VALIDITY + WRITE_LIMIT + TRANSIT;
-/// Holders may not act in the order A, B, A within this time, in steps (`bounds.lease-ms`).
+/// Leaders must not act in the order A, B, A within this time, in steps (`bounds.lease-ms`).
 const LEASE: u64 = 4;
-/// Calls that arrive within this time after a thaw of their sender don't count, in steps (`bounds.thaw-slack-ms`).
+/// Calls that arrive within this time after their sender was thawed do not count, in steps (`bounds.thaw-slack-ms`).
 const THAW_SLACK: u64 = 1;
-/// The present, in steps. Nothing that is older than a wait matters, so it's later than the longest.
+/// The current step. Nothing older than a wait matters, so it is later than the longest wait.
 const NOW: u64 = 40;
-/// Calls of a machine that are on their way at once: a late one and one that overtakes it.
+/// Calls of one node in flight at the same time: a late one and one that overtakes it.
 const MAX_IN_FLIGHT: usize = 2;
 
-const ONE_HOLDER: &str = "no fencing token has two holders";
-const TOKENS_GROW: &str = "fencing tokens never go down";
-const NO_TURNS: &str = "holders take no turns within a lease";
+const ONE_LEADER: &str = "no fencing token belongs to two leaders";
+const TOKENS_INCREASE: &str = "fencing tokens never decrease";
+const NO_ALTERNATION: &str = "leaders do not alternate within a lease";
 
-/// A fault planted into the model to see that the check finds it.
+/// A fault planted into the model to check that the model finds it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Planted {
     Nothing,
     /// A new head waits for less than the lease, and not for late calls.
     ShortLease,
-    /// A new head doesn't wait at all.
+    /// A new head does not wait at all.
     NoWait,
-    /// The entry that begins a term is lost with a restart, and its number given again.
+    /// The entry that begins a term is lost in a restart, and its number is used again.
     TokenReused,
-    /// A call is written however long ago its beginning is.
+    /// A call is written no matter how long ago it was started.
     NoCheckBeforeWriting,
-    /// A start takes itself for the leader that went before it in every view.
+    /// A restarted process assumes that it was the head in every view before.
     NoWaitAfterRestart,
-    /// A head that missed a view takes itself for the head of that one, too.
+    /// A head that missed a view assumes that it was the head of that view, too.
     MissedViewIgnored,
-    /// A head doesn't wait for calls that it made under its term in the view before.
+    /// A head does not wait for the calls that it sent under its term in the view before.
     NoWaitForOwnTerm,
-    /// A start doesn't wait for calls of the process before.
+    /// A restarted process does not wait for the calls of the process before.
     NoWaitForOwnCalls,
 }
 
-/// How often what disturbs happens.
+/// The maximum number of disturbances of each kind.
 #[derive(Clone, Copy, Debug)]
 struct Disturbances {
-    /// Views in all; the machines head them in turn, or the same one twice in a row.
+    /// Total number of views. The nodes are their heads in turn, or one node twice in a row.
     views: u64,
     freezes: u8,
     restarts: u8,
@@ -71,18 +72,18 @@
     disturbances: Disturbances,
 }
 
-/// Index of a machine.
+/// Index of a node.
 type Machine = usize;
 const MACHINES: [Machine; 2] = [0, 1];
 
-/// A call that its machine has decided to make.
+/// A call that its node has decided to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-struct BegunCall {
+struct StartedCall {
     token: u64,
-    begun_at: u64,
+    started_at: u64,
 }
 
-/// A call on its way.
+/// A call in flight.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct SentCall {
     sender: Machine,
@@ -90,7 +91,7 @@
     sent_at: u64,
 }
 
-/// A view that a machine entered as its head.
+/// A view that a node entered as its head.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct EnteredView {
     at: u64,
@@ -100,34 +101,34 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Node {
-    /// Latest view that it knows.
+    /// Epoch of the latest view that the node knows.
     epoch: u64,
-    /// Since when it has been the head: each view that it entered as such, oldest first.
+    /// The views that the node entered as the head, oldest first, since it last became the head.
     tenure: Vec<EnteredView>,
-    /// Last time at which a quorum was in its view.
+    /// Last time at which a quorum was in the node's view.
     confirmed_at: Option<u64>,
     term: Option<u64>,
-    /// Its disk says that it acted as the head of this view.
+    /// Whether the node's disk records that it acted as the head of this view.
     has_acted: bool,
-    begun: Option<BegunCall>,
+    started_call: Option<StartedCall>,
     is_frozen: bool,
 }
 
-/// What the platform has received.
+/// The calls that the platform has received.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Platform {
-    holder_of_token: BTreeMap<u64, Machine>,
+    leader_of_token: BTreeMap<u64, Machine>,
     highest_token: u64,
     last_call: BTreeMap<Machine, u64>,
-    last_holder: Option<Machine>,
-    has_two_holders: bool,
+    last_leader: Option<Machine>,
+    has_two_leaders: bool,
     has_lower_token: bool,
-    has_turns: bool,
+    has_alternation: bool,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
-    /// Head of each view, from epoch 1 on.
+    /// Head of each view, starting with epoch 1.
     heads: Vec<Machine>,
     nodes: [Node; 2],
     in_flight: BTreeSet<SentCall>,
@@ -141,7 +142,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Action {
-    Pass,
+    Advance,
     DecideView {
         head: Machine,
     },
@@ -149,9 +150,9 @@
         machine: Machine,
         epoch: u64,
     },
-    BeginCall(Machine),
+    StartCall(Machine),
     WriteCall(Machine),
-    /// A call that never does is lost.
+    /// A call in flight arrives. A call that never does is lost.
     Arrive(SentCall),
     Freeze(Machine),
     Thaw(Machine),
@@ -171,9 +172,9 @@
         self.head_of(self.nodes[machine].epoch) == machine
     }
 
-    /// Quorums are in the latest view: machines in that one are confirmed, its head begins a term, and notes on its disk
-    /// that it acts.
-    fn settle(&mut self, waits: LeaseWaits) {
+    /// Confirms the latest view: nodes in it are confirmed by a quorum; its head begins a term and records on its disk that
+    /// it acts.
+    fn confirm_views(&mut self, waits: LeaseWaits) {
         let latest = self.latest_epoch();
         for machine in MACHINES {
             let is_head = self.is_head(machine);
@@ -190,8 +191,8 @@
         }
     }
 
-    /// One step of time passes.
-    fn pass(&mut self, waits: LeaseWaits) {
+    /// Advances the time by one step.
+    fn advance(&mut self, waits: LeaseWaits) {
         self.platform.last_call.values_mut().for_each(|at| *at -= 1);
         self.platform.last_call.retain(|_, at| *at + LEASE > NOW);
         self.thawed_at.values_mut().for_each(|at| *at -= 1);
@@ -202,28 +203,28 @@
             .map(|call| SentCall { sent_at: call.sent_at - 1, ..*call })
             .filter(|call| call.sent_at + TRANSIT >= NOW)
             .collect();
-        self.nodes.iter_mut().for_each(|node| node.pass(waits));
+        self.nodes.iter_mut().for_each(|node| node.advance(waits));
     }
 
-    /// A call arrives at the platform.
+    /// Processes a call that arrives at the platform.
     fn receive(&mut self, call: SentCall) {
         if self.thawed_at.contains_key(&call.sender) {
             return;
         }
         let platform = &mut self.platform;
-        let known = *platform.holder_of_token.entry(call.token).or_insert(call.sender);
-        platform.has_two_holders |= known != call.sender;
+        let known = *platform.leader_of_token.entry(call.token).or_insert(call.sender);
+        platform.has_two_leaders |= known != call.sender;
         platform.has_lower_token |= call.token < platform.highest_token;
         let acted_before = platform.last_call.contains_key(&call.sender);
-        platform.has_turns |= acted_before && platform.last_holder != Some(call.sender);
+        platform.has_alternation |= acted_before && platform.last_leader != Some(call.sender);
         platform.highest_token = platform.highest_token.max(call.token);
         platform.last_call.insert(call.sender, NOW);
-        platform.last_holder = Some(call.sender);
+        platform.last_leader = Some(call.sender);
     }
 }
 
 impl Node {
-    /// A process that has just been started, before it enters its view.
+    /// Returns a process that was just started and has not entered its view yet.
     fn started(epoch: u64, has_acted: bool) -> Node {
         Node {
             epoch,
@@ -231,12 +232,12 @@
             confirmed_at: None,
             term: None,
             has_acted,
-            begun: None,
+            started_call: None,
             is_frozen: false,
         }
     }
 
-    /// The token under which it may act now, if it may.
+    /// Returns the token under which the node may act now, if it may.
     fn valid_token(&self, waits: LeaseWaits) -> Option<u64> {
         let mut lease = RoleLease::default();
         for view in &self.tenure {
@@ -246,20 +247,20 @@
         self.term
     }
 
-    /// One step of time passes. What is longer ago than the wait of a new head is all the same.
-    fn pass(&mut self, waits: LeaseWaits) {
+    /// Advances the time by one step. Times before the longest wait of a new head are equivalent.
+    fn advance(&mut self, waits: LeaseWaits) {
         for view in &mut self.tenure {
             view.at = (view.at - 1).max(NOW - waits.after_another_head);
         }
         self.confirmed_at = self.confirmed_at.map(|at| at - 1).filter(|at| at + VALIDITY > NOW);
-        if let Some(call) = &mut self.begun {
-            call.begun_at = (call.begun_at - 1).max(NOW - WRITE_LIMIT);
+        if let Some(call) = &mut self.started_call {
+            call.started_at = (call.started_at - 1).max(NOW - WRITE_LIMIT);
         }
     }
 }
 
 impl Roles {
-    /// How long a new head waits, in steps.
+    /// Returns how long a new head waits, in steps.
     fn waits(&self) -> LeaseWaits {
         let after_another_head = match self.planted {
             Planted::ShortLease => LEASE - 1,
@@ -271,7 +272,7 @@
         LeaseWaits { after_another_head, after_own_process, after_own_term }
     }
 
-    /// A machine enters a view, as `process::view_changed` does. `former` is the view that the same process knew before.
+    /// Makes a node enter a view, as `process::view_changed` does. `former` is the view that the same process knew before.
     fn enter_view(&self, state: &mut State, machine: Machine, epoch: u64, former: Option<u64>) {
         let was_head = match former {
             Some(former) => {
@@ -307,16 +308,16 @@
     }
 
     fn write(&self, state: &mut State, machine: Machine) {
-        let Some(call) = state.nodes[machine].begun.take() else { return };
-        let is_in_time = NOW < call.begun_at + WRITE_LIMIT;
+        let Some(call) = state.nodes[machine].started_call.take() else { return };
+        let is_in_time = NOW < call.started_at + WRITE_LIMIT;
         if is_in_time || self.planted == Planted::NoCheckBeforeWriting {
             state.in_flight.insert(SentCall { sender: machine, token: call.token, sent_at: NOW });
         }
     }
 
-    /// Whether a machine begins a call. One at a time under one term is enough: all have the same token, and which of
-    /// them arrives first is all the same.
-    fn may_begin(&self, state: &State, machine: Machine) -> bool {
+    /// Returns whether a node may start a call. One call at a time under one term is enough: all have the same token, so the
+    /// order in which they arrive does not matter.
+    fn may_start_call(&self, state: &State, machine: Machine) -> bool {
         let Some(token) = state.nodes[machine].valid_token(self.waits()) else { return false };
         let own = || state.in_flight.iter().filter(|call| call.sender == machine);
         own().all(|call| call.token != token) && own().count() < MAX_IN_FLIGHT
@@ -329,10 +330,10 @@
         }
         let latest = state.latest_epoch();
         actions.extend((node.epoch + 1..=latest).map(|epoch| Action::Learn { machine, epoch }));
-        if node.begun.is_some() {
+        if node.started_call.is_some() {
             actions.push(Action::WriteCall(machine));
-        } else if self.may_begin(state, machine) {
-            actions.push(Action::BeginCall(machine));
+        } else if self.may_start_call(state, machine) {
+            actions.push(Action::StartCall(machine));
         }
         if state.freezes < self.disturbances.freezes {
             actions.push(Action::Freeze(machine));
@@ -361,12 +362,12 @@
         for machine in MACHINES {
             self.enter_view(&mut state, machine, 1, None);
         }
-        state.settle(self.waits());
+        state.confirm_views(self.waits());
         vec![state]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        actions.push(Action::Pass);
+        actions.push(Action::Advance);
         if state.latest_epoch() < self.disturbances.views {
             actions.extend(MACHINES.map(|head| Action::DecideView { head }));
         }
@@ -379,15 +380,15 @@
     fn next_state(&self, last: &State, action: Action) -> Option<State> {
         let mut state = last.clone();
         match action {
-            Action::Pass => state.pass(self.waits()),
+            Action::Advance => state.advance(self.waits()),
             Action::DecideView { head } => state.heads.push(head),
             Action::Learn { machine, epoch } => {
                 self.enter_view(&mut state, machine, epoch, Some(last.nodes[machine].epoch));
             }
-            Action::BeginCall(machine) => {
+            Action::StartCall(machine) => {
                 let token = state.nodes[machine].valid_token(self.waits())?;
-                state.nodes[machine].begun = Some(BegunCall { token, begun_at: NOW });
-                // Where no freeze can come in between, it's all the same when in the step it's written.
+                state.nodes[machine].started_call = Some(StartedCall { token, started_at: NOW });
+                // If no freeze can follow, the moment within the step at which the call is written does not matter.
                 if state.freezes == self.disturbances.freezes {
                     self.write(&mut state, machine);
                 }
@@ -407,18 +408,18 @@
             }
             Action::Restart(machine) => self.restart(&mut state, machine),
         }
-        state.settle(self.waits());
+        state.confirm_views(self.waits());
         (state != *last).then_some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(ONE_HOLDER, |_, state: &State| !state.platform.has_two_holders),
-            Property::always(TOKENS_GROW, |_, state: &State| !state.platform.has_lower_token),
-            Property::always(NO_TURNS, |_, state: &State| !state.platform.has_turns),
+            Property::always(ONE_LEADER, |_, state: &State| !state.platform.has_two_leaders),
+            Property::always(TOKENS_INCREASE, |_, state: &State| !state.platform.has_lower_token),
+            Property::always(NO_ALTERNATION, |_, state: &State| !state.platform.has_alternation),
             Property::sometimes("both machines act", |_, state: &State| {
-                let holders = &state.platform.holder_of_token;
-                MACHINES.iter().all(|machine| holders.values().any(|holder| holder == machine))
+                let leaders = &state.platform.leader_of_token;
+                MACHINES.iter().all(|machine| leaders.values().any(|leader| leader == machine))
             }),
         ]
     }
@@ -427,7 +428,7 @@
 #[rstest]
 #[case::freezes(FREEZE)]
 #[case::restarts(RESTART)]
-fn the_lease_holds(#[case] disturbances: Disturbances) {
+fn the_lease_keeps_its_guarantees(#[case] disturbances: Disturbances) {
     let model = Roles { planted: Planted::Nothing, disturbances };
     let checker =
         model.checker().threads(THREADS).finish_when(HasDiscoveries::AnyFailures).spawn_bfs().join();
@@ -440,22 +441,22 @@
     checker.assert_properties();
 }
 
-/// States after which a planted fault counts as not found: far above what each takes.
+/// Number of states after which a planted fault counts as not found; each fault is found after far fewer.
 const STATE_LIMIT: usize = 3_000_000;
 const FREEZE: Disturbances = Disturbances { views: 3, freezes: 1, restarts: 0 };
 const RESTART: Disturbances = Disturbances { views: 3, freezes: 0, restarts: 1 };
 const NEITHER: Disturbances = Disturbances { views: 3, freezes: 0, restarts: 0 };
 
 #[rstest]
-#[case::short_lease(Planted::ShortLease, NEITHER, NO_TURNS)]
-#[case::no_wait(Planted::NoWait, NEITHER, TOKENS_GROW)]
-#[case::token_reused(Planted::TokenReused, RESTART, ONE_HOLDER)]
-#[case::no_check_before_writing(Planted::NoCheckBeforeWriting, FREEZE, TOKENS_GROW)]
-#[case::no_wait_after_restart(Planted::NoWaitAfterRestart, RESTART, TOKENS_GROW)]
-#[case::missed_view_ignored(Planted::MissedViewIgnored, NEITHER, TOKENS_GROW)]
-#[case::no_wait_for_own_term(Planted::NoWaitForOwnTerm, NEITHER, TOKENS_GROW)]
-#[case::no_wait_for_own_calls(Planted::NoWaitForOwnCalls, RESTART, TOKENS_GROW)]
-fn a_planted_fault_is_found(
+#[case::short_lease(Planted::ShortLease, NEITHER, NO_ALTERNATION)]
+#[case::no_wait(Planted::NoWait, NEITHER, TOKENS_INCREASE)]
+#[case::token_reused(Planted::TokenReused, RESTART, ONE_LEADER)]
+#[case::no_check_before_writing(Planted::NoCheckBeforeWriting, FREEZE, TOKENS_INCREASE)]
+#[case::no_wait_after_restart(Planted::NoWaitAfterRestart, RESTART, TOKENS_INCREASE)]
+#[case::missed_view_ignored(Planted::MissedViewIgnored, NEITHER, TOKENS_INCREASE)]
+#[case::no_wait_for_own_term(Planted::NoWaitForOwnTerm, NEITHER, TOKENS_INCREASE)]
+#[case::no_wait_for_own_calls(Planted::NoWaitForOwnCalls, RESTART, TOKENS_INCREASE)]
+fn each_planted_fault_is_found(
     #[case] planted: Planted,
     #[case] disturbances: Disturbances,
     #[case] broken: &'static str,
@@ -475,5 +476,5 @@
         checker.unique_state_count(),
         checker.max_depth()
     );
-    assert!(checker.discovery(broken).is_some(), "{planted:?} wasn't found");
+    assert!(checker.discovery(broken).is_some(), "{planted:?} was not found");
 }
--- a/crates/control-plane/tests/role_placement.rs
+++ b/crates/control-plane/tests/role_placement.rs
@@ -1,4 +1,4 @@
-//! The role of placing partitions: which stores count as live, and when a lost partition is given up.
+//! The role of placing partitions: which store nodes count as live, and when a partition counts as lost.
 
 use std::net::Ipv4Addr;
 
@@ -9,7 +9,7 @@
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
 use orchidvalve_protocol::messages::{Handshake, Role, StoreHealth};
 
-/// When this machine became the head.
+/// Time at which this node became the head, in milliseconds.
 const SINCE: u64 = 1_000;
 
 fn member(number: u8, disk: u64) -> MemberId {
@@ -61,43 +61,43 @@
     roles
 }
 
-/// The next placement of the first partition.
+/// Returns the next placement of the first partition.
 fn next(change: Option<Change>) -> Option<Placement> {
     let Some(Change::Place(mut placements)) = change else { return None };
     Some(placements.remove(0).1)
 }
 
-/// The time at which the role first wants another placement, looking every 50 ms for `longest`, and what it wants.
+/// Runs the role every 50 ms for up to `max_ms`. Returns the time and the contents of the first change of the placement.
 fn first_change(
     roles: &mut SingletonRoles,
     state: &ControlState,
     sessions: &SessionTable,
-    longest: u64,
+    max_ms: u64,
 ) -> Option<(u64, Placement)> {
-    let mut times = (SINCE..SINCE + longest).step_by(50);
+    let mut times = (SINCE..SINCE + max_ms).step_by(50);
     times.find_map(|now| next(roles.place(now, state, sessions)).map(|placement| (now - SINCE, placement)))
 }
 
 #[test]
-fn a_new_head_waits_for_the_sessions_of_members_before_it_takes_them_for_lost() {
+fn a_new_head_waits_for_sessions_before_members_count_as_lost() {
     let state = placed(&[member(1, 1), member(2, 1)]);
-    let here = sessions(&[member(1, 1), member(3, 1)]);
-    let (after, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
+    let live = sessions(&[member(1, 1), member(3, 1)]);
+    let (after, placement) = first_change(&mut roles(), &state, &live, 5_000).unwrap();
     assert_eq!(after, 1_500);
     assert_eq!(placement.members, [member(1, 1)]);
 }
 
 #[test]
-fn a_wiped_member_is_taken_out_at_once() {
+fn a_wiped_member_is_removed_at_once() {
     let state = placed(&[member(1, 1), member(2, 1)]);
-    let here = sessions(&[member(1, 1), member(2, 2)]);
-    let (after, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
+    let live = sessions(&[member(1, 1), member(2, 2)]);
+    let (after, placement) = first_change(&mut roles(), &state, &live, 5_000).unwrap();
     assert_eq!(after, 0);
     assert_eq!((placement.members, placement.learners), (vec![member(1, 1)], vec![member(2, 2)]));
 }
 
-/// Store 1 has been told to stop.
-fn one_is_leaving(members: &[MemberId]) -> SessionTable {
+/// Returns sessions of these members, of which the first reports that it is shutting down.
+fn first_is_shutting_down(members: &[MemberId]) -> SessionTable {
     let mut table = sessions(members);
     let health = StoreHealth { draining: true, ..StoreHealth::default() };
     table.open(Session { health: Some(health), ..session(members[0]) }, 0);
@@ -105,43 +105,43 @@
 }
 
 #[test]
-fn the_copies_of_a_store_that_leaves_go_to_others_first() {
+fn a_store_node_that_shuts_down_stays_a_member_until_it_is_replaced() {
     let state = placed(&[member(1, 1), member(2, 1)]);
-    let here = one_is_leaving(&[member(1, 1), member(2, 1), member(3, 1)]);
-    let (after, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
+    let live = first_is_shutting_down(&[member(1, 1), member(2, 1), member(3, 1)]);
+    let (after, placement) = first_change(&mut roles(), &state, &live, 5_000).unwrap();
     assert_eq!(after, 0);
     assert_eq!(placement.members, [member(1, 1), member(2, 1)]);
     assert_eq!(placement.learners, [member(3, 1)]);
 }
 
 #[test]
-fn nothing_changes_where_nobody_could_take_the_copies_of_a_store_that_leaves() {
+fn nothing_changes_if_no_node_can_replace_one_that_shuts_down() {
     let state = placed(&[member(1, 1), member(2, 1)]);
-    let here = one_is_leaving(&[member(1, 1), member(2, 1)]);
-    assert_eq!(first_change(&mut roles(), &state, &here, 5_000), None);
+    let live = first_is_shutting_down(&[member(1, 1), member(2, 1)]);
+    assert_eq!(first_change(&mut roles(), &state, &live, 5_000), None);
 }
 
 #[test]
-fn a_store_that_left_and_came_back_is_an_ordinary_one() {
+fn a_store_node_that_returns_after_a_shutdown_is_eligible() {
     let state = placed(&[member(2, 1), member(3, 1)]);
-    let mut here = one_is_leaving(&[member(1, 1), member(2, 1)]);
-    here.open(Session { incarnation: 9, ..session(member(1, 1)) }, 0);
-    let (_, placement) = first_change(&mut roles(), &state, &here, 5_000).unwrap();
+    let mut live = first_is_shutting_down(&[member(1, 1), member(2, 1)]);
+    live.open(Session { incarnation: 9, ..session(member(1, 1)) }, 0);
+    let (_, placement) = first_change(&mut roles(), &state, &live, 5_000).unwrap();
     assert_eq!((placement.members, placement.learners), (vec![member(2, 1)], vec![member(1, 1)]));
 }
 
 #[test]
-fn a_store_with_a_full_disk_takes_copies_only_from_those_that_are_lost() {
+fn a_full_store_node_receives_only_copies_of_lost_nodes() {
     let full = |used_bytes| {
         let health = StoreHealth { used_bytes, capacity_bytes: 100, ..StoreHealth::default() };
         Session { health: Some(health), ..session(member(3, 1)) }
     };
     let state = placed(&[member(1, 1), member(2, 1)]);
-    let mut leaving = one_is_leaving(&[member(1, 1), member(2, 1)]);
-    leaving.open(full(76), 0);
-    assert_eq!(first_change(&mut roles(), &state, &leaving, 5_000), None);
-    leaving.open(full(75), 0);
-    assert!(first_change(&mut roles(), &state, &leaving, 5_000).is_some());
+    let mut shutting_down = first_is_shutting_down(&[member(1, 1), member(2, 1)]);
+    shutting_down.open(full(76), 0);
+    assert_eq!(first_change(&mut roles(), &state, &shutting_down, 5_000), None);
+    shutting_down.open(full(75), 0);
+    assert!(first_change(&mut roles(), &state, &shutting_down, 5_000).is_some());
     let mut lost = sessions(&[member(1, 1)]);
     lost.open(full(76), 0);
     let (_, placement) = first_change(&mut roles(), &state, &lost, 5_000).unwrap();
@@ -149,7 +149,7 @@
 }
 
 #[test]
-fn a_partition_begins_anew_only_after_its_loss_was_seen_for_a_while() {
+fn a_partition_restarts_empty_only_after_its_loss_was_confirmed() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
     let (after, placement) = first_change(&mut roles(), &state, &wiped, 20_000).unwrap();
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn a_loss_that_turns_out_to_be_none_starts_the_wait_over() {
+fn an_interrupted_loss_restarts_the_confirmation_time() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
     let one_back = sessions(&[member(1, 2), member(3, 1)]);
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn a_node_that_loses_the_lease_waits_anew() {
+fn a_node_that_loses_the_lease_restarts_the_confirmation_time() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
     let mut roles = roles();
@@ -182,15 +182,15 @@
 }
 
 #[test]
-fn a_partition_whose_members_are_only_away_waits_for_them() {
+fn a_partition_waits_for_members_that_are_only_unreachable() {
     let state = placed(&[member(1, 1), member(2, 1)]);
-    let away = sessions(&[member(3, 1), member(4, 1)]);
-    assert_eq!(first_change(&mut roles(), &state, &away, 60_000), None);
+    let others_only = sessions(&[member(3, 1), member(4, 1)]);
+    assert_eq!(first_change(&mut roles(), &state, &others_only, 60_000), None);
 }
 
-/// All control nodes stood still: the view is the same, and no session is left.
+/// All control nodes were suspended: the view is unchanged, and all sessions have ended.
 #[test]
-fn no_store_counts_as_lost_right_after_the_head_had_no_quorum() {
+fn no_store_node_counts_as_lost_right_after_the_quorum_returns() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let all = sessions(&[member(1, 1), member(2, 1), member(3, 1)]);
     let first_back = sessions(&[member(2, 1)]);
@@ -201,12 +201,13 @@
     assert_eq!(next(roles.place(SINCE + 20_200, &state, &first_back)), None);
     roles.set_has_quorum(SINCE + 21_650, true);
     assert_eq!(next(roles.place(SINCE + 21_650, &state, &first_back)), None);
-    let placement = next(roles.place(SINCE + 21_700, &state, &first_back)).expect("a store is lost");
+    let placement =
+        next(roles.place(SINCE + 21_700, &state, &first_back)).expect("the placement has to change");
     assert_eq!(placement.members, [member(2, 1)]);
 }
 
 #[test]
-fn no_retirement_is_refused_right_after_the_head_had_no_quorum() {
+fn no_retirement_is_refused_right_after_the_quorum_returns() {
     let mut state = ControlState::default();
     let stores = [member(1, 1), member(2, 1), member(3, 1)];
     for store in stores {
@@ -227,9 +228,9 @@
     );
 }
 
-/// Sessions that end because the head has no quorum say nothing of whether a partition is lost.
+/// Sessions that end because the head has no quorum do not show that a partition is lost.
 #[test]
-fn a_head_that_had_no_quorum_confirms_a_loss_anew() {
+fn a_head_that_lost_its_quorum_restarts_the_confirmation_time() {
     let state = placed(&[member(1, 1), member(2, 1)]);
     let wiped = sessions(&[member(1, 2), member(2, 2), member(3, 1)]);
     let mut roles = roles();
--- a/crates/control-plane/tests/role_scaling.rs
+++ b/crates/control-plane/tests/role_scaling.rs
@@ -1,4 +1,4 @@
-//! The role of scaling, against a platform over loopback: when orders are sent, what they say, and what follows.
+//! The scaling role against a platform over loopback: when orders are sent, their contents, and the handling of responses.
 
 #[path = "../../data-plane/tests/sockets_support/mod.rs"]
 mod sockets_support;
@@ -20,7 +20,7 @@
 const TERM: u64 = 5;
 const INCARNATION: u64 = 77;
 const OK: &str = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-const BUSY: &str = "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n";
+const TOO_MANY_REQUESTS: &str = "HTTP/1.1 429 Too Many Requests\r\nContent-Length: 0\r\n\r\n";
 
 struct Head {
     network: Network,
@@ -75,7 +75,7 @@
         sessions.open(gateway(), SINCE);
         let network = Network::new().unwrap();
         let (table, state) = (ServerTable::default(), ControlState::default());
-        // What an earlier process may have sent has arrived by now: it may act.
+        // Calls of an earlier process have arrived by now, so this one may act.
         let now = SINCE + NEW_USER_TIMEOUT_MS;
         let mut head = Head { network, roles, table, state, sessions, platform, now };
         head.configure(8);
@@ -94,7 +94,7 @@
             }
             head.turn();
         }
-        panic!("the list isn't taken up");
+        panic!("the list was not published");
     }
 
     fn configure(&mut self, max_count: u32) {
@@ -124,7 +124,7 @@
         self.roles.scale_services(&mut self.network, &self.state, &self.sessions, confirmed_at, self.now);
     }
 
-    /// Plans for so long.
+    /// Plans every 250 ms for this many milliseconds.
     fn scale_for(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -140,11 +140,11 @@
             }
             self.turn();
         }
-        panic!("nobody calls");
+        panic!("no connection was opened");
     }
 
-    /// The next order, answered so.
-    fn order(&mut self, answer: &str) -> String {
+    /// Accepts the next order, responds to it and returns its request.
+    fn respond_to_order(&mut self, response: &str) -> String {
         let mut peer = self.accept();
         for _ in 0..MOST_TURNS {
             peer.look();
@@ -154,13 +154,13 @@
             self.turn();
         }
         let text = peer.text().to_owned();
-        peer.send(answer);
+        peer.send(response);
         (0..10).for_each(|_| self.turn());
         text
     }
 
-    /// Whether nothing is sent.
-    fn is_silent(&mut self) -> bool {
+    /// Returns whether no connection is opened within 20 turns.
+    fn sends_nothing(&mut self) -> bool {
         (0..20).all(|_| {
             self.turn();
             self.platform.accept().is_err()
@@ -169,18 +169,18 @@
 }
 
 #[test]
-fn an_order_is_sent_under_the_term_and_once() {
+fn an_order_carries_the_term_and_is_sent_once() {
     let mut head = Head::new(&["usage_reporting", "autoscaling"]);
     head.scale();
-    assert!(head.is_silent(), "there is no reason to change anything");
+    assert!(head.sends_nothing(), "there is no reason to change anything");
     head.configure(2);
     head.scale_for(500);
-    let text = head.order(OK);
+    let text = head.respond_to_order(OK);
     assert!(text.starts_with("POST /scaling HTTP/1.1\r\n"), "{text}");
     assert!(text.contains("Duty-Holder: control\r\n") && text.contains("Fence-Token: 5\r\n"), "{text}");
     assert!(text.ends_with(r#"{"service":"s","zone":"z","desired-count":2}"#), "{text}");
     head.scale_for(3_000);
-    assert!(head.is_silent());
+    assert!(head.sends_nothing());
 }
 
 #[test]
@@ -189,17 +189,17 @@
     head.scale();
     head.configure(2);
     head.scale_for(500);
-    let first = head.order(BUSY);
-    assert!(head.is_silent(), "after a pause");
+    let first = head.respond_to_order(TOO_MANY_REQUESTS);
+    assert!(head.sends_nothing(), "after a pause");
     assert!(head.roles.next_wakeup() > head.now - 500);
     head.scale_for(1_500);
-    assert_eq!(head.order(OK), first);
+    assert_eq!(head.respond_to_order(OK), first);
     head.scale_for(3_000);
-    assert!(head.is_silent());
+    assert!(head.sends_nothing());
 }
 
 #[test]
-fn a_newer_decision_follows_the_one_in_flight() {
+fn a_later_decision_is_sent_after_the_call_in_flight() {
     let mut head = Head::new(&["autoscaling"]);
     head.scale();
     head.configure(2);
@@ -207,20 +207,20 @@
     head.configure(1);
     let mut first = head.accept();
     head.scale_for(500);
-    assert!(head.is_silent(), "one is in flight");
+    assert!(head.sends_nothing(), "a call is in flight");
     first.send(OK);
     (0..10).for_each(|_| head.turn());
     head.scale_for(500);
-    assert!(head.order(OK).ends_with(r#""desired-count":1}"#));
+    assert!(head.respond_to_order(OK).ends_with(r#""desired-count":1}"#));
 }
 
 #[test]
-fn nothing_is_sent_without_the_duty() {
+fn nothing_is_sent_if_the_role_is_not_enabled() {
     let mut head = Head::new(&["usage_reporting"]);
     head.scale();
     head.configure(2);
     head.scale_for(10_000);
-    assert!(head.is_silent());
+    assert!(head.sends_nothing());
 }
 
 #[test]
@@ -232,22 +232,22 @@
     head.roles.scale_services(&mut head.network, &head.state, &head.sessions, None, now);
     let before = Some(now - 450);
     head.roles.scale_services(&mut head.network, &head.state, &head.sessions, before, now);
-    assert!(head.roles.next_wakeup() > now, "it doesn't spin");
+    assert!(head.roles.next_wakeup() > now, "the event loop must not spin");
     head.roles.set_term(None);
     head.scale();
-    assert!(head.is_silent());
+    assert!(head.sends_nothing());
 }
 
 #[test]
-fn another_head_leaves_nothing_to_be_sent() {
+fn a_change_of_head_discards_pending_orders() {
     let mut head = Head::new(&["autoscaling"]);
     head.scale();
     head.configure(2);
     head.scale_for(500);
-    head.order(BUSY);
+    head.respond_to_order(TOO_MANY_REQUESTS);
     head.roles.view_changed(head.now, 2, false, false);
     head.roles.view_changed(head.now, 3, true, false);
     head.roles.set_term(Some(TERM + 1));
     head.scale_for(1_000);
-    assert!(head.is_silent());
+    assert!(head.sends_nothing());
 }
--- a/crates/control-plane/tests/role_usage_reporting.rs
+++ b/crates/control-plane/tests/role_usage_reporting.rs
@@ -1,5 +1,5 @@
-//! The role of usage reporting, against a platform over loopback: what is decided, sent, and sent again by whom. The
-//! time is passed in; nothing waits for a clock.
+//! The role of usage reporting against a platform over loopback: what is decided and sent, and which head sends it again.
+//! The time is passed in, so no test waits for a clock.
 
 #[path = "../../data-plane/tests/sockets_support/mod.rs"]
 mod sockets_support;
@@ -11,7 +11,7 @@
 use rstest::rstest;
 use usage_support::*;
 
-// Guards against reports that come too early for late counts, or that are sent before they are on disk.
+// Guards against reports that are decided before late counts arrive, or sent before they are committed.
 #[test]
 fn a_window_is_decided_after_its_end_and_sent_once_it_is_committed() {
     let mut platform = Platform::new();
@@ -34,25 +34,25 @@
     assert_eq!(call.body, format!(r#"{{"window":{WINDOW},"counts":{{"cuka620":412,"seje681":412}}}}"#));
 }
 
-// Guards against reports that are sent again although the platform has accepted them.
+// Guards against reports that are sent again after the platform has accepted them.
 #[test]
-fn a_report_that_was_accepted_is_sent_no_more() {
+fn an_accepted_report_is_not_sent_again() {
     let mut platform = Platform::new();
     let mut head = Head::new(&platform, TERM, state_with_tenants());
     head.decide_first_window();
     platform.call(&mut head).answer(200);
     head.until(|head| head.tentative.usage_reports().unaccepted_windows().next().is_none().then_some(()));
-    // The committed state still has the report.
+    // The committed state still contains the report.
     platform.expect_no_call(&mut head);
     head.commit();
     platform.expect_no_call(&mut head);
     assert_eq!(head.state.usage_reports().unaccepted_windows().count(), 0);
 }
 
-// Guards against ONE of incident keys-and-duties: a report that is on its way under a former term arrives after the
-// report of another window under the next term, so that the fence falls.
+// Guards against ONE of incident keys-and-duties: a report in flight under a former term arrives after the report of
+// another window under the next term, so that the fencing token decreases.
 #[test]
-fn no_report_is_sent_while_one_of_a_former_term_is_on_its_way() {
+fn no_report_is_sent_while_one_of_a_former_term_is_in_flight() {
     let mut platform = Platform::new();
     let mut head = Head::new(&platform, TERM, state_with_tenants());
     head.pass_to(2 * WINDOW_MS + DECISION_DELAY_MS);
@@ -68,7 +68,7 @@
     assert!(next.head.contains(&format!("Fence-Token: {}\r\n", TERM + 1)), "{}", next.head);
 }
 
-// Guards against windows without requests that are left out: they are due like any other.
+// Guards against windows that are skipped because they have no requests: their reports are due as well.
 #[test]
 fn a_window_without_requests_is_reported() {
     let mut platform = Platform::new();
@@ -85,7 +85,7 @@
     AfterTheCallIsAccepted,
 }
 
-// Guards against two reports of one window that differ, and against a report that is lost with its head.
+// Guards against two different reports of one window, and against a report that is lost with its head.
 #[rstest]
 fn the_next_head_sends_the_same_report_under_a_higher_term(
     #[values(Killed::BeforeTheCall, Killed::WhileTheCallIsOpen, Killed::AfterTheCallIsAccepted)]
@@ -103,12 +103,12 @@
             call.answer(200);
         }
     }
-    // The acceptance, if there is one, isn't committed.
+    // An acceptance by the platform is not committed yet.
     let state = former.state.clone();
     let at = former.now;
     drop(former);
     let mut next = Head::successor(&platform, TERM + 1, state, at);
-    // More has come to its ears than the former head knew.
+    // This head has received more counts than the former one.
     next.count(71, 0, "cuka620", 5);
     next.pass_to(WINDOW_MS + DECISION_DELAY_MS + LEASE_WAIT_MS - 1);
     platform.expect_no_call(&mut next);
@@ -121,9 +121,9 @@
     next.until(|head| head.tentative.usage_reports().unaccepted_windows().next().is_none().then_some(()));
 }
 
-// Guards against a report that is decided anew after all power was lost: the platform may have accepted the first one.
+// Guards against a report that is decided again after a power loss: the platform may have accepted the first one.
 #[test]
-fn what_the_disk_holds_is_sent_after_all_power_was_lost() {
+fn a_committed_report_is_sent_unchanged_after_a_power_loss() {
     let mut platform = Platform::new();
     let mut former = Head::new(&platform, TERM, state_with_tenants());
     former.count(71, 0, "cuka620", 3);
@@ -139,9 +139,9 @@
     assert_eq!(platform.call(&mut next).body, body);
 }
 
-// Guards against a head that changes the report of a window when counts come late.
+// Guards against a head that changes the report of a window when counts arrive late.
 #[test]
-fn counts_that_come_after_the_decision_change_nothing() {
+fn counts_received_after_the_decision_do_not_change_the_report() {
     let mut platform = Platform::new();
     let mut head = Head::new(&platform, TERM, state_with_tenants());
     head.count(71, 0, "cuka620", 3);
@@ -155,27 +155,30 @@
     assert_eq!(head.state.usage_reports().next_window(), Some(WINDOW + 1));
 }
 
-// Guards against calls of a node that may be the head no more.
+// Guards against calls of a node that may no longer be the head.
 #[test]
-fn nothing_is_sent_without_the_confirmation_of_a_quorum() {
+fn nothing_is_sent_without_a_confirmed_quorum() {
     let mut platform = Platform::new();
     let mut head = Head::new(&platform, TERM, state_with_tenants());
     head.confirmed = false;
     head.decide_first_window();
     platform.expect_no_call(&mut head);
-    assert!(head.next_wakeup(&mut platform) > head.now, "it would spin until there is a quorum");
+    assert!(
+        head.next_wakeup(&mut platform) > head.now,
+        "the event loop must not spin until there is a quorum"
+    );
     head.confirmed = true;
     platform.call(&mut head);
 }
 
-// Guards against reports that are dropped, or changed, where the platform is busy, down, silent or refuses.
+// Guards against reports that are dropped or changed if the platform is overloaded, down, unresponsive or rejects them.
 #[rstest]
-#[case::busy(Some(429))]
+#[case::overloaded(Some(429))]
 #[case::down(Some(503))]
-#[case::refused(Some(400))]
-#[case::unknown(Some(404))]
-#[case::silent(None)]
-fn a_report_that_was_not_accepted_is_sent_again_after_a_pause(#[case] status: Option<u16>) {
+#[case::rejected(Some(400))]
+#[case::not_found(Some(404))]
+#[case::unresponsive(None)]
+fn an_unaccepted_report_is_sent_again_after_a_pause(#[case] status: Option<u16>) {
     let mut platform = Platform::new();
     let mut head = Head::new(&platform, TERM, state_with_tenants());
     head.count(71, 0, "cuka620", 3);
@@ -194,15 +197,15 @@
         }
     }
     platform.expect_no_call(&mut head);
-    assert!(head.next_wakeup(&mut platform) > head.now, "it would spin during the pause");
+    assert!(head.next_wakeup(&mut platform) > head.now, "the event loop must not spin during the pause");
     head.pass(100);
     assert_eq!(platform.call(&mut head).body, body);
 }
 
-// Guards against a platform that comes back and is met by all reports at once, and against reports that come too late
-// since older ones, which are late anyway, were sent before them.
+// Guards against a recovering platform that receives all reports at once, and against reports that become overdue because
+// older ones, which are overdue anyway, were sent before them.
 #[test]
-fn reports_that_can_still_come_in_time_go_before_late_ones() {
+fn reports_that_can_arrive_in_time_are_sent_before_overdue_ones() {
     let mut platform = Platform::new();
     let mut head = Head::new(&platform, TERM, state_with_tenants());
     head.platform_is_down = true;
@@ -219,12 +222,12 @@
         call.answer(200);
         call.wait_until_read(&mut head);
     }
-    // At 37.5 s, windows are late whose ends are more than 10 s ago.
+    // At 37.5 s, reports of windows that ended more than 10 s ago are overdue.
     assert_eq!(order, [5, 6, 0, 1, 2, 3, 4]);
     assert!(head.sent_at.windows(5).all(|sent| sent[4] >= sent[0] + 100), "{:?}", head.sent_at);
 }
 
-// Guards against windows that are skipped where there was no head, and against a flood of changes after that.
+// Guards against windows that are skipped after a time without a head, and against a flood of changes after that time.
 #[test]
 fn windows_missed_without_a_head_are_decided_in_order() {
     let platform = Platform::new();
@@ -255,16 +258,16 @@
     decide(&mut state, WINDOW);
     accept(&mut state, WINDOW);
     let mut head = Head::new(&platform, TERM, state);
-    let away = 10 * MAX_UNDECIDED_WINDOWS;
-    head.pass_to(away * WINDOW_MS + DECISION_DELAY_MS);
+    let missed = 10 * MAX_UNDECIDED_WINDOWS;
+    head.pass_to(missed * WINDOW_MS + DECISION_DELAY_MS);
     (0..30).for_each(|_| head.decide());
     head.commit();
     let windows: Vec<u64> = head.state.usage_reports().unaccepted_windows().collect();
-    let first = WINDOW + away - MAX_UNDECIDED_WINDOWS;
-    assert_eq!(windows, (first..WINDOW + away).collect::<Vec<u64>>());
+    let first = WINDOW + missed - MAX_UNDECIDED_WINDOWS;
+    assert_eq!(windows, (first..WINDOW + missed).collect::<Vec<u64>>());
 }
 
-// Guards against a head that decides before those who were told counts have told it.
+// Guards against a head that decides before the nodes that have received counts have sent them.
 #[test]
 fn a_new_head_waits_for_sessions_before_it_decides() {
     let platform = Platform::new();
@@ -281,7 +284,7 @@
     assert_eq!(head.state.usage_reports().unaccepted_counts(WINDOW).unwrap().get("cuka620"), Some(&3));
 }
 
-// Guards against a first window that is lost with the first head: counts are a proof that the window was running.
+// Guards against a first window that is lost with the first head: its counts show that the window was in progress.
 #[test]
 fn the_first_window_is_the_earliest_with_counts() {
     let platform = Platform::new();
@@ -296,7 +299,7 @@
 }
 
 #[test]
-fn nothing_is_decided_as_long_as_no_configuration_has_tenants() {
+fn nothing_is_decided_without_tenants_in_the_configuration() {
     let platform = Platform::new();
     let mut head = Head::new(&platform, TERM, ControlState::default());
     head.pass_to(3 * WINDOW_MS);
@@ -304,18 +307,18 @@
     assert_eq!(head.tentative.usage_reports().next_window(), None);
 }
 
-// Guards against calls to a platform that doesn't take them.
+// Guards against calls to a platform that does not accept them.
 #[test]
-fn nothing_is_decided_without_the_duty() {
+fn nothing_is_decided_if_the_role_is_not_enabled() {
     let platform = Platform::new();
-    let mut head = Head::without_duty(&platform, state_with_tenants());
+    let mut head = Head::with_role_disabled(&platform, state_with_tenants());
     head.count(71, 0, "cuka620", 3);
     head.pass_to(3 * WINDOW_MS);
     head.turn();
     assert_eq!(head.tentative.usage_reports().next_window(), None);
 }
 
-// Guards against tenants that are missing where there are many, or that the configuration has no more.
+// Guards against tenants that are missing from a report, because they are many or were removed from the configuration.
 #[test]
 fn a_report_names_all_tenants_with_requests() {
     let mut platform = Platform::new();
@@ -330,9 +333,9 @@
     assert!((0..84).all(|number| counts[&format!("tenant-{number}")] == number + 1));
 }
 
-// Guards against a head that turns without end, or that sleeps past the time of a decision.
+// Guards against a head that spins, or that sleeps past the time of a decision.
 #[test]
-fn the_next_decision_is_when_it_wakes_up() {
+fn the_head_wakes_up_at_the_next_decision() {
     let mut platform = Platform::new();
     let mut head = Head::new(&platform, TERM, state_with_tenants());
     for window in 1..=2 {
--- a/crates/control-plane/tests/role_weight_rollout.rs
+++ b/crates/control-plane/tests/role_weight_rollout.rs
@@ -1,4 +1,4 @@
-//! The role of ordering weights, against a platform and a server over loopback: how the end of a load is learnt.
+//! The role of ordering weights against a platform and a server over loopback: how the end of a load is detected.
 
 #[path = "../../data-plane/tests/sockets_support/mod.rs"]
 mod sockets_support;
@@ -27,13 +27,13 @@
     now: u64,
 }
 
-fn json_answer(body: &serde_json::Value) -> String {
+fn json_response(body: &serde_json::Value) -> String {
     let body = body.to_string();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-fn report(busy: bool) -> String {
-    json_answer(&json!({ "stage": "both", "models": [], "utilization": busy, "sequence": 1 }))
+fn report(is_loading: bool) -> String {
+    json_response(&json!({ "stage": "both", "models": [], "utilization": is_loading, "sequence": 1 }))
 }
 
 impl Head {
@@ -62,7 +62,7 @@
             "config-version": "v1", "slots": 4, "state": "available", "cold-remaining-ms": 0,
             "models": [{ "name": MODEL, "config-version": 1, "adapters": [] }],
         }], "next-token": null });
-        peer.send(&json_answer(&list));
+        peer.send(&json_response(&list));
         head.until(|head| head.table.servers().next().map(|_| ()));
         head
     }
@@ -89,7 +89,7 @@
             }
             self.turn();
         }
-        panic!("it doesn't come");
+        panic!("the expected event did not occur");
     }
 
     fn accept_at(&mut self, listener: &TcpListener) -> Peer {
@@ -98,14 +98,14 @@
         peer
     }
 
-    /// The server's end of the connection of the next call.
+    /// Accepts the next connection to the server.
     fn accept(&mut self) -> Peer {
         let mut peer = self.until(|head| head.server.accept().ok().map(|(stream, _)| Peer::new(stream)));
         self.next_request(&mut peer);
         peer
     }
 
-    /// The next request on a connection.
+    /// Reads the next request on a connection.
     fn next_request(&mut self, peer: &mut Peer) -> String {
         let text = self.until(|_| {
             peer.look();
@@ -115,85 +115,85 @@
         text
     }
 
-    /// Gives orders and asks after loads.
+    /// Sends the orders and probes that are due.
     fn order(&mut self, now: u64) {
         self.now = now;
         let (network, table) = (&mut self.network, &mut self.table);
         self.roles.order_weights(network, &self.state, Some(now), table, now);
     }
 
-    /// Whether gateways are told of the model at the server, which they aren't while it loads.
-    fn is_offered(&self) -> bool {
+    /// Returns whether the server's model is published to gateways; it is not while its weights are being loaded.
+    fn is_model_published(&self) -> bool {
         self.table.servers().any(|server| !server.models.is_empty())
     }
 
-    /// When the load is asked after for the first time, or next.
-    fn ask_due(&mut self) -> u64 {
+    /// Returns when the next probe is due.
+    fn next_probe_at(&mut self) -> u64 {
         self.roles.next_wakeup().max(self.now + 1)
     }
 }
 
-/// An order under way whose load is asked after on the same connection.
-fn asked() -> (Head, Peer) {
+/// Creates a head with an order in progress, whose load is being probed on the connection of the order.
+fn head_with_probe() -> (Head, Peer) {
     let mut head = Head::new();
     head.order(SINCE + LEASE_MS);
     let mut peer = head.accept();
     peer.send(ACCEPTED);
-    head.until(|head| (!head.is_offered()).then_some(()));
+    head.until(|head| (!head.is_model_published()).then_some(()));
     (0..10).for_each(|_| head.turn());
-    while head.is_offered() || peer.text().is_empty() {
-        let due = head.ask_due();
+    while head.is_model_published() || peer.text().is_empty() {
+        let due = head.next_probe_at();
         head.order(due);
         head.turn();
         peer.look();
-        assert!(due < SINCE + LEASE_MS + 2_000, "the load isn't asked after");
+        assert!(due < SINCE + LEASE_MS + 2_000, "no probe was sent");
     }
     assert!(head.next_request(&mut peer).starts_with("GET /v1/report"));
     (head, peer)
 }
 
 #[test]
-fn the_end_of_a_load_is_learnt_on_the_connection_of_its_order() {
-    let (mut head, mut peer) = asked();
+fn a_probe_uses_the_connection_of_its_order_and_ends_the_load() {
+    let (mut head, mut peer) = head_with_probe();
     peer.send(&report(false));
     head.until(|_| {
         peer.look();
         peer.ended.then_some(())
     });
     head.order(head.now + 1);
-    assert!(head.is_offered());
+    assert!(head.is_model_published());
 }
 
 #[test]
-fn a_second_answer_to_the_order_is_no_report() {
-    let (mut head, mut peer) = asked();
+fn a_second_response_to_an_order_is_not_taken_for_a_report() {
+    let (mut head, mut peer) = head_with_probe();
     peer.send(ACCEPTED);
     head.until(|_| {
         peer.look();
         peer.ended.then_some(())
     });
     head.order(head.now + 1);
-    assert!(!head.is_offered(), "the load goes on");
+    assert!(!head.is_model_published(), "the load is in progress");
 }
 
 #[test]
-fn a_load_that_goes_on_is_probed_again_on_the_same_connection() {
-    let (mut head, mut peer) = asked();
+fn a_continuing_load_is_probed_again_on_the_same_connection() {
+    let (mut head, mut peer) = head_with_probe();
     peer.send(&report(true));
     let mut text = String::new();
     while text.is_empty() {
-        let due = head.ask_due();
+        let due = head.next_probe_at();
         head.order(due);
         (0..3).for_each(|_| head.turn());
         peer.look();
         text = peer.text().to_owned();
-        assert!(due < SINCE + LEASE_MS + 4_000, "the load isn't asked after again");
+        assert!(due < SINCE + LEASE_MS + 4_000, "no second probe was sent");
     }
     assert!(text.starts_with("GET /v1/report"));
-    assert!(!head.is_offered());
+    assert!(!head.is_model_published());
 }
 
-/// While weights change, many answers come within a moment: the table isn't published for each of them.
+/// While weights change, many responses arrive at once, and the table must not be published for each of them.
 #[test]
 fn versions_of_the_server_table_are_published_at_intervals() {
     let mut head = Head::new();
@@ -201,13 +201,13 @@
     let mut published = Vec::new();
     for now in head.now..head.now + 400 {
         head.now = now;
-        let mut list = head.roles.publish_if_due(&mut head.table, now).is_some();
-        // What changes the table: an order is sent, or a load is done.
-        list |= head
+        let mut is_published = head.roles.publish_if_due(&mut head.table, now).is_some();
+        // The table changes when an order is sent and when a load is done.
+        is_published |= head
             .roles
             .order_weights(&mut head.network, &head.state, Some(now), &mut head.table, now)
             .is_some();
-        if list {
+        if is_published {
             published.push(now);
         }
     }
--- a/crates/control-plane/tests/scaling_orders.rs
+++ b/crates/control-plane/tests/scaling_orders.rs
@@ -1,4 +1,4 @@
-//! Delivery of scaling orders: one in flight, repeated while the outcome is unknown, replaced by newer decisions.
+//! Delivery of scaling orders: one in flight, repeated while the outcome is unknown, replaced by later decisions.
 
 use orchidvalve_control_plane::scaling_orders::{ScalingOrders, ScalingOutcome};
 use orchidvalve_control_plane::scaling_planner::ScalingOrder;
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn an_unknown_outcome_is_followed_by_the_same_order_after_growing_pauses() {
+fn an_order_with_an_unknown_outcome_is_repeated_after_growing_pauses() {
     let mut orders = ScalingOrders::default();
     orders.decide(&order("a", 5), 0);
     let mut now = 0;
@@ -38,17 +38,17 @@
 }
 
 #[test]
-fn a_newer_decision_replaces_an_older_one_that_waits() {
+fn a_later_decision_replaces_a_waiting_one() {
     let mut orders = ScalingOrders::default();
     orders.decide(&order("a", 5), 0);
     assert!(orders.take_due(0).is_some());
     orders.completed(&order("a", 5), ScalingOutcome::Unknown, 0);
     orders.decide(&order("a", 7), 100);
-    assert_eq!(orders.take_due(100), Some(order("a", 7)), "it doesn't wait for the pause of the older one");
+    assert_eq!(orders.take_due(100), Some(order("a", 7)), "it must not wait for the pause of the former one");
 }
 
 #[test]
-fn a_newer_decision_waits_for_the_call_in_flight_whatever_its_outcome() {
+fn a_later_decision_waits_for_the_call_in_flight() {
     for outcome in [ScalingOutcome::Accepted, ScalingOutcome::Unknown, ScalingOutcome::Refused] {
         let mut orders = ScalingOrders::default();
         orders.decide(&order("a", 5), 0);
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_decision_that_returns_to_the_one_in_flight_is_sent_no_second_time() {
+fn a_decision_equal_to_the_call_in_flight_is_not_sent_twice() {
     let mut orders = ScalingOrders::default();
     orders.decide(&order("a", 5), 0);
     assert!(orders.take_due(0).is_some());
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_refused_order_is_given_up() {
+fn a_refused_order_is_not_repeated() {
     let mut orders = ScalingOrders::default();
     orders.decide(&order("a", 5), 0);
     assert!(orders.take_due(0).is_some());
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn zones_are_independent_and_the_one_due_longest_goes_first() {
+fn zones_are_independent_and_the_longest_due_order_is_sent_first() {
     let mut orders = ScalingOrders::default();
     orders.decide(&order("b", 1), 0);
     orders.decide(&order("a", 2), 5);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn nothing_is_left_once_another_node_acts() {
+fn cleared_orders_are_not_sent() {
     let mut orders = ScalingOrders::default();
     orders.decide(&order("a", 5), 0);
     let sent = orders.take_due(0).unwrap();
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn outcomes_go_by_the_status() {
+fn the_status_determines_the_outcome() {
     let outcomes = [Some(200), Some(400), Some(403), Some(429), Some(500), Some(503), None]
         .map(ScalingOutcome::from_status);
     use ScalingOutcome::{Accepted, Refused, Unknown};
