--- a/crates/control-plane/tests/scaling_planner.rs
+++ b/crates/control-plane/tests/scaling_planner.rs
@@ -1,4 +1,4 @@
-//! Decisions of the scaling planner: when servers are added and taken away, and when nothing is done.
+//! Decisions of the scaling planner: when it adds servers, when it removes them, and when it does nothing.
 
 mod scaling_support;
 
@@ -7,9 +7,9 @@
 use orchidvalve_control_plane::scaling_planner::{SETTLE_MS, ScalingBounds, ScalingOrder};
 use scaling_support::{BOUNDS, Planning, SERVICE, SLOTS, ZONES};
 
-/// Long enough for a plan to take a server away if nothing stands against it, in milliseconds.
-const LONG_MS: u64 = 60_000;
-/// Slots of the servers at the beginning.
+/// Long enough for a plan to remove a server if nothing prevents it, in milliseconds.
+const REMOVAL_MS: u64 = 60_000;
+/// Total slots of the initial servers.
 const ALL_SLOTS: u32 = 48 * SLOTS;
 
 fn counts(orders: &[ScalingOrder]) -> BTreeMap<&str, u32> {
@@ -17,23 +17,23 @@
 }
 
 #[test]
-fn servers_that_are_needed_are_left_alone() {
+fn needed_servers_are_kept() {
     for running in [200, ALL_SLOTS * 3 / 4, ALL_SLOTS] {
-        assert_eq!(Planning::with_demand(running, 0).carry_out_for(LONG_MS * 5), [], "{running}");
+        assert_eq!(Planning::with_demand(running, 0).carry_out_for(REMOVAL_MS * 5), [], "{running}");
     }
 }
 
 #[test]
-fn a_service_that_had_nothing_to_do_yet_is_left_alone() {
-    assert_eq!(Planning::new().carry_out_for(LONG_MS * 5), []);
+fn a_service_without_demand_so_far_is_left_alone() {
+    assert_eq!(Planning::new().carry_out_for(REMOVAL_MS * 5), []);
 }
 
 #[test]
-fn spare_servers_are_taken_away_one_at_a_time_down_to_the_minimum() {
+fn spare_servers_are_removed_one_at_a_time_down_to_the_minimum() {
     let mut planning = Planning::with_demand(30, 0);
     let mut last: Option<u64> = None;
     let mut orders = Vec::new();
-    while planning.now < 1_000_000 + LONG_MS * 5 {
+    while planning.now < 1_000_000 + REMOVAL_MS * 5 {
         let now = planning.now;
         let plan = planning.plan();
         assert!(plan.len() <= 1, "{plan:?}");
@@ -45,21 +45,21 @@
             orders.push(order);
         }
         let (least, most) = (planning.counts.values().min(), planning.counts.values().max());
-        assert!(most.unwrap() - least.unwrap() <= 1, "zones are kept alike: {:?}", planning.counts);
+        assert!(most.unwrap() - least.unwrap() <= 1, "zones have unequal counts: {:?}", planning.counts);
     }
     assert_eq!(orders.len(), 8);
     assert_eq!(planning.total(), 4 * BOUNDS.min_count);
 }
 
 #[test]
-fn nothing_is_taken_away_before_the_window_is_covered_after_settling() {
+fn no_server_is_removed_before_the_window_is_full() {
     let mut planning = Planning::with_demand(30, 0);
     assert_eq!(planning.plan_for(SETTLE_MS.max(20_000)), []);
     assert_eq!(planning.plan_for(1_000).len(), 1);
 }
 
 #[test]
-fn one_busy_moment_keeps_the_servers_for_minutes() {
+fn one_peak_keeps_the_servers_for_minutes() {
     let mut planning = Planning::with_demand(30, 0);
     planning.set_demand(250, 0);
     planning.plan();
@@ -69,15 +69,15 @@
 }
 
 #[test]
-fn minimum_count_under_running_work_is_not_reached() {
-    // 10 servers in each zone would have 240 slots, 73% of them taken.
+fn removals_stop_above_the_minimum_while_work_is_running() {
+    // 10 servers in each zone would have 240 slots, 73% of them in use.
     let mut planning = Planning::with_demand(175, 0);
-    planning.carry_out_for(LONG_MS * 10);
+    planning.carry_out_for(REMOVAL_MS * 10);
     assert_eq!(planning.total(), 42);
 }
 
 #[test]
-fn a_backlog_that_is_worked_off_in_time_calls_for_nothing() {
+fn a_backlog_that_finishes_in_time_adds_no_servers() {
     let mut planning = Planning::new();
     for _ in 0..10 {
         for tenth in 0..60 {
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn work_that_piles_up_adds_servers_in_all_zones_alike() {
+fn work_that_piles_up_adds_servers_evenly_in_all_zones() {
     let mut planning = Planning::with_demand(100, 0);
     planning.plan_for(8_000);
     planning.set_demand(ALL_SLOTS, 300);
@@ -103,9 +103,9 @@
 }
 
 #[test]
-fn a_backlog_that_cannot_be_worked_off_in_time_adds_servers_early() {
+fn a_backlog_that_cannot_finish_in_time_adds_servers_early() {
     let mut planning = Planning::new();
-    // 160 a second.
+    // Demand decreases by 160 per second.
     for step in 0..40 {
         planning.set_demand(ALL_SLOTS, 1_600 - step * 40);
         planning.plan();
@@ -121,14 +121,14 @@
 }
 
 #[test]
-fn after_servers_were_added_no_more_follow_before_these_serve() {
+fn no_further_servers_are_added_before_the_added_ones_serve() {
     let mut planning = Planning::with_demand(100, 0);
     planning.plan_for(8_000);
     planning.set_demand(ALL_SLOTS, 900);
     assert_eq!(planning.plan_for(5_500).len(), 4);
-    assert_eq!(planning.plan_for(6_500), [], "the platform starts them yet");
+    assert_eq!(planning.plan_for(6_500), [], "the platform is still starting them");
     let more = planning.plan_for(2_000);
-    assert!(!more.is_empty(), "they didn't come");
+    assert!(!more.is_empty(), "the added servers did not appear");
     assert!(more.iter().all(|order| order.desired_count <= BOUNDS.max_count));
 }
 
@@ -142,11 +142,11 @@
         planning.carry_out_for(2_000);
     }
     assert_eq!(planning.total(), 4 * BOUNDS.max_count);
-    assert_eq!(planning.carry_out_for(LONG_MS), []);
+    assert_eq!(planning.carry_out_for(REMOVAL_MS), []);
 }
 
 #[test]
-fn added_servers_go_again_when_they_are_spare() {
+fn added_servers_are_removed_when_they_are_spare() {
     let mut planning = Planning::with_demand(100, 0);
     planning.plan_for(8_000);
     planning.set_demand(ALL_SLOTS, 300);
@@ -154,13 +154,13 @@
     assert!(planning.total() > 48);
     planning.set_demand(100, 0);
     planning.carry_out_for(250_000);
-    assert_eq!(planning.total(), 48, "those of the beginning stay: it was busy minutes ago");
+    assert_eq!(planning.total(), 48, "the initial servers stay: demand was high minutes ago");
 }
 
 #[test]
-fn servers_that_were_taken_away_are_ordered_back_at_the_first_sign_of_need() {
+fn removed_servers_are_ordered_back_at_the_first_sign_of_need() {
     let mut planning = Planning::with_demand(30, 0);
-    planning.carry_out_for(LONG_MS * 2);
+    planning.carry_out_for(REMOVAL_MS * 2);
     assert_eq!(planning.total(), 40);
     planning.set_demand(206, 0);
     let orders = planning.plan();
@@ -168,26 +168,26 @@
 }
 
 #[test]
-fn a_lost_zone_stops_removals_until_it_is_back() {
+fn a_lost_zone_stops_removals_until_it_returns() {
     let mut planning = Planning::with_demand(30, 0);
     planning.plan_for(15_000);
     planning.set_count("apapa", 0);
-    assert_eq!(planning.carry_out_for(LONG_MS), []);
+    assert_eq!(planning.carry_out_for(REMOVAL_MS), []);
     planning.set_count("apapa", 12);
     assert_eq!(planning.carry_out_for(4_500), []);
     assert!(!planning.carry_out_for(10_000).is_empty());
 }
 
 #[test]
-fn single_servers_that_vanish_stop_removals() {
+fn the_loss_of_a_single_server_stops_removals() {
     let mut planning = Planning::with_demand(30, 0);
     planning.plan_for(15_000);
     planning.set_count("lekki", 11);
-    assert_eq!(planning.carry_out_for(LONG_MS), []);
+    assert_eq!(planning.carry_out_for(REMOVAL_MS), []);
 }
 
 #[test]
-fn the_other_zones_take_over_what_a_lost_one_cannot_do() {
+fn other_zones_grow_to_replace_a_lost_zone() {
     let mut planning = Planning::with_demand(250, 0);
     planning.plan_for(15_000);
     planning.set_count("apapa", 0);
@@ -197,38 +197,38 @@
 }
 
 #[test]
-fn nothing_is_taken_away_while_weights_are_rolled_out() {
+fn no_server_is_removed_while_weights_are_loaded() {
     let mut planning = Planning::with_demand(30, 0);
     planning.is_rolling_out = true;
-    assert_eq!(planning.plan_for(LONG_MS), []);
+    assert_eq!(planning.plan_for(REMOVAL_MS), []);
     planning.is_rolling_out = false;
     assert_eq!(planning.plan_for(2_000).len(), 1);
 }
 
 #[test]
-fn nothing_is_taken_away_while_facts_are_missing_nor_right_after() {
+fn no_server_is_removed_while_or_right_after_demand_is_unknown() {
     let mut planning = Planning::with_demand(30, 0);
     planning.plan_for(15_000);
     planning.is_demand_complete = false;
-    assert_eq!(planning.plan_for(LONG_MS), []);
+    assert_eq!(planning.plan_for(REMOVAL_MS), []);
     planning.is_demand_complete = true;
-    assert_eq!(planning.plan_for(19_000), [], "the window isn't covered");
+    assert_eq!(planning.plan_for(19_000), [], "the window is not full");
     assert_eq!(planning.plan_for(2_000).len(), 1);
 }
 
 #[test]
-fn servers_that_boot_do_not_count_and_nothing_is_taken_away_meanwhile() {
+fn booting_servers_do_not_count_and_stop_removals() {
     let mut planning = Planning::with_demand(100, 0);
     planning.plan_for(8_000);
     planning.set_demand(ALL_SLOTS, 300);
     let orders = planning.plan_for(5_500);
     assert_eq!(orders.len(), 4);
     planning.set_demand(10, 0);
-    assert_eq!(planning.plan_for(LONG_MS * 2), [], "what was ordered isn't there yet");
+    assert_eq!(planning.plan_for(REMOVAL_MS * 2), [], "the ordered servers have not appeared yet");
 }
 
 #[test]
-fn bounds_that_change_are_kept_at_once() {
+fn changed_bounds_take_effect_at_once() {
     let mut planning = Planning::with_demand(200, 0);
     planning.plan();
     let lower = ScalingBounds { min_count: 4, max_count: 8, ..BOUNDS };
@@ -242,7 +242,7 @@
 }
 
 #[test]
-fn bounds_that_change_while_facts_are_missing_are_kept_at_once() {
+fn changed_bounds_take_effect_even_while_demand_is_unknown() {
     let mut planning = Planning::with_demand(200, 0);
     planning.plan();
     planning.is_demand_complete = false;
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn servers_that_came_while_facts_were_missing_count_for_changed_bounds() {
+fn servers_added_while_demand_was_unknown_count_for_changed_bounds() {
     let mut planning = Planning::with_demand(200, 0);
     planning.plan();
     planning.is_demand_complete = false;
@@ -262,51 +262,59 @@
 }
 
 #[test]
-fn a_service_without_bounds_any_more_is_left_alone() {
+fn a_service_whose_bounds_were_removed_is_left_alone() {
     let mut planning = Planning::with_demand(30, 0);
     planning.plan_for(15_000);
     planning.bounds.clear();
-    assert_eq!(planning.plan_for(LONG_MS), []);
+    assert_eq!(planning.plan_for(REMOVAL_MS), []);
 }
 
 #[test]
-fn a_new_head_orders_nothing_before_orders_of_the_former_one_have_taken_effect() {
+fn a_new_head_waits_for_orders_of_the_former_one_to_take_effect() {
     let mut planning = Planning::with_demand(ALL_SLOTS, 600);
     assert_eq!(planning.plan_for(7_000), []);
     let mut planning = Planning::with_demand(30, 0);
     for zone in ZONES {
         planning.set_count(zone, 30);
     }
-    assert_eq!(planning.plan_for(7_000), [], "beyond the bounds, by orders of the former head perhaps");
+    assert_eq!(
+        planning.plan_for(7_000),
+        [],
+        "counts beyond the bounds may come from orders of the former head"
+    );
     assert_eq!(counts(&planning.plan_for(1_000)), ZONES.iter().map(|zone| (*zone, 24)).collect());
 }
 
 #[test]
-fn a_new_head_during_the_loss_of_servers_takes_nothing_back() {
+fn a_new_head_lowers_no_count_while_servers_are_lost() {
     let mut planning = Planning::with_demand(30, 0);
     planning.set_count("apapa", 3);
     planning.plan_for(10_000);
     planning.set_count("apapa", 12);
-    let orders = planning.carry_out_for(LONG_MS * 3);
+    let orders = planning.carry_out_for(REMOVAL_MS * 3);
     assert!(orders.iter().all(|order| order.desired_count >= BOUNDS.min_count));
     let mut planning = Planning::with_demand(200, 0);
     planning.set_count("apapa", 3);
-    assert_eq!(planning.carry_out_for(LONG_MS), [], "no order below what the platform knows to be desired");
+    assert_eq!(
+        planning.carry_out_for(REMOVAL_MS),
+        [],
+        "no order may be below the count that the platform knows"
+    );
 }
 
-// Guards against a new head that takes back what a former one has ordered for a zone, of which it sees only the rest.
+// Guards against a new head that lowers the count a former one has ordered for a zone of which only a part is left.
 #[test]
-fn a_new_head_adds_to_a_damaged_zone_no_fewer_than_the_others_have() {
+fn a_new_head_raises_a_damaged_zone_above_the_count_of_the_others() {
     let mut planning = Planning::with_demand(36 * SLOTS, 900);
     planning.set_count("apapa", 9);
-    let orders = planning.plan_for(LONG_MS);
+    let orders = planning.plan_for(REMOVAL_MS);
     let of_the_zone = orders.iter().filter(|order| order.zone == "apapa");
     assert!(!orders.is_empty());
     assert!(of_the_zone.map(|order| order.desired_count).all(|count| count > 12), "{orders:?}");
 }
 
 #[test]
-fn a_planner_that_was_reset_begins_anew() {
+fn a_reset_planner_starts_from_scratch() {
     let mut planning = Planning::with_demand(30, 0);
     planning.plan_for(19_000);
     planning.planner.reset();
@@ -314,20 +322,20 @@
 }
 
 #[test]
-fn nothing_more_is_ordered_while_an_order_is_unconfirmed_but_back_what_was_taken() {
+fn while_an_order_is_unconfirmed_only_removed_servers_are_ordered_back() {
     let mut planning = Planning::with_demand(30, 0);
     planning.carry_out_for(25_000);
     assert!(planning.total() < 48);
     planning.is_unconfirmed = true;
-    assert_eq!(planning.carry_out_for(LONG_MS), []);
+    assert_eq!(planning.carry_out_for(REMOVAL_MS), []);
     planning.set_demand(280, 0);
     assert!(planning.plan().iter().all(|order| order.desired_count == 12));
 }
 
 #[test]
-fn servers_that_somebody_else_added_are_no_reason_to_take_them_back() {
+fn servers_added_by_somebody_else_are_not_removed() {
     let mut planning = Planning::with_demand(30, 0);
-    planning.carry_out_for(LONG_MS * 2);
+    planning.carry_out_for(REMOVAL_MS * 2);
     planning.set_demand(150, 0);
     planning.set_count("apapa", 17);
     planning.plan_for(10_000);
@@ -338,24 +346,24 @@
 }
 
 #[test]
-fn no_second_server_is_taken_away_while_the_first_is_still_there() {
+fn no_second_server_is_removed_before_the_first_is_gone() {
     let mut planning = Planning::with_demand(30, 0);
     assert_eq!(planning.plan_for(20_500).len(), 1);
-    assert_eq!(planning.plan_for(6_000), [], "the platform hasn't carried the order out");
+    assert_eq!(planning.plan_for(6_000), [], "the platform has not executed the order");
 }
 
 #[test]
-fn the_loss_of_a_zone_is_borne_after_a_server_was_taken_away() {
+fn the_remaining_servers_tolerate_the_loss_of_a_zone() {
     for (running, total) in [(67, 24), (66, 23)] {
         let mut planning = Planning::with_demand(running, 0);
         planning.counts = [("ikeja".to_owned(), 12), ("lekki".to_owned(), 12)].into();
-        planning.carry_out_for(LONG_MS * 2);
+        planning.carry_out_for(REMOVAL_MS * 2);
         assert_eq!(planning.total(), total, "{running}");
     }
 }
 
 #[test]
-fn servers_that_were_just_added_stay_though_the_work_has_ended() {
+fn just_added_servers_stay_although_the_work_has_ended() {
     let mut planning = Planning::with_demand(100, 0);
     planning.plan_for(8_000);
     planning.set_demand(ALL_SLOTS, 300);
@@ -368,7 +376,7 @@
 }
 
 #[test]
-fn a_refused_order_is_not_made_again_soon() {
+fn a_refused_order_is_not_repeated_soon() {
     let mut planning = Planning::with_demand(30, 0);
     let orders = planning.plan_for(21_000);
     assert_eq!(orders.len(), 1);
@@ -377,7 +385,7 @@
 }
 
 #[test]
-fn noise_does_not_make_the_number_flap() {
+fn noise_does_not_make_the_count_flap() {
     let mut planning = Planning::new();
     let mut state = 12_345u64;
     let mut orders = Vec::new();
--- a/crates/control-plane/tests/scaling_random.rs
+++ b/crates/control-plane/tests/scaling_random.rs
@@ -1,4 +1,4 @@
-//! The scaling planner under random work, lists and bounds.
+//! The scaling planner under random demand, lists and bounds.
 
 mod scaling_support;
 
@@ -6,7 +6,7 @@
 use proptest::prelude::*;
 use scaling_support::{BOUNDS, Planning, SERVICE, SLOTS, ZONES};
 
-/// What changes before the next plans.
+/// A change before the next plans.
 #[derive(Clone, Debug)]
 enum Event {
     Demand { running: u32, waiting: u32 },
@@ -56,10 +56,10 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 100, ..ProptestConfig::default() })]
 
-    /// An order that takes servers away leaves room for all work, unless the bounds demand it; and is given in no other
-    /// state than a calm one.
+    /// An order that removes servers leaves enough slots for all outstanding work, unless the bounds demand otherwise, and is
+    /// given only while demand is known and no weights are being loaded.
     #[test]
-    fn orders_are_within_the_bounds_and_never_below_running_work(events in events()) {
+    fn orders_stay_within_the_bounds_and_above_outstanding_work(events in events()) {
         let mut planning = Planning::new();
         for event in events {
             let end = planning.now + apply(&mut planning, &event);
@@ -87,9 +87,9 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 30, ..ProptestConfig::default() })]
 
-    /// Where nothing disturbs, the planner comes to rest: it doesn't order the same service up and down.
+    /// Under constant demand the planner reaches a stable count instead of alternating.
     #[test]
-    fn steady_work_brings_the_number_to_rest(running in 0..500u32, waiting in 0..300u32) {
+    fn steady_demand_leads_to_a_stable_count(running in 0..500u32, waiting in 0..300u32) {
         let mut planning = Planning::with_demand(running, waiting);
         planning.carry_out_for(600_000);
         prop_assert_eq!(planning.carry_out_for(200_000), []);
--- a/crates/control-plane/tests/scaling_simulation.rs
+++ b/crates/control-plane/tests/scaling_simulation.rs
@@ -1,4 +1,4 @@
-//! Policies of scaling compared in closed loop: what they cost, and what they leave unserved.
+//! Closed-loop comparison of scaling policies: their cost in server-seconds, and the requests that they leave unserved.
 
 mod scaling_support;
 
@@ -9,14 +9,14 @@
 
 const STEPS_PER_S: f64 = 20.0;
 
-/// Single requests at this rate a second.
+/// Single requests at `per_s` requests per second.
 fn requests(per_s: f64, random: &mut Pcg64Mcg) -> Vec<Arrivals> {
     let mean = per_s / STEPS_PER_S;
     let items = mean.floor() as u32 + u32::from(random.random_bool(mean.fract()));
     vec![Arrivals { items, run_ms: 400, due_ms: 1_500 }]
 }
 
-/// A batch job each `period_ms`.
+/// A batch job every `period_ms` milliseconds.
 fn job(now: u64, period_ms: u64, job: Arrivals) -> Vec<Arrivals> {
     if now.is_multiple_of(period_ms) { vec![job] } else { Vec::new() }
 }
@@ -24,7 +24,7 @@
 fn shapes() -> Vec<Shape> {
     let shape =
         |name, arrivals| Shape { name, arrivals, lost: None, rollout_period_ms: None, length_ms: 120_000 };
-    // All slots of the servers at the start take 720 such requests a second.
+    // The initial servers can handle 720 such requests per second.
     vec![
         shape("idle", |_, _| Vec::new()),
         shape("steady, a quarter", |_, random| requests(180.0, random)),
@@ -97,7 +97,7 @@
 
 /// `cargo test -p orchidvalve-control-plane --test scaling_simulation -- --nocapture` prints the table of `docs/system.md`.
 #[test]
-fn planning_never_leaves_more_unserved_than_the_servers_at_the_start() {
+fn the_planner_serves_no_less_than_the_initial_servers() {
     println!(
         "| load | policy | server-seconds | orders | served | unserved |\n| --- | --- | --- | --- | --- | --- |"
     );
@@ -112,11 +112,11 @@
             worse.push(shape.name);
         }
     }
-    assert!(worse.is_empty(), "more is left unserved: {worse:?}");
+    assert!(worse.is_empty(), "more requests are unserved than with the initial servers: {worse:?}");
 }
 
 #[test]
-fn spare_servers_are_saved_down_to_the_minimum() {
+fn the_planner_removes_spare_servers_down_to_the_minimum() {
     let shapes = shapes();
     let quarter = &shapes[1];
     let idle = Simulation::run(quarter, Policy::Planned);
--- a/crates/control-plane/tests/session_balance.rs
+++ b/crates/control-plane/tests/session_balance.rs
@@ -1,4 +1,4 @@
-//! Which control nodes send processes elsewhere, and how often.
+//! The control nodes that refer processes to others, and how often they do.
 
 use orchidvalve_control_plane::session_balance::{MoveSchedule, Referrals, has_surplus};
 use rstest::rstest;
@@ -20,9 +20,9 @@
     assert_eq!(has_surplus(local, others), expected);
 }
 
-/// Whatever the numbers, one of the nodes takes whoever is sent elsewhere, and moving ends.
+/// For any number of nodes, at min one accepts a referred process, and the moves end.
 #[test]
-fn moves_end_and_somebody_always_takes_a_session() {
+fn moves_end_and_some_node_always_accepts_a_session() {
     for nodes in 2..8_usize {
         let mut counts: Vec<usize> = (0..nodes).map(|node| if node < nodes / 2 { 150 } else { 0 }).collect();
         let surplus = |counts: &[usize], node: usize| {
@@ -33,13 +33,13 @@
         let mut moves = 0;
         while let Some(from) = (0..nodes).find(|node| surplus(&counts, *node)) {
             let to = (0..nodes).filter(|node| !surplus(&counts, *node)).min_by_key(|node| counts[*node]);
-            counts[to.expect("one that takes it")] += 1;
+            counts[to.expect("a node without a surplus")] += 1;
             counts[from] -= 1;
             moves += 1;
             assert!(moves < 2_000, "{counts:?}");
         }
-        let (least, most) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
-        assert!(most - least <= 150 / 2, "{counts:?}");
+        let (min, max) = (counts.iter().min().unwrap(), counts.iter().max().unwrap());
+        assert!(max - min <= 150 / 2, "{counts:?}");
     }
 }
 
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn each_start_of_a_process_is_sent_elsewhere_once() {
+fn each_incarnation_of_a_process_is_referred_once() {
     let mut referrals = Referrals::default();
     assert!(referrals.refer(7, 1_000));
-    assert!(!referrals.refer(7, 1_060), "the others didn't take it");
+    assert!(!referrals.refer(7, 1_060), "the other nodes did not accept it");
     assert!(referrals.refer(8, 1_060));
     assert!(referrals.refer(7, 20_000));
 }
--- a/crates/control-plane/tests/subscribers.rs
+++ b/crates/control-plane/tests/subscribers.rs
@@ -1,4 +1,4 @@
-//! Subscribers are told which control nodes there are, also while their sessions stand.
+//! Feed subscribers: announcement of control nodes, superseded sessions, snapshots and large updates.
 
 #[path = "../../data-plane/tests/sockets_support/mod.rs"]
 mod sockets_support;
@@ -36,7 +36,7 @@
     }
 }
 
-/// The next message at the subscriber's end.
+/// Reads the next message at the subscriber's end.
 fn next(network: &mut Network, peer: &mut Peer) -> ControlMessage {
     for _ in 0..MOST_TURNS {
         network.poll(TURN).unwrap();
@@ -46,11 +46,11 @@
             return message;
         }
     }
-    panic!("no message comes");
+    panic!("no message was received");
 }
 
-/// A connection that a peer has opened, with the peer's end.
-fn accepted(network: &mut Network, address: std::net::SocketAddrV4) -> (ConnectionId, Peer) {
+/// Accepts a connection that a peer has opened, and returns both ends.
+fn accept(network: &mut Network, address: std::net::SocketAddrV4) -> (ConnectionId, Peer) {
     let peer = Peer::connect(address);
     let accepted = |event| match event {
         Event::Accepted { connection, .. } => Some(connection),
@@ -61,49 +61,49 @@
             return (connection, peer);
         }
     }
-    panic!("no connection comes");
+    panic!("no connection was accepted");
 }
 
-/// A process gave its session up and opened another one at the same machine, which hears of the first one's end last.
+/// A process gave up its session and opened another one at the same node, which notices the end of the first one last.
 #[test]
 fn the_end_of_a_superseded_connection_does_not_end_the_newer_session() {
     let mut network = Network::new().unwrap();
     let address = v4(network.listen(loopback(), 1).unwrap());
-    let (first, _first_peer) = accepted(&mut network, address);
-    let (second, _second_peer) = accepted(&mut network, address);
-    let (mut followers, mut sessions) = (FeedSubscribers::default(), SessionTable::default());
+    let (first, _first_peer) = accept(&mut network, address);
+    let (second, _second_peer) = accept(&mut network, address);
+    let (mut subscribers, mut sessions) = (FeedSubscribers::default(), SessionTable::default());
     let (handshake, position) = (handshake(), FeedPosition::default());
-    assert_eq!(followers.supersede(&handshake), []);
-    sessions.open(followers.open(&mut network, first, &handshake, position, controls(&[1]), 1_000), 1_000);
-    assert_eq!(followers.supersede(&handshake), [first]);
-    sessions.open(followers.open(&mut network, second, &handshake, position, controls(&[1]), 1_900), 1_900);
-    assert_eq!(followers.close(first), None);
+    assert_eq!(subscribers.supersede(&handshake), []);
+    sessions.open(subscribers.open(&mut network, first, &handshake, position, controls(&[1]), 1_000), 1_000);
+    assert_eq!(subscribers.supersede(&handshake), [first]);
+    sessions.open(subscribers.open(&mut network, second, &handshake, position, controls(&[1]), 1_900), 1_900);
+    assert_eq!(subscribers.close(first), None);
     sessions.expire(60_000);
     assert_eq!(sessions.local(1_900).len(), 1);
     let another = Handshake { role: Role::Store, ..handshake };
-    assert_eq!(followers.supersede(&another), [], "another process of the same machine");
+    assert_eq!(subscribers.supersede(&another), [], "another process of the same machine");
 }
 
 #[test]
 fn a_changed_list_of_control_nodes_is_announced_once_to_all() {
     let mut network = Network::new().unwrap();
     let address = v4(network.listen(loopback(), 1).unwrap());
-    let (connection, mut peer) = accepted(&mut network, address);
-    let mut followers = FeedSubscribers::default();
+    let (connection, mut peer) = accept(&mut network, address);
+    let mut subscribers = FeedSubscribers::default();
     let (first, later) = (controls(&[1, 2, 3]), controls(&[1, 2, 4]));
-    followers.announce_control_nodes(&mut network, first.clone());
+    subscribers.announce_control_nodes(&mut network, first.clone());
     let position = FeedPosition::default();
-    followers.open(&mut network, connection, &handshake(), position, first.clone(), 1_000);
+    subscribers.open(&mut network, connection, &handshake(), position, first.clone(), 1_000);
     assert_eq!(next(&mut network, &mut peer), ControlMessage::Welcome { controls: first.clone() });
-    followers.announce_control_nodes(&mut network, first);
-    followers.announce_control_nodes(&mut network, later.clone());
-    followers.announce_control_nodes(&mut network, later.clone());
-    followers.heartbeat_received(&mut network, connection, None, 1_100);
+    subscribers.announce_control_nodes(&mut network, first);
+    subscribers.announce_control_nodes(&mut network, later.clone());
+    subscribers.announce_control_nodes(&mut network, later.clone());
+    subscribers.heartbeat_received(&mut network, connection, None, 1_100);
     assert_eq!(next(&mut network, &mut peer), ControlMessage::Welcome { controls: later });
     assert_eq!(next(&mut network, &mut peer), ControlMessage::Heartbeat, "once, and only if it changed");
 }
 
-/// Applies so many configurations with bodies of about so many bytes; the state and the changes.
+/// Applies this many configurations with bodies of about `bytes` bytes. Returns the state and the changes.
 fn configured(count: u64, bytes: usize) -> (ControlState, Vec<Rc<[u8]>>) {
     let mut state = ControlState::default();
     let mut changes = Vec::new();
@@ -120,19 +120,19 @@
 }
 
 #[rstest]
-#[case::nothing_known(0, 5, 100, 1, true)]
+#[case::no_position(0, 5, 100, 1, true)]
 #[case::a_little_behind(3, 5, 100, 1, false)]
 #[case::no_longer_held(3, 9, 100, 6, true)]
 #[case::small_changes(10, 200, 100, 1, false)]
 #[case::many_small_changes(10, 2_000, 100, 1, true)]
 #[case::one_large_change(39, 40, 200_000, 1, false)]
 #[case::many_large_changes(3, 40, 200_000, 1, true)]
-fn subscribers_get_a_snapshot_where_it_is_smaller_than_the_changes(
+fn subscribers_get_a_snapshot_if_it_is_smaller_than_the_changes(
     #[case] position: u64,
     #[case] count: u64,
     #[case] bytes: usize,
     #[case] first_change: u64,
-    #[case] whole: bool,
+    #[case] expects_snapshot: bool,
 ) {
     let (state, changes) = configured(count, bytes);
     let servers = ServerTable::default();
@@ -145,14 +145,14 @@
     }
     match feed.catch_up(position, &changes_from) {
         ControlMessage::Snapshot { sequence, state } => {
-            assert!(whole);
+            assert!(expects_snapshot);
             copy.apply_snapshot(sequence, &state).unwrap();
         }
         ControlMessage::Changes { first, changes } => {
-            assert!(!whole);
+            assert!(!expects_snapshot);
             copy.apply_changes(first, &changes).unwrap();
         }
-        other => panic!("{other:?} is no part of the state"),
+        other => panic!("{other:?} is not an update of the state"),
     }
     assert_eq!(copy.sequence(), count);
     assert_eq!(copy.state().snapshot(), state.snapshot());
@@ -170,8 +170,8 @@
     }
 }
 
-/// Many subscribers come at once to one whose server table is large: they don't all get it at the same time, and what
-/// is small isn't held up behind all of it.
+/// Many subscribers open sessions at once while the server table is large. They do not all get it at the same time, so that
+/// small messages are not delayed behind all of it.
 #[test]
 fn large_updates_of_the_server_table_are_sent_to_a_few_at_a_time() {
     let mut network = Network::new().unwrap();
@@ -180,20 +180,20 @@
     table.replace(1, (0..1_500).map(entry).collect());
     let snapshot_bytes = encode(&ControlMessage::Servers(table.snapshot())).len();
     assert!(snapshot_bytes > 300_000, "{snapshot_bytes}");
-    let (mut followers, state) = (FeedSubscribers::default(), ControlState::default());
+    let (mut subscribers, state) = (FeedSubscribers::default(), ControlState::default());
     let mut peers = Vec::new();
     for number in 0..12 {
-        let (connection, peer) = accepted(&mut network, address);
+        let (connection, peer) = accept(&mut network, address);
         let handshake = Handshake { name: format!("edge-{number}"), ..handshake() };
         let position = FeedPosition::default();
-        followers.open(&mut network, connection, &handshake, position, controls(&[1]), 1_000);
+        subscribers.open(&mut network, connection, &handshake, position, controls(&[1]), 1_000);
         peers.push((connection, peer));
     }
     let feed = Feed { state: &state, applied: 0, first_change: 1, servers: &table };
     let mut most_queued = 0;
     let mut received: Vec<FeedReplica> = peers.iter().map(|_| FeedReplica::default()).collect();
     for _ in 0..MOST_TURNS {
-        followers.send_updates(&mut network, &feed, &|_| Vec::new());
+        subscribers.send_updates(&mut network, &feed, &|_| Vec::new());
         let queued: usize = peers.iter().map(|(connection, _)| network.queued_bytes(*connection)).sum();
         most_queued = most_queued.max(queued);
         network.poll(std::time::Duration::ZERO).unwrap();
@@ -210,38 +210,42 @@
             break;
         }
     }
-    assert!(received.iter().all(|replica| replica.servers().servers().count() == 1_500), "all get it");
+    assert!(
+        received.iter().all(|replica| replica.servers().servers().count() == 1_500),
+        "all subscribers get the table"
+    );
     assert!(most_queued < 4 * snapshot_bytes, "{most_queued} bytes waited, {snapshot_bytes} a snapshot");
 }
 
-/// A store that writes tells a little more with each heartbeat.
+/// A store node that writes reports slightly more used bytes with each heartbeat.
 #[test]
-fn a_few_bytes_more_on_a_disk_are_no_news_of_a_store() {
+fn small_changes_of_disk_use_are_not_reported() {
     let mut network = Network::new().unwrap();
     let address = v4(network.listen(loopback(), 1).unwrap());
-    let (connection, _peer) = accepted(&mut network, address);
-    let mut followers = FeedSubscribers::default();
-    followers.open(&mut network, connection, &handshake(), FeedPosition::default(), controls(&[1]), 1_000);
+    let (connection, _peer) = accept(&mut network, address);
+    let mut subscribers = FeedSubscribers::default();
+    subscribers.open(&mut network, connection, &handshake(), FeedPosition::default(), controls(&[1]), 1_000);
     let health = |used_bytes, draining| {
         Some(StoreHealth { disk_failing: false, used_bytes, capacity_bytes: 10_000, draining })
     };
-    let mut told = |health| followers.heartbeat_received(&mut network, connection, health, 1_100).is_some();
-    assert!(told(health(100, false)), "the first one");
-    let news = (100..10_000).step_by(10).filter(|used| told(health(*used, false))).count();
-    assert_eq!(news, 49, "each fiftieth part of the disk");
-    assert!(told(health(9_990, true)), "it shuts down");
-    assert!(!told(health(9_991, true)));
+    let mut is_reported =
+        |health| subscribers.heartbeat_received(&mut network, connection, health, 1_100).is_some();
+    assert!(is_reported(health(100, false)), "the first report");
+    let reports = (100..10_000).step_by(10).filter(|used| is_reported(health(*used, false))).count();
+    assert_eq!(reports, 49, "one report for each fiftieth of the disk");
+    assert!(is_reported(health(9_990, true)), "the shutdown is reported");
+    assert!(!is_reported(health(9_991, true)));
 }
 
 #[test]
-fn the_process_of_a_session_is_known_by_its_connection() {
+fn the_incarnation_of_a_session_is_known_by_its_connection() {
     let mut network = Network::new().unwrap();
     let address = v4(network.listen(loopback(), 1).unwrap());
-    let (connection, _peer) = accepted(&mut network, address);
-    let mut followers = FeedSubscribers::default();
-    assert_eq!(followers.incarnation(connection), None);
-    followers.open(&mut network, connection, &handshake(), FeedPosition::default(), controls(&[1]), 1_000);
-    assert_eq!(followers.incarnation(connection), Some(5));
-    followers.close(connection);
-    assert_eq!(followers.incarnation(connection), None);
+    let (connection, _peer) = accept(&mut network, address);
+    let mut subscribers = FeedSubscribers::default();
+    assert_eq!(subscribers.incarnation(connection), None);
+    subscribers.open(&mut network, connection, &handshake(), FeedPosition::default(), controls(&[1]), 1_000);
+    assert_eq!(subscribers.incarnation(connection), Some(5));
+    subscribers.close(connection);
+    assert_eq!(subscribers.incarnation(connection), None);
 }
--- a/crates/control-plane/tests/usage_collection.rs
+++ b/crates/control-plane/tests/usage_collection.rs
@@ -1,4 +1,4 @@
-//! Counts of usage at control nodes: merged, passed on to the head, kept until their windows are decided.
+//! Usage counts at control nodes: merging, forwarding to the head, and retention until their windows are decided.
 
 use std::collections::BTreeMap;
 
@@ -30,14 +30,14 @@
     (tenant.to_owned(), requests)
 }
 
-/// Everything that `from` passes on reaches `to`.
-fn pass_on(from: &mut UsageCollection, to: &mut UsageCollection) {
+/// Forwards all unsent counts of `from` to `to`.
+fn forward(from: &mut UsageCollection, to: &mut UsageCollection) {
     for (gateway, windows) in from.take_unsent() {
         to.add(gateway, windows, WINDOW + 1);
     }
 }
 
-// Guards against counts that are added where they come twice, late, or by two ways.
+// Guards against counts that are added up although they were received twice, late, or by two routes.
 #[test]
 fn counts_of_a_gateway_are_merged_by_their_maximum_and_gateways_summed() {
     let mut collection = UsageCollection::default();
@@ -49,61 +49,61 @@
     assert!(collection.total(WINDOW + 1).is_empty());
 }
 
-// Guards against counts that go back and forth between two nodes which take each other for the head.
+// Guards against counts that go back and forth between two nodes, each of which considers the other one the head.
 #[test]
-fn only_what_is_new_is_passed_on() {
+fn only_new_counts_are_forwarded() {
     let (mut node, mut head) = (UsageCollection::default(), UsageCollection::default());
     add(&mut node, NORTH, WINDOW, &[("cuka620", 3)]);
-    pass_on(&mut node, &mut head);
+    forward(&mut node, &mut head);
     assert_eq!(total(&head, WINDOW), [row("cuka620", 3)]);
     add(&mut node, NORTH, WINDOW, &[("cuka620", 3)]);
     assert!(node.take_unsent().is_empty());
-    pass_on(&mut head, &mut node);
+    forward(&mut head, &mut node);
     assert!(node.take_unsent().is_empty());
 }
 
-// Guards against counts of a gateway that has died, which a new head would never hear of again.
+// Guards against counts of an exited gateway that are never sent to a new head.
 #[test]
-fn a_new_head_is_told_everything_by_those_who_were_told_first() {
+fn nodes_send_all_their_counts_to_a_new_head() {
     let (mut node, mut head, mut next) =
         (UsageCollection::default(), UsageCollection::default(), UsageCollection::default());
     add(&mut node, NORTH, WINDOW, &[("cuka620", 3)]);
     add(&mut node, NORTH, WINDOW + 1, &[("cuka620", 1)]);
-    pass_on(&mut node, &mut head);
+    forward(&mut node, &mut head);
     assert!(node.take_unsent().is_empty());
     node.mark_all_unsent();
-    pass_on(&mut node, &mut next);
+    forward(&mut node, &mut next);
     assert_eq!(total(&next, WINDOW), [row("cuka620", 3)]);
     assert_eq!(total(&next, WINDOW + 1), [row("cuka620", 1)]);
 }
 
-// Guards against counts that only the former head knew: the node that was told first died together with the gateway.
+// Guards against counts that only the former head has, because the node that received them failed with the gateway.
 #[test]
-fn the_former_head_tells_the_new_one_what_others_had_told_it() {
+fn a_former_head_sends_received_counts_to_the_new_one() {
     let (mut node, mut head, mut next) =
         (UsageCollection::default(), UsageCollection::default(), UsageCollection::default());
     add(&mut node, NORTH, WINDOW, &[("cuka620", 3)]);
-    pass_on(&mut node, &mut head);
+    forward(&mut node, &mut head);
     head.mark_all_unsent();
-    pass_on(&mut head, &mut next);
+    forward(&mut head, &mut next);
     assert_eq!(total(&next, WINDOW), [row("cuka620", 3)]);
 }
 
-// Guards against a session that moves to another control node and thereby counts twice.
+// Guards against counts that are counted twice because a session moved to another control node.
 #[test]
 fn a_gateway_whose_session_moved_counts_once() {
     let (mut first, mut second, mut head) =
         (UsageCollection::default(), UsageCollection::default(), UsageCollection::default());
     add(&mut first, NORTH, WINDOW, &[("cuka620", 3)]);
     add(&mut second, NORTH, WINDOW, &[("cuka620", 5)]);
-    pass_on(&mut second, &mut head);
-    pass_on(&mut first, &mut head);
+    forward(&mut second, &mut head);
+    forward(&mut first, &mut head);
     assert_eq!(total(&head, WINDOW), [row("cuka620", 5)]);
 }
 
-// Guards against counts of decided windows that are passed on or kept for ever.
+// Guards against counts of decided windows that are forwarded, or kept for ever.
 #[test]
-fn counts_that_come_after_the_decision_are_not_passed_on() {
+fn counts_received_after_the_decision_are_not_forwarded() {
     let mut collection = UsageCollection::default();
     add(&mut collection, NORTH, WINDOW, &[("cuka620", 3)]);
     collection.set_decided_before(WINDOW + 1);
@@ -117,7 +117,7 @@
     assert!(collection.total(WINDOW).is_empty());
 }
 
-// Guards against memory that grows as long as no window is decided.
+// Guards against memory use that grows while no window is decided.
 #[test]
 fn windows_that_are_never_decided_are_forgotten() {
     let mut collection = UsageCollection::default();
@@ -125,11 +125,11 @@
     let later = WINDOW + 1 + MAX_UNDECIDED_WINDOWS;
     collection.add(SOUTH, vec![usage(later, &[("cuka620", 1)])], later);
     assert_eq!(collection.earliest_window(), Some(later));
-    let told: BTreeMap<u64, Vec<WindowUsage>> = collection.take_unsent();
-    assert_eq!(told.keys().copied().collect::<Vec<u64>>(), [SOUTH]);
+    let unsent: BTreeMap<u64, Vec<WindowUsage>> = collection.take_unsent();
+    assert_eq!(unsent.keys().copied().collect::<Vec<u64>>(), [SOUTH]);
 }
 
-// Guards against a gateway with a wrong clock: its windows must not push out those of the others.
+// Guards against a gateway whose clock is wrong: its windows must not displace those of other gateways.
 #[test]
 fn counts_of_windows_that_have_not_begun_are_ignored() {
     let mut collection = UsageCollection::default();
--- a/crates/control-plane/tests/usage_support/mod.rs
+++ b/crates/control-plane/tests/usage_support/mod.rs
@@ -98,7 +98,7 @@
         Head::begin(options(platform.address, &[USAGE_REPORTING_ROLE]), term, state, at, false)
     }
 
-    pub fn without_duty(platform: &Platform, state: ControlState) -> Head {
+    pub fn with_role_disabled(platform: &Platform, state: ControlState) -> Head {
         Head::begin(options(platform.address, &["scaling"]), TERM, state, SINCE, true)
     }
 
--- a/crates/control-plane/tests/weight_rollout.rs
+++ b/crates/control-plane/tests/weight_rollout.rs
@@ -1,4 +1,4 @@
-//! Orders of new weights: waves, outcomes, several models on a server, and leases of their lease.
+//! Weight roll-out: waves, outcomes, several models on a server, and the lease under which orders are given.
 
 use std::collections::BTreeMap;
 use std::net::Ipv4Addr;
@@ -13,9 +13,9 @@
 use rand_pcg::Pcg64Mcg;
 use rstest::rstest;
 
-const TAKEN: OrderOutcome = OrderOutcome::Accepted { already: false };
-const HELD: OrderOutcome = OrderOutcome::Accepted { already: true };
-/// Longer than a load, a pause after a busy server and the time until an order is repeated.
+const ACCEPTED: OrderOutcome = OrderOutcome::Accepted { already: false };
+const ALREADY_HELD: OrderOutcome = OrderOutcome::Accepted { already: true };
+/// Durations that the planner uses: of a load, of the pause after a busy server, and until an order is repeated.
 const LOAD_MS: u64 = 700;
 const BUSY_MS: u64 = 400;
 const REPEAT_MS: u64 = 5_000;
@@ -72,7 +72,7 @@
         assert!(!orders.is_empty() && orders.len() <= wave, "{} at {now}", orders.len());
         assert_eq!(plan_orders(&mut planner, now, &named, &fleet), [], "the wave is full");
         for order in &orders {
-            planner.order_completed(now, order, TAKEN);
+            planner.order_completed(now, order, ACCEPTED);
         }
         assert_eq!(plan_orders(&mut planner, now + LOAD_MS - 1, &named, &fleet), []);
         now += LOAD_MS;
@@ -105,7 +105,7 @@
 #[case::listed_above(&[("large", 2)], &[("large", 3)], false)]
 #[case::one_behind(&[("large", 2)], &[("large", 1)], true)]
 #[case::far_behind(&[("large", 9)], &[("large", 1)], true)]
-fn only_servers_behind_get_orders(
+fn only_outdated_servers_get_orders(
     #[case] versions: &[(&str, u64)],
     #[case] models: &[(&str, u64)],
     #[case] expected: bool,
@@ -124,11 +124,11 @@
 
 #[rstest]
 #[case::busy(OrderOutcome::Busy, BUSY_MS)]
-#[case::unclear(OrderOutcome::Unknown, BUSY_MS)]
+#[case::unknown(OrderOutcome::Unknown, BUSY_MS)]
 #[case::refused(OrderOutcome::Refused, REPEAT_MS)]
-#[case::taken_but_not_listed(TAKEN, LOAD_MS + REPEAT_MS)]
-#[case::held_but_not_listed(HELD, REPEAT_MS)]
-fn an_order_is_given_again_after_a_pause(#[case] outcome: OrderOutcome, #[case] pause: u64) {
+#[case::accepted_but_not_listed(ACCEPTED, LOAD_MS + REPEAT_MS)]
+#[case::held_but_not_listed(ALREADY_HELD, REPEAT_MS)]
+fn an_order_is_sent_again_after_a_pause(#[case] outcome: OrderOutcome, #[case] pause: u64) {
     let mut planner = RolloutPlanner::default();
     let (fleet, named) = (fleet(1), named(&[("large", 2)]));
     let first = plan_orders(&mut planner, 1_000, &named, &fleet);
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn a_busy_server_gives_its_place_to_another_one() {
+fn a_busy_server_frees_its_slot_in_the_wave() {
     let mut planner = RolloutPlanner::default();
     let (fleet, named) = (fleet(3), named(&[("large", 2)]));
     let first = plan_orders(&mut planner, 0, &named, &fleet);
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_unanswered_order_holds_its_place() {
+fn an_order_without_a_response_keeps_its_slot_in_the_wave() {
     let mut planner = RolloutPlanner::default();
     let (fleet, named) = (fleet(3), named(&[("large", 2)]));
     assert_eq!(plan_orders(&mut planner, 0, &named, &fleet).len(), 1);
@@ -167,14 +167,14 @@
     let named = named(&[("large", 2), ("small", 4)]);
     let first = plan_orders(&mut planner, 0, &named, &servers);
     assert_eq!(first, [order(1, "large", 2)]);
-    planner.order_completed(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], ACCEPTED);
     assert_eq!(plan_orders(&mut planner, LOAD_MS - 1, &named, &servers), []);
     planner.finish_due_loads(LOAD_MS);
     assert_eq!(plan_orders(&mut planner, LOAD_MS, &named, &servers), [order(1, "small", 4)]);
 }
 
 #[test]
-fn a_busy_model_leaves_the_other_one_of_the_server_to_be_ordered() {
+fn a_refused_model_does_not_block_the_other_model_of_the_server() {
     let mut planner = RolloutPlanner::default();
     let servers = [server(1, "blue", &[("large", 1), ("small", 1)])];
     let named = named(&[("large", 2), ("small", 4)]);
@@ -188,19 +188,19 @@
     let mut planner = RolloutPlanner::default();
     let servers = fleet(1);
     let first = plan_orders(&mut planner, 0, &named(&[("large", 2)]), &servers);
-    planner.order_completed(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], ACCEPTED);
     assert_eq!(plan_orders(&mut planner, 100, &named(&[("large", 3)]), &servers), []);
     planner.finish_due_loads(LOAD_MS);
     assert_eq!(plan_orders(&mut planner, LOAD_MS, &named(&[("large", 3)]), &servers), [order(0, "large", 3)]);
 }
 
 #[test]
-fn a_server_counts_as_holding_what_it_has_loaded_until_the_list_shows_it() {
+fn a_loaded_version_counts_as_held_until_the_list_shows_it() {
     let mut planner = RolloutPlanner::default();
     let servers = fleet(1);
     let first = plan_orders(&mut planner, 0, &named(&[("large", 2)]), &servers);
     assert_eq!(planner.held_version(0, &servers[0], "large", 1), 1);
-    planner.order_completed(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], ACCEPTED);
     assert_eq!(planner.held_version(LOAD_MS - 1, &servers[0], "large", 1), 1);
     planner.finish_due_loads(LOAD_MS);
     assert_eq!(planner.held_version(LOAD_MS, &servers[0], "large", 1), 2);
@@ -209,25 +209,25 @@
 }
 
 #[test]
-fn a_new_holder_begins_anew_and_takes_what_servers_say_they_hold() {
+fn a_reset_planner_repeats_orders_and_learns_the_held_versions() {
     let mut planner = RolloutPlanner::default();
     let (fleet, named) = (fleet(3), named(&[("large", 2)]));
     let first = plan_orders(&mut planner, 0, &named, &fleet);
-    planner.order_completed(0, &first[0], TAKEN);
+    planner.order_completed(0, &first[0], ACCEPTED);
     planner.reset();
     let again = plan_orders(&mut planner, 100, &named, &fleet);
     assert_eq!(again, first);
-    planner.order_completed(100, &again[0], HELD);
+    planner.order_completed(100, &again[0], ALREADY_HELD);
     assert_eq!(plan_orders(&mut planner, 101, &named, &fleet), [order(1, "large", 2)]);
 }
 
-/// The host sleeps until `next_wakeup`: one that lies in the past would keep the processor busy for nothing.
+/// The host sleeps until `next_wakeup`. A time in the past would make the event loop spin.
 #[rstest]
 #[case::listed_meanwhile(OrderOutcome::Busy, 2, &[0])]
 #[case::refused_and_gone(OrderOutcome::Refused, 1, &[])]
-#[case::unclear_and_gone(OrderOutcome::Unknown, 1, &[])]
+#[case::unknown_and_gone(OrderOutcome::Unknown, 1, &[])]
 #[case::draining(OrderOutcome::Busy, 1, &[1])]
-fn no_wakeup_is_left_behind(#[case] outcome: OrderOutcome, #[case] listed: u64, #[case] stays: &[u8]) {
+fn no_wakeup_lies_in_the_past(#[case] outcome: OrderOutcome, #[case] listed: u64, #[case] stays: &[u8]) {
     let mut planner = RolloutPlanner::default();
     let named = named(&[("large", 2)]);
     let first = plan_orders(&mut planner, 0, &named, &fleet(1));
@@ -242,9 +242,9 @@
     assert!(planner.next_wakeup().is_none_or(|at| at > now), "{:?}", planner.next_wakeup());
 }
 
-/// As above while another server has the place, and where no order may be given at all.
+/// The same while another server holds the only slot of the wave, and while no order may be given at all.
 #[test]
-fn no_wakeup_lies_in_the_past_while_orders_are_held_back() {
+fn no_wakeup_lies_in_the_past_while_no_order_may_be_sent() {
     let mut planner = RolloutPlanner::default();
     let named = named(&[("large", 2)]);
     let first = plan_orders(&mut planner, 0, &named, &fleet(1));
@@ -253,17 +253,17 @@
     assert!(planner.next_wakeup().is_none_or(|at| at > 10_000));
 }
 
-/// Random servers that take, refuse or lose orders: never two orders for a server at a time, never more than a
-/// third of a service, and all come to the named versions.
+/// Servers accept, reject or lose orders at random. At most one order per server and a third of a service load at a time,
+/// and all servers reach the latest versions.
 #[rstest]
-fn random_servers_reach_the_newest_versions(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
+fn random_servers_reach_the_latest_versions(#[values(1, 2, 3, 4, 5, 6, 7, 8)] seed: u64) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut planner = RolloutPlanner::default();
     let mut servers: Vec<ServerEntry> = (0..random.random_range(2..12))
         .map(|n| server(n, if n % 2 == 0 { "blue" } else { "green" }, &[("large", 1), ("small", 1)]))
         .collect();
     let mut versions = named(&[("large", 2)]);
-    // Per server: model, version and end of the load under way.
+    // Per server: model, version and end of the load in progress.
     let mut loads: BTreeMap<String, (String, u64, u64)> = BTreeMap::new();
     let mut now = 0;
     while now < 120_000 {
@@ -289,7 +289,7 @@
                 _ => {
                     let load = (order.model.clone(), order.version, now + 600);
                     loads.insert(order.instance.clone(), load);
-                    TAKEN
+                    ACCEPTED
                 }
             };
             planner.order_completed(now, &order, outcome);
@@ -315,22 +315,23 @@
 const LEASE_MS: u64 = 3_000;
 const VALIDITY_MS: u64 = ORDER_VALIDITY_MS;
 
-/// What happens to a lease: a view (epoch, same head), another head, or a question (confirmed, expected token).
-enum HolderStep {
+/// A step of a lease test: a view (time, epoch, same head), another head, or a check (time, last confirmation, expected
+/// epoch).
+enum LeaseStep {
     Begin(u64, u64, bool),
     End,
-    Fence(u64, Option<u64>, Option<u64>),
+    Check(u64, Option<u64>, Option<u64>),
 }
 
-use HolderStep::{Begin, End, Fence};
+use LeaseStep::{Begin, Check, End};
 
 fn wait_for(after_another_head: u64) -> LeaseWaits {
     LeaseWaits { after_another_head, after_own_process: 0, after_own_term: 0 }
 }
 
-/// Calls that the process before has written may still arrive under a lower term, as may those of the view before.
+/// Calls that the process before has written may still arrive under a lower term, as may calls of the view before.
 #[test]
-fn a_new_term_waits_for_what_was_sent_under_the_one_before() {
+fn a_new_term_waits_for_calls_of_the_former_one() {
     let mut lease = RoleLease::default();
     let (after_own_process, after_own_term) = (NEW_USER_TIMEOUT_MS, 600);
     let waits = LeaseWaits { after_another_head: LEASE_MS, after_own_process, after_own_term };
@@ -343,36 +344,36 @@
 }
 
 #[rstest]
-#[case::never_head(&[Fence(5_000, Some(5_000), None)])]
-#[case::first_view(&[Begin(1_000, 1, true), Fence(1_000, Some(1_000), Some(1))])]
-#[case::after_another_head(&[Begin(1_000, 4, false), Fence(3_999, Some(3_999), None), Fence(4_000, Some(4_000), Some(4))])]
-#[case::same_head_in_the_next_view(&[Begin(1_000, 4, false), Fence(4_000, Some(4_000), Some(4)), Begin(5_000, 5, true),
-    Fence(5_000, Some(5_000), Some(5))])]
-#[case::same_head_before_the_lease_is_over(&[Begin(1_000, 4, false), Begin(2_000, 5, true), Fence(3_999, Some(3_999), None),
-    Fence(4_000, Some(4_000), Some(5))])]
-#[case::skipped_view(&[Begin(1_000, 1, true), Begin(5_000, 3, false), Fence(7_999, Some(7_999), None), Fence(8_000, Some(8_000), Some(3))])]
-#[case::deposed(&[Begin(1_000, 1, true), End, Fence(1_100, Some(1_100), None)])]
-#[case::deposed_and_head_again(&[Begin(1_000, 1, true), End, Begin(5_000, 3, false), Fence(5_100, Some(5_100), None), Fence(8_000, Some(8_000), Some(3))])]
-#[case::never_confirmed(&[Begin(1_000, 1, true), Fence(1_100, None, None)])]
-#[case::confirmed_too_long_ago(&[Begin(1_000, 1, true), Fence(1_449, Some(1_000), Some(1)), Fence(1_450, Some(1_000), None)])]
-#[case::frozen(&[Begin(1_000, 1, true), Fence(1_100, Some(1_050), Some(1)), Fence(60_000, Some(1_050), None)])]
-fn a_holder_gives_orders_only_under_its_lease(#[case] steps: &[HolderStep]) {
+#[case::never_head(&[Check(5_000, Some(5_000), None)])]
+#[case::first_view(&[Begin(1_000, 1, true), Check(1_000, Some(1_000), Some(1))])]
+#[case::after_another_head(&[Begin(1_000, 4, false), Check(3_999, Some(3_999), None), Check(4_000, Some(4_000), Some(4))])]
+#[case::same_head_in_the_next_view(&[Begin(1_000, 4, false), Check(4_000, Some(4_000), Some(4)), Begin(5_000, 5, true),
+    Check(5_000, Some(5_000), Some(5))])]
+#[case::same_head_before_the_lease_is_over(&[Begin(1_000, 4, false), Begin(2_000, 5, true), Check(3_999, Some(3_999), None),
+    Check(4_000, Some(4_000), Some(5))])]
+#[case::skipped_view(&[Begin(1_000, 1, true), Begin(5_000, 3, false), Check(7_999, Some(7_999), None), Check(8_000, Some(8_000), Some(3))])]
+#[case::deposed(&[Begin(1_000, 1, true), End, Check(1_100, Some(1_100), None)])]
+#[case::deposed_and_head_again(&[Begin(1_000, 1, true), End, Begin(5_000, 3, false), Check(5_100, Some(5_100), None), Check(8_000, Some(8_000), Some(3))])]
+#[case::never_confirmed(&[Begin(1_000, 1, true), Check(1_100, None, None)])]
+#[case::confirmed_too_long_ago(&[Begin(1_000, 1, true), Check(1_449, Some(1_000), Some(1)), Check(1_450, Some(1_000), None)])]
+#[case::frozen(&[Begin(1_000, 1, true), Check(1_100, Some(1_050), Some(1)), Check(60_000, Some(1_050), None)])]
+fn a_leader_gives_orders_only_under_its_lease(#[case] steps: &[LeaseStep]) {
     let mut lease = RoleLease::default();
     for step in steps {
         match *step {
             Begin(now, epoch, was_head) => lease.acquire(now, epoch, was_head, wait_for(LEASE_MS)),
             End => lease.release(),
-            Fence(now, confirmed, expected) => {
+            Check(now, confirmed, expected) => {
                 assert_eq!(lease.valid_epoch(now, confirmed, VALIDITY_MS), expected, "at {now}");
             }
         }
     }
 }
 
-/// Two holders that follow each other never may give orders at the same time, whatever the second one is told of
-/// the view and when, as long as the first one isn't confirmed after the second one's view was decided.
+/// Two successive leaders never give orders at the same time, no matter when the second one enters its view and how long the
+/// first one was frozen, provided that the first one is not confirmed after the view of the second one was decided.
 #[rstest]
-fn two_holders_never_overlap(#[values(0, 1, 300, 449, 450, 2_000)] frozen: u64) {
+fn two_leaders_never_overlap(#[values(0, 1, 300, 449, 450, 2_000)] frozen: u64) {
     let (decided, confirmed) = (10_000, 9_999);
     let mut first = RoleLease::default();
     first.acquire(1_000, 1, true, wait_for(LEASE_MS));
@@ -385,35 +386,35 @@
     }
 }
 
-/// Orders of two holders that follow each other reach a server at least a lease apart, also where the first one's last
-/// order was lost on its way and sent again by the system.
+/// Orders of two successive leaders reach a server at least a lease apart, even if the last order of the first leader was
+/// lost and retransmitted by the operating system.
 #[test]
-fn the_last_order_of_a_holder_arrives_a_lease_before_the_first_of_the_next() {
+fn orders_of_successive_leaders_arrive_a_lease_apart() {
     let (decided, confirmed) = (10_000, 9_999);
     let mut first = RoleLease::default();
     first.acquire(1_000, 1, true, wait_for(LEASE_MS));
-    let given = (confirmed..decided + LEASE_MS)
+    let last_given = (confirmed..decided + LEASE_MS)
         .filter(|now| first.valid_epoch(*now, Some(confirmed), ORDER_VALIDITY_MS).is_some())
         .max()
-        .expect("it gives orders while it is confirmed");
-    let sent_again = ConnectionUse::New.user_timeout().as_millis() as u64;
-    let arrives = given + CONNECT_TIMEOUT_MS + sent_again;
+        .expect("the leader gives orders while it is confirmed");
+    let retransmitted = ConnectionUse::New.user_timeout().as_millis() as u64;
+    let arrives = last_given + CONNECT_TIMEOUT_MS + retransmitted;
     let mut second = RoleLease::default();
     second.acquire(decided, 2, false, wait_for(LEASE_MS + ORDER_ARRIVAL_MS));
     let next = (decided..decided + 3 * LEASE_MS)
         .find(|now| second.valid_epoch(*now, Some(*now), ORDER_VALIDITY_MS).is_some())
-        .expect("it gives orders in the end");
+        .expect("the next leader gives orders eventually");
     assert!(next >= arrives + LEASE_MS, "at {arrives} and at {next}");
 }
 
 #[rstest]
-#[case::being_done(Some(202), OrderOutcome::Accepted { already: false })]
+#[case::started(Some(202), OrderOutcome::Accepted { already: false })]
 #[case::holds_already(Some(200), OrderOutcome::Accepted { already: true })]
-#[case::another_is_under_way(Some(409), OrderOutcome::Busy)]
-#[case::lower_fence(Some(412), OrderOutcome::Refused)]
+#[case::another_is_in_progress(Some(409), OrderOutcome::Busy)]
+#[case::lower_fencing_token(Some(412), OrderOutcome::Refused)]
 #[case::another_server(Some(421), OrderOutcome::Refused)]
 #[case::no_such_order(Some(400), OrderOutcome::Refused)]
-#[case::no_answer(None, OrderOutcome::Unknown)]
-fn the_answer_to_an_order_has_one_meaning(#[case] status: Option<u16>, #[case] outcome: OrderOutcome) {
+#[case::no_response(None, OrderOutcome::Unknown)]
+fn each_status_maps_to_one_outcome(#[case] status: Option<u16>, #[case] outcome: OrderOutcome) {
     assert_eq!(OrderOutcome::from_status(status), outcome);
 }
--- a/crates/control-plane/tests/workers.rs
+++ b/crates/control-plane/tests/workers.rs
@@ -1,4 +1,4 @@
-//! Which gateways run generations.
+//! The selection of the gateways that run generations.
 
 use std::net::Ipv4Addr;
 
@@ -15,11 +15,11 @@
     NodeAddress::new(Ipv4Addr::new(10, 0, 0, number), 0)
 }
 
-fn candidates(count: u8, share: f32) -> Vec<Candidate> {
-    (0..count).map(|number| Candidate { address: address(number), share }).collect()
+fn candidates(count: u8, cpu_share: f32) -> Vec<Candidate> {
+    (0..count).map(|number| Candidate { address: address(number), cpu_share }).collect()
 }
 
-fn door(number: u8) -> Session {
+fn gateway(number: u8) -> Session {
     Session::new(&Handshake {
         version: PROTOCOL_VERSION,
         role: Role::Gateway,
@@ -50,17 +50,17 @@
 }
 
 #[rstest]
-#[case::one_for_each_slot_of_a_server(60, 0.12, SlotTotals { max_per_server: 6, total: 270 }, 6)]
-#[case::as_many_as_there_are(4, 0.25, SlotTotals { max_per_server: 12, total: 108 }, 4)]
-#[case::more_where_processors_cannot_carry_the_slots(60, 0.1, SlotTotals { max_per_server: 6, total: 800 }, 20)]
+#[case::one_for_each_slot_of_the_largest_server(60, 0.12, SlotTotals { max_per_server: 6, total: 270 }, 6)]
+#[case::all_candidates_if_too_few(4, 0.25, SlotTotals { max_per_server: 12, total: 108 }, 4)]
+#[case::more_if_their_cores_cannot_handle_the_slots(60, 0.1, SlotTotals { max_per_server: 6, total: 800 }, 20)]
 #[case::no_model_servers(60, 0.1, SlotTotals { max_per_server: 0, total: 0 }, 0)]
-fn workers_are_as_few_as_can_carry_the_slots(
-    #[case] doors: u8,
-    #[case] share: f32,
+fn the_fewest_workers_that_handle_the_slots_are_selected(
+    #[case] gateways: u8,
+    #[case] cpu_share: f32,
     #[case] slots: SlotTotals,
     #[case] count: usize,
 ) {
-    assert_eq!(select(candidates(doors, share), slots).len(), count);
+    assert_eq!(select(candidates(gateways, cpu_share), slots).len(), count);
 }
 
 #[test]
@@ -72,14 +72,14 @@
 }
 
 #[test]
-fn a_worker_that_goes_is_replaced_by_one_gateway_and_all_others_stay() {
+fn a_lost_worker_is_replaced_and_all_others_stay() {
     let slots = SlotTotals { max_per_server: 6, total: 100 };
     let before = select(candidates(40, 0.1), slots);
-    for gone in &before {
-        let left = candidates(40, 0.1).into_iter().filter(|candidate| candidate.address != *gone);
+    for lost in &before {
+        let left = candidates(40, 0.1).into_iter().filter(|candidate| candidate.address != *lost);
         let after = select(left.collect(), slots);
         assert_eq!(after.len(), before.len());
-        assert_eq!(after.iter().filter(|door| before.contains(door)).count(), before.len() - 1);
+        assert_eq!(after.iter().filter(|gateway| before.contains(gateway)).count(), before.len() - 1);
     }
 }
 
@@ -91,70 +91,70 @@
 
 const TERM: u64 = 5;
 
-/// Chooses as a head that knows all sessions.
-fn chooses(workers: &mut WorkerSelection, sessions: &SessionTable, servers: &ServerTable) -> bool {
+/// Repeats the selection as a head that knows all sessions.
+fn select_again(workers: &mut WorkerSelection, sessions: &SessionTable, servers: &ServerTable) -> bool {
     workers.select(TERM, sessions, false, servers)
 }
 
 #[test]
-fn the_selection_changes_when_gateways_come_stop_or_go() {
+fn the_selection_follows_the_sessions_of_gateways() {
     let servers = table(vec![server(1, 2, Some("m"))]);
     let mut sessions = SessionTable::default();
     let mut workers = WorkerSelection::default();
-    sessions.open(door(1), 1_000);
-    assert!(chooses(&mut workers, &sessions, &servers));
+    sessions.open(gateway(1), 1_000);
+    assert!(select_again(&mut workers, &sessions, &servers));
     assert_eq!(workers.list().gateways, [address(1)]);
-    assert!(!chooses(&mut workers, &sessions, &servers));
-    sessions.open(door(2), 1_000);
-    assert!(chooses(&mut workers, &sessions, &servers));
+    assert!(!select_again(&mut workers, &sessions, &servers));
+    sessions.open(gateway(2), 1_000);
+    assert!(select_again(&mut workers, &sessions, &servers));
     assert_eq!(workers.list().gateways, [address(1), address(2)]);
-    let leaving = StoreHealth { draining: true, ..StoreHealth::default() };
-    sessions.open(Session { health: Some(leaving), ..door(1) }, 1_000);
-    assert!(chooses(&mut workers, &sessions, &servers));
+    let shutting_down = StoreHealth { draining: true, ..StoreHealth::default() };
+    sessions.open(Session { health: Some(shutting_down), ..gateway(1) }, 1_000);
+    assert!(select_again(&mut workers, &sessions, &servers));
     assert_eq!(workers.list().gateways, [address(2)]);
-    sessions.close(&door(2), 0);
+    sessions.close(&gateway(2), 0);
     sessions.expire(u64::MAX);
-    assert!(chooses(&mut workers, &sessions, &servers));
+    assert!(select_again(&mut workers, &sessions, &servers));
     assert_eq!(workers.list().gateways, []);
     assert_eq!(workers.list().version, TableVersion { term: TERM, number: 4 });
 }
 
 #[test]
-fn nobody_is_chosen_before_servers_are_known() {
+fn no_worker_is_selected_before_servers_are_known() {
     let mut sessions = SessionTable::default();
-    sessions.open(door(1), 1_000);
+    sessions.open(gateway(1), 1_000);
     let mut workers = WorkerSelection::default();
-    assert!(!chooses(&mut workers, &sessions, &ServerTable::default()));
+    assert!(!select_again(&mut workers, &sessions, &ServerTable::default()));
     assert_eq!(workers.list(), &GatewayList::default());
 }
 
 #[test]
-fn a_new_head_says_the_same_under_its_own_term() {
+fn a_new_head_publishes_the_same_list_under_its_own_term() {
     let servers = table(vec![server(1, 2, Some("m"))]);
     let mut sessions = SessionTable::default();
-    sessions.open(door(1), 1_000);
+    sessions.open(gateway(1), 1_000);
     let mut workers = WorkerSelection::default();
     let former =
         GatewayList { version: TableVersion { term: TERM - 1, number: 9 }, gateways: vec![address(1)] };
     assert!(workers.adopt(former));
-    assert!(chooses(&mut workers, &sessions, &servers));
+    assert!(select_again(&mut workers, &sessions, &servers));
     assert_eq!(
         workers.list(),
         &GatewayList { version: TableVersion { term: TERM, number: 1 }, gateways: vec![address(1)] }
     );
 }
 
-/// All sessions ended with the quorum: their gateways go on meanwhile.
+/// All sessions ended when the quorum was lost, but the gateways continue to run.
 #[test]
 fn a_head_that_does_not_know_all_sessions_yet_keeps_the_listed_gateways() {
     let servers = table(vec![server(1, 2, Some("m"))]);
     let mut sessions = SessionTable::default();
     let mut workers = WorkerSelection::default();
-    let doors = vec![address(1), address(2)];
-    workers.adopt(GatewayList { version: TableVersion { term: TERM, number: 3 }, gateways: doors.clone() });
-    sessions.open(door(1), 1_000);
+    let listed = vec![address(1), address(2)];
+    workers.adopt(GatewayList { version: TableVersion { term: TERM, number: 3 }, gateways: listed.clone() });
+    sessions.open(gateway(1), 1_000);
     assert!(!workers.select(TERM, &sessions, true, &servers));
-    assert_eq!(workers.list().gateways, doors);
+    assert_eq!(workers.list().gateways, listed);
     assert!(workers.select(TERM, &sessions, false, &servers));
     assert_eq!(workers.list().gateways, [address(1)]);
 }
@@ -173,14 +173,14 @@
 }
 
 #[test]
-fn a_server_with_more_slots_makes_room_for_more_workers() {
+fn a_server_with_more_slots_allows_more_workers() {
     let mut sessions = SessionTable::default();
-    (1..=9).for_each(|number| sessions.open(door(number), 1_000));
+    (1..=9).for_each(|number| sessions.open(gateway(number), 1_000));
     let mut workers = WorkerSelection::default();
     let mut servers = table(vec![server(1, 3, Some("m"))]);
-    chooses(&mut workers, &sessions, &servers);
+    select_again(&mut workers, &sessions, &servers);
     assert_eq!(workers.list().gateways.len(), 3);
     servers.replace(1, vec![server(1, 5, Some("m"))]);
-    assert!(chooses(&mut workers, &sessions, &servers));
+    assert!(select_again(&mut workers, &sessions, &servers));
     assert_eq!(workers.list().gateways.len(), 5);
 }
--- a/crates/server/src/options.rs
+++ b/crates/server/src/options.rs
@@ -80,7 +80,7 @@
     Ok(ObserverOptions {
         name: settings.node_name.clone(),
         zone: settings.zone.clone(),
-        share: settings.limits.cpu_share as f32,
+        cpu_share: settings.limits.cpu_share as f32,
         control_address: settings.listen.control.ok_or(missing)?,
         internal_address: internal_address(settings),
         internal_listener: internal_listener(settings),
