--- a/crates/control-plane/tests/encodings/agreement.rs
+++ b/crates/control-plane/tests/encodings/agreement.rs
@@ -1,4 +1,4 @@
-//! All messages and records of the agreement on views and their parts.
+//! Strategies for all messages and durable records of the agreement on views, and for their parts.
 
 use orchidvalve_consensus::acceptor::Acceptor;
 use orchidvalve_consensus::{AcceptedView, Ballot, DurableState, MemberStatus, Message, View};
--- a/crates/control-plane/tests/encodings/main.rs
+++ b/crates/control-plane/tests/encodings/main.rs
@@ -1,5 +1,5 @@
-//! Every message between control nodes and every record of their disks, each variant with each field: what
-//! comes back, and what is refused.
+//! Round trips of every variant and field of the messages between control nodes and of their disk records, and the
+//! rejection of damaged bytes.
 
 mod agreement;
 #[path = "../../../protocol/tests/messages/checks.rs"]
@@ -33,7 +33,7 @@
     check_encoding::<DiskRecord>();
 }
 
-/// A message of the agreement bears a checksum of its own: no damaged one is taken.
+/// A message of the agreement carries its own checksum: no damaged message is accepted.
 #[test]
 fn a_damaged_message_of_the_agreement_is_refused() {
     for_each_variant(|message: &AgreementMessage| {
@@ -43,13 +43,13 @@
             assert_eq!(AgreementMessage::decode(&bytes).ok().as_ref(), Some(message));
         }
         for length in 0..bytes.len() {
-            assert!(AgreementMessage::decode(&bytes[..length]).is_err(), "taken with {length} bytes");
+            assert!(AgreementMessage::decode(&bytes[..length]).is_err(), "accepted with {length} bytes");
         }
         for_each_flip(&bytes, |flipped| assert!(AgreementMessage::decode(flipped).is_err()));
     });
 }
 
-/// A record that can't be read is counted and changes nothing.
+/// An unreadable record is counted and changes nothing.
 #[test]
 fn a_cut_record_is_counted_as_unreadable() {
     for_each_variant(|record: &DiskRecord| {
--- a/crates/control-plane/tests/encodings/strategies.rs
+++ b/crates/control-plane/tests/encodings/strategies.rs
@@ -1,4 +1,4 @@
-//! All messages between control nodes, all records on their disks, and the parts of both.
+//! Strategies for all messages between control nodes, all records on their disks, and the parts of both.
 
 use orchidvalve_control_plane::disk_records::DiskRecord;
 use orchidvalve_control_plane::peer_messages::{ForwardNumber, HeadRequest, PeerMessage, RequestOutcome};
--- a/crates/control-plane/tests/graceful_shutdown_support/mod.rs
+++ b/crates/control-plane/tests/graceful_shutdown_support/mod.rs
@@ -1,7 +1,7 @@
-//! A control plane of one process in this test's own process, its operators, and the order to stop.
+//! A control plane of a single process that runs inside the test process, its operators, and the stop signal.
 //!
-//! Tests that use it have a `main` of their own: the signal must reach no thread but the one of the process's event
-//! loop, so it is blocked before any other thread begins. They print their outcomes as the standard harness does, since
+//! Tests that use this module have their own `main`: the signal must reach no thread except that of the process's event
+//! loop, so it is blocked before any other thread starts. They print their outcomes as the standard harness does, since
 //! `.ci/verdict.py` counts each test by name and each test program by its closing line.
 
 #![allow(dead_code)]
@@ -15,13 +15,13 @@
 use orchidvalve_control_plane::process::ControlOptions;
 use serde_json::json;
 
-/// An address that was free a moment ago.
+/// Returns a loopback address whose port was free a moment ago.
 pub fn free_address() -> SocketAddrV4 {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
     SocketAddrV4::new(Ipv4Addr::LOCALHOST, listener.local_addr().expect("bound").port())
 }
 
-/// The only machine of a control plane of which nothing may be lost: it may end whenever it is told to.
+/// Returns the options of the only machine of a control plane with tolerance 0: it may exit as soon as it is signalled.
 pub fn options(control_address: SocketAddrV4, test: &str) -> ControlOptions {
     let internal_address = free_address();
     let data_directory = std::env::temp_dir().join(format!("orchidvalve-{test}-{}", std::process::id()));
@@ -51,7 +51,7 @@
     }
 }
 
-/// A call that sends a configuration with so much filling on top of the version before.
+/// Returns a request that puts a configuration with `filling` bytes of filling on top of the previous version.
 pub fn put(version: u64, filling: usize) -> Vec<u8> {
     let document = json!({
         "config-version": version, "routes": [], "services": [], "filling": "x".repeat(filling),
@@ -66,14 +66,14 @@
     [head.as_bytes(), body.as_bytes()].concat()
 }
 
-/// All bytes that come back until the connection ends; none where it can't be used yet.
+/// Sends a request, and returns all bytes until the connection ends; empty if the process does not accept it yet.
 pub fn call(address: SocketAddrV4, request: &[u8], sent: impl FnOnce()) -> String {
     let mut answer = Vec::new();
     if let Ok(mut connection) = TcpStream::connect(address)
         && connection.write_all(request).is_ok()
     {
         sent();
-        // A reset loses nothing that was read before.
+        // After a reset, the bytes read before it still count.
         let _ = connection.read_to_end(&mut answer);
     }
     String::from_utf8_lossy(&answer).into_owned()
@@ -86,14 +86,14 @@
     assert!(status.success());
 }
 
-/// Sends the first configuration as soon as the process takes calls.
+/// Puts the first configuration as soon as the process accepts requests.
 pub fn put_first(address: SocketAddrV4) {
     while !call(address, &put(1, 0), || {}).starts_with("HTTP/1.1 200") {
         thread::yield_now();
     }
 }
 
-/// Prints the outcome of the only test of a program in the words of the standard harness.
+/// Prints the outcome of the only test of a program in the format of the standard harness.
 pub fn report(name: &str, passed: bool, details: &str) -> ExitCode {
     println!("\nrunning 1 test");
     if passed {
--- a/crates/control-plane/tests/history_checker.rs
+++ b/crates/control-plane/tests/history_checker.rs
@@ -1,4 +1,4 @@
-//! The check of the operators' history: planted histories, and a comparison with the tester of `stateright`.
+//! The linearizability check of the operators' history: constructed histories, and a comparison with `stateright`.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,7 +9,7 @@
 
 use support::history::{Answer, Contradiction, History, RecordedRead, Stamp};
 
-/// How a change of a planted history ends, with the time of its answer.
+/// The outcome of a change in a constructed history, with the stamp of its response.
 #[derive(Clone, Copy, Debug)]
 enum End {
     Accepted(Stamp),
@@ -48,7 +48,7 @@
         self
     }
 
-    /// The last change was sent more than once, and another send has no answer.
+    /// Marks the last change as sent more than once, with another attempt that has no outcome.
     fn with_open_send(mut self) -> Planted {
         self.0.changes.last_mut().expect("a change").has_open_send = true;
         self
@@ -148,7 +148,7 @@
     assert_eq!(planted.0.check(), Err(Contradiction::ImproperAccepted(0)));
 }
 
-/// The register as `stateright` wants it.
+/// The register as a sequential specification for `stateright`.
 #[derive(Clone, Debug, PartialEq)]
 struct Register {
     version: u64,
@@ -191,7 +191,7 @@
     }
 }
 
-/// A call of a random history, with its first and last event.
+/// An operation of a random history, with the stamps of its invocation and of its response.
 #[derive(Debug)]
 struct RandomCall {
     call: Call,
@@ -199,7 +199,7 @@
     returned: Option<(Stamp, Return)>,
 }
 
-/// A history that a register had, with one answer changed at times.
+/// Returns a history that a register produced; with a probability of 0.6, one response is altered.
 fn random_calls(random: &mut Pcg64Mcg) -> Vec<RandomCall> {
     let count = random.random_range(1..=6);
     let mut stamps: Vec<Stamp> = (1..=2 * count as Stamp).collect();
@@ -219,7 +219,7 @@
             let version = base + random.random_range(1..3);
             Call::Change { index, base, version, proper: random.random_bool(0.9) }
         };
-        // What is unclear took effect or didn't.
+        // An operation without a known outcome took effect or not, with equal probability.
         let unclear = random.random_bool(0.2);
         let answer =
             if unclear && random.random_bool(0.5) { Return::Invalid } else { register.invoke(&call) };
@@ -241,7 +241,7 @@
         Return::OtherVersion => Return::Accepted,
         Return::Invalid => Return::OtherVersion,
     };
-    // Nobody can read what was never sent, nor a read.
+    // A read can only return a change of the history, not another read.
     if let Return::Seen(Some(change)) = calls[index].returned.as_ref().expect("answered").1
         && matches!(calls[change].call, Call::Read)
     {
@@ -292,7 +292,7 @@
     planted.0.check().is_ok()
 }
 
-/// Small histories, sound and spoilt: both come to the same verdict.
+/// Small consistent and altered histories: the check and `stateright` come to the same verdict.
 #[test]
 fn the_check_agrees_with_stateright() {
     let mut verdicts = [0, 0];
@@ -302,6 +302,6 @@
         assert_eq!(by_the_check(&calls), expected, "seed {seed}: {calls:#?}");
         verdicts[usize::from(expected)] += 1;
     }
-    println!("{} histories can't be, {} can", verdicts[0], verdicts[1]);
+    println!("{} histories are not linearizable, {} are", verdicts[0], verdicts[1]);
     assert!(verdicts.iter().all(|count| *count > 1_000), "{verdicts:?}");
 }
--- a/crates/control-plane/tests/recorded_node/mod.rs
+++ b/crates/control-plane/tests/recorded_node/mod.rs
@@ -1,4 +1,4 @@
-//! The only control node of a control plane, with a disk that keeps its records.
+//! The only node of a control plane, with a disk that keeps its records in memory.
 
 #![allow(dead_code)]
 
@@ -23,7 +23,7 @@
     released_before: u64,
 }
 
-/// A disk on which records are as soon as they are written; released ones are gone.
+/// A disk on which records are durable as soon as they are written; released records are dropped.
 #[derive(Clone, Default)]
 pub struct RecordingDisk(Rc<RefCell<Records>>);
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// The only machine of a control plane of which nothing may be lost.
+/// Starts the only node of a control plane with tolerance 0.
 pub fn start(recovered: RecoveredState, disk: RecordingDisk) -> Node {
     let me = MemberId { address: NodeAddress::new(Ipv4Addr::new(10, 0, 0, 1), 7000), disk: 1 };
     let view = View { epoch: 1, voters: vec![me], chain: vec![me] };
--- a/crates/control-plane/tests/scaling_support/mod.rs
+++ b/crates/control-plane/tests/scaling_support/mod.rs
@@ -1,4 +1,4 @@
-//! A service whose servers are listed, and a planner that is told of them.
+//! A service with a list of servers, and the scaling planner that plans for it.
 
 #![allow(dead_code)]
 
@@ -31,12 +31,12 @@
     }
 }
 
-/// A planner, the facts that it is told, and the time.
+/// A planner, its inputs, and the current time in ms.
 pub struct Planning {
     pub planner: ScalingPlanner,
     pub now: u64,
     pub bounds: BTreeMap<String, ScalingBounds>,
-    /// Servers that take requests, by zone.
+    /// Number of servers that accept requests, by zone.
     pub counts: BTreeMap<String, u32>,
     pub demand: ServiceDemand,
     pub is_demand_complete: bool,
@@ -45,7 +45,7 @@
 }
 
 impl Planning {
-    /// 12 servers in each of 4 zones, nothing to do.
+    /// Returns a planning state with 12 servers in each of 4 zones and no demand.
     pub fn new() -> Planning {
         Planning {
             planner: ScalingPlanner::default(),
@@ -75,7 +75,7 @@
         self.counts.values().sum()
     }
 
-    /// One plan, and the time goes on.
+    /// Makes one plan, and advances the time by the planning interval.
     pub fn plan(&mut self) -> Vec<ScalingOrder> {
         let servers: Vec<ServerEntry> = self
             .counts
@@ -99,7 +99,7 @@
         orders
     }
 
-    /// Plans for so long without anything being carried out.
+    /// Plans for the given time without carrying out any order.
     pub fn plan_for(&mut self, ms: u64) -> Vec<ScalingOrder> {
         let end = self.now + ms;
         let mut orders = Vec::new();
@@ -109,7 +109,7 @@
         orders
     }
 
-    /// Plans for so long; orders are carried out at once.
+    /// Plans for the given time, and carries out every order immediately.
     pub fn carry_out_for(&mut self, ms: u64) -> Vec<ScalingOrder> {
         let end = self.now + ms;
         let mut orders = Vec::new();
--- a/crates/control-plane/tests/scaling_support/simulation.rs
+++ b/crates/control-plane/tests/scaling_support/simulation.rs
@@ -1,4 +1,4 @@
-//! A service in closed loop: work comes, servers run it, and a policy orders servers, which boot and drain.
+//! A service in closed loop: work arrives, servers run it, and a policy sets the number of servers, which boot and drain.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -15,14 +15,14 @@
 const REPORT_INTERVAL_MS: u64 = 500;
 pub const START_COUNT: u32 = 12;
 
-/// How many servers there are to be.
+/// The policy that sets the number of servers in each zone.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Policy {
     Fixed(u32),
     Planned,
 }
 
-/// Work that comes within a step: so many items, each of which runs so long and is due after so long, in milliseconds.
+/// Work that arrives within one step: each item runs for about `run_ms` and is due after `due_ms`, in milliseconds.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrivals {
     pub items: u32,
@@ -30,19 +30,19 @@
     pub due_ms: u64,
 }
 
-/// What happens within a run.
+/// The load and the disturbances of a run.
 pub struct Shape {
     pub name: &'static str,
-    /// What comes in the step that begins at this time.
+    /// Returns the work that arrives in the step that begins at the given time in ms.
     pub arrivals: fn(u64, &mut Pcg64Mcg) -> Vec<Arrivals>,
-    /// From when to when the first zone is lost.
+    /// Time span in ms during which the first zone is lost.
     pub lost: Option<(u64, u64)>,
-    /// Weights are rolled out in the first part of each period of so many milliseconds.
+    /// Period in ms of weight roll-outs; each takes the first quarter of its period.
     pub rollout_period_ms: Option<u64>,
     pub length_ms: u64,
 }
 
-/// What a run came to.
+/// Totals of a run: paid server time in seconds, scaling orders, items finished by their due time, and all other items.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct Outcome {
     pub server_s: u64,
@@ -62,11 +62,11 @@
     number: u32,
     serves_from: u64,
     is_draining: bool,
-    /// What runs, and when it is done.
+    /// Items that are running, each with its completion time in ms.
     running: Vec<(u64, Work)>,
 }
 
-/// Servers of one zone.
+/// The servers of one zone.
 #[derive(Debug)]
 struct Zone {
     servers: Vec<SimulatedServer>,
@@ -158,7 +158,7 @@
         }
     }
 
-    /// What ran in a zone that is lost has to run again.
+    /// Sets whether the first zone is lost; the work that ran in a lost zone is queued again.
     fn lose_zone(&mut self) {
         let is_lost = self.shape.lost.is_some_and(|(from, to)| (from..to).contains(&self.now));
         let zone = &mut self.zones[0];
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Servers are added and drained as they are desired.
+    /// Adds and drains servers until each zone has its desired count.
     fn set_counts(&mut self, boot_ms: u64) {
         for zone in &mut self.zones {
             let staying = zone.servers.iter().filter(|server| !server.is_draining).count() as u32;
--- a/crates/control-plane/tests/simulated_catch_up.rs
+++ b/crates/control-plane/tests/simulated_catch_up.rs
@@ -1,5 +1,5 @@
-//! Catching up on a narrow line while changes with large bodies go on, five a second, and on disks of 64 MB whose
-//! checkpoints drop what is being copied.
+//! Catch-up over a narrow line while changes with large bodies continue at five per second, on disks of 64 MB whose
+//! checkpoints drop entries that are being copied.
 
 use rstest::rstest;
 
@@ -10,13 +10,13 @@
 use support::recovery::CATCH_UP_MS;
 use support::scenario::Scenario;
 
-/// 60 Mbit/s.
+/// Bandwidth of a machine: 60 Mbit/s.
 const LINE_BYTES_PER_MS: u64 = 7_500;
-/// What the ring may take of a disk of 64 MB.
+/// The part of a 64 MB disk that the ring may use.
 const RING_BYTES: usize = 64 * 1024 * 1024 * 85 / 100;
 const FIRST: u64 = 2_000;
 
-/// One operator sends five changes a second while `script` goes on until `end`.
+/// One operator sends five changes a second while `script` runs until `end`.
 fn scenario(filling: usize, script: Vec<FaultStep>, end: u64) -> Scenario {
     Scenario {
         operators: 1,
@@ -46,12 +46,12 @@
     FaultStep { at: FIRST, fault: Fault::Kill { target, down } }
 }
 
-/// Bytes of a body, from the environment for longer trials.
+/// Size of a body in bytes, set by `CONTROL_SIM_BODY` for longer trials.
 fn body_bytes() -> usize {
     std::env::var("CONTROL_SIM_BODY").ok().and_then(|bytes| bytes.parse().ok()).unwrap_or(100_000)
 }
 
-/// For 20 s changes go on without the member: more than the log keeps, so that the copy begins with a checkpoint.
+/// Changes continue for 20 s without the member: more than the log keeps, so the copy starts with a checkpoint.
 #[rstest]
 fn a_member_that_was_down_catches_up_while_changes_go_on(
     #[values(Target::Head, Target::Middle, Target::Tail)] target: Target,
@@ -62,7 +62,7 @@
     assert!(cluster.summary.checkpoints > 0);
 }
 
-/// The member is killed again and again while it copies; each start finds what the last one had on its disk.
+/// The member is killed repeatedly while it copies; each start resumes from what the previous one had on its disk.
 #[rstest]
 fn restarts_in_the_middle_of_a_copy(
     #[values(Target::Middle, Target::Tail)] target: Target,
@@ -78,7 +78,7 @@
     run(seed, scenario(body_bytes(), script, at));
 }
 
-/// Members are killed at any time while checkpoints are written and journals trimmed.
+/// Members are killed at various times while checkpoints are written and logs are trimmed.
 #[rstest]
 fn restarts_in_the_middle_of_checkpoints(#[values(0, 1, 2)] seed: u64) {
     let targets = [Target::Head, Target::Middle, Target::Tail, Target::Last];
@@ -92,7 +92,7 @@
     assert!(cluster.summary.checkpoints > 1);
 }
 
-/// A member that begins with nothing.
+/// A member that starts with an empty disk catches up.
 #[rstest]
 fn an_empty_member_catches_up_while_changes_go_on(#[values(0, 1)] seed: u64) {
     let at = FIRST + 6_000;
@@ -103,7 +103,7 @@
     run(seed, scenario(body_bytes(), script, at + 2_000 + CATCH_UP_MS));
 }
 
-/// Subscribers that begin with nothing, and some that were cut off for 20 s with a machine that is.
+/// Subscribers that start empty, and subscribers that were partitioned for 20 s together with their machine, catch up.
 #[rstest]
 fn subscribers_catch_up_while_changes_go_on(#[values(0, 1)] seed: u64) {
     let partition = Fault::Partition {
@@ -120,12 +120,12 @@
     run(seed, Scenario { subscribers: 4, ..scenario });
 }
 
-/// Bytes of the few largest bodies, from the environment for longer trials.
+/// Size in bytes of the few largest bodies, set by `CONTROL_SIM_HUGE` for longer trials.
 fn huge_bytes() -> usize {
     std::env::var("CONTROL_SIM_HUGE").ok().and_then(|bytes| bytes.parse().ok()).unwrap_or(2_000_000)
 }
 
-/// Some bodies take a good part of a second on the line each.
+/// Each of the largest bodies occupies the line for a good part of a second.
 #[rstest]
 fn a_member_catches_up_while_a_few_bodies_are_huge(#[values(0, 1)] seed: u64) {
     let scenario = scenario(body_bytes(), vec![down(Target::Middle, 8_000)], FIRST + 8_000);
--- a/crates/control-plane/tests/simulated_disk_hangs.rs
+++ b/crates/control-plane/tests/simulated_disk_hangs.rs
@@ -1,4 +1,4 @@
-//! Disks that hang on several machines at once, or for a moment again and again.
+//! Disks that hang on several machines at once, or repeatedly for a short time.
 
 use rstest::rstest;
 
@@ -9,7 +9,7 @@
 use support::recovery::CATCH_UP_MS;
 use support::scenario::Scenario;
 
-/// The cluster counts as stable by then.
+/// Time in ms of the first hang; by then the cluster counts as stable.
 const FIRST: u64 = 3_500;
 
 fn runs() -> u64 {
@@ -35,7 +35,7 @@
     }
 }
 
-/// Nobody is left to go on without the others; all go on by themselves once the disks are well.
+/// No machine can continue without the others; all recover by themselves once the disks work again.
 #[rstest]
 fn all_disks_hang_at_once(#[values(3, 5)] machines: u8, #[values(400, 1_000, 2_500)] down: u64) {
     let script: Vec<FaultStep> =
@@ -51,7 +51,7 @@
     run(machines, &script, FIRST + 6_000);
 }
 
-/// Each hang is long enough to be seen, each pause long enough for the way back.
+/// Each hang is long enough to be detected, and each pause long enough for the machine to return.
 #[rstest]
 fn a_disk_hangs_again_and_again(
     #[values(3, 4, 5)] machines: u8,
--- a/crates/control-plane/tests/simulated_hunt.rs
+++ b/crates/control-plane/tests/simulated_hunt.rs
@@ -1,12 +1,13 @@
-//! Long hunts over the named scenarios, with seeds and sizes from the environment. Nothing of this runs in CI:
+//! Long searches for violations in the named scenarios, with seeds and sizes from the environment. They do not run in CI:
 //!
 //! ```text
 //! CONTROL_SIM_SCENARIO=QuickRestarts CONTROL_SIM_MACHINES=4 CONTROL_SIM_FIRST_SEED=0 CONTROL_SIM_RUNS=400 \
 //!     cargo test --release --test simulated_hunt -- --ignored --nocapture
 //! ```
 //!
-//! `CONTROL_SIM_SCENARIO` is one day or `all`, `CONTROL_SIM_TOLERANCE` how many losses are borne if not the usual number for
-//! so many machines. Every broken run is printed with its seed; with `CONTROL_SIM_SHRINK=true`, also the steps that it takes.
+//! `CONTROL_SIM_SCENARIO` is the name of a scenario or `all`; `CONTROL_SIM_TOLERANCE` overrides the usual tolerance for
+//! the number of machines. Every run with a violation is printed with its seed, and with `CONTROL_SIM_SHRINK=true` also
+//! a shortened script that still violates.
 
 use std::fmt::Debug;
 use std::str::FromStr;
@@ -19,9 +20,9 @@
 
 const USUAL_MACHINES: u8 = 3;
 const USUAL_RUNS: u64 = 400;
-/// Letters of a violation by which it is told from others.
+/// Number of characters that identify the kind of a violation.
 const KIND_LENGTH: usize = 24;
-/// Seeds with which each shorter scenario is tried.
+/// Number of seeds with which each shortened scenario is tried.
 const SHRINKING_SEEDS: u64 = 8;
 
 fn setting<T: FromStr<Err: Debug>>(name: &str) -> Option<T> {
@@ -29,21 +30,21 @@
     Some(text.parse().unwrap_or_else(|error| panic!("{name}={text}: {error:?}")))
 }
 
-/// What a violation says, whatever the numbers in it.
+/// Returns the beginning of the violation's text without the numbers in it.
 fn kind_of(violation: &str) -> String {
     let reason = violation.split_once("ms: ").map_or(violation, |(_, reason)| reason);
     let words = reason.chars().filter(|letter| letter.is_alphabetic() || *letter == ' ');
     words.take(KIND_LENGTH).collect()
 }
 
-/// The first of some seeds with which a scenario breaks in the same way.
+/// Returns the first seed, of a few, with which a scenario shows the same kind of violation.
 fn breaks_alike(seed: u64, scenario: &Scenario, kind: &str) -> Option<(u64, String)> {
     let run = |seed| Cluster::new(seed, scenario.clone()).run().err().map(|violation| (seed, violation));
     let alike = |(_, violation): &(u64, String)| kind_of(violation) == kind;
     (seed..seed + SHRINKING_SEEDS).find_map(|seed| run(seed).filter(alike))
 }
 
-/// Leaves steps out, from the last one on, as long as the scenario still breaks; prints what is left.
+/// Removes steps, from the last one on, as long as the scenario still shows the violation; prints the remaining steps.
 fn shrink(seed: u64, mut scenario: Scenario, violation: &str) {
     let kind = kind_of(violation);
     let mut found = (seed, violation.to_owned());
@@ -94,6 +95,6 @@
             broken_days.push(named);
         }
     }
-    assert!(played > 0, "no day is named {wanted}");
+    assert!(played > 0, "no scenario is named {wanted}");
     assert!(broken_days.is_empty(), "broken: {broken_days:?}");
 }
--- a/crates/control-plane/tests/simulated_message_faults.rs
+++ b/crates/control-plane/tests/simulated_message_faults.rs
@@ -1,5 +1,5 @@
-//! One message of a run dropped, doubled, cut off or replayed much later: the invariant checker finds nothing, and the
-//! system is whole again.
+//! Drops, duplicates, truncates or replays a single message of a run: no invariant is violated, and the cluster
+//! recovers.
 
 use rstest::rstest;
 
@@ -11,7 +11,7 @@
 
 use MutationKind::{CutOff, Double, Drop, Replay};
 
-/// Kinds of messages that the state machine takes, by `kind_of`.
+/// The number of message kinds that the state machine processes, by `kind_of`.
 const KINDS: usize = 18;
 
 fn scenario(kind: usize, number: u32, how: MutationKind) -> Scenario {
@@ -41,10 +41,10 @@
     assert!(seen >= if number <= 1 { 13 } else { 5 }, "only {seen} kinds were changed");
 }
 
-/// The numbers of the kinds are those of the messages that occur; a new message breaks the build of `kind_of`.
+/// All numbers of `kind_of` occur in a run; a new message type breaks the build of `kind_of`.
 #[test]
 fn all_kinds_occur() {
-    // Refusals of ballots are rare.
+    // Rejections of ballots are rare.
     let mut missing: Vec<usize> = (0..KINDS).filter(|kind| *kind != 7).collect();
     for seed in 0..6 {
         let fault_window = Scenario {
--- a/crates/control-plane/tests/simulated_planted_bugs.rs
+++ b/crates/control-plane/tests/simulated_planted_bugs.rs
@@ -1,5 +1,5 @@
-//! Planted faults of the host and of the state machine, seen from the operators and subscribers: each has to be found
-//! by some check of the scenarios of faults.
+//! Bugs planted in the host or in the state machine, observed by operators and subscribers: each must be detected by a
+//! check of the fault scenarios.
 
 use rstest::rstest;
 
@@ -12,7 +12,7 @@
 
 const SEEDS: u64 = 200;
 
-/// The scenario, with what it takes to make the fault show.
+/// Returns the scenario, adapted if necessary so that the planted bug takes effect.
 fn plan_of(planted_bug: PlantedBug, named: NamedScenario, seed: u64) -> Scenario {
     let platform = matches!(
         planted_bug,
@@ -22,13 +22,13 @@
     if planted_bug != PlantedBug::HastyLearners {
         return scenario;
     }
-    // The member is away for long enough to be taken out, and its copy takes long, as on a narrow line.
+    // The member is down for long enough to be removed from the chain, and its copy takes long, as on a narrow line.
     let kill = Fault::Kill { target: Target::Tail, down: 2_000 };
     let script = vec![FaultStep { at: 2_000, fault: kill }];
     Scenario { slow_copies: 9_000, script, fault_window: (2_000, 14_000), ..scenario }
 }
 
-/// The first violation that a scenario shows with a planted fault, and how many runs it took.
+/// Returns the first violation that a scenario shows with a planted bug, and the number of runs that it took.
 fn first_violation(planted_bug: PlantedBug, named: NamedScenario) -> Option<(u64, String)> {
     let run = |seed| {
         let scenario = Scenario { planted_bug: Some(planted_bug), ..plan_of(planted_bug, named, seed) };
@@ -38,35 +38,35 @@
 }
 
 #[rstest]
-#[case::acknowledged_before_commit(PlantedBug::EarlyAnswers, NamedScenario::Kill, &["isn't committed", "isn't noted"])]
-#[case::lying_disks(PlantedBug::LyingDisks, NamedScenario::HerdPowerLoss, &["told another change", "are known", "no_order", "a read saw"])]
+#[case::acknowledged_before_commit(PlantedBug::EarlyAnswers, NamedScenario::Kill, &["is not committed", "is not recorded"])]
+#[case::lying_disks(PlantedBug::LyingDisks, NamedScenario::HerdPowerLoss, &["reported another change", "are known", "no_order", "a read saw"])]
 #[case::reads_without_barrier(PlantedBug::LocalReads, NamedScenario::LongPartition, &["a read saw"])]
 #[case::reads_without_barrier_in_halves(PlantedBug::LocalReads, NamedScenario::SplitInHalves, &["a read saw"])]
-#[case::refusals_without_barrier(PlantedBug::LocalRefusals, NamedScenario::LongPartition, &["NoOrder", "refused but is in force"])]
-#[case::refusals_confirmed(PlantedBug::RefusalsAsDone, NamedScenario::Kill, &["isn't committed", "same base"])]
-#[case::resends_refused(PlantedBug::DoneAsRefusals, NamedScenario::Kill, &["a proper call"])]
-#[case::entries_forgotten(PlantedBug::ForgottenEntries, NamedScenario::HerdKill, &["a read saw", "told another change", "are known"])]
-#[case::votes_forgotten(PlantedBug::ForgottenVotes, NamedScenario::EverythingInTurn, &["a follower lacks", "not recovered", "told", "isn't answered", "holds term"])]
-#[case::acknowledged_before_the_disk(PlantedBug::EarlyAcknowledgements, NamedScenario::HerdWipe, &["told", "a read saw"])]
-#[case::learners_taken_in_early(PlantedBug::HastyLearners, NamedScenario::Kill, &["a follower lacks", "isn't answered"])]
-#[case::ends_without_handing_over(PlantedBug::HastyShutdowns, NamedScenario::GracefulRestarts, &["ends while the others need it"])]
-#[case::old_feed_positions(PlantedBug::StaleFeedPositions, NamedScenario::SubscriberRestarts, &["followers: None", "follower"])]
+#[case::refusals_without_barrier(PlantedBug::LocalRefusals, NamedScenario::LongPartition, &["NoOrder", "refused but took effect"])]
+#[case::refusals_confirmed(PlantedBug::RefusalsAsDone, NamedScenario::Kill, &["is not committed", "same base"])]
+#[case::resends_refused(PlantedBug::DoneAsRefusals, NamedScenario::Kill, &["a proper request"])]
+#[case::entries_forgotten(PlantedBug::ForgottenEntries, NamedScenario::HerdKill, &["a read saw", "reported another change", "are known"])]
+#[case::votes_forgotten(PlantedBug::ForgottenVotes, NamedScenario::EverythingInTurn, &["a subscriber lacks", "not recovered", "reported ", "has no response", "holds term"])]
+#[case::acknowledged_before_the_disk(PlantedBug::EarlyAcknowledgements, NamedScenario::HerdWipe, &["reported ", "a read saw"])]
+#[case::learners_taken_in_early(PlantedBug::HastyLearners, NamedScenario::Kill, &["a subscriber lacks", "has no response"])]
+#[case::ends_without_handing_over(PlantedBug::HastyShutdowns, NamedScenario::GracefulRestarts, &["exits while the others need it"])]
+#[case::old_feed_positions(PlantedBug::StaleFeedPositions, NamedScenario::SubscriberRestarts, &["subscriber "])]
 #[case::feed_goes_back(PlantedBug::BackwardFeed, NamedScenario::PartitionAndReset, &["went back"])]
-#[case::followers_kept_out_of_touch(PlantedBug::KeptSubscribers, NamedScenario::LongPartition, &["follower"])]
+#[case::followers_kept_out_of_touch(PlantedBug::KeptSubscribers, NamedScenario::LongPartition, &["subscriber "])]
 #[case::tables_numbered_by_view(PlantedBug::ViewNumberedTables, NamedScenario::HerdKill, &["older ones"])]
 #[case::orders_without_lease(PlantedBug::NoLease, NamedScenario::Kill, &["gives orders"])]
-#[case::not_found_without_proof(PlantedBug::LocalNotFound, NamedScenario::LongPartition, &["wasn't found"])]
-#[case::calls_numbered_alike(PlantedBug::SameIncarnation, NamedScenario::QuickRestarts, &["isn't noted", "isn't committed", "same base", "NoOrder"])]
+#[case::not_found_without_proof(PlantedBug::LocalNotFound, NamedScenario::LongPartition, &["was not found"])]
+#[case::calls_numbered_alike(PlantedBug::SameIncarnation, NamedScenario::QuickRestarts, &["is not recorded", "is not committed", "same base", "NoOrder"])]
 fn a_planted_bug_is_found_in_a_named_scenario(
     #[case] planted_bug: PlantedBug,
     #[case] named: NamedScenario,
     #[case] expected: &[&str],
 ) {
     let Some((runs, violation)) = first_violation(planted_bug, named) else {
-        panic!("{planted_bug:?} wasn't found in {SEEDS} runs of {named:?}");
+        panic!("{planted_bug:?} was not detected in {SEEDS} runs of {named:?}");
     };
     println!("{planted_bug:?}, {named:?}: found by run {runs}: {violation}");
     let sound = Cluster::new(runs - 1, plan_of(planted_bug, named, runs - 1)).run();
-    sound.expect("the same run is sound without the fault");
+    sound.expect("the same run has no violation without the planted bug");
     assert!(expected.iter().any(|part| violation.contains(part)), "{violation}");
 }
--- a/crates/control-plane/tests/simulated_planted_bugs_of_random_faults.rs
+++ b/crates/control-plane/tests/simulated_planted_bugs_of_random_faults.rs
@@ -1,4 +1,4 @@
-//! Runs that cheat in one way each: the invariant checker has to see all of them.
+//! Runs under random faults with one planted bug each: the invariant checker must detect every bug.
 
 use rstest::rstest;
 
@@ -23,10 +23,10 @@
     }
 }
 
-/// What the first seed shows with which the invariant checker sees the cheating.
+/// Returns the violation of the first seed for which the invariant checker detects the planted bug.
 fn violation(planted_bug: PlantedBug) -> String {
     let run = |seed| Cluster::new(seed, cheating(Some(planted_bug))).run().err();
-    (0..SEEDS).find_map(run).expect("the auditor saw nothing")
+    (0..SEEDS).find_map(run).expect("the invariant checker detected no violation")
 }
 
 #[test]
@@ -37,14 +37,14 @@
 }
 
 #[rstest]
-#[case::lying_disks(PlantedBug::LyingDisks, &["told another change", "are known", "a read saw"])]
-#[case::early_answers(PlantedBug::EarlyAnswers, &["isn't committed", "isn't noted"])]
-#[case::refusals_as_done(PlantedBug::RefusalsAsDone, &["isn't committed", "same base"])]
+#[case::lying_disks(PlantedBug::LyingDisks, &["reported another change", "are known", "a read saw"])]
+#[case::early_answers(PlantedBug::EarlyAnswers, &["is not committed", "is not recorded"])]
+#[case::refusals_as_done(PlantedBug::RefusalsAsDone, &["is not committed", "same base"])]
 #[case::done_as_refusals(PlantedBug::DoneAsRefusals, &["refused"])]
 #[case::local_reads(PlantedBug::LocalReads, &["a read saw"])]
-#[case::skipped_changes(PlantedBug::SkippedChanges, &["told", "another state"])]
-#[case::no_timeouts(PlantedBug::NoTimeouts, &["left a call open"])]
-#[case::silent_chain(PlantedBug::SilentChain, &["hasn't acknowledged"])]
+#[case::skipped_changes(PlantedBug::SkippedChanges, &["reported ", "another state"])]
+#[case::no_timeouts(PlantedBug::NoTimeouts, &["left a request open"])]
+#[case::silent_chain(PlantedBug::SilentChain, &["has not acknowledged"])]
 fn a_planted_bug_is_found(#[case] planted_bug: PlantedBug, #[case] expected: &[&str]) {
     let violation = violation(planted_bug);
     println!("{planted_bug:?}: {violation}");
--- a/crates/control-plane/tests/simulated_random_faults.rs
+++ b/crates/control-plane/tests/simulated_random_faults.rs
@@ -1,4 +1,4 @@
-//! Seeded runs of whole control planes under faults; the invariant checker checks at every step.
+//! Seeded runs of complete control planes under random faults; the invariants are checked at every step.
 
 use rstest::rstest;
 
@@ -10,7 +10,7 @@
 
 const THREADS: u64 = 2;
 
-/// Runs for each case, from the environment for longer hunts.
+/// The number of runs of each case, set by `CONTROL_SIM_RUNS` for longer searches.
 fn runs() -> u64 {
     std::env::var("CONTROL_SIM_RUNS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(8)
 }
@@ -32,7 +32,7 @@
     }
 }
 
-/// Runs a scenario with many seeds; the first violations of each thread are shown.
+/// Runs a scenario with many seeds, or only the seed in `CONTROL_SIM_SEED`. Panics with up to six of the violations.
 fn run_all(name: &str, runs: u64, scenario: impl Fn(u64) -> Scenario + Sync) -> Summary {
     let chosen = std::env::var("CONTROL_SIM_SEED").ok().and_then(|seed| seed.parse::<u64>().ok());
     let worker = |thread: u64| {
@@ -120,7 +120,7 @@
     assert!(total.blackouts > runs());
 }
 
-/// Configurations large enough that the head writes checkpoints; the disks keep what is needed only.
+/// Configurations are so large that the head writes checkpoints; the disks keep only the records that are needed.
 #[rstest]
 #[case::quiet(&[])]
 #[case::fault_window(&SINGLE_MACHINE_FAULTS)]
@@ -138,11 +138,11 @@
         ..Scenario::without_faults(machines)
     });
     assert!(total.checkpoints >= runs, "{total:?}");
-    // Entries between two checkpoints, views and repeats; far less than all entries.
+    // The disks hold entries between two checkpoints, views and repeated records: far fewer records than all entries.
     assert!(total.records < 250, "{total:?}");
 }
 
-/// Many small changes: the number of entries calls for a checkpoint, also while others are under way.
+/// Many small changes: the number of entries triggers a checkpoint, also while other changes are in flight.
 #[rstest]
 #[case::quiet(&[])]
 #[case::kills(&[RandomFault::Kill, RandomFault::PowerLossOfAll])]
--- a/crates/control-plane/tests/simulated_regressions.rs
+++ b/crates/control-plane/tests/simulated_regressions.rs
@@ -1,4 +1,4 @@
-//! Scenarios that broke a promise once, shrunk to what it takes.
+//! Scenarios that violated an invariant once, reduced to the steps that reproduce it.
 
 use rstest::rstest;
 
@@ -18,18 +18,18 @@
     Cluster::new(seed, scenario).run().expect("no violation");
 }
 
-/// The chain waited for a disk that hangs, or is full, as long as it did: nothing was acknowledged for 5 s, though a
-/// disk doesn't count against the stability of the cluster.
+/// The chain waited for a disk that hangs or is full as long as it did: nothing was acknowledged for 5 s, although the
+/// cluster counts as stable while a disk hangs.
 #[rstest]
 fn a_disk_that_hangs(#[values(Target::Head, Target::Middle, Target::Tail)] target: Target) {
     let hang = Fault::DiskHang { target, down: 5_000 };
-    // The cluster counts as stable by then.
+    // By then the cluster counts as stable.
     let at = FIRST + 1_500;
     run(0, vec![FaultStep { at, fault: hang }], at + 5_000);
 }
 
-/// Two members that don't reach each other put each other out of the chain again and again, and are held back for
-/// that. Once the chain had lost one more member, two whole copies stood by and one was left in the chain.
+/// Two members that do not reach each other repeatedly removed each other from the chain, and were held back for
+/// that. When the chain then lost another member, two complete copies were on standby and only one was in the chain.
 #[rstest]
 fn a_partition_between_two_and_then_a_freeze(#[values(1_500, 2_300)] freeze: u64) {
     let partition = Fault::Partition {
@@ -46,8 +46,8 @@
     run(1, script, second + freeze);
 }
 
-/// A standby took entries of the tail's former process for the answer to the position that it had told the new one,
-/// which had dropped it: it was never fed again.
+/// A standby mistook entries from the tail's former process for the response to the position that it had sent to the new
+/// process. The new process had dropped that position and never sent the standby any entries again.
 #[test]
 fn a_standby_is_fed_after_a_quick_restart_of_the_tail() {
     let kill = Fault::Kill { target: Target::Tail, down: 1 };
--- a/crates/control-plane/tests/simulated_rolling_restarts.rs
+++ b/crates/control-plane/tests/simulated_rolling_restarts.rs
@@ -1,5 +1,5 @@
-//! Control nodes are told to stop one shortly after the other, each starts again when it has ended, and changes go
-//! on all the while.
+//! Control nodes are shut down gracefully one shortly after the other and restart after each exit, while changes
+//! continue.
 
 use rstest::rstest;
 
@@ -12,10 +12,10 @@
 use support::shutdown::{AfterShutdown, GRACE_MS};
 
 const FIRST: u64 = 2_000;
-/// Time until a process that has ended runs again.
+/// Time in ms from the exit of a process until it runs again.
 const DOWN_MS: u64 = 400;
 
-/// Runs of each scenario, from the environment for longer hunts.
+/// The number of runs of each scenario, set by `CONTROL_SIM_RUNS` for longer searches.
 fn runs() -> u64 {
     std::env::var("CONTROL_SIM_RUNS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(5)
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// Graceful shutdowns of all runs, and how many of them were handed over.
+/// Returns the number of graceful shutdowns in all runs, and how many of them handed over before their deadline.
 fn graceful_shutdowns(scenario: &Scenario) -> (u64, u64) {
     let (mut ends, mut handed_over, mut violations) = (0, 0, Vec::new());
     for seed in 0..runs() {
@@ -74,7 +74,7 @@
     assert_eq!(handed_over, ends);
 }
 
-/// As many machines as may be lost are told to stop in the same millisecond.
+/// Several machines receive the stop signal in the same millisecond.
 #[rstest]
 #[case::three(3, 1, &[0, 1])]
 #[case::five(5, 2, &[0, 1, 2])]
--- a/crates/control-plane/tests/simulated_scenarios.rs
+++ b/crates/control-plane/tests/simulated_scenarios.rs
@@ -1,5 +1,5 @@
-//! Named scenarios of faults with operators and subscribers: their history is linearizable, orders are acknowledged while
-//! the cluster is stable, and the tolerance and the subscribers are back in time.
+//! Named fault scenarios with operators and subscribers: the history is linearizable, requests are acknowledged while
+//! the cluster is stable, and the tolerance and the subscribers recover in time.
 
 use rstest::rstest;
 
@@ -9,12 +9,12 @@
 use support::named_scenarios::{self, NAMED_SCENARIOS, NamedScenario};
 use support::recovery::Distribution;
 
-/// Runs of each scenario, from the environment for longer hunts.
+/// The number of runs of each scenario, set by `CONTROL_SIM_RUNS` for longer searches.
 fn runs() -> u64 {
     std::env::var("CONTROL_SIM_RUNS").ok().and_then(|runs| runs.parse().ok()).unwrap_or(5)
 }
 
-/// Times of many recoveries.
+/// Distributions of the times of many recoveries.
 #[derive(Default)]
 struct Times {
     first_acknowledgement: Distribution,
@@ -28,7 +28,7 @@
     fn print(&mut self, name: &str) {
         println!(
             "{name}: {} recoveries in ms (min / median / p99 / max): first acknowledgement {}; outage {}; then \
-             tolerance {}; followers {}; all in the chain {}",
+             tolerance {}; subscribers {}; all in the chain {}",
             self.tolerance.count(),
             self.first_acknowledgement.summary(),
             self.outage.summary(),
@@ -49,7 +49,7 @@
     }
 }
 
-/// Runs a scenario with many seeds and returns how many calls the operators made.
+/// Runs a scenario with many seeds and returns the number of requests that the operators made.
 fn run_scenario(named: NamedScenario, machines: u8) -> usize {
     let chosen = std::env::var("CONTROL_SIM_SEED").ok().and_then(|seed| seed.parse::<u64>().ok());
     let (mut times, mut calls, mut violations) = (Times::default(), 0, Vec::new());
--- a/crates/control-plane/tests/single_node/mod.rs
+++ b/crates/control-plane/tests/single_node/mod.rs
@@ -1,4 +1,4 @@
-//! One control node alone, driven by hand: its members, its disk, its start from what the disk holds.
+//! A single control node driven directly by a test: its members, its disk and its start from recovered state.
 
 #![allow(dead_code)]
 
@@ -9,7 +9,7 @@
 use orchidvalve_control_plane::node::{ControlNode, Disk, NodeConfig};
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
 
-/// A disk that numbers its records; the test says when they are durable.
+/// A disk that only numbers its records; the test decides when they are durable.
 #[derive(Default)]
 pub struct NumberingDisk {
     position: u64,
@@ -33,8 +33,8 @@
     View { epoch, voters: [1, 2, 3].map(member).to_vec(), chain: chain.iter().map(|m| member(*m)).collect() }
 }
 
-/// Machine 1, the head of three in their first view, as it starts at `now`; `complete` says whether its disk holds
-/// everything.
+/// Starts machine 1 at `now` as the head of three machines in their first view. `complete` says whether its disk holds
+/// all entries.
 pub fn head_of_three(complete: bool, now: u64) -> ControlNode<NumberingDisk> {
     let identity = NodeConfig {
         me: member(1),
--- a/crates/control-plane/tests/support/clients.rs
+++ b/crates/control-plane/tests/support/clients.rs
@@ -1,4 +1,4 @@
-//! Operators and trainers: changes that build on each other, races, repeats, invalid changes, reads.
+//! Random clients: changes based on each other, racing changes, repeated and invalid changes, and reads.
 
 use orchidvalve_control_plane::node::{ControlNode, RequestNumber};
 use orchidvalve_control_plane::peer_messages::{HeadRequest, RequestOutcome};
@@ -13,29 +13,29 @@
 use super::operators::{Attempt, Reply};
 use super::scenario::PlantedBug;
 
-/// A client gives a change up after so many answers that aren't clear.
+/// The number of attempts without a clear outcome after which a client abandons a change.
 const MAX_ATTEMPTS: u32 = 12;
 
 #[derive(Clone, Copy, Debug)]
 pub enum CallKind {
     Change(ChangeNumber),
-    /// A read that has to see at least this change.
+    /// A read that must see at least the change with this sequence number.
     Read(u64),
-    /// One send of a call of an operator, begun when this change had to be seen. `in_force`: what it asks for
-    /// had been committed by then.
+    /// One attempt of an operator's request. A read must see at least change `floor`. `in_force` says whether the
+    /// requested change had already taken effect when the attempt arrived.
     Attempt {
         attempt: Attempt,
         floor: u64,
         in_force: bool,
     },
-    /// A store is to be emptied, whose registration had been committed when the call came or not.
+    /// A request to retire a store node; `is_known` says whether its registration was committed on arrival.
     Retirement {
         store: u8,
         is_known: bool,
     },
 }
 
-/// A call that a machine hasn't answered.
+/// A request that a machine has not responded to yet.
 #[derive(Clone, Copy, Debug)]
 pub struct OpenCall {
     pub kind: CallKind,
@@ -54,7 +54,7 @@
         self.stopped = true;
     }
 
-    /// A change that a system without faults should have acknowledged.
+    /// Returns a probe change that a system without faults should have acknowledged but has not, if any.
     pub fn open_probe(&self, checker: &InvariantChecker) -> Option<Change> {
         let open = self.probes.iter().find(|p| !checker.changes[**p].acknowledged)?;
         Some(checker.changes[*open].change.clone())
@@ -86,7 +86,7 @@
                 self.send_new(change);
             }
             40..50 => {
-                // Two operators build on the same version.
+                // Two operators base their changes on the same version.
                 let (one, other) = (self.new_change(), self.new_change());
                 self.send_new(one);
                 self.send_new(other);
@@ -102,7 +102,7 @@
             }
             66..70 => self.own_change(),
             70..76 => {
-                // The control state remembers some hundred changes.
+                // The control state remembers recent changes (`REMEMBERED_CHANGES`).
                 let sent = self.checker.changes.len();
                 if sent > 0 {
                     let number = self.random.random_range(sent.saturating_sub(100)..sent);
@@ -148,7 +148,7 @@
         }
     }
 
-    /// The head enters a change of its own.
+    /// Lets a random machine propose a change of its own, which takes effect if that machine is the head.
     fn own_change(&mut self) {
         let machines = self.living();
         let Some(machine) = machines.choose(&mut self.random).copied() else { return };
@@ -233,7 +233,7 @@
             CallKind::Attempt { attempt, in_force, .. } => {
                 return self.attempt_decided(machine, attempt, in_force, &outcome);
             }
-            CallKind::Read(_) => return self.checker.fail("a read was answered as a change".to_owned()),
+            CallKind::Read(_) => return self.checker.fail("a read was completed as a change".to_owned()),
             CallKind::Retirement { store, is_known } => {
                 return self.retirement_decided(store, is_known, &outcome);
             }
@@ -250,7 +250,7 @@
         }
     }
 
-    /// What a machine that cheats answers to a change before the state machine does.
+    /// Returns the outcome that a machine with a planted bug reports before its state machine decides.
     pub fn cheated_outcome(&self, machine: usize, number: ChangeNumber) -> Option<RequestOutcome> {
         match self.scenario.planted_bug {
             Some(PlantedBug::EarlyAnswers) => Some(RequestOutcome::Done),
@@ -284,7 +284,7 @@
         }
     }
 
-    /// The machine that a call was sent to has stopped.
+    /// Handles a request whose machine stopped before it responded.
     pub fn lost_call(&mut self, call: OpenCall) {
         match call.kind {
             CallKind::Change(number) => {
@@ -301,7 +301,7 @@
         let floor = match kind {
             CallKind::Read(floor) | CallKind::Attempt { floor, .. } => floor,
             CallKind::Change(_) | CallKind::Retirement { .. } => {
-                return self.checker.fail("a change was answered as a read".to_owned());
+                return self.checker.fail("a change was completed as a read".to_owned());
             }
         };
         if let CallKind::Attempt { attempt, .. } = kind {
@@ -322,9 +322,9 @@
         }
     }
 
-    /// Sends a change to every machine of a system without faults; each has to be acknowledged at the first try.
+    /// Sends a change to every machine of a system without faults; each must be acknowledged at the first attempt.
     pub fn probe(&mut self) {
-        // Operators resend, and are checked at all times.
+        // Operators retry their requests, and all of their responses are checked already.
         if self.scenario.operators > 0 {
             return;
         }
--- a/crates/control-plane/tests/support/cluster/delivery.rs
+++ b/crates/control-plane/tests/support/cluster/delivery.rs
@@ -1,4 +1,4 @@
-//! Messages on their way between machines: lost, doubled, delayed, changed.
+//! Delivery of messages between machines: messages are lost, duplicated, delayed or mutated.
 
 use orchidvalve_chain_replication::Message as ChainMessage;
 use orchidvalve_consensus::Message as AgreementMessage;
@@ -9,7 +9,7 @@
 use super::{Cluster, Event, Packet};
 use crate::support::scenario::{MutationKind, PlantedBug, kind_of};
 
-/// What a sabotaged member answers at once to the entries that it takes.
+/// The acknowledgement that a member with a planted bug sends before the received entries are durable.
 fn early_acknowledgement(message: &ChainMessage) -> Option<ChainMessage> {
     let ChainMessage::Entries { epoch, entries, .. } = message else { return None };
     let last = entries.last()?;
@@ -23,7 +23,7 @@
     !entries.is_empty()
 }
 
-/// Bytes of a message, as far as they count on a narrow line.
+/// Returns the number of bytes of a message that count on a narrow line: a header and the payloads.
 fn bytes_of(packet: &Packet) -> usize {
     const HEADER: usize = 60;
     let payload = match packet {
@@ -54,7 +54,7 @@
         }
         let address = self.machines[to].address;
         if self.machines[to].control_node.is_none() || self.machines[to].start != to_start {
-            // The receiver's machine resets the connection.
+            // The process that the link led to is gone: the receiving machine resets the connection.
             self.link_closed(from, address);
             return;
         }
@@ -143,29 +143,30 @@
         }
     }
 
-    /// A call is forwarded once, on a connection that doubles nothing; an operator may only be told of it once.
+    /// Whether a packet may be duplicated. With operators, a forwarded request may not: a connection duplicates
+    /// nothing, and an operator may receive only one outcome.
     fn may_be_doubled(&self, packet: &Packet) -> bool {
         let is_call = matches!(packet, Packet::Message(PeerMessage::Forward { .. }));
         !is_call || self.scenario.operators == 0
     }
 
-    /// Whether copies to a process get lost, since it was started in the fault window a short time ago.
+    /// Whether entries sent to a process are lost because it started recently within the fault window.
     fn is_copying_slowly(&self, machine: usize) -> bool {
         let started_at = self.machines[machine].started_at;
         started_at >= self.scenario.fault_window.0 && self.now < started_at + self.scenario.slow_copies
     }
 
-    /// Whether the scenario's mutation has happened.
+    /// Whether the mutation of the scenario has been applied.
     pub fn mutated(&self) -> bool {
         self.mutated
     }
 
-    /// Kinds of messages that were sent.
+    /// Returns the kinds of messages that were sent.
     pub fn kinds(&self) -> impl Iterator<Item = usize> {
         self.sent.keys().copied()
     }
 
-    /// How this message is to be changed.
+    /// Returns the mutation to apply to this message, if the scenario selects it.
     fn mutation(&mut self, packet: &Packet) -> Option<MutationKind> {
         let Packet::Message(message) = packet else { return None };
         let kind = kind_of(message)?;
@@ -183,7 +184,7 @@
         {
             status.caught_up = true;
         }
-        // A link begins with the handshake; without it there is no link.
+        // A link is established by the handshake, so a handshake is never lost.
         let faults_active = !self.quiet && self.now >= self.scenario.fault_window.0;
         let may_be_lost = faults_active && !matches!(packet, Packet::Handshake(_));
         if may_be_lost && self.random.random_bool(self.scenario.loss) {
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Time until a message arrives, after those sent before it on the same link if links keep their order.
+    /// Returns the delay in ms until a message arrives; on links that keep order, it arrives after all earlier messages.
     fn in_order(&mut self, from: usize, to: usize, delay: u64) -> u64 {
         if !self.scenario.keeps_order {
             return delay;
@@ -233,12 +234,12 @@
         *latest - self.now
     }
 
-    /// Time until so many bytes have left a machine, after everything else that waits there.
+    /// Returns the time in ms until the given number of bytes has left a machine, behind all bytes already queued.
     pub fn line_delay(&mut self, machine: usize, bytes: usize) -> u64 {
         let Some(bytes_per_ms) = self.scenario.bandwidth else { return 0 };
         let host = &mut self.machines[machine];
         let free_at = host.line_free_at.max(self.now * 1_000);
-        // In microseconds, for the sake of small messages.
+        // In microseconds, since a small message takes less than one millisecond.
         host.line_free_at = free_at + bytes as u64 * 1_000 / bytes_per_ms;
         host.line_free_at.div_ceil(1_000) - self.now
     }
--- a/crates/control-plane/tests/support/cluster/machine.rs
+++ b/crates/control-plane/tests/support/cluster/machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: its disk, its process and its links.
+//! One simulated machine: its disk, control process and links.
 
 use std::collections::BTreeMap;
 
@@ -24,39 +24,39 @@
     pub start: u32,
     pub(super) started_at: u64,
     pub bootstrap: bool,
-    /// Taken away for good.
+    /// Whether the machine has been removed permanently.
     pub removed: bool,
     pub frozen: bool,
-    /// When the process last ended or froze.
+    /// Time in ms at which the process last ended or was frozen.
     pub down_since: u64,
     pub inbox: Vec<(usize, MemberId, Packet)>,
     pub links: Links,
     pub syncing: bool,
     pub hanging: bool,
     pub disk_watch: DiskHangDetector,
-    /// A graceful shutdown under way.
+    /// The graceful shutdown in progress, if any.
     pub shutdown: Option<Shutdown>,
     pub tick_at: u64,
     pub next_call: u64,
     pub calls: BTreeMap<RequestNumber, OpenCall>,
-    /// While it is lost: when it came back, or the end of time.
+    /// While the machine counts as lost: the time in ms of its return, or `u64::MAX` while it is still away.
     pub lost: Option<u64>,
-    /// Calls and messages of subscribers that arrived while the process was frozen.
+    /// Requests of operators and messages of subscribers that arrived while the process was frozen.
     pub operator_inbox: Vec<Attempt>,
     pub session_inbox: Vec<FeedEvent>,
     pub sessions: BTreeMap<SessionNumber, HostedSession>,
     pub remembered_positions: RememberedPositions,
-    /// How many times slower than usual the disk is.
+    /// Factor by which disk syncs take longer than usual.
     pub sync_factor: u64,
-    /// How many times slower than usual the machine is, on its links and its disk.
+    /// Factor by which both the links and the disk are slower than usual.
     pub slowness: u64,
-    /// Cut off from several others, or from all.
+    /// Whether the machine is partitioned from several other machines or from all of them.
     pub isolated: bool,
-    /// It counts as lost up to this time, where faults keep to the tolerance.
+    /// Time in ms until which the machine counts as lost, in scenarios whose faults stay within the tolerance.
     pub disturbed_until: u64,
     pub list_state: ListState,
     pub orders: Option<OrderRole>,
-    /// When everything handed to the line will have left.
+    /// Time in microseconds at which all bytes queued on a narrow line have been sent.
     pub(super) line_free_at: u64,
 }
 
--- a/crates/control-plane/tests/support/cluster/mod.rs
+++ b/crates/control-plane/tests/support/cluster/mod.rs
@@ -1,4 +1,4 @@
-//! The simulated cluster: machines, their events and time.
+//! The simulated cluster: its machines, the event queue and virtual time.
 
 mod delivery;
 mod machine;
@@ -32,7 +32,7 @@
 
 pub use self::machine::Machine;
 
-/// Time from the return of a machine until the next one may be lost, as in the small deployments.
+/// Time in ms between the return of a machine and the next permitted loss, as in the small deployments.
 const CATCH_UP_MS: u64 = 4_400;
 
 #[derive(Clone, Debug)]
@@ -77,16 +77,16 @@
     scheduled: u64,
     pub machines: Vec<Machine>,
     pub seeds: Vec<NodeAddress>,
-    /// Directions in which nothing arrives.
+    /// Directed links (from, to) on which no message arrives.
     pub blocked_links: Vec<(usize, usize)>,
     pub checker: InvariantChecker,
     pub clients: Clients,
     pub operators: Operators,
-    /// Changes of the operators by the fingerprint of their bodies.
+    /// Changes sent by operators, by the fingerprint of their bodies.
     pub change_prints: BTreeMap<u64, ChangeIndex>,
-    /// Machines that operators don't reach.
+    /// Machines that operators cannot reach.
     pub unreachable_for_operators: Vec<usize>,
-    /// Share of the answers to operators that get lost.
+    /// Fraction of the responses to operators that are lost.
     pub answer_loss: f64,
     pub subscribers: Vec<Subscriber>,
     pub sessions_opened: SessionNumber,
@@ -94,20 +94,20 @@
     pub after_acknowledgement: Vec<Fault>,
     pub after_send: Vec<Fault>,
     pub last_faulted: Option<usize>,
-    /// When the last message on each link arrives.
+    /// Arrival time in ms of the last message on each directed link, for links that keep the order of messages.
     last_arrivals: BTreeMap<(usize, usize), u64>,
     pub order_history: OrderHistory,
     pub table_queues: BTreeMap<(usize, usize), TableQueue>,
-    /// Most bytes that a disk held, as far as that counts.
+    /// The largest number of bytes held on any disk, recorded when a sync begins.
     pub most_disk_bytes: usize,
     pub disks: u64,
     pub granularity: u64,
     pub summary: Summary,
     ended: bool,
     traced: bool,
-    /// Everything that the state machines put out, where a test compares it with a recorded run.
+    /// Trace of all outputs of the state machines, kept only if a test compares it with a recorded run.
     pub outputs: Option<OutputTrace>,
-    /// Messages of each kind sent since the first view.
+    /// Number of messages sent of each kind.
     sent: BTreeMap<usize, u32>,
     mutated: bool,
 }
@@ -148,7 +148,7 @@
             table_queues: BTreeMap::new(),
             most_disk_bytes: 0,
             disks: 0,
-            // A body that is large fills a file of the ring by itself.
+            // A large body fills a file of the ring by itself.
             granularity: if scenario.bandwidth.is_some() { 1 } else { granularity },
             summary: Summary::default(),
             ended: false,
@@ -235,11 +235,11 @@
         self.queue.insert((self.now + delay, self.scheduled), event);
     }
 
-    /// Runs to the end.
+    /// Runs the simulation to its end.
     ///
     /// # Errors
     ///
-    /// What the invariant checker found.
+    /// Returns the first violation found by the invariant checker, with the seed and the time.
     pub fn run(&mut self) -> Result<Summary, String> {
         while !self.ended
             && let Some(((at, _), event)) = self.queue.pop_first()
@@ -261,7 +261,7 @@
         Ok(self.summary)
     }
 
-    /// Prints what happens, where the environment asks for it.
+    /// Prints a line of the run if the environment variable `CONTROL_SIM_TRACE` is set.
     pub fn trace(&self, line: impl FnOnce() -> String) {
         if self.traced {
             println!("{:6} {}", self.now, line());
@@ -302,7 +302,7 @@
         }
     }
 
-    /// Starts the process of a machine.
+    /// Starts the process of a machine, unless it is running or the machine has been removed.
     pub fn start(&mut self, machine: usize) {
         if self.machines[machine].control_node.is_some() || self.machines[machine].removed {
             return;
@@ -361,7 +361,7 @@
         self.turn(machine);
     }
 
-    /// What a start finds on the disk.
+    /// Returns the state that a starting process recovers from its disk, altered if the scenario plants a bug here.
     fn recover(&mut self, machine: usize) -> RecoveredState {
         self.trace_disk(machine);
         let mut recovered = self.machines[machine].disk.recover();
@@ -376,7 +376,7 @@
         recovered
     }
 
-    /// What the process does after each input.
+    /// Runs one turn of the process's event loop, as it does after each input.
     pub fn turn(&mut self, machine: usize) {
         let now = self.now;
         let host = &mut self.machines[machine];
@@ -410,7 +410,7 @@
         self.schedule(delay, Event::Tick { machine, start });
     }
 
-    /// Hands over what the state machine has put out.
+    /// Handles all pending outputs of a machine's state machine, and checks its state if changes were committed.
     pub fn drain(&mut self, machine: usize) {
         let mut moved = false;
         loop {
@@ -479,12 +479,13 @@
         }
     }
 
-    /// Every call is answered in time, whatever happens.
+    /// Checks that every request is completed within [`REQUEST_TIMEOUT_MS`], whatever faults occur.
     fn check_calls(&mut self, machine: usize) {
         let now = self.now;
         let late = |call: &&OpenCall| call.begun_at + REQUEST_TIMEOUT_MS <= now;
         if let Some(call) = self.machines[machine].calls.values().find(late) {
-            let violation = format!("machine {machine} left a call open that began at {}", call.begun_at);
+            let violation =
+                format!("machine {machine} left a request open that began at {} ms", call.begun_at);
             self.checker.fail(violation);
         }
     }
@@ -517,7 +518,7 @@
         self.begin_sync(machine);
     }
 
-    /// The newest view that any machine knows.
+    /// Returns the latest view known to any machine.
     pub fn newest_view(&self) -> Option<View> {
         let views = self
             .machines
@@ -527,12 +528,12 @@
         views.max_by_key(|view| view.epoch).cloned()
     }
 
-    /// Machines that count as lost.
+    /// Returns the number of machines that count as lost.
     pub fn lost(&mut self) -> usize {
         let view = self.newest_view();
         let now = self.now;
         for host in &mut self.machines {
-            // Once the machine itself has it on its disk that it is in the chain.
+            // A machine has returned once its own durable state shows that it is in the chain.
             let epoch = host.control_node.as_ref().map_or(0, ControlNode::epoch);
             let in_chain = view.as_ref().is_some_and(|v| v.epoch == epoch && v.in_chain(host.member()));
             if host.lost.is_some_and(|at| now >= at && (in_chain || now >= at + RECOVERY_MS)) {
--- a/crates/control-plane/tests/support/disk.rs
+++ b/crates/control-plane/tests/support/disk.rs
@@ -1,4 +1,4 @@
-//! A disk in memory: records become durable some time after they were appended; a crash loses the others.
+//! An in-memory disk: records become durable some time after they were appended, and a crash loses the other records.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -15,13 +15,13 @@
     next: u64,
     durable: u64,
     released: u64,
-    /// Records are given back in groups of so many positions.
+    /// Released records are dropped in groups of this many positions.
     granularity: u64,
-    /// Sabotage: durability is reported as soon as a record was appended.
+    /// Planted bug: a record is reported as durable as soon as it is appended.
     lies: bool,
 }
 
-/// A handle of the disk, shared by the state machine and the simulation.
+/// A handle to the disk, shared by the state machine and the simulation.
 #[derive(Clone, Debug)]
 pub struct SimulatedDisk(Rc<RefCell<Contents>>);
 
@@ -42,7 +42,7 @@
 }
 
 impl Contents {
-    /// Drops released records as far as they are durable, as the ring of files does.
+    /// Drops released records that are durable, in groups of `granularity`, as the ring of files does.
     fn give_back(&mut self) {
         let limit = self.released.min(self.durable) / self.granularity * self.granularity;
         while self.records.front().is_some_and(|(position, _)| *position < limit) {
@@ -58,12 +58,12 @@
         SimulatedDisk(Rc::new(RefCell::new(contents)))
     }
 
-    /// Position of the newest record.
+    /// Returns the position of the latest record.
     pub fn end(&self) -> u64 {
         self.0.borrow().next - 1
     }
 
-    /// What the state machine is told.
+    /// Returns the durable position that is reported to the state machine.
     pub fn reported_durable(&self) -> u64 {
         let contents = self.0.borrow();
         if contents.lies { contents.next - 1 } else { contents.durable }
@@ -74,20 +74,20 @@
         contents.durable + 1 < contents.next
     }
 
-    /// A sync has ended that began when `through` was the newest record.
+    /// Completes a sync that began when `through` was the position of the latest record.
     pub fn synced(&self, through: u64) {
         let mut contents = self.0.borrow_mut();
         contents.durable = contents.durable.max(through.min(contents.next - 1));
         contents.give_back();
     }
 
-    /// Records held and their bytes.
+    /// Returns the number of records held and their size in bytes.
     pub fn usage(&self) -> (usize, usize) {
         let contents = self.0.borrow();
         (contents.records.len(), contents.records.iter().map(|(_, payload)| payload.len()).sum())
     }
 
-    /// Cuts off what isn't durable; at times some of it was written all the same.
+    /// Drops records that are not durable; with a probability of 0.3, some of them survive because they were written already.
     pub fn crash(&self, random: &mut Pcg64Mcg) {
         let mut contents = self.0.borrow_mut();
         let pending = contents.next - 1 - contents.durable;
@@ -99,7 +99,7 @@
         contents.give_back();
     }
 
-    /// Positions and payloads of the records held.
+    /// Returns the positions and payloads of all records held.
     pub fn records(&self) -> Vec<(u64, Vec<u8>)> {
         self.0.borrow().records.iter().cloned().collect()
     }
--- a/crates/control-plane/tests/support/fault_script.rs
+++ b/crates/control-plane/tests/support/fault_script.rs
@@ -1,4 +1,4 @@
-//! Faults at fixed times, with the meaning that the deployments' pages give them.
+//! Faults at fixed times, as the descriptions of the deployments define them.
 
 use orchidvalve_protocol::identity::NodeAddress;
 use rand::Rng;
@@ -9,62 +9,62 @@
 use super::recovery::CATCH_UP_MS;
 use super::shutdown::AfterShutdown;
 
-/// A machine that is back counts as lost for so long.
+/// Time in ms for which a machine that has returned still counts as lost.
 pub const DISTURBED_MS: u64 = CATCH_UP_MS + 100;
 
-/// Which machine a fault affects.
+/// Selects the machine that a fault affects.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Target {
-    /// The head of the chain, which also reads the platform's list.
+    /// The head of the chain, which also polls the platform's list.
     Head,
     Tail,
-    /// The member of the chain whose disk has lasted longest.
+    /// The member of the chain with the oldest disk.
     Oldest,
-    /// Neither head nor tail, where there is such a machine.
+    /// A machine that is neither head nor tail, if there is one.
     Middle,
-    /// The machine that a fault affected last, or its successor.
+    /// The machine that the previous fault affected, or its successor.
     Last,
     Any,
     /// The machine with this index, if its process runs.
     Machine(usize),
-    /// The same, whatever is lost already.
+    /// The machine with this index, even if the tolerance is exhausted by other losses.
     Exactly(usize),
 }
 
-/// Which ways a cut closes.
+/// Directions in which a network partition blocks messages.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PartitionDirection {
     Both,
     Outbound,
     Inbound,
-    /// To and from one other control node only.
+    /// To and from a single other control node.
     OneLink,
 }
 
-/// Who is on the side of a machine that is cut off.
+/// Who can reach a partitioned machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Reachability {
-    /// Operators and subscribers reach it still; subscribers whose session is there reach nobody else.
+    /// Operators and subscribers still reach it; subscribers with a session there reach no other machine.
     OwnSubscribers,
-    /// Nobody reaches it.
+    /// Neither operators nor subscribers reach it.
     Unreachable,
-    /// Operators and subscribers reach it, and all other machines.
+    /// Operators and subscribers reach it and all other machines.
     Reachable,
 }
 
 #[derive(Clone, Debug)]
 pub enum Fault {
-    /// The process ends; its connections are reset.
+    /// The process ends and its connections are reset.
     Kill {
         target: Target,
         down: u64,
     },
-    /// What wasn't synced may be lost; connections fall silent.
+    /// Records that were not synced may be lost; connections become unresponsive.
     PowerLoss {
         target: Target,
         down: u64,
     },
-    /// As a loss of power, and the machine comes back with an empty disk.
+    /// A loss of power after which the machine comes back with an empty disk.
     Wipe {
         target: Target,
         down: u64,
@@ -79,34 +79,34 @@
         side: Reachability,
         down: u64,
     },
-    /// A graceful shutdown: the process is told to stop.
+    /// A graceful shutdown: the process receives the stop signal.
     Stop {
         target: Target,
         after_shutdown: AfterShutdown,
     },
-    /// An empty machine starts at another address, beside all others.
+    /// An empty machine starts at another address, in addition to all others.
     Add,
-    /// The machine goes for good; an empty one starts at another address.
+    /// The machine is removed permanently, and an empty one starts at another address.
     Replace {
         target: Target,
         after: u64,
     },
-    /// All control nodes at once, back one by one within this time.
+    /// All processes of control nodes end at once and restart one by one within this time in ms.
     KillAll {
         back_within: u64,
     },
     PowerLossOfAll {
         back_within: u64,
     },
-    /// As many disks as may be lost go, too.
+    /// A power loss of all machines in which as many disks as the tolerance permits are lost, too.
     PowerLossOfAllAndWipes {
         back_within: u64,
     },
     /// All links between control nodes and all sessions are reset.
     ResetLinks,
-    /// All subscribers start anew, with nothing.
+    /// All subscribers restart with an empty state.
     RestartSubscribers,
-    /// A disk that hangs, or one that is full: nothing more becomes durable.
+    /// A disk that hangs or is full: no further records become durable.
     DiskHang {
         target: Target,
         down: u64,
@@ -116,41 +116,41 @@
         factor: u64,
         down: u64,
     },
-    /// The links and the disk of a machine are slower than usual.
+    /// The links and the disk of a machine are slower than usual by this factor.
     NodeSlow {
         target: Target,
         factor: u64,
         down: u64,
     },
-    /// As many machines as may be lost are cut off from all others together.
+    /// As many machines as the tolerance permits are partitioned, as a group, from all others.
     PartitionGroup {
         direction: PartitionDirection,
         down: u64,
         ending: PartitionEnding,
         bait: Option<Bait>,
     },
-    /// The machines are cut into two halves, whatever may be lost at once; operators and subscribers reach both.
+    /// The machines are partitioned into two halves, regardless of the tolerance; operators and subscribers reach both.
     SplitInHalves {
         down: u64,
     },
-    /// The machine at a seed's address goes for good; an empty one at another address takes its place among the seeds.
+    /// The machine at a seed's address is removed permanently; an empty one at another address takes its place as a seed.
     ReplaceSeed {
         seed: usize,
         after: u64,
     },
-    /// Answers to operators get lost.
+    /// A fraction of the responses to operators is lost.
     LoseAnswers {
         share: f64,
         down: u64,
     },
-    /// Messages between control nodes get lost and are doubled.
+    /// A fraction of the messages between control nodes is lost, and the same fraction is duplicated.
     LoseMessages {
         share: f64,
         down: u64,
     },
-    /// Right after the next acknowledgement that a machine gives.
+    /// The fault follows the next acknowledgement of any machine.
     AfterAcknowledgement(Box<Fault>),
-    /// Some time after the next change that an operator sends.
+    /// The fault follows some time after the next change that an operator sends.
     AfterSend(Box<Fault>),
 }
 
@@ -191,7 +191,7 @@
         self.recovery.unstable_at = self.now;
     }
 
-    /// A machine has acknowledged a change: what waits for that is injected within 2 ms.
+    /// Handles an acknowledgement by a machine: faults that wait for one are injected within 2 ms.
     pub fn acknowledged_by(&mut self, machine: usize) {
         let waiting = std::mem::take(&mut self.after_acknowledgement);
         for fault in waiting {
@@ -201,7 +201,7 @@
         }
     }
 
-    /// A change is sent: what waits for that is injected 5 to 400 ms later.
+    /// Handles the sending of a change: faults that wait for one are injected 5 to 400 ms later.
     pub fn change_sent(&mut self) {
         for fault in std::mem::take(&mut self.after_send) {
             let delay = self.random.random_range(5..=400);
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Which machine a fault affects that is meant for this machine.
+    /// Returns the machine that a fault affects if it was meant for `meant`, so that losses stay within the tolerance.
     fn within_tolerance(&mut self, meant: usize) -> Option<usize> {
         if !self.scenario.within_tolerance {
             return Some(meant);
@@ -266,12 +266,12 @@
         if self.partition_waits(&fault) {
             return;
         }
-        self.trace(|| format!("trouble: {fault:?}"));
+        self.trace(|| format!("fault: {fault:?}"));
         let disk_only = matches!(fault, Fault::DiskHang { .. });
         let unstable_at = self.recovery.unstable_at;
         self.recovery.fault_injected(self.now);
         if disk_only {
-            // Disks don't count for the stability of the cluster.
+            // The cluster stays stable while a disk hangs.
             self.recovery.unstable_at = unstable_at;
         }
         self.summary.faults += 1;
@@ -349,8 +349,8 @@
         self.trace(|| format!("machine {machine} is replaced by {successor}"));
     }
 
-    /// Once too few of the seeds stand, as many as may be lost and one more, the settings name other machines in place
-    /// of those that have gone: nobody finds a deployment of which only addresses without a machine are known.
+    /// Replaces removed machines among the seeds if at most as many seeds as the tolerance remain. Without this, a starting
+    /// machine could not find a deployment of which it knows only addresses of removed machines.
     pub fn renew_seeds(&mut self) {
         let stands =
             |address: &NodeAddress| self.machines.iter().any(|m| m.address == *address && !m.removed);
@@ -381,7 +381,7 @@
         if let Some(machine) = self.target(target) {
             self.last_faulted = Some(machine);
             self.machines[machine].disturbed_until = self.now + DISTURBED_MS;
-            self.trace(|| format!("machine {machine} is struck"));
+            self.trace(|| format!("machine {machine} is affected"));
             inject(self, machine);
         }
     }
@@ -400,7 +400,7 @@
         self.take_side(machine, side);
     }
 
-    /// Cuts the links between a machine and others.
+    /// Blocks the links between a machine and others.
     pub fn unreachable(&mut self, machine: usize, others: &[usize], direction: PartitionDirection) {
         self.machines[machine].isolated = true;
         for other in others.iter().copied() {
@@ -413,7 +413,7 @@
         }
     }
 
-    /// Cuts operators and subscribers off, too, as far as they aren't on this side.
+    /// Partitions the machine from operators and subscribers as well, as `side` says.
     pub fn take_side(&mut self, machine: usize, side: Reachability) {
         match side {
             Reachability::Unreachable => {
@@ -452,7 +452,7 @@
         self.leave_all_sessions();
     }
 
-    /// The cut around a machine ends for operators and subscribers, too.
+    /// Ends the partition of a machine from operators and subscribers.
     pub fn end_sides(&mut self, machine: usize) {
         self.recovery.unstable_at = self.now;
         self.unreachable_for_operators.retain(|partition| *partition != machine);
--- a/crates/control-plane/tests/support/golden.rs
+++ b/crates/control-plane/tests/support/golden.rs
@@ -1,5 +1,5 @@
-//! A hash of everything that the machines of a run put out, as encoded bytes with times and places, so that it stays
-//! the same whatever the code calls things. Texts for people are left out: they may be worded anew.
+//! A hash of all outputs of the machines of a run, as encoded bytes with times and machine numbers, so that it does not
+//! depend on names in the code. Human-readable texts are left out, since their wording may change.
 
 use orchidvalve_control_plane::node::{NodeOutput, RequestOrigin};
 use orchidvalve_control_plane::peer_messages::{PeerMessage, RequestOutcome};
@@ -10,11 +10,11 @@
 
 use super::cluster::Cluster;
 
-/// The hash of a run so far.
+/// The running hash of the outputs of a run.
 #[derive(Default)]
 pub struct OutputTrace(Trace);
 
-/// The outcome without the reason that people read.
+/// Returns the outcome without its human-readable reason.
 fn without_reason(outcome: &RequestOutcome) -> RequestOutcome {
     let reason = String::new();
     match outcome {
@@ -103,7 +103,7 @@
         self.0.add(&encode(update));
     }
 
-    /// The machine may give orders under this term.
+    /// Adds that a machine may give orders under this term.
     pub fn add_order(&mut self, now: u64, machine: usize, term: u64) {
         self.begin(9, now, machine);
         self.0.add_number(term);
@@ -119,18 +119,18 @@
 }
 
 impl Cluster {
-    /// Adds what the disk of a machine holds to the trace of the run.
+    /// Adds the contents of a machine's disk to the trace of the run.
     pub fn trace_disk(&mut self, machine: usize) {
         if let Some(outputs) = &mut self.outputs {
             outputs.add_disk(self.now, machine, &self.machines[machine].disk.records());
         }
     }
 
-    /// Runs to the end; the hash of all that was put out, of the disks and of the states that are left.
+    /// Runs the simulation to its end, and returns the hash of all outputs and of the final disks and states.
     ///
     /// # Errors
     ///
-    /// What the invariant checker found.
+    /// Returns the first violation found by the invariant checker.
     pub fn run_traced(&mut self) -> Result<u64, String> {
         self.outputs = Some(OutputTrace::default());
         let summary = self.run()?;
--- a/crates/control-plane/tests/support/history.rs
+++ b/crates/control-plane/tests/support/history.rs
@@ -1,70 +1,70 @@
-//! The operators' history of the configuration, and the check that it is linearizable.
+//! The operators' history of the configuration, and a check that it is linearizable.
 //!
-//! The specification is a compare-and-set register that holds one version: a proper change with base `b` and
-//! version `v > b` is accepted exactly if `b` is current, and makes `v` current; it is refused as "another version
-//! is current" only if `b` isn't current; a change that isn't proper is never accepted; a read returns the change
-//! that brought the current version. All sends of one call are one operation.
+//! The specification is a compare-and-set register that holds one version. A proper change with base `b` and
+//! version `v > b` is accepted exactly if `b` is current, and makes `v` current. It is refused with "another version
+//! is current" only if `b` is not current. An improper change is never accepted. A read returns the change
+//! that produced the current version. All attempts of one request are one operation.
 //!
 //! # Why the check is exact
 //!
-//! Versions rise with every accepted change, so each is current in one unbroken span and the accepted changes form
-//! one chain from version 0. Let `t(i)` be the point at which the `i`th change of a chain takes effect. Points are
-//! gaps between two recorded events; several operations may fall into one gap in any order, since nothing in the
-//! record orders them. A history is linearizable if and only if there are a chain and points with:
+//! Versions increase with every accepted change, so each version is current in one contiguous span and the accepted
+//! changes form one chain from version 0. Let `t(i)` be the point at which the `i`th change of a chain takes effect.
+//! Points are gaps between two recorded events; several operations may fall into one gap in any order, since nothing
+//! in the record orders them. A history is linearizable if and only if there are a chain and points such that:
 //!
-//! - `t(1) <= t(2) <= ...`, each between the first send of the change and its answer (or the end of time);
+//! - `t(1) <= t(2) <= ...`, each between the first attempt of the change and its response (or the end of time);
 //! - the chain holds every change that was accepted or read, and none that was refused;
 //! - a read of change `i` between `c` and `r`: `t(i) <= r` and `c <= t(i + 1)`;
-//! - a refusal between `c` and `r` of a change with the version of `i` as base: not both `t(i) < c` and
-//!   `r < t(i + 1)`, which would make its base current all the time.
+//! - a refusal between `c` and `r` of a change whose base is the version of `i`: not both `t(i) < c` and
+//!   `r < t(i + 1)`, which would make its base current during the whole request.
 //!
-//! Only neighbours in the chain are bound to each other, so a search along the chain needs to know of what lies
-//! behind just the last change and the set of points where that may have taken effect, which is a union of spans.
-//! Whether a history can be completed from a change at a point doesn't depend on how that was reached: each pair of
-//! change and point is tried once. Every pair is tried, so the search finds a chain if there is one.
+//! The conditions relate only neighbours in the chain. A search along the chain therefore needs just two things about
+//! its prefix: the last change and the set of points at which it may have taken effect, which is a union of spans.
+//! Whether a history can be completed from a change at a point does not depend on the prefix, so each pair of change
+//! and point is tried once. Every pair is tried, so the search finds a chain if there is one.
 //!
-//! One case stands beside the register. An operator may build on a version that isn't accepted yet and be refused
-//! for it while an earlier send of the same call is still on its way to a frozen machine; the base may become current
-//! before that copy arrives. Such a change may take effect after the refusal, but then the refusal lies before
-//! its base was current: `c <= t(predecessor)`.
+//! One case goes beyond the register. An operator may base a change on a version that is not accepted yet and be
+//! refused while an earlier attempt of the same request is still queued at a frozen machine; the base may become
+//! current before that attempt arrives. Such a change may take effect after the refusal, but then the refusal lies
+//! before its base was current: `c <= t(predecessor)`.
 
 use std::collections::BTreeMap;
 use std::fmt;
 
 /// Index of a change among those of a history.
 pub type ChangeIndex = usize;
-/// Number of a recorded event; each occurs once.
+/// Number of a recorded event, unique in a history.
 pub type Stamp = u64;
 
 const END_OF_TIME: Stamp = Stamp::MAX;
 
-/// How the last send of a change that had a clear answer ended.
+/// The clear outcome of a change, if an attempt had one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Answer {
-    /// No clear answer: it may take effect at any time, or never.
+    /// No clear outcome: the change may take effect at any time, or never.
     Unknown,
-    /// 200.
+    /// Response 200.
     Accepted { at: Stamp },
-    /// 412 to a send that began at `since`.
+    /// Response 412 to an attempt that began at `since`.
     OtherVersion { since: Stamp, at: Stamp },
-    /// 400.
+    /// Response 400.
     Invalid { at: Stamp },
 }
 
-/// A change of the configuration, however often it was sent.
+/// A change of the configuration, with all of its attempts.
 #[derive(Clone, Debug)]
 pub struct RecordedChange {
     pub base: u64,
     pub version: u64,
-    /// Whether it is valid on top of its base.
+    /// Whether the change is valid on top of its base.
     pub proper: bool,
     pub called: Stamp,
     pub answer: Answer,
-    /// Another send of it had no clear answer.
+    /// Whether another attempt of this change had no clear outcome.
     pub has_open_send: bool,
 }
 
-/// A read with its last send; `seen` is the change that brought what it saw, None for no configuration.
+/// A read and its last attempt; `seen` is the change that produced the configuration read, `None` if there was none.
 #[derive(Clone, Debug)]
 pub struct RecordedRead {
     pub called: Stamp,
@@ -72,14 +72,14 @@
     pub seen: Option<ChangeIndex>,
 }
 
-/// Why a history isn't linearizable.
+/// The reason why a history is not linearizable.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub enum Contradiction {
     ImproperAccepted(ChangeIndex),
     ProperInvalid(ChangeIndex),
-    /// Two changes that took effect, or were read, bring the same version.
+    /// Two different changes that were accepted or read have the same version.
     SameVersion(ChangeIndex, ChangeIndex),
-    /// No order of the changes fits; the chain of the longest try ends with this change.
+    /// No order of the changes is consistent; the longest chain found ends with the change `after`.
     NoOrder {
         after: Option<ChangeIndex>,
         version: u64,
@@ -88,11 +88,11 @@
 
 impl fmt::Display for Contradiction {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(formatter, "the operators' history isn't linearizable: {self:?}")
+        write!(formatter, "the operators' history is not linearizable: {self:?}")
     }
 }
 
-/// Everything that the operators saw.
+/// All requests of the operators and what they saw.
 #[derive(Clone, Default, Debug)]
 pub struct History {
     last_stamp: Stamp,
@@ -106,7 +106,7 @@
         self.last_stamp
     }
 
-    /// A change is sent for the first time.
+    /// Records the first attempt of a change.
     pub fn call(&mut self, base: u64, version: u64, proper: bool) -> ChangeIndex {
         let called = self.stamp();
         let answer = Answer::Unknown;
@@ -114,38 +114,40 @@
         self.changes.len() - 1
     }
 
+    /// Checks that the history is linearizable.
+    ///
     /// # Errors
     ///
-    /// What can't be explained.
+    /// Returns the first contradiction found.
     pub fn check(&self) -> Result<(), Contradiction> {
         Search::new(self)?.run()
     }
 }
 
-/// Gaps from the first to the last, both included.
+/// A range of gaps, both ends included.
 type Span = (Stamp, Stamp);
 
-/// What the search knows of one change that may be in the chain.
+/// The constraints on one change that may be in the chain.
 #[derive(Debug)]
 struct Candidate {
-    /// Gaps in which it may take effect.
+    /// Gaps in which the change may take effect.
     window: Span,
-    /// The version before it has to have begun in this gap or later.
+    /// First gap in which the preceding version may have become current.
     predecessor_from: Stamp,
 }
 
 struct Search<'a> {
     history: &'a History,
-    /// Changes that may be in the chain, by index and by base.
+    /// Changes that may be in the chain, by index; [`Self::by_base`] lists them by base.
     candidates: BTreeMap<ChangeIndex, Candidate>,
     by_base: BTreeMap<u64, Vec<ChangeIndex>>,
-    /// Changes that have to be in the chain, by version.
+    /// Changes that must be in the chain, by version.
     required: BTreeMap<u64, ChangeIndex>,
-    /// Refusals by the base that wasn't current: first and last gap.
+    /// First and last gaps of refusals, by the base that was not current.
     refusals: BTreeMap<u64, Vec<Span>>,
-    /// First gap in which a change may end the version that a read saw, by what it saw.
+    /// First gap in which the version seen by a read may be superseded, by the change that the read saw.
     read_until: BTreeMap<Option<ChangeIndex>, Stamp>,
-    /// Points from which the rest of the history can't be explained.
+    /// For each change, the points from which the rest of the history has been found inconsistent.
     failed: BTreeMap<ChangeIndex, Vec<Span>>,
     longest: Option<ChangeIndex>,
 }
@@ -224,7 +226,7 @@
     }
 
     fn run(mut self) -> Result<(), Contradiction> {
-        // The empty register has been there before all events.
+        // The empty register exists before all events.
         if self.complete(None, 0, vec![(0, 0)]) {
             return Ok(());
         }
@@ -232,13 +234,13 @@
         Err(Contradiction::NoOrder { after: self.longest, version })
     }
 
-    /// Whether the history can be explained if `last`, which brought `version`, took effect within `points`.
+    /// Whether the rest of the history is consistent if `last`, which produced `version`, took effect within `points`.
     fn complete(&mut self, last: Option<ChangeIndex>, version: u64, points: Vec<Span>) -> bool {
         let refusals = self.refusals.get(&version).cloned().unwrap_or_default();
         let next_required =
             self.required.range(version + 1..).next().map(|(version, index)| (*version, *index));
         if next_required.is_none() {
-            // Nothing has to follow: all refusals on this version may lie before it.
+            // No change has to follow: all refusals with this version as base may lie before it became current.
             let latest_refusal = refusals.last().map_or(0, |(from, _)| *from);
             if points.iter().any(|(_, to)| *to >= latest_refusal) {
                 return true;
@@ -287,14 +289,14 @@
     left
 }
 
-/// Where the next change may take effect, if this one does so within `points`: not before this one, and so that no
-/// refusal lies wholly between both. `refusals` are sorted.
+/// Returns the points at which the next change may take effect if the current one does so within `points`: not before
+/// the current one, and such that no refusal lies entirely between the two. `refusals` must be sorted.
 fn successors(points: &[Span], refusals: &[Span], window: Span) -> Vec<Span> {
     let mut reached = Vec::new();
     for &(from, to) in points {
         let mut start = from;
         loop {
-            // Refusals that begin after `start` and have to end after the next change.
+            // Refusals that begin after `start` must end after the next change takes effect.
             let behind = refusals.partition_point(|(refused_from, _)| *refused_from <= start);
             let end = refusals.get(behind).map_or(to, |(refused_from, _)| to.min(refused_from - 1));
             let limit = refusals[behind..].iter().map(|(_, refused_to)| *refused_to).min();
--- a/crates/control-plane/tests/support/invariant_checker.rs
+++ b/crates/control-plane/tests/support/invariant_checker.rs
@@ -1,5 +1,5 @@
-//! Checks what control nodes promise: no acknowledged change is lost, one change per base, refused changes
-//! never in force, linearizable reads, one sequence of changes for all subscribers.
+//! Checks the invariants of control nodes: no acknowledged change is lost, one change per base, refused changes
+//! never take effect, reads are linearizable, and all subscribers receive one sequence of changes.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -8,46 +8,46 @@
 use orchidvalve_control_state::{Applied, Change, ControlState, StateSnapshot};
 use orchidvalve_protocol::frames::{decode, encode};
 
-/// Number of a change as a client thinks of it; it may be sent several times.
+/// Index of a change in the order in which clients first sent them; one change may have several attempts.
 pub type ChangeNumber = usize;
 
 /// A change that clients have sent.
 #[derive(Debug)]
 pub struct SentChange {
     pub change: Change,
-    /// The change as it travels and is committed.
+    /// The encoded change, as it is sent and committed.
     pub encoded: Rc<[u8]>,
     pub acknowledged: bool,
     pub refused: bool,
 }
 
-/// Who told of committed changes: machine and start of its process.
+/// The process that reports committed changes: machine and start number.
 pub type Reporter = (usize, u32);
 
 #[derive(Default)]
 pub struct InvariantChecker {
-    /// States aren't compared; only their numbers are.
+    /// Whether only sequence numbers are compared, and not the states.
     pub takes_states_unseen: bool,
-    /// Every committed change by its number, from 1, and the state after it.
+    /// Every committed change in order, from sequence number 1, and the state after it.
     truth: Vec<(Rc<[u8]>, StateSnapshot)>,
     state: ControlState,
-    /// Changes of the configuration in force, now or earlier, encoded.
+    /// Encoded changes of the configuration that are or were current.
     in_force: BTreeSet<Rc<[u8]>>,
-    /// Changes that were refused, encoded.
+    /// Encoded changes that were refused.
     refused_changes: BTreeSet<Rc<[u8]>>,
-    /// What each process told last.
+    /// The last sequence number that each process reported as committed.
     reported: BTreeMap<Reporter, u64>,
     pub changes: Vec<SentChange>,
-    /// The change acknowledged on top of each version.
+    /// The acknowledged change on top of each base version.
     winners: BTreeMap<u64, ChangeNumber>,
-    /// Who held which term of the singleton roles, in which view.
+    /// The view and process that held each term of the singleton roles.
     terms: BTreeMap<u64, (u64, Reporter)>,
-    /// A read that begins now has to see at least this change: the newest one that was acknowledged or read. A later
-    /// one that some machine knows to be committed counts only once anybody was told.
+    /// A read that begins now must see at least this change: the latest one that was acknowledged or read. A later
+    /// change that some machine knows to be committed counts only once a client or a read has observed it.
     floor: u64,
-    /// Number of each change of the configuration that took effect, by its bytes.
+    /// Sequence number of each change of the configuration that took effect, by its encoded bytes.
     numbers: BTreeMap<Rc<[u8]>, u64>,
-    /// Number of the change that brought each version of each model's weights.
+    /// Sequence number of the change that introduced each version of each model's weights.
     named: BTreeMap<(String, u64), u64>,
     pub violation: Option<String>,
     pub acknowledged: u64,
@@ -62,9 +62,9 @@
         self.violation.get_or_insert(violation);
     }
 
-    /// A machine has its singleton roles under this term. Nobody else ever has it, and terms rise with the views and, within
-    /// one view, with the starts of its head. A former head may see the commit of its term late: after that of its
-    /// successor, whose term is higher all the same.
+    /// Records that a machine holds its singleton roles under this term. No other process ever holds the same term, and
+    /// terms increase with the views and, within one view, with the starts of its head. A former head may see the commit
+    /// of its term late, after that of its successor; the successor's term is higher all the same.
     pub fn holds_term(&mut self, reporter: Reporter, epoch: u64, term: u64) {
         let holder = (epoch, reporter);
         match self.terms.get(&term) {
@@ -92,12 +92,12 @@
         &self.state
     }
 
-    /// A machine told that changes are committed.
+    /// Checks and records changes that a machine reports as committed.
     pub fn committed(&mut self, reporter: Reporter, first: u64, changes: &[Rc<[u8]>]) {
         let reported = self.reported.get(&reporter).copied().unwrap_or(0);
         let begins_anew = matches!(decode(&changes[0]), Some(Change::Checkpoint(_)));
         if first <= reported || (first > reported + 1 && reported > 0 && !begins_anew) {
-            self.fail(format!("{reporter:?} told change {first} after {reported}"));
+            self.fail(format!("{reporter:?} reported change {first} after {reported}"));
         }
         for (offset, change) in changes.iter().enumerate() {
             self.committed_one(reporter, first + offset as u64, change);
@@ -108,23 +108,25 @@
     fn committed_one(&mut self, reporter: Reporter, sequence: u64, change: &Rc<[u8]>) {
         match self.truth.get(sequence as usize - 1) {
             Some((known, _)) if known == change => {}
-            Some(_) => self.fail(format!("{reporter:?} told another change {sequence} than was committed")),
+            Some(_) => {
+                self.fail(format!("{reporter:?} reported another change {sequence} than was committed"))
+            }
             None if sequence == self.end() + 1 => self.extend_truth(change),
-            None => self.fail(format!("{reporter:?} told change {sequence}, {} are known", self.end())),
+            None => self.fail(format!("{reporter:?} reported change {sequence}, {} are known", self.end())),
         }
     }
 
     fn extend_truth(&mut self, payload: &Rc<[u8]>) {
         let Some(change) = decode::<Change>(payload) else {
-            return self.fail("a committed change can't be decoded".to_owned());
+            return self.fail("a committed change cannot be decoded".to_owned());
         };
         let number = self.end() + 1;
         match self.state.apply(&change) {
             Ok(Applied::Changed) => {}
-            // Its number is what counts.
+            // The change that begins a term leaves the state unchanged: only its sequence number matters.
             Ok(Applied::Unchanged) if change == Change::BeginTerm => {}
             Ok(Applied::Unchanged) => self.fail(format!("change {number} was committed but changes nothing")),
-            Err(error) => self.fail(format!("change {number} was committed but doesn't fit: {error}")),
+            Err(error) => self.fail(format!("change {number} was committed but cannot be applied: {error}")),
         }
         match change {
             Change::Checkpoint(_) => self.checkpoints += 1,
@@ -135,7 +137,7 @@
                 self.numbers.insert(payload.clone(), number);
                 self.in_force.insert(payload.clone());
                 if self.refused_changes.contains(payload) {
-                    self.fail(format!("change {number} had been refused and is in force"));
+                    self.fail(format!("change {number} had been refused and took effect"));
                 }
             }
             _ => {}
@@ -144,17 +146,17 @@
         self.truth.push((payload.clone(), image));
     }
 
-    /// A machine's state as of change `applied`, all of which it has told, has to be that of everyone.
+    /// Checks that the state of a machine after change `applied`, the last one it reported, equals the expected state.
     pub fn check_state(&mut self, reporter: Reporter, state: &ControlState, applied: u64) {
         if let Err(difference) = self.compare(state, applied) {
             self.fail(format!("{reporter:?} {difference}"));
         }
     }
 
-    /// The same for a subscriber of the feed.
+    /// Checks the state of a subscriber of the feed in the same way.
     pub fn check_subscriber(&mut self, subscriber: usize, state: &ControlState, sequence: u64) {
         if let Err(difference) = self.compare(state, sequence) {
-            self.fail(format!("follower {subscriber} {difference}"));
+            self.fail(format!("subscriber {subscriber} {difference}"));
         }
     }
 
@@ -173,16 +175,16 @@
         if is_expected { Ok(()) } else { Err(format!("has another state as of change {applied}")) }
     }
 
-    /// Whether a change of the configuration is or was in force.
+    /// Whether a change of the configuration is or was current.
     pub fn is_in_force(&self, number: ChangeNumber) -> bool {
         self.in_force.contains(&self.changes[number].encoded)
     }
 
-    /// A change was refused since its base isn't current; another time it may be. `was_in_force`: when the call came.
+    /// Records a refusal because the base is not current; it may become current later. `was_in_force` is as of the arrival.
     pub fn refused_for_now(&mut self, number: ChangeNumber, was_in_force: bool) {
         self.refused += 1;
         if was_in_force {
-            self.fail(format!("change {number} was refused but is in force"));
+            self.fail(format!("change {number} was refused but took effect"));
         }
     }
 
@@ -192,7 +194,7 @@
         self.changes.len() - 1
     }
 
-    /// A client has an answer to a change.
+    /// Checks and records the outcome of a change that a client received.
     pub fn answered(&mut self, number: ChangeNumber, outcome: &RequestOutcome) {
         match outcome {
             RequestOutcome::Done => self.acknowledge(number),
@@ -213,27 +215,27 @@
         match change {
             Change::Replace { base, .. } | Change::Patch { base, .. } => {
                 if !self.is_in_force(number) {
-                    self.fail(format!("change {number} was acknowledged but isn't committed"));
+                    self.fail(format!("change {number} was acknowledged but is not committed"));
                 } else if *self.winners.entry(*base).or_insert(number) != number {
                     let other = self.winners[base];
                     self.fail(format!("changes {other} and {number} on the same base were acknowledged"));
                 }
             }
-            // Every model begins with version 1.
+            // Every model starts with version 1.
             Change::NameVersion { model, version }
                 if self.state.versions().get(model).unwrap_or(&1) < version =>
             {
-                self.fail(format!("version {version} was acknowledged but isn't noted"));
+                self.fail(format!("version {version} was acknowledged but is not recorded"));
             }
             _ => {}
         }
     }
 
-    /// Number of the change with which what a call asks for came into force; 0 where that isn't committed.
+    /// Returns the sequence number at which the requested change took effect, or 0 if that is not committed.
     fn effective_at(&self, number: ChangeNumber) -> u64 {
         let sent = &self.changes[number];
         let committed = match &sent.change {
-            // Versions rise, so the first one at or above it brought it.
+            // Versions increase, so the first version at or above the requested one made it current.
             Change::NameVersion { model, version } => {
                 let at_least = (model.clone(), *version)..=(model.clone(), u64::MAX);
                 self.named.range(at_least).next().map(|(_, number)| number)
@@ -247,13 +249,13 @@
         self.refused += 1;
         let encoded = self.changes[number].encoded.clone();
         if self.in_force.contains(&encoded) {
-            self.fail(format!("change {number} was refused but is in force"));
+            self.fail(format!("change {number} was refused but took effect"));
         }
         self.refused_changes.insert(encoded);
         self.changes[number].refused = true;
     }
 
-    /// A read that began when the floor was `floor` is answered with the state as of `applied`.
+    /// Checks a read that began when the floor was `floor` and returned the state after change `applied`.
     pub fn read(&mut self, floor: u64, applied: u64) {
         self.reads += 1;
         if applied < floor {
@@ -263,7 +265,7 @@
     }
 }
 
-/// Whether the second holder of a term comes after the first: in a later view, or as a later start of the head.
+/// Whether the second holder of a term follows the first: in a later view, or as a later start of the same head.
 fn rises(
     (epoch, (machine, start)): &(u64, Reporter),
     (next_epoch, (next_machine, next_start)): &(u64, Reporter),
--- a/crates/control-plane/tests/support/links.rs
+++ b/crates/control-plane/tests/support/links.rs
@@ -1,4 +1,4 @@
-//! Links among simulated machines: opened, broken and opened anew as the process does it.
+//! Links between simulated machines, opened, closed and reopened by the rules of the control process.
 
 use std::collections::BTreeMap;
 
@@ -12,7 +12,7 @@
 pub struct Peer {
     pub member: Option<MemberId>,
     pub up: bool,
-    /// Start of the process at the other end of the link.
+    /// Start number of the process at the other end of the link.
     start: u32,
     pub last_heard_at: u64,
     opened_at: u64,
@@ -26,11 +26,11 @@
     peers: BTreeMap<NodeAddress, Peer>,
 }
 
-/// What the host has to do after [`Links::maintain`].
+/// Work for the host after [`Links::maintain`].
 #[derive(Debug, Default)]
 pub struct LinkNews {
     pub dropped: Vec<MemberId>,
-    /// Addresses that are to be called.
+    /// Addresses to which a link is to be opened.
     pub wanted: Vec<NodeAddress>,
 }
 
@@ -81,7 +81,7 @@
         news
     }
 
-    /// The link stands; the member at its other end, where it is known.
+    /// Records that the link is open, and returns the member at its other end if that is known.
     pub fn opened(&mut self, address: NodeAddress, start: u32, now: u64) -> Option<MemberId> {
         let peer = self.peers.entry(address).or_default();
         peer.up = true;
@@ -90,7 +90,7 @@
         peer.member
     }
 
-    /// The other end closed the link; the member if the link stood.
+    /// Records that the other end closed the link, and returns its member if the link was open.
     pub fn closed(&mut self, address: NodeAddress, now: u64) -> Option<MemberId> {
         let peer = self.peers.get_mut(&address).filter(|p| p.up)?;
         peer.up = false;
@@ -98,7 +98,7 @@
         peer.member
     }
 
-    /// Start of the process that the link to this address leads to, if it stands.
+    /// Returns the start number of the process that the link to this address leads to, or `None` if it is not open.
     pub fn start_at(&self, address: NodeAddress) -> Option<u32> {
         self.peers.get(&address).filter(|p| p.up).map(|p| p.start)
     }
--- a/crates/control-plane/tests/support/mixed_faults.rs
+++ b/crates/control-plane/tests/support/mixed_faults.rs
@@ -1,6 +1,6 @@
-//! The scenario that mixes the faults of the deployments: five to eight kinds, several at the same time, again and again
-//! through a scenario of hundreds of changes. Losses stay within the tolerance: once as many machines as it bears are away,
-//! or back for less than the time to catch up, further faults affect one of these.
+//! A scenario that mixes the faults of the deployments: five to eight kinds, several at the same time, repeated while
+//! hundreds of changes are made. Losses stay within the tolerance: once as many machines as it permits are down, or back
+//! for less than the catch-up time, further faults affect one of these machines.
 
 use rand::seq::{IndexedRandom, SliceRandom};
 use rand::{Rng, SeedableRng};
@@ -12,30 +12,30 @@
 use super::scenario::Scenario;
 use super::shutdown::AfterShutdown;
 
-/// The first fault.
+/// Time in ms of the first fault.
 const FIRST_MS: u64 = 2_000;
-/// How often the scenario's faults come.
+/// The number of times that the chosen kinds of faults are repeated.
 const ROUNDS: usize = 4;
 const FEWEST_KINDS: usize = 5;
 const MOST_KINDS: usize = 8;
-/// A further fault comes within this time, whether or not the one before is over.
+/// The longest time in ms between two faults, whether or not the first one is over.
 const LONGEST_OVERLAP_MS: u64 = 3_000;
-/// A machine that is replaced has a successor after this time.
+/// Time in ms until a replaced machine has a successor.
 const SUCCESSOR_AFTER_MS: u64 = 1_000;
-/// An acknowledgement that a fault waits for comes within this time where nothing else happens.
+/// Time in ms in which an acknowledgement that a fault waits for is given if nothing else happens.
 const ACKNOWLEDGED_WITHIN_MS: u64 = 1_000;
 const HERD_BACK_WITHIN_MS: u64 = 1_000;
 const SLOW_NODE: u64 = 5;
 const SLOW_DISK: u64 = 30;
 
-/// Kinds of faults of the deployments, as far as they concern control nodes.
+/// Kinds of faults of the deployments that concern control nodes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Kind {
     Kill,
     Freeze,
     Wipe,
     PowerLossAfterAcknowledgement,
-    /// Some time after a change was sent.
+    /// A power loss some time after a change was sent.
     TimedPowerLoss,
     WipeAfterAcknowledgement,
     Partition,
@@ -43,13 +43,13 @@
     CutRelieved,
     CutBothRestarted,
     CutWithLure,
-    /// Each machine is told to stop in turn, and starts again.
+    /// Each machine in turn is shut down gracefully and starts again.
     RollingStops,
-    /// An empty machine comes, and another one is told to stop for good.
+    /// An empty machine is added, and another one is shut down gracefully and removed.
     PlannedReplacement,
     Replacement,
     HerdKill,
-    /// All lose power right after an acknowledgement.
+    /// All machines lose power right after an acknowledgement.
     HerdPowerLoss,
     HerdWipe,
     DiskSlow,
@@ -88,13 +88,13 @@
     Kind::SubscriberRestarts,
 ];
 
-/// Builds the script of the scenario.
+/// Builds the fault script of the scenario.
 struct FaultMixer {
     random: Pcg64Mcg,
     machines: u8,
     steps: Vec<FaultStep>,
     now: u64,
-    /// When the last fault of the round is over.
+    /// Time in ms at which the last fault of the round is over.
     over_at: u64,
 }
 
@@ -104,7 +104,7 @@
         FaultMixer { random, machines, steps: Vec::new(), now: FIRST_MS, over_at: FIRST_MS }
     }
 
-    /// A fault so long after now, which is over after `duration`.
+    /// Adds a fault `delay` ms after the current time of the script; it is over `duration` ms later.
     fn inject_after(&mut self, delay: u64, fault: Fault, duration: u64) {
         let at = self.now + delay;
         self.steps.push(FaultStep { at, fault });
@@ -258,7 +258,7 @@
                 self.write(*kind);
                 self.now += self.random.random_range(1..=LONGEST_OVERLAP_MS);
             }
-            // Everything has to be whole again in between.
+            // Everything recovers completely between two rounds.
             let quiet = CATCH_UP_MS + self.random.random_range(100..4_000);
             self.now = self.now.max(self.over_at) + quiet;
         }
@@ -266,7 +266,7 @@
     }
 }
 
-/// The scenario with eight orders under way at most times.
+/// Returns the mixed scenario, in which operators have up to eight requests in flight most of the time.
 pub fn scenario(seed: u64, machines: u8) -> Scenario {
     let mut mixer = FaultMixer::new(seed, machines);
     mixer.write_scenario();
--- a/crates/control-plane/tests/support/mod.rs
+++ b/crates/control-plane/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A seeded simulation of control nodes in virtual time, and the invariant checker of what they promise.
+//! A deterministic, seeded simulation of control nodes in virtual time, with a checker of the invariants they guarantee.
 #![allow(dead_code)]
 
 pub mod clients;
--- a/crates/control-plane/tests/support/named_scenarios.rs
+++ b/crates/control-plane/tests/support/named_scenarios.rs
@@ -1,4 +1,4 @@
-//! Named scenarios: which faults affect which machines, and when. The seed chooses among the variants of a scenario.
+//! Named scenarios: which faults affect which machines, and when. The seed selects a variant of the scenario.
 
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -9,61 +9,61 @@
 use super::scenario::Scenario;
 use super::shutdown::{AfterShutdown, GRACE_MS};
 
-/// The first fault.
+/// Time in ms of the first fault.
 const FIRST: u64 = 2_000;
-/// A machine that is replaced has a successor after this time.
+/// Time in ms until a replaced machine has a successor.
 const SUCCESSOR_AFTER: u64 = 1_000;
-/// Longest cut, freeze and restart of the deployments, in milliseconds.
+/// Duration in ms of the longest network partitions, freezes and restarts of the deployments.
 const LONG_PARTITION: u64 = 20_000;
-/// A fault that begins so long after the last return finds everything whole.
+/// Time in ms after a machine's return until everything has recovered and the next fault may begin.
 const PAUSE: u64 = CATCH_UP_MS + 100;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum NamedScenario {
-    /// One machine is cut off for 20 s: which one, which ways and who is on its side differ.
+    /// One machine is partitioned for 20 s; the machine, the directions and the clients that reach it vary.
     LongPartition,
     Kill,
     PowerLoss,
     Wipe,
-    /// A disk is lost right after an acknowledgement.
+    /// A machine loses its disk right after an acknowledgement.
     WipeAfterAcknowledgement,
     Freeze,
-    /// All processes end at once and are back within a second, in the same epoch.
+    /// All processes end at once and restart within a second, in the same epoch.
     HerdKill,
     HerdPowerLoss,
-    /// All lose power right after an acknowledgement, and as many disks as may be lost are empty.
+    /// All machines lose power right after an acknowledgement, and as many disks as the tolerance permits are lost.
     HerdWipe,
     /// Each machine is restarted in turn.
     RollingRestarts,
-    /// Each machine is told to stop in turn, and starts again.
+    /// Each machine in turn is shut down gracefully and starts again.
     GracefulRestarts,
-    /// An empty machine comes, catches up, and another one is told to stop for good; then a machine is lost.
+    /// An empty machine joins and catches up, and another one is shut down gracefully for good; then a machine is lost.
     PlannedReplacement,
-    /// One machine is told to stop for good while another one is away; then a machine is lost.
+    /// One machine is shut down gracefully while another one is down; then a machine is lost.
     ShutdownDuringLoss,
-    /// A machine goes, an empty one comes elsewhere; the second loss comes right when the time to catch up is over.
+    /// A machine is replaced by an empty one; the second loss follows as soon as the catch-up time is over.
     ReplaceThenLoss,
-    /// The same member leaves again and again.
+    /// The same member is lost repeatedly.
     SameMemberAgain,
     DiskHang,
     SlowDisk,
     ResetLinks,
     LostMessages,
-    /// Most answers to operators get lost, and one machine is cut off or killed meanwhile.
+    /// Most responses to operators are lost, and one machine is partitioned or lost in the meantime.
     LostAnswers,
-    /// Cut of 20 s, then a loss of the head right after the machine has caught up.
+    /// A partition of 20 s, then the loss of the head right after the machine has caught up.
     PartitionThenLoss,
-    /// One machine and another don't reach each other for 20 s; then one of the chain is lost.
+    /// Two machines do not reach each other for 20 s; then a member of the chain is lost.
     SingleLinkPartitionThenLoss,
-    /// The same process is killed again and again, and back at once, while calls are under way.
+    /// The same process is killed repeatedly and restarts at once, while many requests are in flight.
     QuickRestarts,
-    /// One machine loses its quorum, and all sessions are reset while it doesn't know that yet.
+    /// One machine loses its quorum, and all sessions are reset before it detects this.
     PartitionAndReset,
-    /// Subscribers are restarted, and move, while machines are.
+    /// Subscribers restart and move to other control nodes while machines restart.
     SubscriberRestarts,
-    /// The machines are cut into halves; one of them is lost meanwhile, with its disk or without, or right as it heals.
+    /// The machines are split into halves; one machine is lost in the meantime, possibly with its disk or just as it heals.
     SplitInHalves,
-    /// A loss of all, a wipe after an acknowledgement, a replacement and a cut.
+    /// A kill of all machines, a wipe after an acknowledgement, a replacement and a partition.
     EverythingInTurn,
     /// Five to eight kinds of faults of the deployments, several at the same time; see [`super::mixed_faults`].
     Mixed,
@@ -100,7 +100,7 @@
     NamedScenario::Mixed,
 ];
 
-/// Builds the script of a scenario step by step.
+/// Builds the fault script of a scenario step by step.
 struct Script {
     random: Pcg64Mcg,
     steps: Vec<FaultStep>,
@@ -114,14 +114,14 @@
         Script { random, steps: Vec::new(), now }
     }
 
-    /// A fault that lasts for `duration`, and time to recover from it.
+    /// Adds a fault that lasts for `duration` ms, followed by time to recover from it.
     fn inject(&mut self, fault: Fault, duration: u64) {
         self.steps.push(FaultStep { at: self.now, fault });
         self.now += duration + PAUSE;
     }
 
     fn after_acknowledgement(&mut self, fault: Fault, duration: u64) {
-        // An acknowledgement comes within a second where nothing else happens.
+        // If nothing else happens, an acknowledgement is given within a second.
         self.inject(Fault::AfterAcknowledgement(Box::new(fault)), duration + 1_000);
     }
 
@@ -319,7 +319,7 @@
             NamedScenario::ReplaceThenLoss => self.replace_then_loss(),
             NamedScenario::SameMemberAgain => self.same_member_again(target, down),
             NamedScenario::DiskHang => {
-                // The cluster counts as stable by then.
+                // By then the cluster counts as stable.
                 self.now += 1_500;
                 self.inject(Fault::DiskHang { target, down: 5_000 }, 5_000);
             }
@@ -341,7 +341,7 @@
             NamedScenario::SubscriberRestarts => self.subscriber_restarts(),
             NamedScenario::SplitInHalves => self.split_in_halves(target, down),
             NamedScenario::EverythingInTurn => self.everything_in_turn(down),
-            NamedScenario::Mixed => unreachable!("its plan isn't written here"),
+            NamedScenario::Mixed => unreachable!("mixed_faults builds this script"),
         }
     }
 }
@@ -353,7 +353,7 @@
     let mut script = Script::new(seed);
     script.write(named);
     let delay = script.random.random_range(2..20);
-    // Many calls are under way at each restart.
+    // Many requests are in flight at each restart.
     let (operators, operator_pause) = if named == NamedScenario::QuickRestarts { (4, 25) } else { (2, 200) };
     Scenario {
         operators,
@@ -363,7 +363,7 @@
         fault_window: (FIRST, script.now),
         script: script.steps,
         delay,
-        // A member that left several times stays outside for up to 16 s; the tolerance mustn't need it.
+        // A member that was lost several times stays outside the chain for up to 16 s; the tolerance must not depend on it.
         back_within: 25_000,
         ..Scenario::without_faults(machines)
     }
--- a/crates/control-plane/tests/support/network_partitions.rs
+++ b/crates/control-plane/tests/support/network_partitions.rs
@@ -1,4 +1,4 @@
-//! Network partitions of several machines at once, what happens as they heal, and requests that bait the isolated machines.
+//! Network partitions of several machines at once, faults as they heal, and requests aimed at the isolated machines.
 
 use orchidvalve_protocol::identity::MemberId;
 use rand::Rng;
@@ -7,37 +7,37 @@
 use super::cluster::{Cluster, Event};
 use super::fault_script::{DISTURBED_MS, Fault, PartitionDirection, Reachability, ScriptEvent, Target};
 
-/// Those that counted are killed so soon after the cut has healed.
+/// The other machines are killed within this time in ms after the partition has healed.
 const RELIEVED_WITHIN_MS: u64 = 300;
-/// A process that is killed around a cut is back within this time.
+/// A process that is killed around a partition restarts within this time in ms.
 const RESTART_WITHIN_MS: u64 = 1_000;
-/// Those that count are restarted so long after those that were cut off.
+/// The other machines restart within this time in ms after the isolated ones.
 const OTHERS_RESTARTED_AFTER_MS: u64 = 1_500;
-/// A bait that returns gets its request so near the end of the partition.
+/// A change aimed at a returning machine is sent within this time in ms of the end of the partition.
 const MEETING_WITHIN_MS: u64 = 50;
-/// Pause between the requests of a hard bait.
+/// Pause in ms between repeatedly aimed changes.
 const HARD_PAUSE_MS: u64 = 200;
 
-/// Pause until the next look whether all machines are whole.
+/// Pause in ms until a waiting partition checks again whether all machines have recovered.
 const WAIT_MS: u64 = 100;
 
-/// How a cut ends.
+/// How a partition ends.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PartitionEnding {
     Healed,
-    /// One of the others loses its disk and the rest are dark for some time, in which the cut heals: those that are
-    /// there first lack what was changed meanwhile.
+    /// One of the other machines loses its disk and the rest are down for `dark` ms, during which the partition heals:
+    /// the machines that are available first lack recent changes.
     Behind {
         dark: u64,
     },
-    /// Just after the cut has healed, the processes of the others are killed.
+    /// Just after the partition has healed, the processes of the other machines are killed.
     Relieved,
-    /// Those that are cut off are restarted, then the others.
+    /// The isolated machines restart, then the others.
     BothRestarted,
 }
 
 impl PartitionEnding {
-    /// Time that it takes beyond the cut.
+    /// Returns the time in ms that the ending takes beyond the partition itself.
     pub fn duration(self) -> u64 {
         match self {
             PartitionEnding::Healed => 0,
@@ -48,7 +48,7 @@
     }
 }
 
-/// Machines that lack something, and those that are to go dark.
+/// The machines that lack recent changes, and those that go down for `dark` ms.
 #[derive(Clone, PartialEq, Eq, Debug)]
 pub struct LeftBehind {
     group: Vec<MemberId>,
@@ -56,18 +56,18 @@
     dark: u64,
 }
 
-/// Which calls are sent to a machine that is cut off.
+/// The changes that are sent to an isolated machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Bait {
-    /// A change as it returns.
+    /// One change at about the time at which the machine returns.
     Meet,
-    /// Two racing changes as it returns.
+    /// Two racing changes at about the time at which the machine returns.
     Race,
-    /// Changes during the cut, each sent to it again and again.
+    /// Changes throughout the partition, each retried at this machine until the partition ends.
     Hard,
 }
 
-/// A machine that a call is sent to, again and again until some time.
+/// A machine that a request is sent to, with retries to it until `until`.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Aim {
     pub machine: usize,
@@ -75,14 +75,14 @@
 }
 
 impl Cluster {
-    /// Machines that are lost, or back for less than the time to catch up.
+    /// Returns the machines that are lost, or back for less than the catch-up time.
     pub fn counted_lost(&self) -> Vec<usize> {
         let counts = |m: &usize| self.machines[*m].disturbed_until > self.now;
         (0..self.machines.len()).filter(counts).collect()
     }
 
-    /// Whether a cut of several machines waits: all others have to be whole. It isn't made at all if there isn't time
-    /// enough for it before the end.
+    /// Whether a partition of several machines must wait or be skipped. It waits until all other machines have recovered,
+    /// and is skipped if it would not end within the fault window.
     pub fn partition_waits(&mut self, fault: &Fault) -> bool {
         let Fault::PartitionGroup { down, ending, .. } = fault else { return false };
         let (_, end) = self.scenario.fault_window;
@@ -94,7 +94,7 @@
         !may_begin
     }
 
-    /// Cuts as many machines as may be lost off from all others.
+    /// Isolates as many machines as the tolerance permits from all others.
     pub fn isolate_group(
         &mut self,
         direction: PartitionDirection,
@@ -123,7 +123,7 @@
         }
     }
 
-    /// Cuts half of the machines off from the other half. Nobody else is on either side.
+    /// Partitions the machines into two halves. Operators and subscribers reach both.
     pub fn split_in_halves(&mut self, down: u64) {
         let mut half = self.living();
         half.shuffle(&mut self.random);
@@ -172,7 +172,7 @@
         }
     }
 
-    /// The machines that count go dark; one comes back first, with an empty disk if no other disk was lost.
+    /// Takes the other machines down; one returns first, with an empty disk if no other disk was lost.
     pub fn leave_behind(&mut self, left: LeftBehind) {
         let LeftBehind { group, others, dark } = left;
         let has_disk = |member: &MemberId| self.machines.iter().any(|m| m.member() == *member && !m.removed);
--- a/crates/control-plane/tests/support/operators.rs
+++ b/crates/control-plane/tests/support/operators.rs
@@ -1,5 +1,5 @@
-//! Operators and trainers as the pages describe them: up to eight calls under way at once, each on top of the version
-//! that its sender saw last, sent again as it was to another machine after no clear answer, with growing pauses.
+//! Operators and trainers as the specification describes them: up to eight requests in flight, each based on the version
+//! that its sender saw last, and retried unchanged at another machine, with growing backoff, if its outcome is unknown.
 
 use orchidvalve_configuration::fingerprint;
 use orchidvalve_control_plane::peer_messages::{HeadRequest, RequestOutcome};
@@ -15,20 +15,20 @@
 use super::network_partitions::Aim;
 use super::scenario::PlantedBug;
 
-/// Calls that one operator has under way at most.
+/// The maximum number of requests that one operator has in flight.
 const MAX_IN_FLIGHT: usize = 8;
-/// A call that isn't answered within this time is sent to another machine.
+/// Time in ms after which a request without a response is sent to another machine.
 const SILENCE_MS: u64 = 1_000;
 const FIRST_BACKOFF_MS: u64 = 50;
 const MAX_BACKOFF_MS: u64 = 800;
-/// Longest way of a call or an answer.
+/// The longest delay in ms of a request or a response.
 const MAX_DELAY_MS: u64 = 8;
-/// Share of the calls sent into a cut that arrive when it ends.
+/// Fraction of the requests sent to a partitioned machine that arrive once the partition heals.
 const HELD_SHARE: f64 = 0.3;
-/// Share of the calls to a dead process whose sender hears of it at once.
+/// Fraction of the requests to a dead process whose sender receives a connection reset.
 const RESET_SHARE: f64 = 0.5;
 
-/// What a call asks for.
+/// The operation that a request performs.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Request {
     Configure { index: ChangeIndex, number: ChangeNumber },
@@ -36,14 +36,14 @@
     Read,
 }
 
-/// One send of a call.
+/// One sending of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Attempt {
     pub call: usize,
     number: u32,
 }
 
-/// What a machine answers to one send.
+/// The response of a machine to one attempt.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Reply {
     Accepted,
@@ -51,7 +51,7 @@
     Invalid,
     /// 503, or the connection was reset.
     Unknown,
-    /// Version of the configuration and fingerprint of what brought it; None for no configuration.
+    /// Version and fingerprint of the configuration that a read saw; `None` if there was no configuration.
     Seen(Option<(u64, u64)>),
 }
 
@@ -69,25 +69,25 @@
     operator: usize,
     pub request: Request,
     sends: u32,
-    /// Event of the last send, and when that was.
+    /// Stamp of the last attempt, and its time in ms.
     sent: Stamp,
     pub sent_at: u64,
-    /// A send that is waited for.
+    /// Whether an attempt awaits its response.
     waiting: bool,
-    /// Machines that the last sends went to.
+    /// Machines that the most recent attempts went to.
     tried: Vec<usize>,
     pub is_over: bool,
-    /// The machine that it is sent to in any case.
+    /// The machine that must receive the request, if it is aimed at one.
     pub aim: Option<Aim>,
-    /// Since when it has been open while the cluster was stable.
+    /// Time in ms since which the request has been open in a stable cluster.
     pub stable_since: Option<u64>,
 }
 
-/// What one operator knows.
+/// The versions that one operator knows.
 #[derive(Clone, Copy, Default, Debug)]
 struct Operator {
     seen: u64,
-    /// The version of its newest change, which may not be accepted.
+    /// The version of the operator's latest change, which may not have been accepted.
     newest: u64,
 }
 
@@ -98,9 +98,9 @@
     pub history: History,
     named: u64,
     stopped: bool,
-    /// The machine that calls which begin now are for.
+    /// The machine that newly started requests are aimed at.
     aim: Option<Aim>,
-    /// Sends that arrive when the cut of their machine ends.
+    /// Attempts that arrive when the partition of their machine heals.
     held: Vec<(usize, Attempt)>,
     pub acknowledged: u64,
 }
@@ -114,7 +114,7 @@
         self.stopped = true;
     }
 
-    /// Whether no new changes are wanted.
+    /// Whether operators have stopped sending new changes.
     pub fn has_stopped(&self) -> bool {
         self.stopped
     }
@@ -151,7 +151,7 @@
         match self.random.random_range(0..100) {
             0..60 => self.send_change(operator),
             60..72 => {
-                // Another operator takes the same number for another change on the same base.
+                // Another operator uses the same version for a different change on the same base.
                 self.send_change(operator);
                 let other = (operator + 1) % self.operators.operators.len();
                 self.operators.operators[other].seen = self.operators.operators[operator].seen;
@@ -175,7 +175,7 @@
 
     fn send_change(&mut self, operator: usize) {
         let Operator { seen, newest } = self.operators.operators[operator];
-        // Some build on a change of their own that is still under way.
+        // Some changes are based on the operator's own change that is still in flight.
         let base = if newest > seen && self.random.random_bool(0.3) { newest } else { seen };
         let version = base + if self.random.random_bool(0.9) { 1 } else { 2 };
         self.operators.operators[operator].newest = version;
@@ -194,7 +194,7 @@
         self.configure(operator, change, base, version, true);
     }
 
-    /// Bytes of filling of the next change.
+    /// Returns the number of filling bytes in the next change.
     fn filling(&self) -> usize {
         let number = self.operators.history.changes.len();
         match self.scenario.huge {
@@ -203,7 +203,7 @@
         }
     }
 
-    /// A change whose version isn't above its base.
+    /// Sends a change whose version is not above its base, which must be rejected as invalid.
     fn send_improper_change(&mut self, operator: usize) {
         let base = self.operators.operators[operator].seen;
         let note = format!("i{}", self.operators.history.changes.len());
@@ -250,7 +250,7 @@
         let sent = self.operators.history.stamp();
         let most_left_out = self.scenario.tolerance;
         let open = &mut self.operators.calls[call];
-        // As many machines as may be lost are left out, as callers go on to others.
+        // As callers do, the request skips the machines tried most recently, as many as the tolerance allows to be lost.
         open.tried.push(machine);
         if open.tried.len() > most_left_out {
             open.tried.remove(0);
@@ -264,20 +264,20 @@
         }
         let attempt = Attempt { call, number: open.sends };
         let request = open.request;
-        self.trace(|| format!("operator: call {call} {request:?} to machine {machine}"));
+        self.trace(|| format!("operator: request {call} {request:?} to machine {machine}"));
         let way = self.random.random_range(1..=MAX_DELAY_MS);
         self.schedule(way, Event::Operator(OperatorEvent::Arrival { attempt, machine }));
         self.schedule(SILENCE_MS, Event::Operator(OperatorEvent::Silence { attempt }));
     }
 
-    /// The machine that a call has to be sent to, if it is there.
+    /// Returns the machine that a request is aimed at, unless it has been removed.
     fn aimed_machine(&self, call: usize) -> Option<usize> {
         let call = &self.operators.calls[call];
         let aim = call.aim.filter(|aim| call.sends == 0 || self.now < aim.until)?;
         Some(aim.machine).filter(|machine| !self.machines[*machine].removed)
     }
 
-    /// Some operator sends a change to this machine, if it hasn't too many calls under way.
+    /// A random operator sends a change to this machine, unless it has too many requests in flight.
     pub fn send_aimed_change(&mut self, aim: Aim) {
         let operator = self.random.random_range(0..self.operators.operators.len());
         if self.operators.stopped || self.has_many_under_way(operator) {
@@ -303,7 +303,7 @@
         }
     }
 
-    /// Calls that couldn't get through to this machine arrive.
+    /// Delivers the attempts that were held back by the partition of this machine.
     pub fn release_held_calls(&mut self, machine: usize) {
         let held = std::mem::take(&mut self.operators.held);
         let (arriving, waiting) = held.into_iter().partition(|(to, _)| *to == machine);
@@ -336,7 +336,7 @@
         self.begin_sync(machine);
     }
 
-    /// A machine has decided on one send of a call.
+    /// Checks the outcome that a machine decided for one attempt, and sends the response.
     pub fn attempt_decided(
         &mut self,
         machine: usize,
@@ -346,7 +346,7 @@
     ) {
         let request = self.operators.calls[attempt.call].request;
         let (Request::Configure { number, .. } | Request::NameVersion { number }) = request else {
-            return self.checker.fail("a read was answered as a change".to_owned());
+            return self.checker.fail("a read was completed as a change".to_owned());
         };
         let proper = match request {
             Request::Configure { index, .. } => self.operators.history.changes[index].proper,
@@ -358,7 +358,7 @@
             RequestOutcome::Invalid { .. } if !proper => Reply::Invalid,
             RequestOutcome::Unknown => Reply::Unknown,
             other => {
-                return self.checker.fail(format!("a proper call {request:?} was answered as {other:?}"));
+                return self.checker.fail(format!("a proper request {request:?} was completed as {other:?}"));
             }
         };
         match reply {
@@ -371,7 +371,7 @@
         self.reply(machine, attempt, reply);
     }
 
-    /// A machine answers one send of a read.
+    /// Responds to one attempt of a read with the configuration that the machine holds.
     pub fn attempt_read(&mut self, machine: usize, attempt: Attempt) {
         let Some(control_node) = &self.machines[machine].control_node else { return };
         let seen = control_node.state().configuration().map(|c| (c.version(), c.fingerprint()));
@@ -387,7 +387,7 @@
         }
     }
 
-    /// The process that a send was for is not there, or not any more.
+    /// Handles an attempt whose receiving process is not running or has ended.
     pub fn connection_reset(&mut self, attempt: Attempt) {
         if self.random.random_bool(RESET_SHARE) {
             let reply = Reply::Unknown;
@@ -399,7 +399,7 @@
         if !self.operators.is_open(attempt) {
             return;
         }
-        self.trace(|| format!("operator: call {} is answered {reply:?}", attempt.call));
+        self.trace(|| format!("operator: request {} is completed: {reply:?}", attempt.call));
         if reply == Reply::Unknown {
             return self.call_failed(attempt);
         }
@@ -422,7 +422,7 @@
                     let operator = &mut self.operators.operators[operator];
                     operator.seen = operator.seen.max(version);
                 } else if reply == Reply::OtherVersion {
-                    // What is current has to be known before the next change.
+                    // The operator reads the current version before its next change.
                     self.operators.operators[operator].newest = 0;
                     self.begin_call(operator, Request::Read);
                 }
@@ -436,11 +436,11 @@
 
     fn read_seen(&mut self, operator: usize, called: Stamp, returned: Stamp, reply: Reply) {
         let Reply::Seen(seen) = reply else {
-            return self.checker.fail(format!("a read was answered {reply:?}"));
+            return self.checker.fail(format!("a read was completed as {reply:?}"));
         };
         let known = seen.map(|(_, print)| self.change_prints.get(&print).copied());
         if known == Some(None) {
-            return self.checker.fail(format!("a read saw {seen:?}, which nobody sent"));
+            return self.checker.fail(format!("a read saw {seen:?}, which no operator sent"));
         }
         let version = seen.map_or(0, |(version, _)| version);
         self.operators.history.reads.push(RecordedRead { called, returned, seen: known.flatten() });
@@ -448,7 +448,7 @@
         operator.seen = operator.seen.max(version);
     }
 
-    /// No clear answer to a send: the call is sent again, to another machine, after a pause that grows.
+    /// Retries a request whose attempt had no clear outcome, at another machine, after a growing backoff.
     fn call_failed(&mut self, attempt: Attempt) {
         if !self.operators.is_open(attempt) {
             return;
@@ -461,7 +461,7 @@
         self.schedule(pause, Event::Operator(OperatorEvent::Send { call }));
     }
 
-    /// The history as a whole, once nothing is sent any more.
+    /// Checks the complete history for linearizability, after the last request has been sent.
     pub fn check_history(&mut self) {
         if let Err(contradiction) = self.operators.history.check() {
             self.checker.fail(contradiction.to_string());
--- a/crates/control-plane/tests/support/order_roles.rs
+++ b/crates/control-plane/tests/support/order_roles.rs
@@ -1,5 +1,5 @@
-//! Weight orders: which machine may give any, by the singleton roles of the process. The check is that no two machines do
-//! within one lease.
+//! Weight orders: which machine may give them, decided by the singleton roles of its process. The check is that no two
+//! machines give orders within one lease.
 
 use std::collections::BTreeMap;
 
@@ -10,13 +10,13 @@
 use super::cluster::Cluster;
 use super::scenario::PlantedBug;
 
-/// Nobody else may order for so long after an order.
+/// Length of the lease in ms: no other machine may give orders within this time after an order.
 const LEASE_MS: u64 = 3_000;
 
-/// The singleton roles of one start of a process, as far as they tell who may order.
+/// The singleton roles of one start of a process, as far as they decide whether it may give orders.
 pub struct OrderRole {
     roles: SingletonRoles,
-    /// The newest view's epoch and head.
+    /// Epoch and head of the latest view.
     head: Option<(u64, MemberId)>,
 }
 
@@ -33,7 +33,7 @@
     }
 }
 
-/// When each machine gave orders last, and the highest term of any.
+/// The time in ms of each machine's last order, and the highest term of any order.
 #[derive(Default, Debug)]
 pub struct OrderHistory {
     last: BTreeMap<usize, u64>,
@@ -41,11 +41,11 @@
 }
 
 impl OrderHistory {
-    /// A machine may give orders now.
+    /// Records that a machine may give orders now.
     ///
     /// # Errors
     ///
-    /// Another one did a moment ago, or under a higher term.
+    /// Returns a violation if another machine gave orders within the lease, or an order had a higher term.
     fn note(&mut self, machine: usize, term: u64, now: u64) -> Result<(), String> {
         let other = self.last.iter().find(|(other, at)| **other != machine && now < **at + LEASE_MS);
         if let Some((other, at)) = other {
@@ -70,7 +70,7 @@
         self.scenario.platform.then(|| OrderRole::new(lease_ms))
     }
 
-    /// A machine has learned of a view, which may make it the one that orders.
+    /// Applies a view that a machine learned of, which may make it the machine that gives orders.
     pub fn order_role_view_changed(&mut self, machine: usize, view: &View) {
         let now = self.now;
         let host = &mut self.machines[machine];
@@ -84,7 +84,7 @@
         role.head = head.map(|head| (view.epoch, head));
     }
 
-    /// What the process does about orders after each input.
+    /// Records an order if the machine may give one, as the process does after each input.
     pub fn give_orders(&mut self, machine: usize) {
         let now = self.now;
         let host = &mut self.machines[machine];
--- a/crates/control-plane/tests/support/placements.rs
+++ b/crates/control-plane/tests/support/placements.rs
@@ -1,5 +1,5 @@
-//! Placements of partitions on stores and registrations of stores, as the head of the chain enters them. That they are
-//! right is for other tests; here they are control state that nobody resends, and that everyone has to hold alike.
+//! Placements of partitions on store nodes and registrations of store nodes, proposed by the head of the chain. Other
+//! tests check that placements are correct; here they are control state that is not resent and must be equal everywhere.
 
 use orchidvalve_control_state::{Change, Placement};
 use orchidvalve_protocol::identity::MemberId;
@@ -7,11 +7,11 @@
 
 use super::cluster::{Cluster, Event, address};
 
-/// Addresses of stores lie above those of control nodes.
+/// Store nodes have addresses above those of control nodes.
 const FIRST_STORE: u8 = 200;
 pub const STORES: u8 = 5;
 const PARTITIONS: u16 = 8;
-/// Share of the changes that register a store with another disk.
+/// Fraction of the changes that register a store node with another disk.
 const REGISTRATIONS: f64 = 0.2;
 
 impl Cluster {
--- a/crates/control-plane/tests/support/random_faults.rs
+++ b/crates/control-plane/tests/support/random_faults.rs
@@ -1,4 +1,4 @@
-//! Faults of the simulated machines, and what has to hold once they are over.
+//! Random faults of the simulated machines, and the checks once all faults are over.
 
 use orchidvalve_control_plane::node::ControlNode;
 use rand::Rng;
@@ -6,33 +6,33 @@
 
 use super::cluster::{Cluster, Event, address};
 
-/// A machine that is back counts as lost for at most so long.
+/// The longest time in ms for which a machine that has returned still counts as lost.
 pub const RECOVERY_MS: u64 = 4_000;
-/// a system without faults acknowledges from this time on.
+/// Time in ms after the last fault from which a system without faults acknowledges changes.
 const CALM_MS: u64 = 3_000;
-/// An acknowledgement in a system without faults comes within this time.
+/// A system without faults acknowledges a change within this time in ms.
 const ANSWER_MS: u64 = 1_000;
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RandomFault {
-    /// The process ends; what was written stays on the disk.
+    /// The process ends; all written records stay on the disk.
     Kill,
     PowerLoss,
-    /// Loss of power; the machine comes back with an empty disk.
+    /// The machine loses power and comes back with an empty disk.
     Wipe,
     Freeze,
-    /// Nothing from the machine arrives anywhere, or nothing arrives at it.
+    /// Either no messages from the machine arrive, or no messages to it.
     OneWayPartition,
-    /// Nothing from the machine arrives at one other machine.
+    /// Messages from the machine to one other machine are lost.
     SingleLinkPartition,
     DiskHang,
-    /// The machine goes for good and another one comes at another address.
+    /// The machine is removed permanently, and an empty one is added at another address.
     Replacement,
     /// All machines lose power at once.
     PowerLossOfAll,
     /// All processes end at once.
     KillOfAll,
-    /// All machines lose power at once, and one of them its disk.
+    /// All machines lose power at once, and one of them also loses its disk.
     PowerLossOfAllAndWipe,
 }
 
@@ -111,7 +111,7 @@
         }
     }
 
-    /// The process ends at once. `tells`: the machine goes on and closes its connections.
+    /// Ends a process at once. `tells`: the machine stays up and closes the process's connections.
     pub fn crash(&mut self, machine: usize, tells: bool, pause: u64) {
         let address = self.machines[machine].address;
         self.machines[machine].lost = Some(u64::MAX);
@@ -157,7 +157,7 @@
         }
     }
 
-    /// Everything stops right after an acknowledgement.
+    /// Injects a fault of all machines, right after an acknowledgement.
     pub fn blackout(&mut self) {
         if self.quiet || self.lost() > 0 {
             return;
@@ -228,8 +228,8 @@
         self.schedule(CALM_MS + ANSWER_MS, Event::CheckChain);
     }
 
-    /// Whether every machine knows the newest view, and as many of them as the tolerance asks for are voters and in
-    /// the chain. Further ones stand by.
+    /// Whether every machine knows the latest view, and as many of them as the tolerance requires are voters and in
+    /// the chain. Further machines are standbys.
     pub fn is_whole(&self) -> bool {
         let Some(view) = self.newest_view() else { return false };
         let present: Vec<&super::cluster::Machine> = self.machines.iter().filter(|m| !m.removed).collect();
@@ -243,25 +243,26 @@
 
     pub fn check_chain(&mut self) {
         if let Some(change) = self.clients.open_probe(&self.checker) {
-            let message = format!("a calm system hasn't acknowledged {change:?} within {ANSWER_MS} ms");
+            let message =
+                format!("a system without faults has not acknowledged {change:?} within {ANSWER_MS} ms");
             return self.checker.fail(message);
         }
         if self.is_whole() {
             self.clients.stop();
             self.operators.stop();
-            // Calls under way end in between, and the last machine hears of the last commit.
+            // Requests in flight complete in the meantime, and the last machine receives the last commit.
             return self.schedule(2_000, Event::End);
         }
         let (_, last) = self.scenario.fault_window;
         if self.now >= last + self.scenario.back_within {
             let view = self.newest_view();
-            let message = format!("the chain isn't whole after the storm: {view:?}");
+            let message = format!("the chain is not complete after the faults: {view:?}");
             return self.checker.fail(message);
         }
         self.schedule(250, Event::CheckChain);
     }
 
-    /// All machines hold the same state, with everything that was ever committed.
+    /// Checks that all machines hold the same state, including every committed change.
     pub fn finish(&mut self) {
         let end = self.checker.end();
         for machine in self.living() {
@@ -273,7 +274,7 @@
             }
         }
         if !self.subscribers_have(end) {
-            self.checker.fail(format!("a follower hasn't all {end} changes at the end"));
+            self.checker.fail(format!("a subscriber does not have all {end} changes at the end"));
         }
         self.check_history();
         self.recovery.finish();
--- a/crates/control-plane/tests/support/recovery.rs
+++ b/crates/control-plane/tests/support/recovery.rs
@@ -1,5 +1,5 @@
-//! What has to hold again some time after a fault: orders are acknowledged, the tolerance is whole, subscribers are
-//! fresh. Times are measured on the way.
+//! The guarantees that hold again some time after a fault: requests are acknowledged, the full tolerance is restored, and
+//! subscribers are up to date. Also measures the recovery times.
 
 use std::collections::VecDeque;
 
@@ -12,28 +12,28 @@
 /// Bounds of the deployments, in milliseconds.
 pub const ACK_MS: u64 = 4_000;
 pub const CATCH_UP_MS: u64 = 4_400;
-/// A read isn't an order. Machines outside the chain leave it unclear, and callers may meet several of these in a row.
+/// Bound for reads in ms: machines outside the chain leave a read unclear, and callers may try several of these in a row.
 const READ_MS: u64 = 10_000;
 pub const CONTACT_MS: u64 = 3_000;
-/// Pause between two looks.
+/// Pause in ms between two checks.
 const WATCH_MS: u64 = 20;
-/// A machine or subscriber that has what was committed so long ago is up to date.
+/// A machine or subscriber is up to date if it has everything that was committed this many ms ago.
 const LAG_MS: u64 = 300;
-/// A subscriber of a stable cluster shows what was committed so long ago.
+/// Subscribers of a stable cluster must have everything that was committed this many ms ago.
 const FRESH_MS: u64 = 2_000;
 
-/// Times of one recovery in milliseconds; None for what another fault cut short.
+/// Times of one recovery in milliseconds; `None` if another fault began before.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct RecoveryTimes {
-    /// From the fault to the answer to the first order that was sent after it.
+    /// From the fault to the response to the first request that was sent after it.
     pub first_acknowledgement: Option<u64>,
-    /// From the fault until its last machine was back.
+    /// From the fault until the last affected machine was back.
     pub outage: Option<u64>,
-    /// From then until the full tolerance was there again.
+    /// From the end of the outage until the full tolerance was restored.
     pub tolerance: Option<u64>,
-    /// From then until the last subscriber was up to date.
+    /// From the end of the outage until the last subscriber was up to date.
     pub subscribers: Option<u64>,
-    /// From then until every machine was in the chain, which is more than the tolerance needs.
+    /// From the end of the outage until every machine was in the chain, which is more than the tolerance requires.
     pub chain: Option<u64>,
 }
 
@@ -43,31 +43,31 @@
     back_at: Option<u64>,
     times: RecoveryTimes,
     pub finished: Vec<RecoveryTimes>,
-    /// When something last happened that ends the stability of the cluster.
+    /// Time in ms of the last event that made the cluster unstable.
     pub unstable_at: u64,
-    /// When a disk was last seen to hang.
+    /// Time in ms at which a disk was last observed to hang.
     disk_hung_at: u64,
-    /// Committed changes as of some time ago.
+    /// Times and numbers of committed changes, over the last `LAG_MS` and `FRESH_MS`.
     ends: VecDeque<(u64, u64)>,
     older_ends: VecDeque<(u64, u64)>,
 }
 
 impl Recovery {
-    /// A fault begins.
+    /// Records the begin of a fault.
     pub fn fault_injected(&mut self, now: u64) {
         self.finish();
         self.faulted_at = Some(now);
         self.unstable_at = now;
     }
 
-    /// An order that was sent at `sent_at` is acknowledged.
+    /// Records the acknowledgement of a request that was sent at `sent_at`.
     pub fn acknowledged(&mut self, now: u64, sent_at: u64) {
         if let Some(faulted_at) = self.faulted_at.filter(|at| sent_at > *at) {
             self.times.first_acknowledgement.get_or_insert(now - faulted_at);
         }
     }
 
-    /// Keeps the times of a recovery that is over, or cut short by the next fault.
+    /// Stores the times of a recovery that is complete or was interrupted by the next fault.
     pub fn finish(&mut self) {
         if self.faulted_at.take().is_some() {
             self.finished.push(std::mem::take(&mut self.times));
@@ -76,7 +76,7 @@
     }
 }
 
-/// Notes what is committed now; what was `lag` ago, or at the first note.
+/// Records the current number of committed changes, and returns the number as of `lag` ms ago (or of the first record).
 fn committed_before(ends: &mut VecDeque<(u64, u64)>, lag: u64, now: u64, end: u64) -> u64 {
     ends.push_back((now, end));
     while ends.get(1).is_some_and(|(at, _)| at + lag <= now) {
@@ -94,12 +94,13 @@
         let older_end = committed_before(&mut self.recovery.older_ends, FRESH_MS, now, newest);
         if stable && !self.free_subscribers_have(older_end) {
             let state = self.describe();
-            self.checker.fail(format!("a follower lacks what was committed {FRESH_MS} ms ago; {state}"));
+            self.checker.fail(format!("a subscriber lacks what was committed {FRESH_MS} ms ago; {state}"));
         }
         if stable && self.disks_are_sound() && !self.free_subscribers_show_the_list() {
             let lists: Vec<u32> = self.free_lists().collect();
             let state = self.describe();
-            self.checker.fail(format!("followers show the platform's lists {lists:?}, older ones; {state}"));
+            self.checker
+                .fail(format!("subscribers show the platform's lists {lists:?}, older ones; {state}"));
         }
         self.check_acknowledgements(stable);
         let end = committed_before(&mut self.recovery.ends, LAG_MS, now, newest);
@@ -112,7 +113,7 @@
         let Some(back_at) = self.recovery.back_at else { return };
         let passed = self.now - back_at;
         if self.recovery.times.tolerance.is_none() && self.tolerance_is_whole(end) {
-            self.trace(|| "the tolerance is whole again".to_owned());
+            self.trace(|| "the full tolerance is restored".to_owned());
             self.recovery.times.tolerance = Some(passed);
         }
         if self.recovery.times.subscribers.is_none() && self.subscribers_have(end) {
@@ -129,7 +130,7 @@
         }
     }
 
-    /// Notes which machines are away or disturbed. While these are more than the tolerance bears, nobody can catch up.
+    /// Records which machines are down or disturbed. While these exceed the tolerance, no machine can catch up.
     fn note_disturbed(&mut self) {
         let until = self.now + DISTURBED_MS;
         let disturbed: Vec<usize> =
@@ -145,7 +146,7 @@
         }
     }
 
-    /// No disk has been hanging for as long as it takes to put another head in the place of its machine.
+    /// Whether no disk has been hanging for as long as it takes to replace a head whose disk hangs.
     fn disks_are_sound(&self) -> bool {
         self.machines.iter().all(|m| m.removed || !m.hanging)
             && self.now >= self.recovery.disk_hung_at + CONTACT_MS
@@ -156,7 +157,7 @@
         !machine.removed && (!machine.runs() || machine.isolated || machine.shutdown.is_some() || slow)
     }
 
-    /// The greatest number of machines that run and all reach each other.
+    /// Returns the size of the largest set of running machines that all reach each other.
     fn connected(&self) -> usize {
         let running = self.living();
         let linked = |left: usize, right: usize| {
@@ -171,7 +172,7 @@
         groups.map(members).filter(all_linked).map(|group| group.len()).max().unwrap_or(0)
     }
 
-    /// More than half of the cluster runs and is connected, and nothing has happened to it for a while.
+    /// Whether more than half of the cluster runs, is connected, and has not been disturbed for a while.
     fn cluster_is_stable(&self) -> bool {
         let control_node = self.machines.iter().filter(|m| !m.removed).count();
         let slowed = self.machines.iter().any(|m| m.sync_factor > 1 || m.slowness > 1);
@@ -196,7 +197,8 @@
         }
         if let Some((request, bound)) = late {
             let state = self.describe();
-            let message = format!("{request:?} isn't answered after {bound} ms of a stable core; {state}");
+            let message =
+                format!("{request:?} has no response after {bound} ms of a stable cluster; {state}");
             self.checker.fail(message);
         }
     }
@@ -209,8 +211,8 @@
         self.machines.iter().all(back) && links_sound && self.answer_loss == 0.0
     }
 
-    /// As many machines as the tolerance says may be lost, whichever they are: a majority of the voters is left
-    /// that knows the view, and a machine of the chain that has everything committed up to `end`.
+    /// Whether as many machines as the tolerance permits could be lost, whichever they are: a majority of the voters that
+    /// know the view would remain, and a machine of the chain that has everything committed up to `end`.
     pub fn tolerance_is_whole(&self, end: u64) -> bool {
         let Some(view) = self.newest_view() else { return false };
         let knows = |m: &&Machine| {
@@ -227,7 +229,7 @@
         voters >= majority + self.scenario.tolerance && copies > self.scenario.tolerance
     }
 
-    /// What every machine thinks, for the report of a violation.
+    /// Describes the state of every machine, for the report of a violation.
     pub fn describe(&self) -> String {
         let view =
             |view: Option<&View>| view.map_or("none".to_owned(), |v| format!("{}:{:?}", v.epoch, v.chain));
@@ -248,7 +250,7 @@
     }
 }
 
-/// Minimum, median, 99th percentile and maximum.
+/// Samples, reported as minimum, median, 99th percentile and maximum.
 #[derive(Default)]
 pub struct Distribution(Vec<u64>);
 
--- a/crates/control-plane/tests/support/retirements.rs
+++ b/crates/control-plane/tests/support/retirements.rs
@@ -1,5 +1,5 @@
-//! Calls to empty store nodes. A store that is registered stays known, so "there is no such machine" (404) is
-//! wrong whenever the registration was committed before the call came; an accepted call is noted in the state.
+//! Requests to retire store nodes. A registered store node stays known, so the response "not found" (404) is wrong if
+//! the registration was committed before the request arrived; an accepted request is recorded in the control state.
 
 use orchidvalve_control_plane::node::{RequestOrigin, RetirementVerdict};
 use orchidvalve_control_plane::peer_messages::{HeadRequest, RequestOutcome};
@@ -11,7 +11,7 @@
 use super::placements::STORES;
 use super::scenario::PlantedBug;
 
-/// Pause between two calls.
+/// Pause in ms between two requests.
 const PAUSE_MS: u64 = 150;
 
 fn name_of(store: u8) -> String {
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Some store is to be emptied; any machine may be asked, also one that is cut off.
+    /// Requests the retirement of a random store node from any machine, including partitioned ones.
     pub fn retire(&mut self) {
         if self.operators.has_stopped() {
             return;
@@ -51,7 +51,7 @@
         control_node.is_some_and(|control_node| control_node.state().stores().contains_key(&name_of(store)))
     }
 
-    /// The head's host has nothing against it: how many sessions it sees is for other tests.
+    /// Allows every retirement as the host of the head; the check of the number of sessions has its own tests.
     pub fn allow_retirement(&mut self, machine: usize, origin: RequestOrigin, name: &str) {
         if let Some(control_node) = &mut self.machines[machine].control_node {
             control_node.decide_retirement(origin, name, RetirementVerdict::Allowed);
@@ -63,13 +63,13 @@
         match outcome {
             RequestOutcome::NotFound { .. } if is_known => {
                 self.checker
-                    .fail(format!("store {store} wasn't found though its registration was committed"));
+                    .fail(format!("store node {store} was not found though its registration was committed"));
             }
             RequestOutcome::Done if !is_known_now => {
-                self.checker.fail(format!("store {store} is to be emptied but isn't known"));
+                self.checker.fail(format!("store node {store} is to be retired but is not registered"));
             }
             RequestOutcome::Done | RequestOutcome::NotFound { .. } | RequestOutcome::Unknown => {}
-            other => self.checker.fail(format!("a retirement was answered as {other:?}")),
+            other => self.checker.fail(format!("a retirement was completed as {other:?}")),
         }
     }
 }
--- a/crates/control-plane/tests/support/scenario.rs
+++ b/crates/control-plane/tests/support/scenario.rs
@@ -1,4 +1,4 @@
-//! What may happen in a run, and what it has seen.
+//! The parameters of a simulation run, and its summary.
 
 use orchidvalve_control_plane::peer_messages::PeerMessage;
 use rand::{Rng, SeedableRng};
@@ -7,54 +7,54 @@
 use super::fault_script::FaultStep;
 use super::random_faults::{RandomFault, SINGLE_MACHINE_FAULTS};
 
-/// Ways in which a run cheats, to prove that the invariant checker sees it.
+/// Bugs that a run plants on purpose, to prove that the invariant checker detects them.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum PlantedBug {
     /// Disks report records as durable as soon as they are appended.
     LyingDisks,
-    /// Changes are answered as done as soon as they are entered.
+    /// Changes are answered as done as soon as they are submitted.
     EarlyAnswers,
     /// Refused changes are answered as done.
     RefusalsAsDone,
     /// Changes that are done are answered as refused.
     DoneAsRefusals,
-    /// Reads are answered with what the machine happens to hold.
+    /// Reads are answered from the local state of the machine, without a barrier.
     LocalReads,
-    /// Every machine skips a committed change at times.
+    /// Every machine occasionally skips a committed change.
     SkippedChanges,
-    /// Calls are never answered as unclear.
+    /// Requests never complete with an unknown outcome.
     NoTimeouts,
-    /// Messages of the chain get lost for ever once the faults have ended.
+    /// Messages of the chain are lost forever once the faults have ended.
     SilentChain,
-    /// Refusals are given by what the machine happens to hold.
+    /// Refusals are decided from the local state of the machine.
     LocalRefusals,
-    /// A start doesn't find the newest entries of its log.
+    /// A start does not find the latest entries of its log.
     ForgottenEntries,
-    /// A start doesn't find what the agreement has promised and decided.
+    /// A start does not find the promises and decisions of the agreement on views.
     ForgottenVotes,
-    /// Machines that copy the log say at once that they have it all.
+    /// Learners always report that they are caught up.
     HastyLearners,
-    /// Members acknowledge entries to their predecessors before these are on their disks.
+    /// Members acknowledge entries to their predecessors before the entries are durable.
     EarlyAcknowledgements,
-    /// A process that is told to stop ends at once.
+    /// A process exits as soon as it receives the stop signal.
     HastyShutdowns,
-    /// All starts of a process number their calls alike.
+    /// All starts of a process use the same incarnation, and thus the same request numbers.
     SameIncarnation,
-    /// A control node goes by the position that it knows of an earlier session of a subscriber.
+    /// A control node uses a subscriber's position from an earlier session.
     StaleFeedPositions,
-    /// Subscribers take an older state for a newer one.
+    /// Subscribers replace a newer state by an older one.
     BackwardFeed,
-    /// A control node that has no quorum keeps its subscribers.
+    /// A control node without a quorum keeps its subscribers.
     KeptSubscribers,
-    /// Tables of servers bear the view of the head, which outlives its process, in place of a term of its own.
+    /// Server tables are numbered by the epoch of the view, which outlives the process of the head, and not by a term.
     ViewNumberedTables,
-    /// A new head gives orders without waiting for the lease of the former one.
+    /// A new head gives orders without waiting for the lease of the former head to expire.
     NoLease,
-    /// A machine says by its own state alone that there is no such store.
+    /// A machine responds from its local state alone that a store node does not exist.
     LocalNotFound,
 }
 
-/// What may happen in a run.
+/// The parameters of a simulation run. Times are in milliseconds.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     pub machines: u8,
@@ -62,56 +62,56 @@
     pub faults: Vec<RandomFault>,
     /// Mean time between faults.
     pub fault_interval: u64,
-    /// No fault happens before and after these times.
+    /// Time span outside of which no fault begins.
     pub fault_window: (u64, u64),
-    /// Shares of the messages that are lost and doubled in the fault window, and their longest delay.
+    /// Fractions of the messages that are lost and duplicated in the fault window, and the longest delay of a message.
     pub loss: f64,
     pub doubling: f64,
     pub delay: u64,
-    /// All machines have to be in the chain again so long after the end of the fault window.
+    /// Time after the end of the fault window by which all machines must be in the chain again.
     pub back_within: u64,
     pub client_interval: u64,
     /// Bytes of filling in each configuration.
     pub filling: usize,
-    /// Changes that the head enters by itself at each step of the clients.
+    /// Changes proposed by the head itself at each step of the clients.
     pub own_changes: u32,
-    /// Operators that work as the pages say, in place of the random clients; 0 for these.
+    /// Number of operators, which replace the random clients; 0 runs the random clients.
     pub operators: usize,
-    /// Pause between two calls of one operator.
+    /// Pause between two requests of one operator.
     pub operator_pause: u64,
-    /// Entries of the chain that are sent to a process get lost for so long after a start in the fault window.
+    /// Time after a start in the fault window during which chain entries sent to the process are lost.
     pub slow_copies: u64,
-    /// Every so many changes of the operators, one has so many bytes of filling.
+    /// `(every, bytes)`: every so many changes of the operators, one has this many bytes of filling.
     pub huge: Option<(usize, usize)>,
     pub subscribers: usize,
-    /// Pause between two changes of placements that the head enters; 0 for none.
+    /// Pause between two placement changes proposed by the head; 0 disables them.
     pub placement_pause: u64,
     /// Whether links keep the order of their messages, as connections do.
     pub keeps_order: bool,
-    /// Whether the head reads the platform's list, tells everyone of it and gives orders.
+    /// Whether the head polls the platform's list, distributes server tables and gives orders.
     pub platform: bool,
     pub script: Vec<FaultStep>,
-    /// Whether faults affect machines that are lost already, once these are as many as the tolerance bears.
+    /// Whether faults affect only machines that are already lost once these are as many as the tolerance permits.
     pub within_tolerance: bool,
-    /// Bytes per millisecond that a machine can send; None for any number.
+    /// Bytes per millisecond that a machine can send; `None` for no limit.
     pub bandwidth: Option<u64>,
-    /// Whether every state is compared with that of all others; bodies may be too large for that.
+    /// Whether the states of all machines are compared; very large bodies make this too slow.
     pub compares_states: bool,
-    /// Share of the acknowledgements that a blackout follows.
+    /// Fraction of the acknowledgements that are followed by a fault of all machines.
     pub blackout_after_acknowledgement: f64,
     pub planted_bug: Option<PlantedBug>,
     pub mutation: Option<Mutation>,
 }
 
 impl Scenario {
-    /// Random faults of single machines for eleven seconds, on links that lose messages in half of the runs.
+    /// Random faults of single machines until 12 s, on links that lose messages in half of the runs.
     pub fn with_random_faults(seed: u64, machines: u8) -> Scenario {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ 0x5bd1_e995);
         let lossy = random.random_bool(0.5);
         Scenario {
             faults: SINGLE_MACHINE_FAULTS.to_vec(),
             fault_interval: random.random_range(200..2_500),
-            // All seeds take part in the first view: one that joins later is taken in with a second one only.
+            // All seeds take part in the first view: a machine that joins later is only included in a second view.
             fault_window: (random.random_range(800..2_000), 12_000),
             loss: if lossy { random.random_range(0.0..0.1) } else { 0.0 },
             doubling: if lossy { 0.05 } else { 0.0 },
@@ -154,18 +154,18 @@
     }
 }
 
-/// How one message is changed.
+/// The way in which one message is mutated.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MutationKind {
     Drop,
     Double,
-    /// The message arrives in part, and its connection ends.
+    /// Only a part of the message arrives, and its connection closes.
     CutOff,
-    /// The message arrives, and once more after the next views.
+    /// The message arrives twice, the second time 4 s later, after further views.
     Replay,
 }
 
-/// The message of a kind, counted from 0 after the first view, that is changed.
+/// Selects the message to mutate: by its kind, and by its number among that kind, from 0.
 #[derive(Clone, Copy, Debug)]
 pub struct Mutation {
     pub kind: usize,
@@ -173,7 +173,7 @@
     pub how: MutationKind,
 }
 
-/// Number of a message's kind; None for those that the state machine doesn't take.
+/// Returns the number of a message's kind, or `None` for messages that the state machine does not process.
 pub fn kind_of(message: &PeerMessage) -> Option<usize> {
     use orchidvalve_chain_replication::Message as Chain;
     use orchidvalve_consensus::Message as Agreement;
@@ -212,7 +212,7 @@
     Some(kind)
 }
 
-/// What a run has seen.
+/// Counters of a simulation run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Summary {
     pub events: u64,
@@ -224,9 +224,9 @@
     pub unclear: u64,
     pub reads: u64,
     pub checkpoints: u64,
-    /// Most records that a disk held.
+    /// The largest number of records held on any disk.
     pub records: usize,
     pub graceful_shutdowns: u64,
-    /// Graceful shutdowns that waited until the others could do without.
+    /// Graceful shutdowns that waited until the other machines no longer needed the process.
     pub handed_over: u64,
 }
--- a/crates/control-plane/tests/support/server_tables.rs
+++ b/crates/control-plane/tests/support/server_tables.rs
@@ -1,6 +1,6 @@
-//! The platform's list, the tables of servers that the head makes of it, and their way to the other machines and to
-//! the subscribers. The rules are those of `singleton_roles`, `process::connections` and `subscribers`, without sockets: a link keeps the
-//! order of its messages, and begins with the whole table.
+//! The platform's server list, the server tables that the head makes of it, and their distribution to the other machines
+//! and to subscribers. The rules are those of `singleton_roles`, `process::connections` and `subscribers`, without
+//! sockets: a link keeps the order of its messages and begins with the complete table.
 
 use std::collections::VecDeque;
 use std::net::Ipv4Addr;
@@ -13,42 +13,42 @@
 use super::cluster::{Cluster, Event};
 use super::scenario::PlantedBug;
 
-/// The platform's list changes so often.
+/// Interval in ms at which the platform's list changes.
 const CHANGE_MS: u64 = 300;
-/// Way of a page of the list.
+/// Time in ms until a page of the list arrives.
 const PAGE_MS: u64 = 7;
-/// Pause until a message that can't get through is tried again.
+/// Pause in ms until the delivery of a blocked message is retried.
 const HELD_MS: u64 = 50;
-/// A subscriber of a stable cluster shows what the platform listed so long ago.
+/// In a stable cluster, subscribers show the platform's list with at most this delay in ms.
 pub const LISTED_MS: u64 = 2_500;
 
-/// A page of the list on its way to the head.
+/// A page of the platform's list on its way to the head.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
     asked_at: u64,
     list: u32,
 }
 
-/// What a process knows of the platform's list.
+/// The knowledge of one process about the platform's list.
 #[derive(Default, Debug)]
 pub struct ListState {
     pub table: ServerTable,
-    /// Since it has been the head.
+    /// Whether the process was the head at its last turn.
     is_head: bool,
     listed: Option<u32>,
     reading: Option<PendingRead>,
     next_poll: u64,
 }
 
-/// Tables under way on one link, in order, each for one start of the receiver.
+/// Tables in flight on one link, in order, each with the start number of the receiving process.
 pub type TableQueue = VecDeque<(u32, ServerTableUpdate)>;
 
-/// Number of the platform's list at some time.
+/// Returns the number of the platform's list at the given time in ms.
 fn list_at(time: u64) -> u32 {
     u32::try_from(time / CHANGE_MS).unwrap_or(u32::MAX)
 }
 
-/// A list whose number can be read from its only server.
+/// Returns the servers of a list: a single server whose slot count is the number of the list.
 fn servers_of(list: u32) -> Vec<ServerEntry> {
     vec![ServerEntry {
         instance: "i-1".to_owned(),
@@ -61,13 +61,13 @@
     }]
 }
 
-/// Number of the list that a table shows; 0 for none.
+/// Returns the number of the list that a table shows, or 0 if the table is empty.
 pub fn list_of(table: &ServerTable) -> u32 {
     table.servers().next().map_or(0, |server| server.slots)
 }
 
 impl Cluster {
-    /// What the process does for its table after each input.
+    /// Updates the server table of a process, as it does after each input.
     pub fn keep_table(&mut self, machine: usize) {
         if !self.scenario.platform {
             return;
@@ -117,7 +117,7 @@
         }
     }
 
-    /// A link stands: the whole table is told first.
+    /// Sends the complete table, the first message on a newly opened link.
     pub fn send_whole_table(&mut self, machine: usize, other: usize, start: u32) {
         if self.scenario.platform {
             let whole = self.machines[machine].list_state.table.snapshot();
@@ -133,7 +133,7 @@
         self.schedule(self.scenario.delay, Event::Table { from, to });
     }
 
-    /// The next table on a link arrives, once there is a way and the receiver isn't frozen.
+    /// Delivers the next table on a link, or retries later if the link is blocked or the receiver is frozen.
     pub fn table_arrives(&mut self, from: usize, to: usize) {
         if self.blocked_links.contains(&(from, to)) || self.machines[to].frozen {
             return self.schedule(HELD_MS, Event::Table { from, to });
@@ -146,7 +146,7 @@
         }
     }
 
-    /// Sends every subscriber what its table lacks.
+    /// Sends every subscriber the updates that its table lacks.
     pub fn advance_tables(&mut self, machine: usize) {
         if !self.scenario.platform {
             return;
@@ -163,7 +163,7 @@
         }
     }
 
-    /// Whether all subscribers that nothing is in the way of show what the platform listed a while ago.
+    /// Whether all subscribers that are not partitioned show the list that the platform had `LISTED_MS` ago.
     pub fn free_subscribers_show_the_list(&self) -> bool {
         let expected = list_at(self.now.saturating_sub(LISTED_MS));
         !self.scenario.platform || self.free_lists().all(|list| list >= expected)
--- a/crates/control-plane/tests/support/shutdown.rs
+++ b/crates/control-plane/tests/support/shutdown.rs
@@ -1,26 +1,26 @@
-//! Graceful shutdowns: a process is told to stop, hands over as the control process does, and ends.
+//! Graceful shutdowns: a process receives the stop signal, hands over as the control process does, and exits.
 
 use orchidvalve_consensus::View;
 
 use super::cluster::Cluster;
 
-/// Time that a process has from the order to stop until it is killed.
+/// Time in ms from the stop signal until the process is killed.
 pub const GRACE_MS: u64 = 8_000;
-/// The control process ends by itself so long before that.
+/// The control process exits by itself this many ms before it would be killed.
 const ENDING_MARGIN_MS: u64 = 1_500;
-/// Longest time until the loss of a machine shows: it is asked each 200 ms, and its last answer counts for 700 ms.
+/// Longest time in ms to detect the loss of a machine: it is probed every 200 ms, and a reply is valid for 700 ms.
 const DETECTION_MS: u64 = 900;
 
-/// What follows a graceful shutdown.
+/// What happens to the machine after a graceful shutdown.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AfterShutdown {
-    /// The machine is taken away.
+    /// The machine is removed permanently.
     Removed,
-    /// The process starts again after this time.
+    /// The process restarts after this time in ms.
     Restart(u64),
 }
 
-/// A graceful shutdown under way.
+/// A graceful shutdown in progress.
 #[derive(Clone, Copy, Debug)]
 pub struct Shutdown {
     deadline: u64,
@@ -28,7 +28,7 @@
 }
 
 impl Cluster {
-    /// The process of a machine is told to stop.
+    /// Sends the stop signal to the process of a machine.
     pub fn request_shutdown(&mut self, machine: usize, after_shutdown: AfterShutdown) {
         let deadline = self.now + GRACE_MS - ENDING_MARGIN_MS;
         let host = &mut self.machines[machine];
@@ -38,8 +38,8 @@
         }
     }
 
-    /// Whether the other machines are a majority of the voters and hold a whole copy in a chain without this one.
-    /// One that was lost a moment ago counts: nobody can know yet.
+    /// Whether the other machines have a majority of the voters and a complete copy of the log in a chain without this
+    /// machine. A machine lost less than `DETECTION_MS` ago counts as present, since its loss cannot be detected yet.
     fn others_go_on_without(&self, machine: usize) -> bool {
         let Some(view) = self.newest_view() else { return true };
         let stands = |m: &usize| {
@@ -53,16 +53,16 @@
         leaves_chain && voters > view.voters.len() / 2 && others.iter().any(|m| has_all(&m))
     }
 
-    /// Whether a machine is of a chain and has everything on its disk.
+    /// Whether a machine is in the chain and has all acknowledged changes on its disk.
     fn holds_all(&self, machine: usize, view: &View) -> bool {
         let host = &self.machines[machine];
-        // Entries may be there that aren't known to be committed yet.
+        // The disk may also hold entries that are not known to be committed yet.
         let end = self.checker.floor();
         !host.removed && view.in_chain(host.member()) && host.disk.recover().log.end() >= end
     }
 
-    /// Whether nobody needs the process of a machine, whoever else runs: the newest view doesn't name it, and what it
-    /// knows of views is on the disks of a majority of their voters.
+    /// Whether the process of a machine is not needed, whichever others run: the latest view does not include it, and the
+    /// view that it knows is durable on a majority of that view's voters.
     fn is_outside(&self, machine: usize) -> bool {
         let host = &self.machines[machine];
         let (Some(newest), me) = (self.newest_view(), host.member()) else { return true };
@@ -76,12 +76,13 @@
         !is_named && knowing > known.voters.len() / 2 && others().any(|m| self.holds_all(m, &newest))
     }
 
+    /// Whether the disk of a machine holds this view or a later one.
     fn has_on_disk(&self, machine: usize, view: &View) -> bool {
         let durable = self.machines[machine].disk.recover().agreement.and_then(|state| state.view);
         durable.is_some_and(|durable| durable.epoch >= view.epoch)
     }
 
-    /// Ends a process that was told to stop, once it may go or its time is up. True if it ended.
+    /// Ends a process that is shutting down once it may leave or its deadline has passed. Returns `true` if it ended.
     pub fn exit_if_due(&mut self, machine: usize) -> bool {
         let host = &self.machines[machine];
         let (Some(shutdown), Some(control_node)) = (host.shutdown, &host.control_node) else { return false };
@@ -93,7 +94,7 @@
         }
         if handed_over && !self.others_go_on_without(machine) && !self.is_outside(machine) {
             let state = self.describe();
-            self.checker.fail(format!("machine {machine} ends while the others need it; {state}"));
+            self.checker.fail(format!("machine {machine} exits while the others need it; {state}"));
         }
         self.trace(|| format!("machine {machine}: ends, handed over: {handed_over}"));
         self.summary.graceful_shutdowns += 1;
--- a/crates/control-plane/tests/support/subscribers.rs
+++ b/crates/control-plane/tests/support/subscribers.rs
@@ -1,5 +1,5 @@
-//! Subscribers of the feed: each has a [`FeedReplica`] and a session that moves. The rules of the session on both sides are
-//! those of `control_client::FeedClient` and of `subscribers` and `process` in the control process, without sockets.
+//! Subscribers of the feed: each has a [`FeedReplica`] and a session that moves between control nodes. Both sides follow
+//! the rules of `control_client::FeedClient` and of `subscribers` and `process` in the control process, without sockets.
 
 use std::collections::BTreeMap;
 
@@ -17,13 +17,13 @@
 const SILENCE_MS: u64 = 900;
 const WELCOME_TIMEOUT_MS: u64 = 350;
 const RETRY_MS: u64 = 60;
-/// The control node ends a session that is silent for this time.
+/// Time in ms after which the control node closes an idle session.
 const HOST_SILENCE_MS: u64 = 650;
-/// Way of a message; the same for all, so that a session keeps their order.
+/// Delay in ms of every message; it is constant, so a session keeps the order of its messages.
 const DELAY_MS: u64 = 2;
 const MAINTAIN_MS: u64 = 25;
 
-/// Number of a session, never used twice.
+/// Unique number of a session.
 pub type SessionNumber = u64;
 
 #[derive(Debug)]
@@ -43,13 +43,13 @@
     controls: Vec<NodeAddress>,
     next: usize,
     retry_at: u64,
-    /// Machines that it can't reach.
+    /// Machines that the subscriber cannot reach.
     pub unreachable: Vec<usize>,
-    /// Highest change that this process has ever shown.
+    /// The highest sequence number that this process has shown.
     shown: u64,
 }
 
-/// A session at its control node.
+/// A session on the side of its control node.
 #[derive(Debug)]
 pub struct HostedSession {
     pub subscriber: usize,
@@ -155,7 +155,7 @@
         if let Some(session) = subscriber.session.take() {
             subscriber.retry_at = retry_at;
             let (machine, number) = (session.machine, session.number);
-            // The end of the connection arrives where the way is open.
+            // The end of the connection is noticed only if the machine can be reached.
             if !self.subscribers[index].unreachable.contains(&machine) {
                 self.machines[machine].sessions.remove(&number);
             }
@@ -168,7 +168,7 @@
         }
     }
 
-    /// All subscribers' processes begin anew.
+    /// Restarts the processes of all subscribers, with empty replicas.
     pub fn restart_subscribers(&mut self) {
         self.leave_all_sessions();
         for subscriber in &mut self.subscribers {
@@ -178,7 +178,7 @@
         }
     }
 
-    /// Subscribers whose session is with this machine.
+    /// Returns the subscribers whose session is with this machine.
     pub fn subscribers_at(&self, machine: usize) -> Vec<usize> {
         let is_there = |f: &Subscriber| f.session.as_ref().is_some_and(|s| s.machine == machine);
         (0..self.subscribers.len()).filter(|f| is_there(&self.subscribers[*f])).collect()
@@ -278,7 +278,7 @@
         self.schedule(delay, Event::Feed(event));
     }
 
-    /// Time that a large message takes on the machine's line, if that is narrow.
+    /// Returns the transmission time in ms of a large message, if the line of the machine is narrow.
     fn transmission(&mut self, machine: usize, message: &ControlMessage) -> u64 {
         let bytes = match message {
             ControlMessage::Snapshot { state, .. } => state.len(),
@@ -288,7 +288,7 @@
         self.line_delay(machine, bytes)
     }
 
-    /// What the control process does for its subscribers after each input.
+    /// Serves the subscribers of a machine, as the control process does after each input.
     pub fn serve_subscribers(&mut self, machine: usize) {
         if self.machines[machine].sessions.is_empty() {
             return;
@@ -306,7 +306,7 @@
         self.advance_subscribers(machine);
     }
 
-    /// Sends every subscriber what it doesn't have yet.
+    /// Sends every subscriber the changes that it lacks.
     fn advance_subscribers(&mut self, machine: usize) {
         self.advance_tables(machine);
         let Some(control_node) = &self.machines[machine].control_node else { return };
@@ -388,26 +388,26 @@
         }
     }
 
-    /// A subscriber shows the state of all machines as of some change, and never an older one than before.
+    /// Checks that a subscriber shows the expected state for its sequence number, and never goes back to an older one.
     fn check_subscriber(&mut self, index: usize) {
         let subscriber = &mut self.subscribers[index];
         let sequence = subscriber.copy.sequence();
         if sequence < subscriber.shown {
             let message =
-                format!("follower {index} went back from change {} to {sequence}", subscriber.shown);
+                format!("subscriber {index} went back from change {} to {sequence}", subscriber.shown);
             return self.checker.fail(message);
         }
         subscriber.shown = sequence;
         self.checker.check_subscriber(index, self.subscribers[index].copy.state(), sequence);
     }
 
-    /// Whether all subscribers that nothing is in the way of show everything up to `end`.
+    /// Whether all subscribers that are not partitioned have everything up to `end`.
     pub fn free_subscribers_have(&self, end: u64) -> bool {
         let free = self.subscribers.iter().filter(|subscriber| subscriber.unreachable.is_empty());
         free.clone().all(|subscriber| subscriber.copy.sequence() >= end)
     }
 
-    /// Numbers of the platform's lists that the subscribers show which nothing is in the way of.
+    /// Returns the numbers of the platform's lists shown by the subscribers that are not partitioned.
     pub fn free_lists(&self) -> impl Iterator<Item = u32> {
         let free = self.subscribers.iter().filter(|subscriber| subscriber.unreachable.is_empty());
         free.map(|subscriber| list_of(subscriber.copy.servers()))
@@ -418,5 +418,5 @@
     }
 }
 
-/// Positions that a sabotaged control process keeps beyond the end of a session.
+/// Positions that a control process with a planted bug keeps after the end of a session, by subscriber.
 pub type RememberedPositions = BTreeMap<usize, u64>;
--- a/crates/control-plane/tests/usage_support/mod.rs
+++ b/crates/control-plane/tests/usage_support/mod.rs
@@ -1,4 +1,4 @@
-//! A head that reports usage, its committed and its tentative state, and the platform.
+//! A head that reports usage, with its committed and tentative state, and a stub of the platform.
 
 #![allow(dead_code)]
 
@@ -16,21 +16,21 @@
 use orchidvalve_protocol::server_table::ServerTable;
 use serde_json::json;
 
-use crate::sockets_support::{MOST_TURNS, Peer, TURN, listen};
+use crate::sockets_support::{MAX_TURNS, Peer, TURN, listen};
 
 pub const WINDOW_MS: u64 = 5_000;
 pub const LATE_MS: u64 = 10_000;
 pub const WINDOW: u64 = 353_445_120;
 pub const TERM: u64 = 12;
 pub const LEASE_MS: u64 = 3_000;
-/// A new head sends nothing for this time.
+/// Time in ms for which a new head sends nothing: the lease, and the time in which a call of its predecessor may arrive.
 pub const LEASE_WAIT_MS: u64 = LEASE_MS + ORDER_VALIDITY_MS + CONNECT_TIMEOUT_MS + NEW_USER_TIMEOUT_MS;
-/// Time of the steady clock at which the window starts.
+/// Monotonic time in ms at which the window starts.
 pub const SINCE: u64 = 200_000;
-/// The platform's list without servers.
+/// The platform's response to a list request: an empty list of servers.
 const EMPTY_LIST: &str = "HTTP/1.1 200 OK\r\nContent-Length: 37\r\nConnection: close\r\n\r\n\
                           {\"instances\": [], \"next-token\": null}";
-/// Turns in which something would have happened if it were to.
+/// Number of turns after which a call that has not arrived is assumed not to come.
 const IDLE_TURNS: usize = 4;
 
 pub fn state_with_tenants() -> ControlState {
@@ -44,7 +44,7 @@
     state
 }
 
-/// The report of a window without requests is decided.
+/// Decides the report of a window without requests.
 pub fn decide(state: &mut ControlState, window: u64) {
     let report = UsageReport { window, ..UsageReport::default() };
     state.apply(&Change::DecideUsageReport(report)).expect("it fits");
@@ -72,28 +72,28 @@
     pub roles: SingletonRoles,
     table: ServerTable,
     collection: UsageCollection,
-    /// The committed state.
+    /// The committed control state.
     pub state: ControlState,
-    /// The state with all changes that were proposed.
+    /// The control state including all proposed changes.
     pub tentative: ControlState,
     pub now: u64,
-    /// Whether a quorum has just confirmed this head.
+    /// Whether a quorum confirms this head at every turn.
     pub confirmed: bool,
-    /// All calls fail as they begin.
+    /// Whether no calls are started, as if all connections to the platform failed.
     pub platform_is_down: bool,
-    /// Calls of this head that are over.
+    /// Number of completed calls of this head.
     completed: usize,
-    /// When calls reached the platform.
+    /// Times in ms at which calls reached the platform.
     pub sent_at: Vec<u64>,
 }
 
 impl Head {
-    /// A head since the window starts, with the lease.
+    /// Creates a head that holds the lease and has been the head since the window started.
     pub fn new(platform: &Platform, term: u64, state: ControlState) -> Head {
         Head::begin(options(platform.address, &[USAGE_REPORTING_ROLE]), term, state, SINCE, true)
     }
 
-    /// A head that follows another one at this time.
+    /// Creates a head that succeeds another one at the given time in ms.
     pub fn successor(platform: &Platform, term: u64, state: ControlState, at: u64) -> Head {
         Head::begin(options(platform.address, &[USAGE_REPORTING_ROLE]), term, state, at, false)
     }
@@ -129,12 +129,12 @@
         head
     }
 
-    /// The time of day, in milliseconds since 1970.
+    /// Returns the wall-clock time in milliseconds since 1970.
     fn wall_ms(&self) -> u64 {
         WINDOW * WINDOW_MS + self.now - SINCE
     }
 
-    /// A gateway has told a count in the window so many after the first.
+    /// Records that a gateway reported a count for the window `offset` windows after the first.
     pub fn count(&mut self, incarnation: u64, offset: u64, tenant: &str, requests: u64) {
         let counts = vec![TenantRequests { tenant: tenant.to_owned(), requests }];
         let window = WINDOW + offset;
@@ -145,7 +145,7 @@
         );
     }
 
-    /// So long after the start of the window.
+    /// Advances the time to `since_start` ms after the start of the window.
     pub fn pass_to(&mut self, since_start: u64) {
         assert!(SINCE + since_start >= self.now);
         self.now = SINCE + since_start;
@@ -155,7 +155,7 @@
         self.now += milliseconds;
     }
 
-    /// Decides what is due.
+    /// Proposes the usage reports whose windows are due.
     pub fn decide(&mut self) {
         let wall_ms = self.wall_ms();
         for change in self.roles.decide_usage(self.now, wall_ms, &self.tentative, &self.collection) {
@@ -163,12 +163,12 @@
         }
     }
 
-    /// All that was proposed is committed.
+    /// Commits all proposed changes.
     pub fn commit(&mut self) {
         self.state = self.tentative.clone();
     }
 
-    /// One turn of the event loop.
+    /// Runs one turn of the event loop.
     pub fn turn(&mut self) {
         for event in self.network.poll(TURN).expect("it works") {
             let completed = match event {
@@ -199,23 +199,23 @@
     }
 
     pub fn until<T>(&mut self, mut found: impl FnMut(&mut Head) -> Option<T>) -> T {
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             if let Some(result) = found(self) {
                 return result;
             }
             self.turn();
         }
-        panic!("it doesn't come");
+        panic!("the expected event did not occur within {MAX_TURNS} turns");
     }
 
-    /// The first window is over and its report committed.
+    /// Advances the time until the report of the first window is due, decides and commits it.
     pub fn decide_first_window(&mut self) {
         self.pass_to(WINDOW_MS + DECISION_DELAY_MS);
         self.decide();
         self.commit();
     }
 
-    /// When this role is to be called next. The platform's list is read before, as that would be due otherwise.
+    /// Returns the next wakeup time of the roles. The platform's list is read first; otherwise it would be due next.
     pub fn next_wakeup(&mut self, platform: &mut Platform) -> u64 {
         self.roles.poll_list(&mut self.network, self.now);
         let before = self.completed;
@@ -225,10 +225,10 @@
                 list = platform.listener.accept().ok().map(|(stream, _)| Peer::new(stream));
             }
             if let Some(peer) = &mut list {
-                peer.look();
+                peer.receive();
                 if peer.text().ends_with("\r\n\r\n") {
                     assert!(peer.text().starts_with("GET /instances"), "{}", peer.text());
-                    peer.got.clear();
+                    peer.inbox.clear();
                     peer.send(EMPTY_LIST);
                 }
             }
@@ -243,7 +243,7 @@
     address: SocketAddrV4,
 }
 
-/// A call that the platform has read.
+/// A call that the platform has received.
 pub struct Call {
     peer: Peer,
     pub head: String,
@@ -256,12 +256,12 @@
         Platform { listener, address }
     }
 
-    /// The next call, at the present time.
+    /// Receives the next call without advancing the time.
     pub fn call(&mut self, head: &mut Head) -> Call {
         self.call_within(head, 0)
     }
 
-    /// The next call, while at most so much time passes.
+    /// Receives the next call, advancing the time by up to the given number of milliseconds.
     pub fn call_within(&mut self, head: &mut Head, milliseconds: u64) -> Call {
         let limit = head.now + milliseconds;
         let mut peer = head.until(|head| {
@@ -272,7 +272,7 @@
             accepted
         });
         let text = head.until(|_| {
-            peer.look();
+            peer.receive();
             let text = peer.text();
             (text.contains("\r\n\r\n") && text.ends_with('}')).then(|| text.to_owned())
         });
@@ -281,11 +281,11 @@
         Call { peer, head: format!("{lines}\r\n"), body: body.to_owned() }
     }
 
-    /// No call comes at the present time.
+    /// Asserts that no call arrives at the current time.
     pub fn expect_no_call(&mut self, head: &mut Head) {
         for _ in 0..IDLE_TURNS {
             head.turn();
-            assert!(self.listener.accept().is_err(), "a call came");
+            assert!(self.listener.accept().is_err(), "an unexpected call arrived");
         }
     }
 }
@@ -295,7 +295,7 @@
         self.peer.send(&format!("HTTP/1.1 {status} It\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"));
     }
 
-    /// The head has read the answer.
+    /// Runs the head until it has read the response.
     pub fn wait_until_read(&self, head: &mut Head) {
         let before = head.completed;
         head.until(|head| (head.completed > before).then_some(()));
