--- a/crates/control-plane/tests/golden_requests.rs
+++ b/crates/control-plane/tests/golden_requests.rs
@@ -51,7 +51,7 @@
     }
 
     fn accept(&mut self, listener: &TcpListener) -> Peer {
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             if let Ok((stream, _)) = listener.accept() {
                 return Peer::new(stream);
             }
@@ -62,12 +62,12 @@
 
     /// Reads the next complete request on a connection, advancing the time by `step_ms` with each turn.
     fn request(&mut self, peer: &mut Peer, step_ms: u64) -> String {
-        for _ in 0..MOST_TURNS {
-            peer.look();
+        for _ in 0..MAX_TURNS {
+            peer.receive();
             let text = peer.text();
             if text.contains("\r\n\r\n") && (!text.starts_with("POST") || text.ends_with('}')) {
                 let text = text.to_owned();
-                peer.got.clear();
+                peer.inbox.clear();
                 return text;
             }
             self.turn();
--- a/crates/control-plane/tests/http_client.rs
+++ b/crates/control-plane/tests/http_client.rs
@@ -67,7 +67,7 @@
     }
 
     fn until<T>(&mut self, mut found: impl FnMut(&mut ClientFixture) -> Option<T>) -> T {
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             if let Some(result) = found(self) {
                 return result;
             }
@@ -83,10 +83,10 @@
 
     fn request(&mut self, peer: &mut Peer) {
         self.until(|_| {
-            peer.look();
+            peer.receive();
             peer.text().ends_with("\r\n\r\n").then_some(())
         });
-        peer.got.clear();
+        peer.inbox.clear();
     }
 
     /// Waits for the next completed exchange. Returns its number and the body of its response.
@@ -109,7 +109,7 @@
     fn reuses(&mut self, peer: &mut Peer, connection_use: ConnectionUse) -> bool {
         self.start(99, connection_use);
         self.until(|fixture| {
-            peer.look();
+            peer.receive();
             if peer.text().ends_with("\r\n\r\n") {
                 return Some(true);
             }
@@ -215,7 +215,7 @@
     let mut next = fixture.accept();
     fixture.request(&mut next);
     fixture.until(|_| {
-        early.look();
+        early.receive();
         early.ended.then_some(())
     });
     assert!(early.text().find(REQUEST).is_none());
@@ -258,10 +258,10 @@
     assert_eq!(expired.iter().map(|f| (f.purpose, f.response.is_some())).collect::<Vec<_>>(), [(1, false)]);
     let mut peer = fixture.accept();
     fixture.until(|_| {
-        peer.look();
+        peer.receive();
         peer.ended.then_some(())
     });
-    assert!(peer.got.is_empty());
+    assert!(peer.inbox.is_empty());
 }
 
 /// The connection is established while this process is suspended, and the request is still in the outbox.
@@ -278,10 +278,10 @@
     assert_eq!(expired.iter().map(|f| (f.purpose, f.response.is_some())).collect::<Vec<_>>(), [(1, false)]);
     let mut peer = fixture.accept();
     fixture.until(|_| {
-        peer.look();
+        peer.receive();
         peer.ended.then_some(())
     });
-    assert!(peer.got.is_empty());
+    assert!(peer.inbox.is_empty());
 }
 
 #[test]
@@ -300,7 +300,7 @@
     let expired = fixture.client.expire(&mut fixture.network, fixture.now);
     assert_eq!(expired.iter().map(|f| (f.purpose, f.response.is_some())).collect::<Vec<_>>(), [(1, false)]);
     fixture.until(|_| {
-        peer.look();
+        peer.receive();
         peer.ended.then_some(())
     });
     assert!(!fixture.reuses(&mut peer, ConnectionUse::Reused));
--- a/crates/control-plane/tests/peer_links.rs
+++ b/crates/control-plane/tests/peer_links.rs
@@ -19,7 +19,7 @@
     let address = v4(network.listen(loopback(), 1).unwrap());
     let peers: Vec<Peer> = (0..count).map(|_| Peer::connect(address)).collect();
     let mut accepted = Vec::new();
-    for _ in 0..MOST_TURNS {
+    for _ in 0..MAX_TURNS {
         let events = network.poll(TURN).unwrap().into_iter();
         accepted.extend(events.filter_map(|event| match event {
             Event::Accepted { connection, .. } => Some(connection),
--- a/crates/control-plane/tests/role_discovery.rs
+++ b/crates/control-plane/tests/role_discovery.rs
@@ -66,7 +66,7 @@
     /// Starts the next reading and returns the platform's end of its connection.
     fn next_reading(&mut self) -> Peer {
         self.roles.poll_list(&mut self.network, self.now);
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             if let Ok((stream, _)) = self.platform.accept() {
                 let mut peer = Peer::new(stream);
                 self.request(&mut peer);
@@ -78,8 +78,8 @@
     }
 
     fn request(&mut self, peer: &mut Peer) {
-        for _ in 0..MOST_TURNS {
-            peer.look();
+        for _ in 0..MAX_TURNS {
+            peer.receive();
             if peer.text().ends_with("\r\n\r\n") {
                 return;
             }
@@ -96,7 +96,7 @@
     fn respond_with(&mut self, peer: &mut Peer, response: &str) -> Vec<ServerTableUpdate> {
         peer.send(response);
         let completed = self.completed;
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             let updates = self.turn();
             if self.completed > completed {
                 return updates;
@@ -161,7 +161,7 @@
     head.roles.set_term(Some(TERM + 1));
     assert!(head.roles.next_wakeup() <= head.now);
     head.roles.poll_list(&mut head.network, head.now);
-    peer.got.clear();
+    peer.inbox.clear();
     head.request(&mut peer);
     assert_eq!(head.respond(&mut peer, &["one"]).len(), 1);
     assert_eq!(head.servers(), ["one"]);
@@ -172,7 +172,7 @@
 /// Reads the next request on the connection.
 fn next_request(head: &mut Head, peer: &mut Peer) -> String {
     head.roles.poll_list(&mut head.network, head.now);
-    peer.got.clear();
+    peer.inbox.clear();
     head.request(peer);
     peer.text().lines().next().unwrap_or_default().to_owned()
 }
--- a/crates/control-plane/tests/role_scaling.rs
+++ b/crates/control-plane/tests/role_scaling.rs
@@ -88,7 +88,7 @@
         let list =
             json!({ "instances": [instance(1), instance(2), instance(3)], "next-token": null }).to_string();
         peer.send(&format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()));
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             if head.table.servers().count() == 3 {
                 return head;
             }
@@ -134,7 +134,7 @@
     }
 
     fn accept(&mut self) -> Peer {
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             if let Ok((stream, _)) = self.platform.accept() {
                 return Peer::new(stream);
             }
@@ -146,8 +146,8 @@
     /// Accepts the next order, responds to it and returns its request.
     fn respond_to_order(&mut self, response: &str) -> String {
         let mut peer = self.accept();
-        for _ in 0..MOST_TURNS {
-            peer.look();
+        for _ in 0..MAX_TURNS {
+            peer.receive();
             if peer.text().ends_with('}') {
                 break;
             }
--- a/crates/control-plane/tests/role_weight_rollout.rs
+++ b/crates/control-plane/tests/role_weight_rollout.rs
@@ -83,7 +83,7 @@
     }
 
     fn until<T>(&mut self, mut found: impl FnMut(&mut Head) -> Option<T>) -> T {
-        for _ in 0..MOST_TURNS {
+        for _ in 0..MAX_TURNS {
             if let Some(result) = found(self) {
                 return result;
             }
@@ -108,10 +108,10 @@
     /// Reads the next request on a connection.
     fn next_request(&mut self, peer: &mut Peer) -> String {
         let text = self.until(|_| {
-            peer.look();
+            peer.receive();
             peer.text().contains("\r\n\r\n").then(|| peer.text().to_owned())
         });
-        peer.got.clear();
+        peer.inbox.clear();
         text
     }
 
@@ -145,7 +145,7 @@
         let due = head.next_probe_at();
         head.order(due);
         head.turn();
-        peer.look();
+        peer.receive();
         assert!(due < SINCE + LEASE_MS + 2_000, "no probe was sent");
     }
     assert!(head.next_request(&mut peer).starts_with("GET /v1/report"));
@@ -157,7 +157,7 @@
     let (mut head, mut peer) = head_with_probe();
     peer.send(&report(false));
     head.until(|_| {
-        peer.look();
+        peer.receive();
         peer.ended.then_some(())
     });
     head.order(head.now + 1);
@@ -169,7 +169,7 @@
     let (mut head, mut peer) = head_with_probe();
     peer.send(ACCEPTED);
     head.until(|_| {
-        peer.look();
+        peer.receive();
         peer.ended.then_some(())
     });
     head.order(head.now + 1);
@@ -185,7 +185,7 @@
         let due = head.next_probe_at();
         head.order(due);
         (0..3).for_each(|_| head.turn());
-        peer.look();
+        peer.receive();
         text = peer.text().to_owned();
         assert!(due < SINCE + LEASE_MS + 4_000, "no second probe was sent");
     }
--- a/crates/control-plane/tests/subscribers.rs
+++ b/crates/control-plane/tests/subscribers.rs
@@ -38,11 +38,11 @@
 
 /// Reads the next message at the subscriber's end.
 fn next(network: &mut Network, peer: &mut Peer) -> ControlMessage {
-    for _ in 0..MOST_TURNS {
+    for _ in 0..MAX_TURNS {
         network.poll(TURN).unwrap();
-        peer.look();
-        if let Some((message, length)) = read_frame::<ControlMessage>(&peer.got).unwrap() {
-            peer.got.drain(..length);
+        peer.receive();
+        if let Some((message, length)) = read_frame::<ControlMessage>(&peer.inbox).unwrap() {
+            peer.inbox.drain(..length);
             return message;
         }
     }
@@ -56,7 +56,7 @@
         Event::Accepted { connection, .. } => Some(connection),
         _ => None,
     };
-    for _ in 0..MOST_TURNS {
+    for _ in 0..MAX_TURNS {
         if let Some(connection) = network.poll(TURN).unwrap().into_iter().find_map(accepted) {
             return (connection, peer);
         }
@@ -192,15 +192,15 @@
     let feed = Feed { state: &state, applied: 0, first_change: 1, servers: &table };
     let mut most_queued = 0;
     let mut received: Vec<FeedReplica> = peers.iter().map(|_| FeedReplica::default()).collect();
-    for _ in 0..MOST_TURNS {
+    for _ in 0..MAX_TURNS {
         subscribers.send_updates(&mut network, &feed, &|_| Vec::new());
         let queued: usize = peers.iter().map(|(connection, _)| network.queued_bytes(*connection)).sum();
         most_queued = most_queued.max(queued);
         network.poll(std::time::Duration::ZERO).unwrap();
         for ((_, peer), replica) in peers.iter_mut().zip(&mut received) {
-            peer.look();
-            while let Some((message, length)) = read_frame::<ControlMessage>(&peer.got).unwrap() {
-                peer.got.drain(..length);
+            peer.receive();
+            while let Some((message, length)) = read_frame::<ControlMessage>(&peer.inbox).unwrap() {
+                peer.inbox.drain(..length);
                 if let ControlMessage::Servers(update) = message {
                     replica.apply_server_update(&update).unwrap();
                 }
