--- a/crates/frontnode/src/client_protocol/mod.rs
+++ b/crates/frontnode/src/client_protocol/mod.rs
@@ -1,5 +1,5 @@
-//! The protocols of clients, one file for each: a protocol turns an HTTP request into queries, each with the format of
-//! its answer.
+//! The client protocols, one file for each. A protocol turns an HTTP request into queries, each with the format of its
+//! response.
 
 pub mod own;
 pub mod search;
@@ -11,23 +11,23 @@
 use crate::queries::QueryRequest;
 use crate::reply::{CombineReplies, Reply};
 
-/// What the node is to do with an HTTP request.
+/// How an HTTP request is handled.
 pub enum Interpretation<'a> {
-    /// Answer it at once.
+    /// It is answered at once.
     Answered(Reply),
-    /// Run queries, and answer it with their answers.
+    /// It is answered with the results of queries.
     Queries {
-        /// Each query, or the answer that refuses it.
+        /// Each query, or the response that rejects it.
         queries: Vec<Result<QueryRequest<'a>, Reply>>,
-        /// Combines the answers into one.
+        /// Combines the responses to all queries into one.
         combine: CombineReplies,
     },
 }
 
 /// A protocol of clients.
 pub trait ClientProtocol {
-    /// Interprets a request; `None` where its path isn't one of this protocol's. `since`: when the request began to
-    /// arrive.
+    /// Interprets a request. Returns `None` if the path is not part of this protocol. `since` is the time when the first
+    /// bytes of the request arrived.
     fn interpret<'a>(
         &self,
         message: &'a Message<'a>,
@@ -36,7 +36,7 @@
     ) -> Option<Interpretation<'a>>;
 }
 
-/// The protocols that the configuration enables, in the order in which they are tried.
+/// Returns the protocols that the configuration enables, in the order in which they are tried.
 pub fn protocols(config: &NodeConfig) -> Vec<Box<dyn ClientProtocol>> {
     let mut protocols: Vec<Box<dyn ClientProtocol>> = vec![Box::new(own::OwnProtocol)];
     if let Some(routes) = &config.routes {
--- a/crates/frontnode/src/client_protocol/own.rs
+++ b/crates/frontnode/src/client_protocol/own.rs
@@ -14,24 +14,25 @@
 use crate::reply::{self, Outcome, Reply, ReplyFormat};
 
 const MAX_ID_BYTES: usize = 200;
-/// In microseconds; beyond it an estimate of the work is none, and would overflow the aggregator's sums.
+/// Maximum estimate of the work in microseconds. Larger values are not plausible and would overflow the aggregator's
+/// sums.
 const MAX_ESTIMATE_US: f64 = 1e9;
-/// By how much a weight may be off for its digits: real ones carry six, and seven shards were seen 6e-6 off.
+/// The tolerated rounding error of a weight: clients send six digits, and the sum of seven shards was off by 6e-6.
 const ROUNDING: f64 = 1e-5;
 
-/// The protocol.
+/// The project's own client protocol.
 pub struct OwnProtocol;
 
-/// Why a request is refused, in words for its client.
+/// Why a request is invalid. The text is sent to the client.
 #[derive(Debug, Display, Error, From)]
 enum RequestError {
-    /// The body is no JSON.
+    /// The body is not valid JSON.
     #[display("body: no JSON: {_0}")]
     Json(serde_json::Error),
-    /// A field of the body cannot be used.
+    /// A field of the body is missing or invalid.
     #[display("{_0}")]
     Body(SettingsError),
-    /// A header cannot be used.
+    /// A header is missing or invalid.
     #[from(ignore)]
     #[display("{name}: {problem}")]
     Header { name: &'static str, problem: String },
@@ -135,9 +136,9 @@
 
 /// The shards that a request names.
 struct RequestedShards {
-    /// Each with its weight; the weights add up to 1.
+    /// The shards with their weights, which add up to 1.
     shards: Vec<ShardWeight>,
-    /// The estimated work of all.
+    /// The estimated work of all shards, in nanoseconds.
     estimated_work: Nanos,
 }
 
@@ -163,7 +164,7 @@
     if shards.is_empty() {
         return Err(body.error("slices", "should name one part at least"));
     }
-    // Written with few digits, weights sum to a little less than 1, and a query never seems to be complete then.
+    // Weights written with few digits add up to slightly less than 1, and the query would never count as complete.
     let sum: f64 = shards.iter().map(|shard| shard.weight).sum();
     if (sum - 1.0).abs() > ROUNDING * shards.len() as f64 {
         return Err(body.error("slices", format!("their weights should add up to 1, not {sum}")));
@@ -172,7 +173,7 @@
     Ok(RequestedShards { shards, estimated_work })
 }
 
-/// Checks what stores of the search API would have to make of a payload, where there are such stores.
+/// Checks the payload as replicas with the search API will interpret it, if the routes name any.
 fn check_payload(
     body: &Section,
     payload: &str,
@@ -183,14 +184,14 @@
     let Some(routes) = routes else { return Ok(()) };
     let carried = ShardRequest::read(payload, |index| routes.mapping(index));
     let carried = carried.map_err(|error| body.error("filter", error.to_string()))?;
-    // Stores that speak no frames know a document by its id, which then is its idempotency key.
+    // Replicas with the search API identify a document by its id, which therefore is its idempotency key.
     if matches!(&carried, ShardRequest::Create(create) if key != Some(&*create.id)) {
         return Err(body.error("filter", "create.id: should be the Idempotency-Key"));
     }
     Ok(())
 }
 
-/// Ids and keys go into the lines of frames and must not break one.
+/// Checks an id or key. It is written into the header line of frames and must not break it.
 fn checked_id<'a>(name: &'static str, text: &'a str) -> Result<&'a str, RequestError> {
     let is_plain = |byte: u8| byte.is_ascii_graphic() && byte != b',';
     if (1..=MAX_ID_BYTES).contains(&text.len()) && text.bytes().all(is_plain) {
--- a/crates/frontnode/src/client_protocol/search.rs
+++ b/crates/frontnode/src/client_protocol/search.rs
@@ -1,5 +1,5 @@
-//! An OpenSearch-style API for clients: `_search`, `_count`, `_msearch` and `_create` on the indices that the
-//! operator's routes name. `docs/search.md` lists what is mapped and what is refused.
+//! An OpenSearch-style API for clients: `_search`, `_count`, `_msearch` and `_create` on the indices that the operator's
+//! routes name. `docs/search.md` lists what is mapped and what is rejected.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -18,20 +18,20 @@
 use crate::queries::QueryRequest;
 use crate::reply::{self, Outcome, Reply, ReplyFormat};
 
-/// Searches in one `_msearch`.
+/// The maximum number of searches in one `_msearch`.
 const MAX_SEARCHES: usize = 64;
-/// Longest id of a document: OpenSearch's own limit is 512 bytes, ours that of an idempotency key.
+/// The maximum length of a document id. OpenSearch allows 512 bytes; this limit is that of an idempotency key.
 const MAX_ID_BYTES: usize = 200;
 const MAX_OPAQUE_ID_BYTES: usize = 200;
 
-/// The search API: the operator's routes, and what the ids of queries are drawn from.
+/// The search API: the operator's routes and the generator of query ids.
 pub struct SearchProtocol {
     routes: Rc<Routes>,
     seed: u64,
     queries: Cell<u64>,
 }
 
-/// A message with its parameters.
+/// A request with its decoded parameters.
 struct SearchCall<'a> {
     message: &'a Message<'a>,
     parameters: Vec<(String, String)>,
@@ -40,7 +40,7 @@
 }
 
 impl SearchCall<'_> {
-    /// Refuses parameters that are not among the known ones.
+    /// Rejects parameters that are not among `known`.
     fn check_parameters(&self, known: &[&str]) -> Result<(), SearchError> {
         match self.parameters.iter().find(|(name, _)| !known.contains(&&**name)) {
             Some((name, _)) => {
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The header line of the client's own id, which goes back with its answer.
+    /// Returns the header line with the client's own id, which is sent back with the response.
     fn opaque_id_header(&self) -> Result<String, SearchError> {
         match self.message.header("X-Opaque-Id") {
             None => Ok(String::new()),
@@ -103,7 +103,7 @@
         self.message.header("Client-Retry").is_some_and(|v| v == "1")
     }
 
-    /// Milliseconds since 1970, for `now` in dates.
+    /// Returns the time of the request in milliseconds since the Unix epoch, used for `now` in dates.
     fn now(&self) -> i64 {
         self.since / 1_000_000
     }
@@ -125,7 +125,7 @@
         let interpretation = parse_parameters(query).and_then(|parameters| {
             self.route(&segments, &SearchCall { message, parameters, since, config }).transpose()
         })?;
-        // A client's id goes back with a refusal too, where it can.
+        // An error response also carries the client's own id, if that is valid.
         let refuse = |fault: SearchError| {
             let call = SearchCall { message, parameters: Vec::new(), since, config };
             Interpretation::Answered(refusal(&fault, &call.opaque_id_header().unwrap_or_default()))
@@ -134,7 +134,7 @@
     }
 }
 
-/// The parameters of a query string, decoded. None where one cannot be.
+/// Decodes the parameters of a query string. Returns `None` if one cannot be decoded.
 fn parse_parameters(query: &str) -> Option<Vec<(String, String)>> {
     let pairs = query.split('&').filter(|pair| !pair.is_empty());
     let read = |pair: &str| {
@@ -151,12 +151,13 @@
 }
 
 impl SearchProtocol {
-    /// The protocol for the indices of those routes. `seed`: ids of queries of different nodes should differ.
+    /// Returns the protocol for the indices of `routes`. The ids of queries are derived from `seed`, which should differ
+    /// between nodes.
     pub fn new(routes: Rc<Routes>, seed: u64) -> SearchProtocol {
         SearchProtocol { routes, seed, queries: Cell::new(0) }
     }
 
-    /// What a message comes to. None where the path is none of the API's.
+    /// Interprets a request by its method and path. Returns `None` if the path is not part of the API.
     fn route<'a>(
         &self,
         segments: &[&str],
@@ -185,7 +186,7 @@
         Ok(Some(interpretation))
     }
 
-    /// Ids of queries: no two of a node are the same, and those of two nodes hardly ever.
+    /// Returns a new query id. Ids are unique within a node, and collisions between nodes are very unlikely.
     fn id(&self) -> String {
         let n = self.queries.get();
         self.queries.set(n + 1);
@@ -293,7 +294,7 @@
         })
     }
 
-    /// `_msearch`: each pair of lines is a query of its own; one that is refused leaves the others as they are.
+    /// Interprets an `_msearch`: each pair of lines is a query, and a rejected one does not affect the others.
     fn msearch<'a>(&self, index: Option<&str>, call: &SearchCall) -> Result<Interpretation<'a>, SearchError> {
         call.check_parameters(&[])?;
         call.opaque_id_header()?;
@@ -354,7 +355,7 @@
     }
 }
 
-/// What a search is told beside its body.
+/// The options of a search besides its body.
 struct SearchOptions<'a> {
     routing: Option<&'a str>,
     preference: Option<&'a str>,
@@ -368,14 +369,14 @@
     Interpretation::Queries { queries: vec![Ok(query)], combine: reply::single }
 }
 
-/// Puts the answers to an `_msearch` into one, each with its status.
+/// Combines the responses to an `_msearch` into one, each with its status.
 fn combine_msearch(replies: Vec<Reply>, elapsed: Nanos) -> Reply {
     let mut body = format!("{{\"took\":{},\"responses\":[", elapsed / 1_000_000).into_bytes();
     for (at, reply) in replies.into_iter().enumerate() {
         if at > 0 {
             body.push(b',');
         }
-        // Errors say their status themselves.
+        // Error bodies already contain their status.
         match reply.body.strip_suffix(b"}").filter(|_| reply.status == 200) {
             Some(open) => {
                 body.extend_from_slice(open);
@@ -394,14 +395,14 @@
     Reply::json(200, if method == "HEAD" { String::new() } else { body.to_string() })
 }
 
-/// The reply to a query that ends without an answer. None where it is answered.
+/// Returns the response to a query that ended without a result, or `None` if it was answered.
 fn reply_without_answer(outcome: Outcome) -> Option<Reply> {
     let (kind, reason, status, wait) = match outcome {
         Outcome::Answered { .. } => return None,
         Outcome::Rejected(wait) => {
             ("rejected_execution_exception", "dismissed: trying again is harmless", 429, wait)
         }
-        // Not 504, which clients are made to repeat by themselves: that is harmless only for some grades.
+        // Not 504: clients retry that status automatically, which is safe only for some service classes.
         Outcome::Expired => ("given_up_exception", "given up: parts of it may have run", 500, 0),
         Outcome::DuplicateId => ("version_conflict_engine_exception", "it is open already", 409, 0),
         Outcome::Overloaded => ("rejected_execution_exception", "too much is open", 429, 0),
--- a/crates/frontnode/src/clients.rs
+++ b/crates/frontnode/src/clients.rs
@@ -1,4 +1,4 @@
-//! The listener and the connections of clients: reads their requests, and writes the answers.
+//! The listener and the client connections: reads requests and writes responses.
 
 use std::io;
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -25,39 +25,39 @@
 
 use client::{Client, PendingMessage, PendingQuery};
 
-/// Connections that the system queues until they are accepted. Many clients connect at the same moment, and one that
-/// finds the queue full tries again only a second later.
+/// The number of connections that the system queues until they are accepted. Many clients may connect at the same moment,
+/// and a client that finds the queue full retries only after a second.
 const LISTEN_BACKLOG: i32 = 1024;
-/// Bytes that are read and discarded in one round.
+/// The maximum number of bytes read and discarded from one connection in one round.
 const MAX_DISCARDED_BYTES: u64 = 256 << 10;
 
-/// The time limits of clients.
+/// Time limits of a client connection.
 #[derive(Clone, Copy, Debug)]
 struct ClientTimeouts {
-    /// To send a whole request.
+    /// To send a complete request.
     request: Nanos,
-    /// To say nothing more at the end.
+    /// To close the connection after the last response.
     linger: Nanos,
-    /// To read an answer.
+    /// To read a response.
     read: Nanos,
 }
 
-/// All clients.
+/// All client connections and their listener.
 pub struct Clients {
     protocols: Vec<Box<dyn ClientProtocol>>,
     listener: Rc<TcpListener>,
     clients: SlotMap<ClientKey, Client>,
     max_clients: usize,
-    /// Bytes that the buffered requests of all clients may take.
+    /// The maximum number of bytes in the buffered requests of all clients.
     max_request_bytes: usize,
     timeouts: ClientTimeouts,
-    /// Whether connections may wait at the listener, as there were too many clients.
+    /// Whether connections may be queued at the listener because the client limit was reached.
     backlogged: bool,
-    /// Whether the node takes queries.
+    /// Whether the node accepts queries.
     pub serving: bool,
-    /// Whether connections end with their next answer.
+    /// Whether each connection ends with its next response.
     pub draining: bool,
-    /// While it drains: the latest deadline of any query.
+    /// While draining: the latest deadline of any query.
     pub last_answer_by: Nanos,
     /// When the last connection was accepted.
     pub last_accepted: Nanos,
@@ -68,7 +68,7 @@
     ///
     /// # Errors
     ///
-    /// If nothing can listen on the address.
+    /// Fails if the listen address cannot be bound.
     pub fn listen(
         config: &NodeConfig,
         protocols: Vec<Box<dyn ClientProtocol>>,
@@ -105,32 +105,32 @@
         })
     }
 
-    /// Where clients connect.
+    /// Returns the address that clients connect to.
     ///
     /// # Errors
     ///
-    /// If the system doesn't say.
+    /// Fails if the operating system does not return the address.
     pub fn address(&self) -> io::Result<SocketAddr> {
         self.listener.local_addr()
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn connected(&self) -> usize {
         self.clients.len()
     }
 
     // ---- connections ----
 
-    /// Accepts the connections that wait at the listener, as far as there is room.
+    /// Accepts the connections queued at the listener, up to the client limit.
     pub fn accept(&mut self, context: &mut Context) {
         self.backlogged = false;
-        // Else connections that overlap would keep a node that was told to stop up for as long as they come.
+        // Otherwise overlapping connections would delay the shutdown for as long as new ones arrive.
         if context.now >= self.last_answer_by {
             return;
         }
         loop {
             if self.clients.len() >= self.max_clients && !self.evict(context) {
-                log!("no room for more than {} clients: others wait", self.max_clients);
+                log!("client limit reached: {} are connected, others wait at the listener", self.max_clients);
                 return self.accept_later(context);
             }
             match self.listener.accept() {
@@ -141,7 +141,7 @@
                     if matches!(error.kind(), Interrupted | ConnectionAborted) {
                         continue;
                     }
-                    log!("cannot accept: {error}");
+                    log!("cannot accept a client connection: {error}");
                     let none_left = [Errno::MFILE, Errno::NFILE].map(|errno| Some(errno.raw_os_error()));
                     if none_left.contains(&error.raw_os_error()) && self.evict(context) {
                         continue;
@@ -164,21 +164,23 @@
                 context.metrics.clients_accepted += 1;
                 self.last_accepted = now;
             }
-            Err(error) => log!("a client could not be taken in: {error}"),
+            Err(error) => log!("cannot set up a client connection: {error}"),
         }
     }
 
-    /// Others wait at the listener, which tells of them only once: they are accepted when a client leaves, or soon.
+    /// Schedules another accept. The listener is edge-triggered and reports the queued connections only once; they are
+    /// accepted when a client disconnects, or after a short time.
     fn accept_later(&mut self, context: &mut Context) {
         if !std::mem::replace(&mut self.backlogged, true) {
             context.deadlines.schedule(context.now + self.timeouts.linger, Timer::Accept);
         }
     }
 
-    /// Closes a connection that has said nothing since it came, where one that connects in order to ask would have;
-    /// where there is none, the one that has been idle longest, and where none is idle, one that has not sent its whole
-    /// request. Those that came in this round are spared: their requests may be there, not read yet. So are those whose
-    /// requests were read here and not looked at yet: that may be up to the end of the next round.
+    /// Closes one connection to make room for a new one; returns false if none can be closed. The order is: a
+    /// connection that has sent nothing although a client with a request would have; then the one that has been idle
+    /// longest; then one with an incomplete request. Connections accepted in this round are spared, as their requests
+    /// may have arrived unread. So are connections whose requests were read here but not yet handled, which may take
+    /// until the end of the next round.
     fn evict(&mut self, context: &mut Context) -> bool {
         let (now, soon) = (context.now, self.timeouts.linger / 10);
         let is_mute =
@@ -197,7 +199,7 @@
             let was_idle = client.is_idle();
             let is_open = matches!(client.stream.fill(http::MAX_MESSAGE_BYTES), Ok(true));
             if was_idle && is_open && !client.stream.inbox().is_empty() {
-                // Its request came while the newcomers did, and would be lost with it.
+                // Its request arrived together with the new connections and would be lost if it was closed.
                 client.has_unseen_request = true;
                 context.ready_again.push(EventSource::Client(key));
                 continue;
@@ -208,7 +210,8 @@
         }
     }
 
-    /// Closes a connection: the one place where that happens. Returns the queries whose client is thereby disconnected.
+    /// Closes a connection and returns its pending queries, whose client is thereby disconnected. Every connection is
+    /// closed here.
     fn remove(&mut self, key: ClientKey, context: &mut Context) -> Vec<QueryIndex> {
         let Some(client) = self.clients.remove(key) else { return Vec::new() };
         client.timer.into_iter().for_each(|timer| context.deadlines.cancel(timer));
@@ -223,8 +226,8 @@
         in_flight.collect()
     }
 
-    /// From now on connections end with their next answer; those without a request end now. What has come on
-    /// them unnoticed is read first, lest a request be lost between two looks.
+    /// Starts draining: each connection ends with its next response, and idle connections end now. Each idle connection
+    /// is read first, so that a request that has just arrived is not lost.
     pub fn drain(&mut self, context: &mut Context) {
         self.draining = true;
         let idle = self.clients.iter().filter(|(_, client)| client.is_idle());
@@ -238,7 +241,7 @@
         }
     }
 
-    /// Writes nothing more to a client, once all that was written is out.
+    /// Closes the writing side of a connection once everything is written.
     fn finish(&mut self, key: ClientKey, context: &mut Context) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.keeps_alive = false;
@@ -250,8 +253,8 @@
         }
     }
 
-    /// A client's time limit has passed. Half a request is refused; a client that has sent nothing, or has been
-    /// answered, is closed. Returns the queries whose client has disconnected.
+    /// Handles the time limit of a client. An incomplete request gets an error response. A client that has sent nothing,
+    /// or has its response, is disconnected. Returns the queries whose client is disconnected.
     pub fn timer_due(&mut self, key: ClientKey, context: &mut Context) -> Vec<QueryIndex> {
         let Some(client) = self.clients.get_mut(key) else { return Vec::new() };
         client.timer = None;
@@ -262,8 +265,8 @@
         Vec::new()
     }
 
-    /// Answers a request that cannot be read with an error, and ends the connection: what follows on it cannot be
-    /// divided into requests.
+    /// Answers an unreadable request with an error and ends the connection, as the following bytes cannot be divided
+    /// into requests.
     fn refuse(&mut self, key: ClientKey, error: MessageError, context: &mut Context) {
         let Some(client) = self.clients.get_mut(key) else { return };
         context.metrics.bad_requests += 1;
--- a/crates/frontnode/src/clients/client.rs
+++ b/crates/frontnode/src/clients/client.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: its buffers, the request whose answer it awaits, and its time limit.
+//! One client connection: its buffers, the pending request, and its time limit.
 
 use orchidvalve::interface::{Nanos, QueryIndex};
 
@@ -7,7 +7,7 @@
 use crate::reply::{CombineReplies, Reply};
 use crate::stream::Stream;
 
-/// A request whose answer the client awaits.
+/// A request that is not answered yet.
 pub(super) struct PendingMessage {
     pub(super) queries: Vec<PendingQuery>,
     pub(super) combine: CombineReplies,
@@ -23,20 +23,20 @@
 /// A connection of a client.
 pub(super) struct Client {
     pub(super) stream: Stream,
-    /// Whether it has sent a whole request.
+    /// Whether it has sent a complete request.
     pub(super) has_sent_request: bool,
-    /// The request whose answer is awaited; one at a time.
+    /// The request that is not answered yet; at most one.
     pub(super) pending: Option<PendingMessage>,
-    /// When the request that is being read began to arrive.
+    /// When the first bytes of the current request arrived.
     pub(super) request_since: Option<Nanos>,
     pub(super) last_used: Nanos,
-    /// Bytes of its inbox arrived while newcomers were accepted, and no round has looked at them yet.
+    /// Whether its inbox was read while new connections were accepted and has not been handled by a round since.
     pub(super) has_unseen_request: bool,
-    /// Whether it stays open after the answer.
+    /// Whether it stays open after the response.
     pub(super) keeps_alive: bool,
-    /// Nothing more is written; what the peer still sends is read until it closes.
+    /// Whether the writing side is closed; the bytes that the client still sends are discarded until it closes.
     pub(super) finished: bool,
-    /// The client's time limit: to send a whole request, to read its answer, or to close.
+    /// The time limit to send a complete request, to read the response, or to close.
     pub(super) timer: Option<DeadlineKey>,
 }
 
--- a/crates/frontnode/src/clients/requests.rs
+++ b/crates/frontnode/src/clients/requests.rs
@@ -1,4 +1,4 @@
-//! Requests of clients: read from their connections, passed on as queries, and answered.
+//! Requests of clients: reads them from connections, passes them on as queries, and writes the responses.
 
 use orchidvalve::interface::{Nanos, QueryIndex};
 use orchidvalve::state::AggregatorState;
@@ -15,8 +15,8 @@
 use crate::reply::{Outcome, Reply};
 
 impl Clients {
-    /// A client's connection is ready: reads what is there, and accepts each request that has arrived in full. Returns
-    /// the queries whose client has disconnected.
+    /// Handles a ready client connection: reads the received bytes and accepts each complete request. Returns the
+    /// queries whose client has disconnected.
     pub fn ready(
         &mut self,
         key: ClientKey,
@@ -44,8 +44,9 @@
             return Vec::new();
         }
         if client.stream.unread && client.pending.is_some() {
-            // So much behind a pending request is not kept, but read on, or nobody would see its client go. The
-            // connection ends with the answer, as what was dropped cannot be divided into requests.
+            // So many bytes behind a pending request are not stored. They are discarded, as the node has to keep reading
+            // to notice when the client disconnects. The connection ends with the response, because the discarded bytes
+            // cannot be divided into requests.
             client.keeps_alive = false;
             client.stream.consume(client.stream.inbox().len());
             context.ready_again.push(EventSource::Client(key));
@@ -67,8 +68,8 @@
         Vec::new()
     }
 
-    /// Bytes came from a client that is written nothing more. While it still sends, closing would take the answer from
-    /// it before it is read.
+    /// Handles discarded bytes of a connection whose writing side is closed. Closing it while the client still sends
+    /// could destroy the response before the client has read it.
     fn discarded(&mut self, key: ClientKey, bytes_read: u64, context: &mut Context) {
         let ClientTimeouts { request, linger, .. } = self.timeouts;
         let Some(client) = self.clients.get_mut(key) else { return };
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Reads the next request of a client's connection and accepts its queries, where it has arrived in full. False
-    /// where it has not, or the client still awaits an answer.
+    /// Reads the next complete request of a connection and accepts its queries. Returns false if there is none or if the
+    /// client's last request is not answered yet.
     fn read_request(
         &mut self,
         key: ClientKey,
@@ -130,7 +131,7 @@
         true
     }
 
-    /// Half a request is there: the rest has to come in time. True where it can't come, as there is no room for it.
+    /// Limits the time in which an incomplete request must be completed. Returns true if it was refused as too long.
     fn request_incomplete(&mut self, key: ClientKey, context: &mut Context) -> bool {
         let Some(client) = self.clients.get_mut(key) else { return false };
         if client.stream.inbox().len() >= http::MAX_MESSAGE_BYTES {
@@ -144,7 +145,7 @@
         false
     }
 
-    /// What a message asks: the operators' paths first, then the protocols in their order.
+    /// Interprets a request: the paths of the operator API come first, then the client protocols in their order.
     fn interpret<'a>(
         &self,
         message: &'a Message<'a>,
@@ -160,7 +161,7 @@
             .unwrap_or_else(|| Interpretation::Answered(Reply::text(404, "nothing here\n")))
     }
 
-    /// Accepts one query of a message, unless its protocol or the node refuses it.
+    /// Accepts one query of a request, unless its protocol or the node rejects it.
     fn accept_or_refuse(
         &self,
         request: Result<QueryRequest, Reply>,
@@ -176,7 +177,7 @@
         }
     }
 
-    /// A whole request was read: its bytes are no longer needed, and its time limit ends.
+    /// Consumes a complete request and ends its time limit.
     fn request_read(&mut self, key: ClientKey, length: usize, keeps_alive: bool, context: &mut Context) {
         let Some(client) = self.clients.get_mut(key) else { return };
         client.request_since = None;
@@ -186,7 +187,7 @@
         client.replace_timer(None, context);
     }
 
-    /// A message waits for the answers of its queries, of which some may be there at once.
+    /// Stores a request as pending. It is answered at once if all its queries already have a response.
     fn wait_for_answers(&mut self, key: ClientKey, pending: PendingMessage, context: &mut Context) {
         if let Some(client) = self.clients.get_mut(key) {
             client.pending = Some(pending);
@@ -194,7 +195,7 @@
         self.answer_if_complete(key, context);
     }
 
-    /// Answers a message that asked for no query, or for none that can be used.
+    /// Answers a request that contains no valid query.
     fn answer_at_once(&mut self, key: ClientKey, reply: &Reply, context: &mut Context) {
         if reply.status == 400 {
             context.metrics.bad_requests += 1;
@@ -203,7 +204,7 @@
         self.answer(key, reply, context);
     }
 
-    /// Writes the answer to a message; its connection is free again.
+    /// Writes the response to a request; the connection is then free for the next one.
     pub(super) fn answer(&mut self, key: ClientKey, reply: &Reply, context: &mut Context) {
         let draining = self.draining;
         let Some(client) = self.clients.get_mut(key) else { return };
@@ -221,7 +222,7 @@
         self.flush(key, context);
     }
 
-    /// Writes as much as the system takes. Returns the queries whose client has disconnected.
+    /// Writes as many bytes as the system accepts. Returns the queries whose client has disconnected.
     fn flush(&mut self, key: ClientKey, context: &mut Context) -> Vec<QueryIndex> {
         let Some(client) = self.clients.get_mut(key) else { return Vec::new() };
         let before = client.stream.bytes_written;
@@ -249,7 +250,7 @@
 
     // ---- final answers ----
 
-    /// One of the queries of a client's message has its answer; the message is answered with the last.
+    /// Stores the response to one query of a client's request. The request is answered once all its queries are.
     pub fn query_answered(&mut self, answer: FinalAnswer, context: &mut Context) {
         let FinalAnswer { origin: QueryOrigin { client: key, position }, reply } = answer;
         let pending = self.clients.get_mut(key).and_then(|client| client.pending.as_mut());
@@ -273,13 +274,13 @@
     }
 }
 
-/// Caps a query's deadline: a node that shuts down answers nothing after its last moment.
+/// Caps a query's deadline: a node that shuts down sends no response after `last_answer_by`.
 fn cap_deadline(mut request: QueryRequest, last_answer_by: Nanos) -> QueryRequest {
     request.deadline = request.deadline.min(last_answer_by);
     request
 }
 
-/// Accepts one query, unless its id is pending or too many queries are.
+/// Accepts one query, unless a query with its id is pending or too many queries are pending.
 fn accept_query(
     request: QueryRequest,
     origin: QueryOrigin,
--- a/crates/frontnode/src/cold_start.rs
+++ b/crates/frontnode/src/cold_start.rs
@@ -1,6 +1,6 @@
-//! The cold start among hundreds of front nodes, where the operator switches it on: the endpoint lists that this node
-//! finds in its configuration, on its disk and at its peers go to `orchidvalve-cold-start`, and what that decides is
-//! handed to discovery and to the aggregator. It decides nothing itself.
+//! The cold start among hundreds of front nodes, if the operator enables it. The endpoint lists found in the
+//! configuration, on disk and at peers are passed to `orchidvalve-cold-start`, and its decisions are passed to discovery
+//! and to the aggregator. This module decides nothing itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,11 +24,11 @@
 use crate::settings_file::{SectionName, SettingsFileError, milliseconds, parse};
 use crate::stable_hash::stable_hash;
 
-/// Cells and endpoints that a peer's list may name: what a peer sends must not make this node allocate without end.
+/// The maximum numbers of cells and endpoints in a peer's list; they bound the memory that a peer can make this node use.
 const MAX_CELLS: usize = 1 << 16;
 const MAX_ENDPOINTS: usize = 1 << 14;
 
-/// Most steps of doubt for a replica that an earlier run had ejected.
+/// The maximum number of unverified steps of a replica that an earlier run had ejected.
 const MAX_DOUBT: u32 = 4;
 
 const SECTION: SectionName = SectionName("coldstart");
@@ -79,25 +79,25 @@
     }
 }
 
-/// How the node starts among others.
+/// The settings of the cold start.
 #[derive(Clone, Debug)]
 pub struct ColdStartSettings {
-    /// What the cold start's decisions go by.
+    /// The policy of the cold start's decisions.
     pub policy: StartSettings,
-    /// Whether lists are had from peers and offered to them, where there is a fleet.
+    /// Whether endpoint lists are requested from peers and offered to them, if the fleet is enabled.
     pub share_lists: bool,
-    /// The name of the discovery whose lists can be compared; none where its address stands for it.
+    /// The name of the discovery service, by which lists are recognized as comparable; `None` to use its address.
     pub source: Option<String>,
-    /// Starts of this node within so long count as starts in a row.
+    /// Starts of this node within this time count as repeated restarts.
     pub restart_window: Nanos,
 }
 
 impl ColdStartSettings {
-    /// Reads the operator's file.
+    /// Parses the operator's file.
     ///
     /// # Errors
     ///
-    /// If a key is absent, unknown or out of bounds.
+    /// Fails if a key is missing, unknown or out of bounds.
     ///
     /// ```
     /// use orchidvalve_frontnode::cold_start::ColdStartSettings;
@@ -147,13 +147,13 @@
         })
     }
 
-    /// The number by which front nodes tell lists of different discoveries apart.
+    /// Returns the number by which front nodes tell lists of different discovery services apart.
     fn topic(&self, discovery: SocketAddr) -> u64 {
         stable_hash(self.source.as_deref().unwrap_or(&discovery.to_string()))
     }
 }
 
-/// Why a peer's list cannot be used.
+/// Why a peer's endpoint list is rejected.
 #[derive(Debug, Display, Error, From)]
 enum PeerListError {
     #[display("{_0}")]
@@ -176,47 +176,47 @@
     Ok(endpoints)
 }
 
-/// What became of the watch at discovery.
+/// An event of the watch at discovery.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DiscoveryEvent {
-    /// Discovery published its list, or a change of it, with that revision.
+    /// Discovery published its list, or a change of it, at this revision.
     Received(i64),
-    /// It did not answer.
+    /// A request to discovery failed or was not answered in time.
     Missed,
-    /// Another discovery is to be asked.
+    /// The configuration names another discovery agent.
     Moved(SocketAddr),
 }
 
-/// How far a replica of an older list is to be trusted.
+/// How much verification a replica of an older list still needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Doubt {
-    /// Steps of doubt; none at 0.
+    /// The number of unverified steps; 0 if the replica is verified.
     pub steps: u32,
-    /// From when on its health may be checked.
+    /// The time from which its health may be checked.
     pub check_from: Nanos,
 }
 
-/// What the node is to do.
+/// An action of the node that the cold start decided.
 pub enum Action {
-    /// Use that list, its replicas doubted by so many steps.
+    /// Use a list, with the number of unverified steps of its replicas.
     Adopt(Offer, u32),
-    /// Ask discovery.
+    /// Query discovery.
     Fetch {
-        /// For the whole list, and not only for what changed.
+        /// Whether the complete list is requested instead of the changes.
         full_list: bool,
     },
-    /// Serve from what it has: nothing has answered within the discovery timeout.
+    /// Serve with the current list: discovery did not answer within its timeout.
     ServeWithoutDiscovery,
 }
 
-/// What is wanted of peers.
+/// What is requested from peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WantedFromPeers {
     /// Nothing.
     Nothing,
-    /// A list.
+    /// An endpoint list.
     List {
-        /// What it must be newer than; `None` where any will do.
+        /// The age that the list must be newer than; `None` if any list will do.
         newer_than: Option<ListAge>,
     },
 }
@@ -225,16 +225,16 @@
 pub struct DoubtedEndpoint {
     /// The endpoint.
     pub endpoint: Endpoint,
-    /// How far it is to be trusted.
+    /// The verification that it still needs.
     pub doubt: Doubt,
 }
 
-/// What a round of the cold start decided.
+/// The decisions of a round of the cold start.
 #[derive(Default)]
 pub struct Decisions {
-    /// What the node is to do, in order.
+    /// The actions of the node, in order.
     pub actions: Vec<Action>,
-    /// What is wanted of peers, where that changed.
+    /// The request to peers, if it changed.
     pub wanted: Option<WantedFromPeers>,
 }
 
@@ -257,15 +257,15 @@
     }
 }
 
-/// The endpoint lists that a node finds at its start.
+/// The endpoint lists that a node finds when it starts.
 pub struct FoundLists<'a> {
-    /// That of the configuration.
+    /// The list of the configuration.
     pub configured: &'a EndpointList,
-    /// When the configuration was written.
+    /// When the configuration file was written.
     pub configured_at: Nanos,
-    /// What an earlier run left on disk.
+    /// The state that an earlier run left on disk.
     pub recovered: Option<RecoveredState>,
-    /// How often this node started lately, before this start.
+    /// The number of recent starts of this node before this one.
     pub recent_starts: u32,
 }
 
@@ -275,17 +275,17 @@
     start: Start,
     seed: u64,
     topic: u64,
-    /// Lists offered, by where they are from, until another one of the same source comes.
+    /// The lists offered, by source; a list is replaced by the next one of the same source.
     lists: BTreeMap<Source, Vec<Endpoint>>,
     offers: Vec<Offer>,
-    /// Steps of doubt for the replicas that an earlier run had ejected.
+    /// The unverified steps of replicas that an earlier run had ejected.
     doubts: BTreeMap<String, u32>,
     timer: Option<DeadlineKey>,
     started: Nanos,
 }
 
 impl ColdStart {
-    /// Begins with the lists that were found.
+    /// Begins the cold start with the lists that were found.
     pub fn open(
         settings: &ColdStartSettings,
         discovery: SocketAddr,
@@ -305,7 +305,7 @@
             timer: None,
             started: now,
         };
-        // A configuration's list counts as seen when the file was written: after a power loss that may be long ago.
+        // The list of the configuration is as old as the file, which may be very old after a power loss.
         let configured_at = configured_at.min(now);
         cold_start.offer(
             Source::Configured,
@@ -341,12 +341,12 @@
         self.lists.insert(source, endpoints);
     }
 
-    /// Takes a list that a peer sent. One that cannot be read is ignored.
+    /// Offers a list that a peer sent to the cold start. An invalid list is ignored.
     pub fn receive_list(&mut self, list: ListVersion) {
         let endpoints = match parse_list(&list.bytes) {
             Ok(endpoints) => endpoints,
             Err(error) => {
-                return log!("a peer's list cannot be used: {}", error.to_string().escape_default());
+                return log!("endpoint list of a peer rejected: {}", error.to_string().escape_default());
             }
         };
         if list.topic == self.topic {
@@ -354,7 +354,7 @@
         }
     }
 
-    /// What peers are asked for: the topic, and what their list must be newer than.
+    /// Returns the request to peers: the topic and the age that their list must be newer than. `None` requests nothing.
     pub fn wanted(&self, wanted: WantedFromPeers) -> Option<ListWanted> {
         match wanted {
             WantedFromPeers::List { newer_than } if self.settings.share_lists => {
@@ -364,7 +364,7 @@
         }
     }
 
-    /// One round. `events`: what became of the watch at discovery; `fleet`: its size, where there is one.
+    /// Runs one round with the events of the watch at discovery and the size of the fleet, if it is enabled.
     pub fn round(
         &mut self,
         events: &[DiscoveryEvent],
@@ -435,7 +435,7 @@
         ];
     }
 
-    /// The endpoints of a list that is adopted, each with how far it is to be trusted.
+    /// Returns the endpoints of an adopted list, each with the verification that it still needs.
     pub fn endpoints(&self, offer: &Offer, doubt: u32, now: Nanos) -> Vec<DoubtedEndpoint> {
         let endpoints = self.lists.get(&offer.source).cloned().unwrap_or_default();
         let with_doubt = |endpoint: Endpoint| {
@@ -453,7 +453,7 @@
         endpoints.into_iter().map(with_doubt).collect()
     }
 
-    /// What this node offers to peers: the list in use, as discovery keeps it.
+    /// Returns the list that this node offers to peers: the current list, as kept by discovery.
     pub fn offered_list(&self, endpoints: &BTreeMap<String, Endpoint>, revision: i64) -> Option<ListVersion> {
         let in_use = self.start.adopted().filter(|_| self.settings.share_lists)?;
         let endpoints: Vec<&Endpoint> = endpoints.values().collect();
@@ -461,13 +461,13 @@
         Some(ListVersion { topic: self.topic, revision, seen: in_use.seen, bytes })
     }
 
-    /// Time since the start.
+    /// Returns the time since the start, in nanoseconds.
     pub fn age(&self, now: Nanos) -> Nanos {
         now - self.started
     }
 }
 
-/// Where a list is from, as the trace says it.
+/// Returns the name of a list's source in the trace.
 pub fn list_from(source: Source) -> MembershipSource {
     match source {
         Source::Configured => MembershipSource::Configuration,
--- a/crates/frontnode/src/config.rs
+++ b/crates/frontnode/src/config.rs
@@ -1,4 +1,4 @@
-//! All that the node is configured with: read, checked and given defaults here, and nowhere else.
+//! The configuration of the node. It is read, checked and completed with defaults here and nowhere else.
 
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::io;
@@ -23,150 +23,150 @@
 use crate::settings_file::SettingsFileError;
 use crate::store_protocol::StoreProtocolSettings;
 
-/// Variable that holds the path of the configuration.
+/// Environment variable with the path of the configuration.
 pub const VARIABLE: &str = "NODE_CONFIG";
-/// Variable that may hold the path of the routes, beside the configuration's key `search`.
+/// Environment variable with the path of the routes; used if the configuration has no key `search`.
 pub const ROUTES_VARIABLE: &str = "NODE_SEARCH";
-/// Variable that may hold the path of the file on persistence, beside the key `logbook`.
+/// Environment variable with the path of the persistence file; used if the configuration has no key `logbook`.
 pub const LOGBOOK_VARIABLE: &str = "NODE_LOGBOOK";
-/// Variable that may hold the path of the fleet's file, beside the key `fleet`.
+/// Environment variable with the path of the fleet's file; used if the configuration has no key `fleet`.
 pub const FLEET_VARIABLE: &str = "NODE_FLEET";
-/// Variable that may hold the path of the cold start's file, beside the key `coldstart`.
+/// Environment variable with the path of the cold start's file; used if the configuration has no key `coldstart`.
 pub const COLDSTART_VARIABLE: &str = "NODE_COLDSTART";
-/// Variable that may hold the path of the file on machines taken out for work, beside the key `maintenance`.
+/// Environment variable with the path of the maintenance file; used if the configuration has no key `maintenance`.
 pub const MAINTENANCE_VARIABLE: &str = "NODE_MAINTENANCE";
-/// Variable that may hold the path of the file on recording arrivals, beside the key `record`.
+/// Environment variable with the path of the recording file; used if the configuration has no key `record`.
 pub const RECORD_VARIABLE: &str = "NODE_RECORD";
-/// Variable that may name the file that the trace of decisions is written to.
+/// Environment variable with the path to which the trace of decisions is written.
 pub const TRACE_VARIABLE: &str = "NODE_TRACE";
 
-/// Descriptors that are neither clients nor replicas: the event loop's own, the listener, discovery, the log.
+/// File descriptors besides clients and replicas: the event loop, the listener, discovery and the log.
 const OTHER_DESCRIPTORS: usize = 16;
-/// How long a client may take to send a request. One that asks sends its request at once, and connects in order to ask;
-/// less would close connections that may be about to be used.
+/// How long a client may take to send a request. Clients connect in order to send a request at once; a shorter time
+/// would close connections that may be about to be used.
 const REQUEST_TIMEOUT: Nanos = 2_300_000_000;
 
-/// The grace for drains where the settings name none.
+/// The grace period for drains if the settings do not contain one.
 const DEFAULT_DRAIN_GRACE: Nanos = 1_000_000_000;
 
-/// Why the configuration cannot be used. The text names the variable or the key, in full.
+/// Why the configuration is invalid. The text names the environment variable or the full key.
 #[derive(Debug, Display, Error, From)]
 pub enum ConfigError {
-    /// No file is named.
+    /// The environment variable with the path of the configuration is not set.
     #[display("${VARIABLE}: not set; it names the configuration")]
     NoFile,
-    /// The configuration's file cannot be read.
+    /// The configuration file cannot be read.
     #[display("${VARIABLE}: cannot read {path}: {error}")]
     Unreadable {
-        /// Its path.
+        /// The path of the file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// It is no JSON.
+    /// The configuration is not valid JSON.
     #[display("configuration: no JSON: {_0}")]
     Json(serde_json::Error),
-    /// The value of a key cannot be used.
+    /// The value of a key is invalid.
     #[display("{_0}")]
     Setting(SettingsError),
-    /// An operators' file cannot be used.
+    /// An operator's file is invalid.
     #[display("{path}: {error}")]
     File {
-        /// Its path.
+        /// The path of the file.
         path: String,
-        /// What is wrong with it.
+        /// Why the file is invalid.
         #[error(source)]
         error: SettingsFileError,
     },
-    /// The file of routes cannot be used.
+    /// The file of routes is invalid.
     #[display("{path}: {problem}")]
     Routes {
-        /// Its path.
+        /// The path of the file.
         path: String,
-        /// What is wrong with it.
+        /// Why the file is invalid.
         problem: String,
     },
 }
 
-/// One class of queries.
+/// A service class of queries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ServiceClass {
-    /// Its name in requests.
+    /// The name in requests.
     pub name: String,
-    /// Whether its queries carry an idempotency key.
+    /// Whether its queries must carry an idempotency key.
     pub has_idempotency_key: bool,
-    /// Time after which an answer is worth nothing, from the beginning of a query.
+    /// The time from the start of a query after which a response is useless to the client.
     pub deadline: Nanos,
 }
 
 /// The ring of cells that hold the shards.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RingLayout {
-    /// Cells of the ring.
+    /// The number of cells.
     pub cells: usize,
-    /// Cells in a row that hold a shard.
+    /// The number of consecutive cells that hold a shard.
     pub reach: usize,
 }
 
-/// What the node goes by; the aggregator gets its own part of it.
+/// The configuration of the node, except for the aggregator's settings.
 #[derive(Debug)]
 pub struct NodeConfig {
     /// The node's name.
     pub name: String,
-    /// Where clients connect.
+    /// The address that clients connect to.
     pub listen: SocketAddr,
-    /// Where discovery is asked.
+    /// The address of the discovery agent.
     pub discovery: SocketAddr,
-    /// What chance is drawn from.
+    /// The seed of the node's random numbers.
     pub seed: u64,
-    /// The endpoint list last known when the configuration was written.
+    /// The endpoint list that was known when the configuration was written.
     pub known_endpoints: EndpointList,
-    /// When the configuration was written, as far as the file system tells.
+    /// The modification time of the configuration file, if the file system provides it.
     pub modified_at: Option<Nanos>,
-    /// The classes of queries.
+    /// The service classes of queries.
     pub service_classes: Vec<ServiceClass>,
-    /// Names of the tenants; empty where there are none.
+    /// The names of the tenants; empty if there are none.
     pub tenants: Vec<String>,
-    /// What is kept over a restart, and where; none where nothing is.
+    /// The settings of the persistent state; `None` if persistence is disabled.
     pub persistence: Option<PersistenceSettings>,
-    /// How the node takes part in a fleet of front nodes; none where it stands alone.
+    /// The settings of the fleet of front nodes; `None` if the node works alone.
     pub fleet: Option<FleetSettings>,
-    /// How the node starts among others; none where it asks discovery at once and trusts any list.
+    /// The settings of the cold start; `None` if the node queries discovery at once and trusts any list.
     pub cold_start: Option<ColdStartSettings>,
-    /// How the node takes part in maintenance; none where it goes by discovery alone.
+    /// The settings of maintenance; `None` if the node follows discovery alone.
     pub maintenance: Option<MaintenanceSettings>,
-    /// Where requests are recorded; none where they are not.
+    /// The settings of the recording of requests; `None` if it is disabled.
     pub recording: Option<RecordingSettings>,
     /// The ring of cells.
     pub ring: RingLayout,
-    /// Where queries of the search API go; none where it is switched off.
+    /// The routes of the search API; `None` if it is disabled.
     pub routes: Option<Rc<Routes>>,
-    /// Shards of the index.
+    /// The number of shards of the index.
     pub shards: usize,
-    /// What the protocols of stores go by.
+    /// The settings of the replicas' protocols.
     pub store_protocols: StoreProtocolSettings,
-    /// Whether discovery publishes changes only to those who ask.
+    /// Whether discovery publishes changes only on request.
     pub discovery_on_request: bool,
-    /// Queries and shard requests that may be pending at once.
+    /// The maximum number of pending queries plus their shard requests.
     pub max_pending: usize,
-    /// How long an idle connection stays open.
+    /// The time after which an idle connection is closed.
     pub idle_timeout: Nanos,
-    /// How long a connection may take to come up.
+    /// The time in which a connection must be established.
     pub connect_timeout: Nanos,
-    /// Connections of clients that may be open at once.
+    /// The maximum number of open client connections.
     pub max_clients: usize,
-    /// Connections to replicas that may be open at once.
+    /// The maximum number of open connections to replicas.
     pub max_store_connections: usize,
-    /// Bytes that the unread requests of all clients may take.
+    /// The maximum number of bytes in the unread requests of all clients.
     pub max_request_bytes: usize,
-    /// How long a client may take to send a whole request, and to close once it was answered with an error.
+    /// How long a client may take to send a complete request, and to close after an error response.
     pub request_timeout: Nanos,
-    /// Least time between two rounds.
+    /// The minimum time between two rounds.
     pub tick: Nanos,
-    /// How long after discovery lists a replica as draining or gone something new may still go to it.
+    /// How long new attempts may still go to a replica after discovery has listed it as draining or removed.
     pub drain_grace: Nanos,
-    /// A fingerprint of each section that cannot change while the node runs.
+    /// A hash of each section that cannot change while the node runs.
     section_fingerprints: Vec<(&'static str, u64)>,
 }
 
@@ -185,12 +185,12 @@
 ];
 
 impl NodeConfig {
-    /// The service classes as the file of routes goes by them.
+    /// Returns the service classes in the form that the routes need.
     pub fn route_classes(&self) -> Vec<RouteClass> {
         route_classes(&self.service_classes)
     }
 
-    /// The head of a recording that begins at `now`, Unix time.
+    /// Returns the header of a recording that begins at `now`, in Unix time.
     pub fn recording_head(&self, now: Nanos) -> Header {
         let classes = self.service_classes.iter().map(|class| class.name.clone()).collect();
         Header {
@@ -201,58 +201,58 @@
         }
     }
 
-    /// The sections that a later configuration would change, and that stay as they are until the next start.
+    /// Returns the sections that differ in `later` and only take effect after a restart.
     pub fn sections_changed_in(&self, later: &NodeConfig) -> Vec<&'static str> {
         let pairs = self.section_fingerprints.iter().zip(&later.section_fingerprints);
         pairs.filter(|(now, later)| now != later).map(|(now, _)| now.0).collect()
     }
 }
 
-/// Where the configuration is: read at the start, and again on SIGHUP.
+/// The location of the configuration, which is read at the start and again on SIGHUP.
 #[derive(Clone, Debug, Default)]
 pub struct ConfigSource {
-    /// Path of the configuration.
+    /// The path of the configuration.
     pub config: String,
-    /// The file of routes, where the configuration's key `search` doesn't name it.
+    /// The path of the routes; the configuration's key `search` takes precedence.
     pub search: Option<String>,
-    /// The file on persistence, where the key `logbook` doesn't name it.
+    /// The path of the persistence file; the key `logbook` takes precedence.
     pub logbook: Option<String>,
-    /// The file on the fleet, where the key `fleet` doesn't name it.
+    /// The path of the fleet's file; the key `fleet` takes precedence.
     pub fleet: Option<String>,
-    /// The file on the cold start, where the key `coldstart` doesn't name it.
+    /// The path of the cold start's file; the key `coldstart` takes precedence.
     pub coldstart: Option<String>,
-    /// The file on maintenance, where the key `maintenance` doesn't name it.
+    /// The path of the maintenance file; the key `maintenance` takes precedence.
     pub maintenance: Option<String>,
-    /// The file on recording, where the key `record` doesn't name it.
+    /// The path of the recording file; the key `record` takes precedence.
     pub record: Option<String>,
-    /// Where the trace of decisions is written, `-` for standard error; none where it is not kept.
+    /// The path of the trace of decisions, `-` for standard error; `None` if no trace is written.
     pub trace: Option<String>,
 }
 
-/// Paths of the operators' files that the program was told of besides the configuration, whose keys of the same names
-/// take precedence: its form is not always ours.
+/// Paths of the operators' files that are given outside of the configuration, whose keys of the same names take
+/// precedence: the project does not always control the form of the configuration.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct OperatorFiles<'a> {
-    /// The file of routes, key `search`.
+    /// The path of the routes, key `search`.
     pub search: Option<&'a str>,
-    /// The file on persistence, key `logbook`.
+    /// The path of the persistence file, key `logbook`.
     pub logbook: Option<&'a str>,
-    /// The file on the fleet, key `fleet`.
+    /// The path of the fleet's file, key `fleet`.
     pub fleet: Option<&'a str>,
-    /// The file on the cold start, key `coldstart`.
+    /// The path of the cold start's file, key `coldstart`.
     pub coldstart: Option<&'a str>,
-    /// The file on maintenance, key `maintenance`.
+    /// The path of the maintenance file, key `maintenance`.
     pub maintenance: Option<&'a str>,
-    /// The file on recording, key `record`.
+    /// The path of the recording file, key `record`.
     pub record: Option<&'a str>,
 }
 
 impl ConfigSource {
-    /// The paths that the environment names.
+    /// Returns the paths that the environment variables name.
     ///
     /// # Errors
     ///
-    /// If it names no configuration.
+    /// Fails if the variable of the configuration is not set.
     pub fn from_environment() -> Result<ConfigSource, ConfigError> {
         let config = std::env::var(VARIABLE).map_err(|_| ConfigError::NoFile)?;
         let path = |name| std::env::var(name).ok().filter(|path| !path.is_empty());
@@ -268,11 +268,11 @@
         })
     }
 
-    /// Reads and checks all files.
+    /// Reads and checks the configuration and the operators' files.
     ///
     /// # Errors
     ///
-    /// If one cannot be read or used.
+    /// Fails if a file cannot be read or is invalid.
     pub fn read(&self) -> Result<(NodeConfig, AggregatorSettings), ConfigError> {
         let path = &self.config;
         let text = std::fs::read_to_string(path)
@@ -293,11 +293,12 @@
     }
 }
 
-/// Reads and checks a configuration and the files that it names: the node's part, and the aggregator's.
+/// Reads and checks a configuration and the files that it names. Returns the node's configuration and the aggregator's
+/// settings.
 ///
 /// # Errors
 ///
-/// If a key or a file cannot be used.
+/// Fails if a key or a file is invalid.
 ///
 /// ```
 /// use orchidvalve_frontnode::config::{OperatorFiles, read};
@@ -373,9 +374,9 @@
     Ok(grace.max(0))
 }
 
-/// What the process may use of the machine.
+/// The resources of the machine that the process may use.
 struct ResourceLimits {
-    /// Descriptors.
+    /// The number of file descriptors.
     sockets: usize,
     memory_mb: usize,
 }
@@ -388,12 +389,14 @@
         })
     }
 
-    /// Fewer than the third that clients may hold are for them, or idle ones take the places of those that come.
+    /// Returns the maximum number of client connections. Clients may hold up to a third of the descriptors. The limit is
+    /// slightly lower, as otherwise idle clients take the slots of new ones.
     fn max_clients(&self) -> usize {
         self.sockets * 3 / 10
     }
 
-    /// Half of the descriptors are for replicas, as clients that come in numbers must not cut those off.
+    /// Returns the maximum number of connections to replicas: half of the descriptors, so that many clients cannot cut
+    /// the replicas off.
     fn max_store_connections(&self) -> usize {
         (self.sockets - OTHER_DESCRIPTORS) / 2
     }
@@ -403,7 +406,7 @@
     }
 }
 
-/// The service classes of those names, in the order of the settings.
+/// Returns the service classes with the given names, in the order of the settings.
 fn service_classes(names: Vec<String>, aggregator_settings: &AggregatorSettings) -> Vec<ServiceClass> {
     let classes = names.into_iter().zip(&aggregator_settings.classes);
     let service_class = |(name, class): (String, &orchidvalve::interface::ServiceClass)| ServiceClass {
@@ -429,12 +432,12 @@
     })
 }
 
-/// The names of the objects of a list.
+/// Returns the names of the objects in a list.
 fn names(objects: &[Section]) -> Result<Vec<String>, SettingsError> {
     objects.iter().map(|object| object.text("name").map(str::to_owned)).collect()
 }
 
-/// The service classes as the file of routes goes by them.
+/// Returns the service classes in the form that the routes need.
 fn route_classes(classes: &[ServiceClass]) -> Vec<RouteClass> {
     let class = |class: &ServiceClass| RouteClass {
         name: class.name.clone(),
@@ -443,7 +446,7 @@
     classes.iter().map(class).collect()
 }
 
-/// The path of an operators' file, by the configuration's key of that name or else by what the program was told.
+/// Returns the path of an operator's file: the value of the configuration's key, else `default`.
 fn operator_file_path<'a>(
     document: &Section<'a>,
     key: &str,
@@ -457,7 +460,7 @@
     std::fs::read_to_string(path).map_err(|error| document.error(key, format!("cannot read {path}: {error}")))
 }
 
-/// The file of routes.
+/// Reads the file of routes.
 fn routes(
     document: &Section,
     default: Option<&str>,
@@ -471,7 +474,7 @@
     Ok(Some(Rc::new(routes)))
 }
 
-/// One of the other operators' files.
+/// Reads one of the operators' other files.
 fn operator_file<T>(
     document: &Section,
     key: &str,
@@ -491,13 +494,13 @@
         max_queued: from_routes.waiting,
         queue_timeout: from_routes.wait_ms.saturating_mul(1_000_000),
         close_cost: SECOND / Nanos::from(from_routes.closes_a_second.max(1)),
-        // A second's worth; none at all where no connection may be closed.
+        // The budget of one second; zero if no connection may be closed.
         close_budget: if from_routes.closes_a_second == 0 { 0 } else { SECOND },
         drain_timeout: from_routes.read_out_ms.saturating_mul(1_000_000),
     }
 }
 
-/// What the aggregator's settings must not say, as the node would stand still or answer nothing.
+/// Rejects aggregator settings with which the node would make no progress or answer no query.
 fn check_aggregator_settings(
     settings: &Section,
     extra: &Section,
@@ -523,7 +526,7 @@
     Ok(())
 }
 
-/// Sections are compared by it, so that they need not be kept.
+/// Returns a hash of a section, so that sections can be compared without keeping them.
 fn fingerprint(section: Option<&Value>) -> u64 {
     let mut hasher = DefaultHasher::new();
     section.map(Value::to_string).hash(&mut hasher);
--- a/crates/frontnode/src/connection_pool.rs
+++ b/crates/frontnode/src/connection_pool.rs
@@ -1,51 +1,53 @@
-//! Connections to one store whose protocol carries one shard request at a time on each: how many there may be, what
-//! waits for one and for how long, and what becomes of a connection whose shard request is cancelled. Decisions only:
-//! the owner of the connections asks, and does what it is told.
+//! A pool of connections to one replica whose protocol carries one shard request at a time on each connection. The pool
+//! limits the number of connections, queues shard requests for a limited time, and decides whether the connection of a
+//! cancelled shard request is closed or drained. It only decides; the owner of the connections carries the decisions
+//! out.
 //!
-//! Each store is entitled to its fair share of the node's connections. Beyond that it may borrow, as long as the shares
-//! of all others stay untouched: a store that accepts and never answers fills its own share and borrowed connections,
-//! and takes nothing that another one is entitled to.
+//! Each replica is entitled to its fair share of the node's connections. It may borrow more as long as the fair shares
+//! of all others stay available: a replica that accepts requests and never answers uses up its own share and borrowed
+//! connections, but nothing that another replica is entitled to.
 //!
-//! A shard request cancelled under HTTP/1.1 leaves its answer in flight. Closing the connection tells the store to
-//! stop, and costs a new one; reading on costs the connection until the answer is in. Closing is rate limited: under a
-//! storm of cancellations, new connections would be what the store spends its time on.
+//! The response to a shard request that is cancelled under HTTP/1.1 is still in flight. Closing the connection stops
+//! the work of the replica, but requires a new connection; draining it occupies the connection until the response has
+//! arrived. Closing is rate limited: in a burst of cancellations, the replica would otherwise spend its time on new
+//! connections.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use orchidvalve::interface::Nanos;
 
-/// What a pool goes by.
+/// The settings of a pool.
 #[derive(Clone, Copy, Debug)]
 pub struct PoolSettings {
-    /// Most connections to one store.
+    /// The maximum number of connections to one replica.
     pub max_connections: usize,
-    /// Shard requests that may wait for a connection.
+    /// The maximum number of shard requests that wait for a connection.
     pub max_queued: usize,
-    /// How long a shard request may wait.
+    /// How long a shard request may wait for a connection, in nanoseconds.
     pub queue_timeout: Nanos,
-    /// Time that one connection closed under a cancelled shard request costs.
+    /// The cost of closing the connection of a cancelled shard request, as a time taken from the close budget.
     pub close_cost: Nanos,
-    /// Time that may be saved up for closing.
+    /// The maximum of the close budget, which is refilled as time passes.
     pub close_budget: Nanos,
-    /// How long the answer to a cancelled shard request may take to come in full.
+    /// How long the response to a cancelled shard request may take to arrive completely.
     pub drain_timeout: Nanos,
 }
 
-/// How many connections the node has, and may have.
+/// The number of connections that the node has and may have.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Most connections to all stores.
+    /// The maximum number of connections to all replicas.
     pub max_connections: usize,
     /// Connections that are open.
     pub open: usize,
-    /// Stores that take new attempts.
+    /// Replicas that accept new attempts.
     pub serving_stores: usize,
-    /// Connections that all other stores are still entitled to.
+    /// Connections that all other replicas are still entitled to.
     pub reserved: usize,
 }
 
 impl Capacity {
-    /// A store's fair share of the connections: one at least.
+    /// Returns a replica's fair share of the connections, at least one.
     pub fn fair_share(&self) -> usize {
         (self.max_connections / self.serving_stores.max(1)).max(1)
     }
@@ -53,68 +55,69 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State<T> {
-    /// Not up yet.
+    /// The connection is being established.
     Connecting { for_health_check: bool },
-    /// With the number of its release: the one released last is taken first, so that the others can fall idle and
-    /// close.
+    /// Carries nothing. `released` numbers the releases: the connection released last is reused first, so that the others
+    /// become idle for long enough to be closed.
     Idle { released: u64 },
     /// Carries a shard request.
     Busy(T),
     /// Carries a health check.
     HealthCheck,
-    /// Its shard request was cancelled, and the answer is read to its end.
+    /// Reads the response to a cancelled shard request.
     Draining,
 }
 
-/// Where a shard request goes.
+/// The result of placing a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement<K> {
-    /// On that connection.
+    /// It is sent on this connection.
     On(K),
-    /// It waits until a connection is free or its time to wait is over.
+    /// It waits until a connection is released or the queue timeout expires.
     Queued,
-    /// Too many wait.
+    /// It is rejected because too many shard requests wait.
     QueueFull,
 }
 
-/// Where a health check goes.
+/// The result of placing a health check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthCheckPlacement<K> {
-    /// On that connection.
+    /// It is sent on this connection.
     On(K),
-    /// On a connection that is opened for it.
+    /// It is sent on a connection that is opened for it.
     Open,
-    /// Nowhere: there is no capacity for it.
+    /// It cannot be sent: there is no capacity for another connection.
     Unavailable,
 }
 
-/// What becomes of the connection of a cancelled shard request.
+/// The result of cancelling a shard request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cancellation<K> {
-    /// It waited for one, and does no more.
+    /// It was waiting for a connection and has left the queue.
     Dequeued,
-    /// It is closed.
+    /// Its connection is closed.
     Close(K),
-    /// Its answer is read and dropped, until then at the latest.
+    /// Its response is read and discarded, until this time at the latest.
     Drain(K, Nanos),
-    /// The pool doesn't know the shard request.
+    /// The pool does not contain the shard request.
     Unknown,
 }
 
-/// The connections to one store, and the shard requests that wait for one. `K` names a connection, `T` a shard request.
+/// The connections to one replica and the shard requests that wait for one. `K` identifies a connection, `T` a shard
+/// request.
 #[derive(Debug)]
 pub struct ConnectionPool<K, T> {
     settings: PoolSettings,
     connections: BTreeMap<K, State<T>>,
     queue: VecDeque<T>,
     releases: u64,
-    /// Time saved up for closing, as of when.
+    /// The close budget at the time `close_saved_at`.
     close_saved: Nanos,
     close_saved_at: Nanos,
 }
 
 impl<K: Copy + Ord, T: Copy + Eq> ConnectionPool<K, T> {
-    /// An empty pool.
+    /// Returns an empty pool.
     pub fn new(settings: PoolSettings) -> Self {
         ConnectionPool {
             settings,
@@ -126,22 +129,22 @@
         }
     }
 
-    /// What it goes by.
+    /// Returns the settings of the pool.
     pub fn settings(&self) -> &PoolSettings {
         &self.settings
     }
 
-    /// Connections that are up or on their way.
+    /// Returns the number of connections that are open or being opened.
     pub fn connections(&self) -> usize {
         self.connections.len()
     }
 
-    /// Shard requests that wait.
+    /// Returns the number of shard requests that wait for a connection.
     pub fn queued(&self) -> usize {
         self.queue.len()
     }
 
-    /// Connections that it lacks to its fair share.
+    /// Returns the number of connections that the pool is still entitled to.
     pub fn reserved(&self, capacity: Capacity) -> usize {
         capacity.fair_share().min(self.settings.max_connections).saturating_sub(self.connections.len())
     }
@@ -168,9 +171,9 @@
 
     // ---- shard requests ----
 
-    /// Places a shard request. One that has to wait goes behind those that do.
+    /// Places a shard request on an idle connection, or at the end of the queue.
     pub fn place(&mut self, request: T) -> Placement<K> {
-        // Nobody overtakes those that wait, even where a connection has just come free.
+        // Queued shard requests come first, even if a connection has just been released.
         if self.queue.is_empty()
             && let Some(key) = self.newest_idle()
         {
@@ -184,24 +187,25 @@
         Placement::Queued
     }
 
-    /// Whether another connection should be opened: each that is on its way is for one shard request that waits.
+    /// Returns whether another connection should be opened: each one being opened serves one queued shard request.
     pub fn wants_connection(&self, capacity: Capacity) -> bool {
         self.connecting() < self.queue.len() && self.may_open(capacity, self.settings.max_connections)
     }
 
-    /// The shard requests that wait in vain: where no connection is open and none may be opened, nothing can ever come
-    /// free.
+    /// Returns the queued shard requests if none of them can ever be served: no connection is open and none may be
+    /// opened.
     pub fn take_stranded(&mut self, capacity: Capacity) -> Vec<T> {
         let stranded = self.connections.is_empty() && !self.may_open(capacity, self.settings.max_connections);
         if stranded { self.take_queue() } else { Vec::new() }
     }
 
-    /// A connection is being opened.
+    /// Adds a connection that is being opened.
     pub fn opening(&mut self, key: K, for_health_check: bool) {
         self.connections.insert(key, State::Connecting { for_health_check });
     }
 
-    /// A connection came up, or what it carried is over: the shard request that it carries now, if one waits.
+    /// Releases a connection that was established or whose request has ended. Returns the queued shard request that it
+    /// carries next, if there is one.
     pub fn release(&mut self, key: K) -> Option<T> {
         let state = self.connections.get_mut(&key)?;
         if let Some(request) = self.queue.pop_front() {
@@ -213,18 +217,19 @@
         None
     }
 
-    /// Whether a connection carries something, or is to.
+    /// Returns whether a connection carries a request, or is being opened for one.
     pub fn is_busy(&self, key: K) -> bool {
         self.connections.get(&key).is_some_and(|state| !matches!(state, State::Idle { .. }))
     }
 
-    /// Whether the answer to a cancelled shard request is read to its end there.
+    /// Returns whether a connection still reads the response to a cancelled shard request.
     pub fn is_draining(&self, key: K) -> bool {
         self.connections.get(&key) == Some(&State::Draining)
     }
 
-    /// A connection is gone. Gives the shard requests that found no connection by it: where it never came up, the one
-    /// that it was opened for, and where no other one is up or on its way, all that wait, as each would fare the same.
+    /// Removes a closed connection and returns the queued shard requests that have to fail with it. If it was never
+    /// established, that is the one that it was opened for. If no other connection is open or being opened, all queued
+    /// shard requests fail, as each would meet the same failure.
     pub fn remove(&mut self, key: K) -> Vec<T> {
         let Some(State::Connecting { for_health_check }) = self.connections.remove(&key) else {
             return Vec::new();
@@ -237,15 +242,15 @@
         }
     }
 
-    /// A shard request waits no more; false where it did not wait.
+    /// Removes a shard request from the queue. Returns false if it was not queued.
     pub fn dequeue(&mut self, request: T) -> bool {
         let before = self.queue.len();
         self.queue.retain(|&queued| queued != request);
         self.queue.len() < before
     }
 
-    /// A shard request is wanted no more. `answer_began`: whether some of its answer has arrived, which then is likely
-    /// to end soon.
+    /// Cancels a shard request. `answer_began` says whether a part of its response has arrived; the rest then is likely
+    /// to follow soon.
     pub fn cancel(&mut self, now: Nanos, request: T, answer_began: bool) -> Cancellation<K> {
         if self.dequeue(request) {
             return Cancellation::Dequeued;
@@ -259,7 +264,7 @@
         Cancellation::Drain(key, now + self.settings.drain_timeout)
     }
 
-    /// Spends what one close costs, where enough is saved up.
+    /// Takes the cost of one close from the close budget. Returns false if the budget is too small.
     fn spend_close(&mut self, now: Nanos) -> bool {
         let elapsed = now.saturating_sub(self.close_saved_at).max(0);
         self.close_saved = self.close_saved.saturating_add(elapsed).min(self.settings.close_budget);
@@ -271,15 +276,15 @@
         enough
     }
 
-    /// Takes out all that waits: its store drains or is gone, and nothing new may be sent.
+    /// Takes all queued shard requests: the replica drains or is gone, and nothing new may be sent to it.
     pub fn take_queue(&mut self) -> Vec<T> {
         self.queue.drain(..).collect()
     }
 
     // ---- health checks ----
 
-    /// Places a health check. It doesn't wait behind shard requests: it goes on an idle connection, or on one more than
-    /// the pool may have, as a pool that is full of unanswered shard requests is what it is to look into.
+    /// Places a health check. It does not queue behind shard requests: it uses an idle connection, or one above the
+    /// limit of the pool, because it has to examine a pool that is full of unanswered shard requests.
     pub fn place_health_check(&mut self, capacity: Capacity) -> HealthCheckPlacement<K> {
         if let Some(key) = self.newest_idle() {
             self.connections.insert(key, State::HealthCheck);
--- a/crates/frontnode/src/context.rs
+++ b/crates/frontnode/src/context.rs
@@ -1,4 +1,4 @@
-//! What every module of the node works with in a round: the time, the timers, metrics and the optional recorders.
+//! The context that all modules of the node share: the time of the round, timers, metrics and optional recorders.
 
 use orchidvalve::interface::Nanos;
 use orchidvalve::state::SampleRing;
@@ -10,36 +10,36 @@
 use crate::persistence::PersistentState;
 use crate::recorder::Recorder;
 
-/// What all modules of the node use.
+/// The state that all modules of the node use in a round.
 pub struct Context {
     /// The time of this round.
     pub now: Nanos,
-    /// Where connections register with the event loop.
+    /// The event loop, with which connections are registered.
     pub events: EventLoopHandle,
     /// All timers of the node.
     pub deadlines: Deadlines<Timer>,
     /// The counters of `/metrics`.
     pub metrics: Metrics,
-    /// How long the last rounds took, with all that was read and written in them.
+    /// The durations of the last rounds, including their reads and writes.
     pub round_durations: SampleRing<Nanos>,
-    /// Sources that have something left to do in the next round.
+    /// Sources that still have work for the next round.
     pub ready_again: Vec<EventSource>,
-    /// What is kept over a restart, where that is switched on.
+    /// The state that survives a restart; `None` if persistence is disabled.
     pub persistent_state: Option<PersistentState>,
-    /// Gauges of the fleet, where it is switched on.
+    /// Gauges of the fleet; empty if it is disabled.
     pub fleet_gauges: Vec<Gauge>,
-    /// Gauges of the cold start, where it is switched on.
+    /// Gauges of the cold start; empty if it is disabled.
     pub cold_start_gauges: Vec<Gauge>,
-    /// Gauges of maintenance, where it is switched on.
+    /// Gauges of maintenance; empty if it is disabled.
     pub maintenance_gauges: Vec<Gauge>,
-    /// What operators read of maintenance and ask for, where it is switched on.
+    /// The operators' view and requests of maintenance; `None` if it is disabled.
     pub maintenance_requests: Option<MaintenanceRequests>,
-    /// Records what clients ask, where that is switched on.
+    /// Records the queries of clients; `None` if recording is disabled.
     pub recorder: Option<Recorder>,
 }
 
 impl Context {
-    /// The time within which 99 of 100 of the last rounds were over.
+    /// Returns the 99th percentile of the last rounds' durations.
     pub fn round_p99(&self) -> Nanos {
         let mut durations: Vec<Nanos> = self.round_durations.iter().collect();
         durations.sort_unstable();
--- a/crates/frontnode/src/deadlines.rs
+++ b/crates/frontnode/src/deadlines.rs
@@ -1,12 +1,12 @@
-//! The node's clock, and the one ordered structure that holds all its timers.
+//! The node's clock, and the ordered structure that holds all its timers.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
 use orchidvalve::interface::Nanos;
 
-/// Nanoseconds since the Unix epoch, read from the system's clock once and counted monotonically from then on: steps
-/// of the system's clock must not move deadlines, yet discovery states starts in Unix time.
+/// A clock in nanoseconds since the Unix epoch. It reads the system clock once and then counts monotonically: a change of
+/// the system clock must not move deadlines, but discovery publishes start times in Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
@@ -14,13 +14,13 @@
 }
 
 impl Clock {
-    /// Reads the system's clock.
+    /// Starts a clock at the current time of the system clock.
     pub fn start() -> Clock {
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or(Duration::ZERO);
         Clock { started: Instant::now(), started_unix: nanos(unix) }
     }
 
-    /// Nanoseconds since the Unix epoch.
+    /// Returns the time in nanoseconds since the Unix epoch.
     pub fn now(&self) -> Nanos {
         self.started_unix + nanos(self.started.elapsed())
     }
@@ -30,11 +30,11 @@
     Nanos::try_from(time.as_nanos()).unwrap_or(Nanos::MAX / 2)
 }
 
-/// What the owner of a deadline keeps of it, to cancel it.
+/// Identifies a scheduled deadline, so that its owner can cancel it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct DeadlineKey(Nanos, u64);
 
-/// Deadlines in the order in which they fall due; those of one moment in the order in which they were scheduled.
+/// Scheduled deadlines ordered by time; deadlines of the same time are ordered by when they were scheduled.
 ///
 /// ```
 /// use orchidvalve_frontnode::deadlines::Deadlines;
@@ -58,7 +58,7 @@
 }
 
 impl<T> Deadlines<T> {
-    /// Adds a deadline; the key cancels it.
+    /// Schedules a deadline and returns the key that cancels it.
     pub fn schedule(&mut self, at: Nanos, what: T) -> DeadlineKey {
         self.scheduled += 1;
         let key = DeadlineKey(at, self.scheduled);
@@ -66,28 +66,28 @@
         key
     }
 
-    /// Removes a deadline. One that has fallen due, or was cancelled before, is left alone.
+    /// Cancels a deadline. Does nothing if it has fallen due or was cancelled before.
     pub fn cancel(&mut self, key: DeadlineKey) {
         self.pending.remove(&key);
     }
 
-    /// When the first falls due.
+    /// Returns the time of the earliest deadline.
     pub fn next_due(&self) -> Option<Nanos> {
         self.pending.keys().next().map(|key| key.0)
     }
 
-    /// Takes out the first that is due.
+    /// Removes and returns the earliest deadline if it is due.
     pub fn pop_due(&mut self, now: Nanos) -> Option<T> {
         self.next_due().filter(|&at| at <= now)?;
         self.pending.pop_first().map(|(_, what)| what)
     }
 
-    /// Deadlines that are not due yet.
+    /// Returns the number of scheduled deadlines.
     pub fn len(&self) -> usize {
         self.pending.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether no deadline is scheduled.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
--- a/crates/frontnode/src/discovery.rs
+++ b/crates/frontnode/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: one watch after another at its agent, and the endpoint list that the replicas are known by.
+//! Discovery: long-polls the discovery agent and maintains the endpoint list with the known replicas.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io;
@@ -23,23 +23,23 @@
 use crate::store_protocol::ProtocolKind;
 use crate::stream::{Stream, connect};
 
-/// How long a watch may wait for something new, and how much later its answer is missed. What a silent watch misses
-/// counts as published 2 s after its wait: by then another one has to have its answer, and where discovery is asked on
-/// request the aggregator waits before it asks, for up to a second.
+/// How long a watch (a long poll) may wait for a change (`hold_ms`), and how much later its response counts as missed.
+/// Changes that an unresponsive watch misses count as published 2 s after that wait: by then another watch needs to have
+/// its response. If discovery is queried on request, the aggregator waits for up to a second before it requests a query.
 const WATCH_MS: i64 = 20_000;
 const WATCH_SLACK_MS: i64 = 800;
-/// The same for a call that waits for nothing, which counts 6 s after it fell silent.
+/// The same slack for a call without a wait, whose changes count as published 6 s after it became unresponsive.
 const CALL_SLACK_MS: i64 = 2_000;
-/// Where the cold start paces, an answer is waited for longer after each miss, up to so many doublings: a discovery
-/// that answers hundreds slowly would otherwise be given up by all of them, over and over.
+/// With a paced cold start, the slack doubles after each missed response, up to this number of times. Otherwise a
+/// discovery agent that serves hundreds of nodes slowly would be abandoned by all of them again and again.
 const MAX_SLACK_DOUBLINGS: u32 = 3;
-/// What discovery has counts as published whether or not a watch is open, and from then on the grace for drains runs. A
-/// call that fails at once is made anew at once, and while that fails too, after this part of the grace, doubled so
-/// often.
+/// A change counts as published whether or not a watch is open, and the grace period for drains runs from then on. A
+/// failed call is therefore retried immediately. If that fails too, the backoff is the grace period divided by this
+/// number, doubled up to `MAX_BACKOFF_DOUBLINGS` times.
 const GRACE_PART: Nanos = 32;
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// Why a call brought no list.
+/// Why a call to discovery returned no list.
 #[derive(Debug, Display, Error, From)]
 enum CallError {
     #[display("{_0}")]
@@ -61,18 +61,18 @@
     NoAnswer,
 }
 
-/// How far a list is to be trusted.
+/// The origin of an endpoint list, which decides how far the list is trusted.
 pub enum ListOrigin {
     /// Published by discovery.
     Discovery,
-    /// The configuration's, which is trusted like discovery's where no cold start paces.
+    /// Read from the configuration. It is trusted like discovery's list if there is no cold start.
     Configuration,
-    /// An older one, with the doubt of each replica.
+    /// An older list, with the number of unverified steps of each replica.
     Doubted(Vec<Doubt>),
 }
 
 impl ListOrigin {
-    /// How far the endpoint at that position of the list is to be trusted.
+    /// Returns how far the endpoint at `position` of the list is trusted.
     fn trust(&self, position: usize) -> EndpointTrust {
         match self {
             ListOrigin::Discovery => EndpointTrust::Verified,
@@ -86,16 +86,16 @@
     }
 }
 
-/// How far one endpoint of a list is to be trusted.
+/// How far one endpoint of a list is trusted.
 #[derive(Clone, Copy)]
 enum EndpointTrust {
     Verified,
     Doubted(Doubt),
-    /// As far as before.
+    /// The trust of the replica stays as it was.
     Unchanged,
 }
 
-/// Which replicas a list names, by their numbers.
+/// The replicas that a list names, indexed by their numbers.
 struct ListedReplicas(Vec<bool>);
 
 impl ListedReplicas {
@@ -108,45 +108,45 @@
         self.0.get(ix.0) == Some(&true)
     }
 
-    /// Those that were known and are not named.
+    /// Returns the known replicas that the list does not name.
     fn unlisted(&self) -> impl Iterator<Item = ReplicaIndex> {
         let numbers = self.0.iter().enumerate();
         numbers.filter(|(_, listed)| !**listed).map(|(ix, _)| ReplicaIndex(ix))
     }
 }
 
-/// The watch at discovery, and the endpoint list.
+/// The connection to discovery and the endpoint list.
 pub struct Discovery {
     routes: Option<Rc<Routes>>,
     address: SocketAddr,
-    /// Whether the aggregator says when discovery is asked.
+    /// Whether the aggregator decides when discovery is queried.
     on_request: bool,
     replicas: HashMap<String, ReplicaIndex>,
-    /// Replicas met since the last round.
+    /// Replicas added since the last round.
     new_replicas: Vec<ReplicaIndex>,
-    /// Discovery's own count of changes; none before it published the whole list.
+    /// The revision of the list, counted by discovery; `None` until a complete list was received.
     revision: Option<i64>,
     stream: Option<Stream>,
     /// Whether a call is in flight.
     in_flight: bool,
-    /// When the answer is missed, or when to ask again.
+    /// The timeout of the call in flight, or the time of the next call.
     timer: Option<DeadlineKey>,
     misses: u32,
     connect_timeout: Nanos,
     backoff: Nanos,
-    /// Whether the cold start says when discovery is asked.
+    /// Whether the cold start decides when discovery is queried.
     paced: bool,
-    /// What the cold start is to know of the watch.
+    /// Events of the watch that the cold start has not handled yet.
     events: Vec<DiscoveryEvent>,
-    /// Whether the list is kept, for peers and for maintenance.
+    /// Whether the list is kept for peers and for maintenance.
     keeps_list: bool,
     list: BTreeMap<String, Endpoint>,
-    /// Machines that maintenance has closed: they get nothing new from here, whatever discovery says.
+    /// Machines that maintenance has closed: they get no new attempts, regardless of what discovery publishes.
     closed: BTreeSet<String>,
 }
 
 impl Discovery {
-    /// Without a list, and without a watch yet.
+    /// Returns a discovery without a list and without an open watch.
     pub fn new(config: &NodeConfig) -> Self {
         Discovery {
             routes: config.routes.clone(),
@@ -169,7 +169,7 @@
         }
     }
 
-    /// The operator's routes say which stores speak which protocol.
+    /// Returns the protocol of a replica according to the operator's routes.
     fn protocol(&self, endpoint: &Endpoint) -> ProtocolKind {
         let Endpoint { id, flavor, locality, .. } = endpoint;
         let protocol = self.routes.as_ref().map(|routes| routes.store_protocol(id, flavor, locality));
@@ -179,12 +179,12 @@
         }
     }
 
-    /// Whether any replica is known.
+    /// Returns whether any replica is known.
     pub fn has_replicas(&self) -> bool {
         !self.replicas.is_empty()
     }
 
-    /// Goes by a list, or by changes of one, from now on.
+    /// Applies a complete endpoint list or a list of changes.
     pub fn apply_list(
         &mut self,
         list: EndpointList,
@@ -220,7 +220,7 @@
         }
     }
 
-    /// Keeps an endpoint for peers and for maintenance, and on disk where discovery published it.
+    /// Keeps an endpoint for peers and for maintenance, and stores it on disk if discovery published it.
     fn keep_endpoint(&mut self, endpoint: &Endpoint, published: bool, context: &mut Context) {
         if let Some(state) = context.persistent_state.as_mut().filter(|_| published) {
             state.write_endpoint(endpoint);
@@ -251,7 +251,7 @@
         aggregator_state.member_listed(ix, cell, serving, started);
         match trust {
             EndpointTrust::Verified => aggregator_state.replica_verified(ix),
-            // One that an older list named has its doubt already, or has answered since.
+            // A replica from an older list already has its unverified steps, or has answered since.
             EndpointTrust::Doubted(Doubt { steps, check_from }) if known.is_none() => {
                 aggregator_state.replica_unverified(ix, steps, check_from);
             }
@@ -263,7 +263,7 @@
         ix
     }
 
-    /// A replica that was not known.
+    /// Adds a new replica.
     fn add_replica(
         &mut self,
         id: String,
@@ -273,7 +273,7 @@
         context: &mut Context,
     ) -> ReplicaIndex {
         let ix = aggregator_state.replica_discovered(cell);
-        // Where it takes the slot of one that is gone, nothing of that one stays.
+        // It may reuse the slot of a removed replica; all state of that replica is reset.
         self.replicas.retain(|_, other| *other != ix);
         if let Some(state) = &mut context.persistent_state {
             state.reset_slot(ix);
@@ -284,7 +284,7 @@
         ix
     }
 
-    /// The replicas that a whole list doesn't name are gone.
+    /// Removes the replicas that a complete list does not name.
     fn retire_unlisted(
         &mut self,
         listed: &ListedReplicas,
@@ -304,7 +304,7 @@
         }
     }
 
-    /// Maintenance closes those machines: they get nothing new from here, and those that it has let go do again.
+    /// Sets the machines that maintenance closes: they get no new attempts. Machines no longer in the set get them again.
     pub fn close_machines(
         &mut self,
         closed: BTreeSet<String>,
@@ -315,7 +315,7 @@
     ) {
         let before = std::mem::replace(&mut self.closed, closed);
         let changed: Vec<String> = before.symmetric_difference(&self.closed).cloned().collect();
-        // Discovery has published nothing by this.
+        // The times of the last publication stay, as this update does not come from discovery.
         let published = (aggregator_state.membership_lost, aggregator_state.membership_received_at);
         aggregator_state.membership_update_begins(false);
         for id in changed {
@@ -328,17 +328,17 @@
         (aggregator_state.membership_lost, aggregator_state.membership_received_at) = published;
     }
 
-    /// What became of the watch since the last look, where the cold start paces.
+    /// Returns the events of the watch since the last call; always empty without a paced cold start.
     pub fn take_events(&mut self) -> Vec<DiscoveryEvent> {
         std::mem::take(&mut self.events)
     }
 
-    /// The list in use, where it is kept, and its revision.
+    /// Returns the current list, which is empty unless it is kept, and its revision.
     pub fn list(&self) -> (&BTreeMap<String, Endpoint>, i64) {
         (&self.list, self.revision.unwrap_or(0))
     }
 
-    /// Asks for the whole list, or for what changed since the one in use.
+    /// Requests the complete list or the changes since the current one.
     pub fn fetch(&mut self, full_list: bool, aggregator_state: &mut AggregatorState, context: &mut Context) {
         if full_list {
             self.revision = None;
@@ -346,22 +346,23 @@
         self.ask(aggregator_state, context);
     }
 
-    /// Replicas met since the last round.
+    /// Returns the replicas added since the last round.
     pub fn new_replicas(&self) -> impl Iterator<Item = (&str, ReplicaIndex)> {
         self.replicas().filter(|(_, ix)| self.new_replicas.contains(ix))
     }
 
-    /// The round is over.
+    /// Ends the round: no replica counts as new any longer.
     pub fn end_round(&mut self) {
         self.new_replicas.clear();
     }
 
-    /// All replicas by their ids, with the aggregator's numbers.
+    /// Returns all replicas by their ids, with the aggregator's numbers.
     pub fn replicas(&self) -> impl Iterator<Item = (&str, ReplicaIndex)> {
         self.replicas.iter().map(|(id, ix)| (&**id, *ix))
     }
 
-    /// Another agent is asked at once, and for the whole list: its revisions need not continue the last one's.
+    /// Switches to another discovery agent and requests the complete list from it: its revisions may not continue those
+    /// of the previous agent.
     pub fn follow_address(
         &mut self,
         address: SocketAddr,
@@ -374,7 +375,7 @@
         (self.address, self.revision, self.misses) = (address, None, 0);
         (self.stream, self.in_flight) = (None, false);
         if self.paced {
-            // A new configuration reaches hundreds of nodes at once.
+            // A new configuration reaches hundreds of nodes at once, so the cold start paces the calls.
             self.cancel_timer(context);
             self.events.push(DiscoveryEvent::Moved(address));
             return;
@@ -382,14 +383,14 @@
         self.ask(aggregator_state, context);
     }
 
-    /// Starts the watch where changes come unasked for; elsewhere the aggregator or the cold start asks.
+    /// Starts the watch, unless the aggregator or the cold start decides when discovery is queried.
     pub fn start(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         if !self.on_request && !self.paced {
             self.ask(aggregator_state, context);
         }
     }
 
-    /// Asks discovery, unless a call is in flight.
+    /// Sends a request to discovery, unless a call is in flight.
     pub fn ask(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         if self.in_flight {
             return;
@@ -410,7 +411,7 @@
             stream.outbox().extend_from_slice(head.as_bytes());
         }
         self.in_flight = true;
-        // Until the connection is up; from then on for the watch.
+        // The connect timeout; `flush` replaces it by the timeout of the response once the request is written.
         self.set_timer(context.now + self.connect_timeout, context);
         self.flush(aggregator_state, context);
     }
@@ -448,7 +449,7 @@
         }
     }
 
-    /// The connection to discovery is ready.
+    /// Handles the ready connection to discovery.
     pub fn ready(
         &mut self,
         connections: &mut StoreConnections,
@@ -496,7 +497,7 @@
         }
     }
 
-    /// An answer is missed, or it is time to ask again.
+    /// Handles the timeout of a call, or sends the next one.
     pub fn timer_due(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         self.timer = None;
         if self.in_flight {
@@ -506,7 +507,7 @@
         }
     }
 
-    /// A call failed: the list in use stays in force, and discovery is asked again.
+    /// Handles a failed call: the current list stays in use, and discovery is queried again.
     fn call_failed(
         &mut self,
         error: &CallError,
@@ -525,7 +526,7 @@
     ) {
         (self.stream, self.in_flight) = (None, false);
         context.metrics.endpoint_list_misses += 1;
-        log!("roster not heard from {}: {}", self.address, error.to_string().escape_default());
+        log!("no endpoint list from {}: {}", self.address, error.to_string().escape_default());
         if self.paced {
             self.cancel_timer(context);
             self.misses += 1;
@@ -534,7 +535,7 @@
             self.cancel_timer(context);
             aggregator_state.membership_lost();
         } else {
-            // One that was silent has been waited for.
+            // After a timeout the node has already waited.
             let at_once = timed_out || self.misses == 0;
             let doublings = self.misses.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
             let wait = if at_once { 0 } else { self.backoff << doublings };
@@ -544,15 +545,15 @@
     }
 }
 
-/// An answer of discovery.
+/// A parsed response of discovery.
 struct Answer {
     list: EndpointList,
-    /// Bytes that it took of the buffer.
+    /// The length of the response in the buffer, in bytes.
     length: usize,
     keeps_alive: bool,
 }
 
-/// The first answer of a buffer; none while more bytes are needed.
+/// Parses the first response of a buffer. Returns `None` while more bytes are needed.
 fn read_list(buffer: &[u8]) -> Result<Option<Answer>, CallError> {
     let Some(message) = http::parse_response(buffer)? else { return Ok(None) };
     if message.status != 200 {
--- a/crates/frontnode/src/event_loop.rs
+++ b/crates/frontnode/src/event_loop.rs
@@ -1,6 +1,6 @@
-//! What the event loop reports and what can fall due: the keys of connections, the sources of readiness and the timers.
+//! The events of the event loop: the keys of connections, the sources that become ready, and the timers.
 //!
-//! The lowest layer of the node: it knows none of the modules that handle these events.
+//! This is the lowest layer of the node. It depends on none of the modules that handle these events.
 
 use calloop::LoopHandle;
 use orchidvalve::interface::{Nanos, ShardRequestIndex};
@@ -9,13 +9,13 @@
 use crate::deadlines::Clock;
 
 new_key_type! {
-    /// A client's connection.
+    /// Identifies a client connection.
     pub struct ClientKey;
-    /// A connection to a replica.
+    /// Identifies a connection to a replica.
     pub struct ConnectionKey;
 }
 
-/// What became ready.
+/// A source of events.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EventSource {
     /// The listener for clients.
@@ -36,40 +36,40 @@
     Reload,
 }
 
-/// What can fall due.
+/// A timer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Timer {
-    /// An attempt's time is over, to be answered or to be sent.
+    /// An attempt's time to be answered or to be sent is over.
     Attempt(ShardRequestIndex, usize),
-    /// An attempt has waited for a pooled connection for long enough.
+    /// An attempt's time to wait for a pooled connection is over.
     PoolWait(ShardRequestIndex, usize),
-    /// A connection's time to come up, or to stay idle, is over.
+    /// A connection's time to be established, to stay idle or to be drained is over.
     Connection(ConnectionKey),
     /// A health check was not answered in time.
     HealthCheck(ConnectionKey),
-    /// A message that began to arrive is not complete in time.
+    /// A partially received message was not completed in time.
     PartialMessage(ConnectionKey),
-    /// A connection has been silent while its server answered on another one.
+    /// A connection stayed unresponsive while its replica answered on another one.
     SilentConnection(ConnectionKey),
-    /// A client's time is over, to send a request, to read its answer or to close.
+    /// A client's time to send a request, to read its response or to close is over.
     Client(ClientKey),
-    /// Connections that wait at the listener are accepted again.
+    /// Connections queued at the listener are accepted.
     Accept,
-    /// Discovery's answer is missed, or it is to be asked again.
+    /// The response of discovery is overdue, or the next request to it is due.
     Discovery,
     /// The fleet's next timer.
     Fleet,
     /// The cold start's next slot, or the end of its wait for discovery.
     ColdStart,
-    /// The maintenance group's next tick, or a look at what the disk has finished.
+    /// The next tick of the maintenance group, or the next check for completed disk writes.
     Maintenance,
-    /// The aggregator asked for a round.
+    /// The aggregator requested a round.
     Wake,
-    /// A node that shuts down looks again whether it is done.
+    /// A node that shuts down checks whether it can stop.
     Stop,
 }
 
-/// A source of events that became ready.
+/// An event source that became ready.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadyEvent {
     /// The source.
@@ -78,16 +78,16 @@
     pub at: Nanos,
 }
 
-/// What became ready since the last round.
+/// The event sources that became ready since the last round.
 pub struct ReadyEvents {
-    /// The clock that the times are taken from.
+    /// The clock that the times are read from.
     pub clock: Clock,
-    /// Each source at most once, in the order in which they became ready.
+    /// Each source at most once, in the order in which the sources became ready.
     pub ready: Vec<ReadyEvent>,
 }
 
 impl ReadyEvents {
-    /// Adds a source, unless it is there already.
+    /// Adds a source, unless it is already contained.
     pub fn add(&mut self, source: EventSource) {
         let at = self.clock.now();
         if !self.ready.iter().any(|other| other.source == source) {
@@ -96,5 +96,5 @@
     }
 }
 
-/// Where sources of events are registered.
+/// The handle with which event sources are registered.
 pub type EventLoopHandle = LoopHandle<'static, ReadyEvents>;
--- a/crates/frontnode/src/fleet.rs
+++ b/crates/frontnode/src/fleet.rs
@@ -1,7 +1,8 @@
-//! The fleet of front nodes, where the operator switches it on: a UDP socket, the rounds of `orchidvalve-fleet`, and
-//! what those bring the aggregator. It does not decide which replica is asked or what is rejected: it hands the
-//! aggregator how many shard requests a replica in slow start may still get from here as its floor, and the service
-//! classes that other front nodes found a replica failing, and reports to the others what this node found.
+//! This node's part in the fleet of front nodes, if the operator enables it: a UDP socket, the rounds of
+//! `orchidvalve-fleet`, and the exchange with the aggregator. It does not select replicas and rejects nothing. It passes
+//! two things to the aggregator: the number of shard requests that a replica in slow start may still get from this node
+//! as its floor, and the service classes that other front nodes found failing at a replica. It reports to the peers what
+//! this node found.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -28,18 +29,18 @@
 use crate::settings_file::{SectionName, SettingsFileError, milliseconds, parse};
 use crate::stable_hash::stable_hash;
 
-/// Families of budgets: the floors of replicas in slow start, the tenants' rates, and attempts beyond a shard request's
-/// first.
+/// Families of budgets: the floors of replicas in slow start, the rates of tenants, and the attempts after a shard
+/// request's first (retries).
 const SLOW_START_FLOOR: u8 = 1;
 const TENANT: u8 = 2;
 const RETRIES: BudgetKey = BudgetKey { family: 3, subject: 0 };
-/// Over so long a tenant's queries here, and retries, are counted for what this node wants.
+/// The time over which a tenant's queries and the retries on this node are counted to estimate its demand.
 const DEMAND_SPAN: Nanos = 2_000_000_000;
-/// Retries that a node may save up, as so long a time of its allowance; one at least.
+/// The burst of retries that a node may save up, as a time at its allowed rate; at least one retry.
 const RETRY_BURST: Nanos = 1_000_000_000;
-/// Datagrams read in one round at most; the rest wait for the next.
+/// The maximum number of datagrams read in one round; the rest is read in the next.
 const MAX_DATAGRAMS_PER_ROUND: usize = 256;
-/// Service classes that verdicts can be about.
+/// The number of service classes that verdicts can refer to.
 const MAX_SERVICE_CLASSES: u8 = 64;
 
 const SECTION: SectionName = SectionName("fleet");
@@ -106,28 +107,27 @@
     }
 }
 
-/// How the node takes part in its fleet.
+/// The settings of the node's part in the fleet.
 #[derive(Clone, Debug)]
 pub struct FleetSettings {
-    /// Where datagrams of other front nodes come in.
+    /// The address that receives datagrams of other front nodes.
     pub listen: SocketAddrV4,
-    /// What the fleet's protocol goes by.
+    /// The settings of the fleet protocol.
     pub protocol: FleetProtocolSettings,
-    /// Shard requests a window that a replica in slow start gets at least, from all front nodes together.
+    /// The minimum number of shard requests per window that a replica in slow start gets from all front nodes together.
     pub slow_start_floor: f64,
-    /// How long a verdict that a replica fails a service class holds unless another one comes.
+    /// How long a verdict that a replica fails a service class is valid unless it is renewed, in nanoseconds.
     pub verdict_lifetime: Nanos,
-    /// Attempts a second beyond the shard requests' first, of all front nodes together; none where each is bound by its
-    /// own retry budget alone.
+    /// Retries per second of all front nodes together; `None` if each node is limited by its own retry budget only.
     pub retries_per_second: Option<f64>,
 }
 
 impl FleetSettings {
-    /// Reads the operator's file.
+    /// Parses the operator's file.
     ///
     /// # Errors
     ///
-    /// If a key is absent, unknown or out of bounds.
+    /// Fails if a key is missing, unknown or out of bounds.
     ///
     /// ```
     /// use orchidvalve_frontnode::fleet::FleetSettings;
@@ -189,21 +189,21 @@
 /// Why the node cannot take part in its fleet.
 #[derive(Debug, Display, Error)]
 pub enum FleetError {
-    /// Nothing can listen on that address.
+    /// The UDP socket cannot be bound.
     #[display("fleet.listen: cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// The configured listen address.
         address: SocketAddrV4,
-        /// What the system said.
+        /// The error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// The socket cannot be registered, or its address not be read.
+    /// The socket cannot be registered, or its address cannot be read.
     #[display("fleet.listen: {_0}")]
     Socket(io::Error),
 }
 
-/// Sends datagrams, and counts those that the system would not take.
+/// Sends datagrams and counts those that the operating system does not accept.
 struct DatagramWriter<'a> {
     socket: &'a UdpSocket,
     unsent: &'a mut u64,
@@ -211,14 +211,14 @@
 
 impl DatagramSink for DatagramWriter<'_> {
     fn send(&mut self, to: SocketAddrV4, datagram: &[u8]) {
-        // A datagram that the system will not take now is lost, as one on the way would be.
+        // A datagram that the operating system does not accept is lost, like one lost on the network.
         if self.socket.send_to(datagram, to).is_err() {
             *self.unsent += 1;
         }
     }
 }
 
-/// Binds the socket for datagrams, and registers it with the event loop.
+/// Binds the UDP socket and registers it with the event loop.
 fn bind(listen: SocketAddrV4, context: &Context) -> Result<Rc<UdpSocket>, FleetError> {
     let socket = UdpSocket::bind(listen)
         .and_then(|socket| socket.set_nonblocking(true).map(|()| socket))
@@ -237,16 +237,16 @@
 /// A replica with its id from discovery.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct FleetReplica {
-    /// Its id, which is the same at all front nodes.
+    /// The id of the replica, which is the same on all front nodes.
     pub id: String,
-    /// Its number in this node's aggregator.
+    /// The number of the replica in this node's aggregator.
     pub index: ReplicaIndex,
 }
 
-/// What this node would use of a budget of the fleet, in units a second.
+/// The demand of this node for a budget of the fleet, in units per second.
 struct BudgetDemand {
     key: BudgetKey,
-    /// The budget of the whole fleet.
+    /// The budget of the whole fleet, in units per second.
     total: f64,
     wanted: f64,
 }
@@ -269,24 +269,25 @@
 pub struct FleetNode {
     settings: FleetSettings,
     slow_start: SlowStart,
-    /// Queries a second of each tenant, over all front nodes.
+    /// The rate of each tenant over all front nodes, in queries per second.
     tenant_rates: Vec<f64>,
     socket: Rc<UdpSocket>,
     fleet: Fleet,
     datagrams: Vec<Vec<u8>>,
-    /// Whether datagrams are left to be read.
+    /// Whether datagrams are left in the socket.
     unread: bool,
-    /// Shard requests that replicas in slow start may get from here as their floor.
+    /// Shard requests that replicas in slow start may still get from this node as their floor.
     slow_start_tokens: BTreeMap<ReplicaIndex, TokenBucket>,
-    /// Retries that are left.
+    /// The retries that this node may still send; `None` if the fleet does not limit them.
     retry_tokens: Option<TokenBucket>,
-    /// What this node last reported, by the replica's number and the service class: whether the replica fails it.
+    /// Whether a replica fails a service class according to this node's last report, by the replica's hash and the
+    /// service class.
     reported: BTreeMap<(u64, usize), bool>,
-    /// Verdicts of this node to gossip in the next round.
+    /// Verdicts of this node to send in the next round.
     verdicts: Vec<ReplicaVerdict>,
-    /// A list to offer to peers, where it changed.
+    /// A changed list to offer to peers in the next round.
     offered_list: Option<ListVersion>,
-    /// What is wanted of peers' lists, where that changed.
+    /// A changed request for peers' lists; `Some(None)` ends requesting.
     wanted_list: Option<Option<ListWanted>>,
     timer: Option<DeadlineKey>,
     unsent: u64,
@@ -294,11 +295,11 @@
 }
 
 impl FleetNode {
-    /// Listens for datagrams, and begins.
+    /// Binds the UDP socket and joins the fleet.
     ///
     /// # Errors
     ///
-    /// If nothing can listen on the address.
+    /// Fails if the address cannot be bound.
     pub fn open(
         settings: &FleetSettings,
         slow_start: SlowStart,
@@ -309,7 +310,7 @@
         let socket = bind(settings.listen, context)?;
         let mut protocol = settings.protocol.clone();
         if protocol.me.port() == 0 {
-            // Listening on port 0, as tests do: peers are told the port that the system gave.
+            // With port 0, as in tests, peers get the port that the operating system assigned.
             let given = socket.local_addr().map_err(FleetError::Socket)?;
             if let SocketAddr::V4(given) = given {
                 protocol.me.set_port(given.port());
@@ -319,7 +320,7 @@
         let at = socket.local_addr().map_err(FleetError::Socket)?;
         let (peers, expected) = (settings.protocol.peers.len(), settings.protocol.expected);
         log!(
-            "fleet: datagrams at {at}, told to peers as {}; {peers} peers named, {expected} nodes expected",
+            "fleet: datagrams at {at}, advertised as {}; {peers} peers configured, {expected} nodes expected",
             fleet.me().address()
         );
         Ok(FleetNode {
@@ -344,12 +345,12 @@
         })
     }
 
-    /// Where datagrams come in.
+    /// Returns the address that receives datagrams.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
 
-    /// The socket is readable: all that is there is read, up to a round's worth.
+    /// Reads all received datagrams, up to the limit of a round.
     pub fn ready(&mut self, context: &mut Context) {
         let mut buffer = [0u8; orchidvalve_fleet::wire::MAX_DATAGRAM_BYTES + 1];
         self.unread = false;
@@ -358,7 +359,7 @@
                 Ok((length, _)) => self.datagrams.push(buffer[..length].to_vec()),
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
                 Err(e) if e.kind() == ErrorKind::Interrupted => {}
-                // An error of an earlier send that the system reports here says nothing of what can be read.
+                // An error that belongs to an earlier send does not affect what can be received.
                 Err(_) => {}
             }
         }
@@ -366,13 +367,13 @@
         context.ready_again.push(EventSource::Fleet);
     }
 
-    /// Queues verdicts from the attempts that ended in this round: a service class failed at a replica, or was served
-    /// there after it failed.
+    /// Queues verdicts from the attempts that ended in this round: a replica failed a service class, or served it again
+    /// after a failure.
     fn report_replica(&mut self, replica: &FleetReplica, aggregator_state: &AggregatorState, now: Nanos) {
         let subject = stable_hash(&replica.id);
         let Some(r) = aggregator_state.replicas.get(replica.index.0) else { return };
         let this_round = r.samples.iter().rev().take_while(|s| s.at == now);
-        // The latest word of each service class, which comes first in this order.
+        // Only the latest result of each service class counts; it comes first in this order.
         let mut found: BTreeMap<usize, bool> = BTreeMap::new();
         for s in this_round {
             match s.outcome {
@@ -394,34 +395,34 @@
         }
     }
 
-    /// An attempt was started at a replica: one token of its floor is used, where it has one, and one of the fleet's
-    /// retries, where it is not the shard request's first.
+    /// Counts a started attempt against the floor of its replica, if that is in slow start, and against the fleet's
+    /// retries, unless it is the first attempt of its shard request.
     pub fn attempt_started(&mut self, replica: ReplicaIndex, is_retry: bool) {
         self.slow_start_tokens.get_mut(&replica).into_iter().for_each(TokenBucket::take);
         self.retry_tokens.iter_mut().filter(|_| is_retry).for_each(TokenBucket::take);
     }
 
-    /// Offers this node's endpoint list to peers that start.
+    /// Offers this node's endpoint list to peers that are starting.
     pub fn offer_list(&mut self, list: ListVersion) {
         self.offered_list = Some(list);
     }
 
-    /// Asks peers for that list from now on; or, with `None`, for none any longer.
+    /// Requests such a list from peers; `None` ends requesting.
     pub fn want_list(&mut self, wanted: Option<ListWanted>) {
         self.wanted_list = Some(wanted);
     }
 
-    /// An endpoint list that a peer sent.
+    /// Takes the endpoint list that a peer sent.
     pub fn received_list(&mut self) -> Option<ListVersion> {
         self.fleet.take_received_list()
     }
 
-    /// How many front nodes there are.
+    /// Returns the numbers of front nodes in the fleet.
     pub fn size(&self) -> MemberCounts {
         self.fleet.members()
     }
 
-    /// One round of the fleet. `replicas`: in the order of their ids.
+    /// Runs one round of the fleet. `replicas` are ordered by id.
     pub fn round(
         &mut self,
         replicas: &[FleetReplica],
@@ -441,7 +442,7 @@
         self.publish_gauges(context);
     }
 
-    /// The replicas whose slow start is not over.
+    /// Returns the replicas in slow start.
     fn in_slow_start<'a>(
         &self,
         replicas: &'a [FleetReplica],
@@ -455,7 +456,7 @@
         replicas.iter().filter(is_in_slow_start).collect()
     }
 
-    /// What this node would use of the tenants' rates, by the queries that it had lately.
+    /// Returns the demand of this node for the tenants' rates, estimated from its recent queries.
     fn tenant_demands(&self, aggregator_state: &AggregatorState, now: Nanos) -> Vec<BudgetDemand> {
         let since = now - DEMAND_SPAN;
         let demand = |(tenant, &total): (usize, &f64)| {
@@ -465,7 +466,7 @@
         self.tenant_rates.iter().enumerate().map(demand).collect()
     }
 
-    /// What this node would use of the fleet's retries, where those are bounded.
+    /// Returns the demand of this node for the fleet's retries, if they are limited.
     fn retry_demand(&mut self, now: Nanos) -> Option<BudgetDemand> {
         let allowance = self.fleet.allowance(RETRIES);
         let bucket = self.retry_tokens.as_mut()?;
@@ -474,7 +475,7 @@
         Some(BudgetDemand { key: RETRIES, total, wanted })
     }
 
-    /// One shard request a window to a replica in slow start, as a front node alone would send as the floor.
+    /// Returns the demand for a replica in slow start: one shard request per window, the floor of a single front node.
     fn slow_start_demand(&self, replica: &FleetReplica) -> BudgetDemand {
         let window = self.slow_start.overload_window.max(1) as f64;
         BudgetDemand {
@@ -484,7 +485,7 @@
         }
     }
 
-    /// Gives the protocol what came from other front nodes and what this one has to say, and sends its datagrams.
+    /// Passes the received datagrams and this node's reports to the protocol, and sends the datagrams of the protocol.
     fn exchange_messages(&mut self, demands: &[BudgetDemand], now: Nanos) {
         let datagrams = std::mem::take(&mut self.datagrams);
         let verdicts = std::mem::take(&mut self.verdicts);
@@ -505,9 +506,9 @@
         self.fleet.round(now, inputs, &mut writer);
     }
 
-    /// Hands the aggregator what the fleet allows and knows. Called after all that this round brought, endpoint lists
-    /// of peers among it: a replica that such a list has just named would have the floor of a front node alone
-    /// otherwise.
+    /// Passes the fleet's limits and verdicts to the aggregator. It runs after all other input of the round, including
+    /// endpoint lists of peers: otherwise a replica that such a list has just added would get the floor of a single front
+    /// node.
     pub fn update_aggregator_state(
         &mut self,
         replicas: &[FleetReplica],
@@ -528,7 +529,7 @@
             (0..self.tenant_rates.len()).map(|tenant| self.fleet.allowance(tenant_budget(tenant))).collect();
     }
 
-    /// The service classes that the fleet knows a replica to fail, as bits.
+    /// Returns the service classes that the replica fails according to the fleet, as a bit mask.
     fn failing_classes(&self, id: &str) -> u64 {
         let subject = stable_hash(id);
         let is_failing = |service_class: &u8| {
@@ -537,7 +538,7 @@
         (0..MAX_SERVICE_CLASSES).filter(is_failing).fold(0, |bits, service_class| bits | 1 << service_class)
     }
 
-    /// How many shard requests a replica in slow start may still get from here as its floor.
+    /// Returns how many shard requests a replica in slow start may still get from this node as its floor.
     fn fleet_floor(&mut self, replica: &FleetReplica, now: Nanos) -> f64 {
         let budget = slow_start_budget(&replica.id);
         let allowance = self.fleet.allowance(budget);
@@ -547,7 +548,7 @@
         tokens.available() as f64
     }
 
-    /// Retries that this node may still make; none where the fleet doesn't bound them.
+    /// Returns the number of retries that this node may still send; `None` if the fleet does not limit them.
     fn retries_left(&mut self, now: Nanos) -> Option<usize> {
         let allowance = self.fleet.allowance(RETRIES);
         let bucket = self.retry_tokens.as_mut()?;
@@ -592,7 +593,7 @@
         ];
     }
 
-    /// Whether datagrams wait to be read.
+    /// Returns whether datagrams are waiting to be read or handled.
     pub fn has_work(&self) -> bool {
         self.unread || !self.datagrams.is_empty()
     }
--- a/crates/frontnode/src/http.rs
+++ b/crates/frontnode/src/http.rs
@@ -1,36 +1,36 @@
-//! HTTP/1.1 messages (RFC 9112) as slices of the buffer that they were read into.
+//! Parses and writes HTTP/1.1 messages (RFC 9112). Parsed messages are slices of the buffer that they were read into.
 
 use std::borrow::Cow;
 
 use derive_more::{Display, Error};
 
-/// Most bytes of a head.
+/// The maximum length of a head in bytes.
 pub const MAX_HEAD_BYTES: usize = 16 << 10;
-/// Most bytes of a body.
+/// The maximum length of a body in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
-/// Most bytes that a message can take: its body may come in many small chunks.
+/// The maximum length of a message in bytes. A body of many small chunks is longer than its content.
 pub const MAX_MESSAGE_BYTES: usize = MAX_HEAD_BYTES + 2 * MAX_BODY_BYTES;
 const MAX_HEADERS: usize = 64;
 
-/// Why a message cannot be used.
+/// Why a message is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 #[display("{text}")]
 pub struct MessageError {
-    /// The status to answer with.
+    /// The status of the response.
     pub status: u16,
-    /// Words for the peer.
+    /// The text of the response body.
     pub text: &'static str,
 }
 
 const BAD_HEAD: MessageError = MessageError { status: 400, text: "malformed head" };
 const HEAD_TOO_LARGE: MessageError = MessageError { status: 431, text: "head too large" };
 const BAD_LENGTH: MessageError = MessageError { status: 400, text: "malformed length" };
-/// A request did not arrive in full in time.
+/// A request was not received completely in time.
 pub const REQUEST_TIMEOUT: MessageError =
     MessageError { status: 408, text: "the request did not come whole in time" };
-/// Unread requests take all the memory that they may.
+/// The unread requests of all clients exceed their memory limit.
 pub const OUT_OF_MEMORY: MessageError = MessageError { status: 503, text: "too many long requests at once" };
-/// A body is longer than [`MAX_BODY_BYTES`], or takes more than [`MAX_MESSAGE_BYTES`].
+/// A body exceeds [`MAX_BODY_BYTES`], or its message exceeds [`MAX_MESSAGE_BYTES`].
 pub const BODY_TOO_LARGE: MessageError = MessageError { status: 413, text: "body too large" };
 const BAD_CHUNK: MessageError = MessageError { status: 400, text: "malformed chunk" };
 
@@ -47,27 +47,27 @@
     }
 }
 
-/// A request or a response.
+/// A parsed request or response.
 #[derive(Debug)]
 pub struct Message<'a> {
-    /// Of a request: its method.
+    /// The method of a request; empty in a response.
     pub method: &'a str,
-    /// Of a request: its path, with the query behind it.
+    /// The path of a request with its query string; empty in a response.
     pub path: &'a str,
-    /// Of a response: its status.
+    /// The status of a response; 0 in a request.
     pub status: u16,
     headers: Vec<Header<'a>>,
-    /// The body, decoded.
+    /// The decoded body.
     pub body: Cow<'a, [u8]>,
-    /// Whether the connection stays open after it (RFC 9112, section 9.3).
+    /// Whether the connection stays open after the message (RFC 9112, section 9.3).
     pub keeps_alive: bool,
-    /// Bytes that it took of the buffer.
+    /// The length of the message in the buffer, in bytes.
     pub length: usize,
 }
 
 impl<'a> Message<'a> {
-    /// The value of a header. None where there is no such header, it is no text, or there are two: the next reader may
-    /// go by the other.
+    /// Returns the value of a header. Returns `None` if the header is missing, not UTF-8, or present twice: another reader
+    /// of the message might use the other value.
     pub fn header(&self, name: &str) -> Option<&'a str> {
         let mut values = values_of(&self.headers, name);
         let (Some(value), None) = (values.next(), values.next()) else { return None };
@@ -75,11 +75,11 @@
     }
 }
 
-/// The first request of a buffer; none while more bytes are needed.
+/// Parses the first request of a buffer. Returns `None` while more bytes are needed.
 ///
 /// # Errors
 ///
-/// If the bytes are no request, or one that is too large.
+/// Fails if the bytes are not a valid request or the request is too large.
 pub fn parse_request(buffer: &[u8]) -> Result<Option<Message<'_>>, MessageError> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut slots);
@@ -97,12 +97,12 @@
     }))
 }
 
-/// The first response of a buffer; none while more bytes are needed. A body that ends with the connection is not
-/// supported.
+/// Parses the first response of a buffer. Returns `None` while more bytes are needed. A body without a length, which ends
+/// when the connection is closed, is not supported.
 ///
 /// # Errors
 ///
-/// If the bytes are no response, or one that is too large.
+/// Fails if the bytes are not a valid response or the response is too large.
 pub fn parse_response(buffer: &[u8]) -> Result<Option<Message<'_>>, MessageError> {
     let mut slots = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Response::new(&mut slots);
@@ -129,12 +129,12 @@
     }
 }
 
-/// The values of all headers of that name, which is compared without case.
+/// Returns the values of all headers with a name, which is compared case-insensitively.
 fn values_of<'a>(headers: &[Header<'a>], name: &str) -> impl Iterator<Item = &'a [u8]> {
     headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name)).map(|header| header.value)
 }
 
-/// Whether the connection stays open after a message (RFC 9112, section 9.3).
+/// Returns whether the connection stays open after a message (RFC 9112, section 9.3).
 fn keeps_alive(headers: &[Header], is_http_1_1: bool) -> bool {
     let mut keeps_alive = is_http_1_1;
     let tokens = values_of(headers, "connection").flat_map(|value| value.split(|&byte| byte == b','));
@@ -148,14 +148,14 @@
     keeps_alive
 }
 
-/// The body that begins at the front of `rest`; none while more bytes are needed.
+/// Decodes the body at the front of `rest`. Returns `None` while more bytes are needed.
 fn parse_body<'a>(headers: &[Header], rest: &'a [u8]) -> Result<Option<DecodedBody<'a>>, MessageError> {
     let mut encodings = values_of(headers, "transfer-encoding");
     let mut lengths = values_of(headers, "content-length");
     match (encodings.next(), lengths.next()) {
         (None, None) => Ok(Some(DecodedBody { bytes: Cow::Borrowed(&[]), encoded_length: 0 })),
         (None, Some(length)) => {
-            // Two are how requests are smuggled, and who sends two that agree may send two that do not.
+            // Two lengths allow request smuggling. A sender of two equal ones may also send two different ones.
             if lengths.next().is_some() {
                 return Err(BAD_LENGTH);
             }
@@ -181,11 +181,11 @@
 /// A decoded body.
 struct DecodedBody<'a> {
     bytes: Cow<'a, [u8]>,
-    /// Bytes that it took of the buffer.
+    /// The length of the encoded body in the buffer, in bytes.
     encoded_length: usize,
 }
 
-/// Decodes a chunked body (RFC 9112, section 7.1). One of a single chunk is not copied.
+/// Decodes a chunked body (RFC 9112, section 7.1). A body of a single chunk is not copied.
 fn decode_chunked(encoded: &[u8]) -> Result<Option<DecodedBody<'_>>, MessageError> {
     let (mut position, mut body) = (0, Cow::Borrowed(&[][..]));
     loop {
@@ -220,7 +220,7 @@
     }
 }
 
-/// Length of the lines after the last chunk, the empty one included.
+/// Returns the length of the trailer lines after the last chunk, including the empty line.
 fn trailers_length(rest: &[u8]) -> Result<Option<usize>, MessageError> {
     let mut length = 0;
     while let Some(line) = rest[length..].windows(2).position(|bytes| bytes == b"\r\n") {
@@ -232,7 +232,8 @@
     if rest.len() > MAX_HEAD_BYTES { Err(HEAD_TOO_LARGE) } else { Ok(None) }
 }
 
-/// Percent-encodes a text (RFC 3986), but for what may stand in a path's segment or a query's value as it is.
+/// Percent-encodes a text (RFC 3986). Only unreserved characters, which are valid in path segments and query values, stay
+/// unchanged.
 pub fn percent_encode(text: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
     let encode =
@@ -240,8 +241,8 @@
     text.bytes().map(encode).collect()
 }
 
-/// Decodes a percent-encoded text. None where an escape is broken or the bytes are no text. `plus_is_space`: as in a
-/// query.
+/// Decodes a percent-encoded text. Returns `None` if an escape is invalid or the result is not UTF-8. `plus_is_space`
+/// decodes `+` as a space, as in query strings.
 pub fn percent_decode(text: &str, plus_is_space: bool) -> Option<String> {
     let (mut bytes, mut rest) = (Vec::with_capacity(text.len()), text.bytes());
     while let Some(byte) = rest.next() {
@@ -257,7 +258,7 @@
     String::from_utf8(bytes).ok()
 }
 
-/// The reason phrase of the statuses that the node answers with (RFC 9110, section 15).
+/// Returns the reason phrase of a status that the node sends (RFC 9110, section 15).
 fn reason_phrase(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -277,7 +278,7 @@
     }
 }
 
-/// Appends a whole response to a buffer. `headers` are further header lines, each with its end.
+/// Appends a complete response to a buffer. `headers` contains further header lines, each with its line end.
 pub fn write_response(
     out: &mut Vec<u8>,
     status: u16,
--- a/crates/frontnode/src/lib.rs
+++ b/crates/frontnode/src/lib.rs
@@ -1,19 +1,19 @@
-//! The front node on sockets: clients over HTTP, index servers over the protocols of stores, and one aggregator between
-//! them.
+//! The front node: it serves clients over HTTP, queries index servers over their protocols, and connects both with one
+//! aggregator.
 //!
-//! [`node::Node`] runs one; [`config`] reads its settings. Every decision is made by the crate `orchidvalve`.
+//! [`node::Node`] runs a front node; [`config`] reads its settings. The crate `orchidvalve` makes every decision.
 //!
-//! # The way of a request
+//! # How a request is handled
 //!
-//! 1. [`node::Node::run`] waits for events and runs one round for all that are there.
-//! 2. [`clients::Clients::ready`] reads the bytes of a client's connection, and [`http`] makes requests of them.
-//! 3. [`operator_api`] answers operators; a [`client_protocol`] turns all else into queries.
-//! 4. [`queries::QueryTable::accept`] hands a query and its shard requests to the aggregator's state.
+//! 1. [`node::Node::run`] waits for events and runs one round for all that have arrived.
+//! 2. [`clients::Clients::ready`] reads the bytes of a client connection, and [`http`] parses them into requests.
+//! 3. [`operator_api`] answers operators; a [`client_protocol`] turns all other requests into queries.
+//! 4. [`queries::QueryTable::accept`] adds a query and its shard requests to the aggregator's state.
 //! 5. The aggregator decides. Each attempt that it starts is queued in [`store_connections::StoreConnections`] and
 //!    written, by a [`store_protocol`], at the end of the round.
-//! 6. In a later round the store's answer is read there; the query table keeps its value, and the aggregator learns how
-//!    the attempt ended.
-//! 7. Once the aggregator decides that the query is answered, rejected or expired, [`reply`] makes the answer and
+//! 6. In a later round the response of the replica is read there. The query table keeps its value, and the outcome of
+//!    the attempt is reported to the aggregator.
+//! 7. Once the aggregator decides that the query is answered, rejected or expired, [`reply`] creates the response and
 //!    [`clients::Clients::query_answered`] writes it.
 
 pub mod client_protocol;
--- a/crates/frontnode/src/log.rs
+++ b/crates/frontnode/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: `tracing` events on standard error, as text or as JSON, rate limited for each place in the code; the rest
-//! is counted.
+//! The log: `tracing` events written to standard error as text or JSON. Lines are rate limited per call site; suppressed
+//! lines are counted.
 
 use std::collections::HashMap;
 use std::fmt::{self, Write as _};
@@ -17,22 +17,22 @@
 
 static SUPPRESSED: AtomicU64 = AtomicU64::new(0);
 
-/// Lines suppressed so far, of all call sites.
+/// Returns the number of suppressed lines of all call sites.
 pub fn suppressed() -> u64 {
     SUPPRESSED.load(Relaxed)
 }
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Format {
     /// `orchidvalved: MESSAGE`
     #[default]
     Text,
-    /// An object a line, with time, level and call site.
+    /// One JSON object per line, with time, level and call site.
     Json,
 }
 
-/// Begins to write the log. Where a program has set up its own subscriber, that one stays.
+/// Starts the log. If the program has already set a subscriber, that one is kept.
 pub fn start(format: Format) {
     let rate_limit = RateLimit::default();
     let result = match format {
@@ -45,14 +45,14 @@
     drop(result);
 }
 
-/// File and line.
+/// The file and the line of a log call.
 type CallSite = (&'static str, u32);
 
-/// Decides whether a line from a call site may go out now, so that a peer that fails all the time neither fills the log
-/// nor stalls the node on it. Only what the project's own code says is written.
+/// Decides whether a line from a call site may be written now, so that a peer that fails constantly neither fills the log
+/// nor blocks the node. Only lines of the project's own crates are written.
 #[derive(Debug, Default)]
 struct RateLimit {
-    /// By call site: the current second, and the lines in it.
+    /// For each call site, the current second and the number of lines in it.
     call_sites: Mutex<HashMap<CallSite, (u64, u64)>>,
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-/// A line for each event, as the on-call page has them.
+/// Writes one text line for each event.
 struct Lines;
 
 struct Message(String);
@@ -106,7 +106,7 @@
     }
 }
 
-/// Writes a line to the log, formatted as by [`format!`].
+/// Writes a line to the log, formatted like [`format!`].
 #[macro_export]
 macro_rules! log {
     ($($line:tt)*) => {
--- a/crates/frontnode/src/main.rs
+++ b/crates/frontnode/src/main.rs
@@ -1,4 +1,4 @@
-//! One front node, configured by the file that `$NODE_CONFIG` names.
+//! A front node, configured by the file that `$NODE_CONFIG` names.
 
 use std::process::ExitCode;
 
--- a/crates/frontnode/src/maintenance.rs
+++ b/crates/frontnode/src/maintenance.rs
@@ -1,6 +1,6 @@
-//! Maintenance of machines in an agreed order, where the operator switches it on: a UDP socket, the rounds of
-//! `orchidvalve-maintenance`, and what this node sees of the machines. It decides nothing of the order: it sends
-//! nothing new to the machines that the order says are closed.
+//! This node's part in the maintenance of machines, if the operator enables it: a UDP socket, the rounds of
+//! `orchidvalve-maintenance`, and the observed health of the machines. The maintenance queue ("the order") is agreed on
+//! by the group; this module only stops new attempts to the machines that the queue closes.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{self, ErrorKind};
@@ -32,14 +32,14 @@
 use crate::settings_file::{SectionName, SettingsFileError, milliseconds, parse};
 use crate::stable_hash::stable_hash;
 
-/// Datagrams read in one round at most; the rest wait for the next.
+/// The maximum number of datagrams read in one round; the rest is read in the next.
 const MAX_DATAGRAMS_PER_ROUND: usize = 256;
-/// Bytes of the longest datagram.
+/// The maximum length of a datagram in bytes.
 const MAX_DATAGRAM_BYTES: usize = 2048;
-/// How long after something was handed to the disk its end is looked for; the loop is not woken by it.
+/// The interval at which completed disk writes are checked, as they do not wake the event loop.
 const DISK_POLL_INTERVAL: Nanos = 2_000_000;
 const SECOND_MS: u64 = 1000;
-/// Members of the largest group.
+/// The maximum number of members of the group.
 const MAX_GROUP: usize = 9;
 
 const SECTION: SectionName = SectionName("maintenance");
@@ -57,7 +57,7 @@
     #[serde(default)]
     advertise: Option<String>,
     group: Vec<String>,
-    /// This node's place in the group, from 1; left out where it follows.
+    /// This node's position in the group, from 1; absent if it is a follower.
     #[serde(default)]
     member: Option<usize>,
     #[serde(default = "MaintenanceKeys::tick_ms")]
@@ -105,33 +105,33 @@
     }
 }
 
-/// How the node takes part in maintenance.
+/// The settings of the node's part in maintenance.
 #[derive(Clone, Debug)]
 pub struct MaintenanceSettings {
-    /// Where datagrams come in.
+    /// The address that receives datagrams.
     pub listen: SocketAddrV4,
-    /// Where others reach this node, where that isn't the address that its datagrams come from.
+    /// The address at which others reach this node, if it differs from the source address of its datagrams.
     pub advertise: Option<SocketAddrV4>,
-    /// The members of the group, in the order of their numbers.
+    /// The addresses of the group's members, in the order of their numbers.
     pub group: Vec<SocketAddrV4>,
-    /// Its number in the group, from 1; none where it follows.
+    /// This node's number in the group, from 1; `None` if it is a follower.
     pub member: Option<u64>,
-    /// Time between two ticks of the group.
+    /// The time between two ticks of the group.
     pub tick: Nanos,
-    /// Time between two asks of a follower.
+    /// The time between two requests of a follower.
     pub follow_interval: Nanos,
-    /// Which machines may be out together.
+    /// The limits on machines that may be out at the same time.
     pub rule: DisruptionBudget,
-    /// How long the stages take.
+    /// The durations of the stages.
     pub pace: Timing,
 }
 
 impl MaintenanceSettings {
-    /// Reads the operator's file.
+    /// Parses the operator's file.
     ///
     /// # Errors
     ///
-    /// If a key is absent, unknown or out of bounds.
+    /// Fails if a key is missing, unknown or out of bounds.
     ///
     /// ```
     /// use orchidvalve_frontnode::maintenance::MaintenanceSettings;
@@ -192,34 +192,34 @@
 /// Why the node cannot take part in maintenance.
 #[derive(Debug, Display, Error)]
 pub enum MaintenanceError {
-    /// Nothing can listen on that address.
+    /// The UDP socket cannot be bound.
     #[display("maintenance.listen: cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// The configured listen address.
         address: SocketAddrV4,
-        /// What the system said.
+        /// The error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// The socket cannot be registered.
+    /// The socket cannot be registered with the event loop.
     #[display("maintenance.listen: {_0}")]
     Register(#[error(not(source))] String),
     /// The group cannot be joined.
     #[display("maintenance.group: {_0}")]
     Group(#[error(not(source))] String),
-    /// A member of the group has no disk. Without one it could vote twice after a restart, and two leaders could each
-    /// admit a shard's holder.
+    /// A member of the group has no disk. It could vote twice after a restart, and two leaders could then each admit a
+    /// machine that holds the same shard.
     #[display("maintenance.member: a member of the group needs a logbook")]
     NoPersistence,
 }
 
-/// A change of the group's log on its way to the disk.
+/// A change of the group's log that is not yet handed to the disk.
 struct Save {
     number: u64,
     saved: LogUpdate,
 }
 
-/// A change of the group's log that was handed to the disk.
+/// A change of the group's log that was handed to the disk but may not be durable yet.
 struct PendingSave {
     number: u64,
     ticket: PendingWrite,
@@ -230,7 +230,7 @@
     socket: &'a UdpSocket,
     saves: &'a mut VecDeque<Save>,
     unsent: &'a mut u64,
-    /// Whether the log cannot be kept: nothing is sent then.
+    /// Whether the log cannot be saved; nothing is sent then.
     is_broken: bool,
 }
 
@@ -247,30 +247,30 @@
     }
 }
 
-/// A datagram and where it came from.
+/// A datagram and the address of its sender.
 struct ReceivedDatagram {
     bytes: Vec<u8>,
     from: SocketAddrV4,
 }
 
-/// What tells a node from the others.
+/// The properties that distinguish a node from the others.
 #[derive(Clone, Copy, Debug)]
 pub struct NodeIdentity<'a> {
-    /// Its name in the configuration.
+    /// The name in the configuration.
     pub name: &'a str,
-    /// The seed of what it draws at random.
+    /// The seed of its random numbers.
     pub seed: u64,
 }
 
-/// What of the order operators read: it is worded anew when this changes.
+/// The state of the queue that operators last read. The view is generated again when it changes.
 #[derive(Clone, Copy, PartialEq, Eq)]
 struct PublishedOrder {
     version: u64,
-    /// Whether this node led the group then.
+    /// Whether this node led the group at that time.
     leads: bool,
 }
 
-/// Binds the socket for datagrams, and registers it with the event loop.
+/// Binds the UDP socket and registers it with the event loop.
 fn bind(listen: SocketAddrV4, context: &Context) -> Result<Rc<UdpSocket>, MaintenanceError> {
     let listen_error = |error| MaintenanceError::Listen { address: listen, error };
     let socket = UdpSocket::bind(listen).map_err(listen_error)?;
@@ -286,7 +286,7 @@
     Ok(socket)
 }
 
-/// This node as a member of the group, with the log from its disk; none where it follows.
+/// Returns this node as a member of the group with the log from its disk, or `None` if it is a follower.
 fn join_group(
     settings: &MaintenanceSettings,
     recovered: Option<RecoveredLog>,
@@ -318,31 +318,31 @@
 pub struct MaintenanceNode {
     slow_start: SlowStart,
     socket: Rc<UdpSocket>,
-    /// This node in the maintenance protocol, as a member of the group or as a follower.
+    /// This node in the maintenance protocol, either a member of the group or a follower.
     node: Node,
     datagrams: Vec<ReceivedDatagram>,
-    /// Whether datagrams are left to be read.
+    /// Whether datagrams are left in the socket.
     unread: bool,
     saves: VecDeque<Save>,
     pending_saves: VecDeque<PendingSave>,
-    /// The longest that the disk took to keep a batch of the log.
+    /// The longest time that the disk needed to save a batch of the log.
     max_save_duration: Nanos,
-    /// Whether the log cannot be kept any more.
+    /// Whether the log can no longer be saved.
     broken: bool,
-    /// What operators read now.
+    /// The state that operators read now.
     published: Option<PublishedOrder>,
-    /// Machines that get nothing new.
+    /// Machines that get no new attempts.
     closed: BTreeSet<String>,
     timer: Option<DeadlineKey>,
     unsent: u64,
 }
 
 impl MaintenanceNode {
-    /// Listens for datagrams, and begins. `recovered`: the group's log as it is on this node's disk, where it has one.
+    /// Binds the UDP socket and joins the group. `recovered` is the group's log from this node's disk, if it has one.
     ///
     /// # Errors
     ///
-    /// If nothing can listen on the address, or the group not be joined.
+    /// Fails if the address cannot be bound or the group cannot be joined.
     pub fn open(
         settings: &MaintenanceSettings,
         ring: RingLayout,
@@ -361,7 +361,7 @@
             settings.member.map_or("a follower".to_owned(), |member| format!("member {member}")),
             settings.group.len()
         );
-        // Its clock is as good as any count of starts.
+        // The clock makes the seed differ between starts, as well as a counter of starts would.
         let nonce_seed = (identity.seed ^ context.now as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         context.maintenance_requests = Some(MaintenanceRequests::new(nonce_seed));
         Ok(MaintenanceNode {
@@ -381,12 +381,12 @@
         })
     }
 
-    /// Where datagrams come in.
+    /// Returns the address that receives datagrams.
     pub fn address(&self) -> Option<SocketAddr> {
         self.socket.local_addr().ok()
     }
 
-    /// The socket is readable: all that is there is read, up to a round's worth.
+    /// Reads all received datagrams, up to the limit of a round.
     pub fn ready(&mut self, context: &mut Context) {
         let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
         self.unread = false;
@@ -397,7 +397,7 @@
                 }
                 Ok(_) => {}
                 Err(e) if e.kind() == ErrorKind::WouldBlock => return,
-                // An error of an earlier send that the system reports here says nothing of what can be read.
+                // An error that belongs to an earlier send does not affect what can be received.
                 Err(_) => {}
             }
         }
@@ -405,12 +405,12 @@
         context.ready_again.push(EventSource::Maintenance);
     }
 
-    /// Whether datagrams wait to be read.
+    /// Returns whether datagrams are waiting to be read.
     pub fn has_work(&self) -> bool {
         self.unread
     }
 
-    /// What this node sees of the machines. `failing`: those that it, or its fleet, finds failing.
+    /// Returns the machines as this node observes them. `failing` are those that it or its fleet found failing.
     fn observe(
         &self,
         endpoints: &BTreeMap<String, Endpoint>,
@@ -432,7 +432,7 @@
         endpoints.iter().map(machine).collect()
     }
 
-    /// One round; gives the machines that get nothing new from here, where that changed.
+    /// Runs one round. Returns the machines that get no new attempts if that set changed.
     pub fn round(
         &mut self,
         endpoints: &BTreeMap<String, Endpoint>,
@@ -470,8 +470,8 @@
         })
     }
 
-    /// What the disk has finished, in order. After a write that failed nothing more counts: this member is silent
-    /// from then on, as one that has forgotten what it said must be.
+    /// Returns the number of the last change that is now durable. After a failed write no later change counts, and this
+    /// member sends nothing any more: it may have forgotten what it has sent, and must not contradict it.
     fn finish_saves(&mut self, now: Nanos) -> Option<u64> {
         let mut durable = None;
         while let Some(outcome) = self.pending_saves.front().and_then(|save| save.ticket.result()) {
@@ -483,7 +483,7 @@
                 Err(error) => {
                     if !std::mem::replace(&mut self.broken, true) {
                         log!(
-                            "maintenance: the log cannot be kept, this member is silent from now on: {error}"
+                            "maintenance: cannot save the log, this member stays silent from now on: {error}"
                         );
                     }
                 }
@@ -492,7 +492,7 @@
         durable
     }
 
-    /// Hands changes of the log to the disk, as far as its queue takes them.
+    /// Hands changes of the log to the disk until its queue is full.
     fn start_saves(&mut self, context: &mut Context) {
         let Some(persistent_state) = &mut context.persistent_state else {
             self.saves.clear();
@@ -508,7 +508,7 @@
                     self.pending_saves.push_back(PendingSave { number, ticket, handed_over: context.now });
                 }
                 Err(_) => {
-                    // The queue is full: it goes first the next time.
+                    // The queue is full; this change is the first one of the next attempt.
                     self.saves.push_front(Save { number, saved });
                     return;
                 }
@@ -516,7 +516,7 @@
         }
     }
 
-    /// Publishes the gauges, and the order as operators read it where it changed.
+    /// Publishes the gauges, and the view of the queue if it changed.
     fn publish(&mut self, context: &mut Context) {
         let (order, leads) = (self.node.queue(), self.node.leads());
         let last_contact_ms = self.node.last_contact().map(|at| (context.now - at).max(0) / 1_000_000);
--- a/crates/frontnode/src/maintenance_requests.rs
+++ b/crates/frontnode/src/maintenance_requests.rs
@@ -1,4 +1,4 @@
-//! What operators read of maintenance, and what they ask for, through any node.
+//! The view of maintenance that operators read, and their requests, which any node accepts.
 
 use std::cell::{Cell, RefCell};
 
@@ -7,15 +7,15 @@
 use orchidvalve_maintenance::queue::Command;
 use serde::Deserialize;
 
-/// Requests taken between two rounds.
+/// The maximum number of requests accepted between two rounds.
 const MAX_REQUESTS: usize = 64;
-/// Texts that an operator gives are kept and shown by every node.
+/// The maximum length of a text given by an operator, which every node stores and shows.
 const MAX_TEXT_BYTES: usize = 200;
 const HOUR_MS: u64 = 3_600_000;
-/// No machine is asked for, or out, for longer than a year.
+/// The maximum duration of a request or of an outage, slightly more than a year.
 const MAX_DURATION_MS: u64 = 366 * 24 * HOUR_MS;
 
-/// What an operator sends.
+/// The body of an operator's request.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct RequestBody {
@@ -39,33 +39,33 @@
     }
 }
 
-/// Why an operator's request is refused, in words for the operator.
+/// Why an operator's request is rejected. The text is sent to the operator.
 #[derive(Debug, Display, Error, From)]
 pub enum RequestError {
-    /// The body cannot be read.
+    /// The body is invalid.
     #[display("the wish cannot be read: {_0}")]
     Json(serde_json::Error),
-    /// No machine is named.
+    /// The request names no machine.
     #[display("machine: should name one")]
     NoMachine,
-    /// A text is too long.
+    /// A text is longer than [`MAX_TEXT_BYTES`].
     #[display("{key}: should be {MAX_TEXT_BYTES} bytes at most, not {length}")]
     TextTooLong {
-        /// The key of the text.
+        /// The key of the text in the body.
         key: &'static str,
-        /// Its bytes.
+        /// The length of the text in bytes.
         length: usize,
     },
-    /// Too many requests wait for the next round.
+    /// Too many requests are waiting for the next round.
     #[display("too many wishes wait here: try again")]
     TooMany,
-    /// A request of no known kind.
+    /// The kind of the request is unknown.
     #[from(ignore)]
     #[display("no such wish: {_0}")]
     UnknownKind(#[error(not(source))] String),
 }
 
-/// The order of work as operators read it, and their requests until the next round.
+/// The maintenance queue as operators read it, and the requests received since the last round.
 pub struct MaintenanceRequests {
     view: String,
     commands: RefCell<Vec<Command>>,
@@ -73,33 +73,32 @@
 }
 
 impl MaintenanceRequests {
-    /// Without an order yet. Nonces are drawn from `seed`: those of a node that started again must differ from those
-    /// before.
+    /// Returns an empty view. Nonces are generated from `seed`, which must differ between the starts of a node.
     pub fn new(seed: u64) -> Self {
         MaintenanceRequests { view: String::new(), commands: RefCell::default(), nonce: Cell::new(seed) }
     }
 
-    /// The order in JSON.
+    /// Returns the maintenance queue in JSON.
     pub fn view(&self) -> &str {
         &self.view
     }
 
-    /// Replaces the order that operators read.
+    /// Replaces the view that operators read.
     pub fn set_view(&mut self, view: String) {
         self.view = view;
     }
 
-    /// The requests since the last round.
+    /// Takes the requests received since the last round.
     pub fn take_commands(&self) -> Vec<Command> {
         self.commands.take()
     }
 
-    /// Takes a request of the kind `ask` or `cancel`. Gives the answer, with the number under which the order shows
-    /// that it was carried out.
+    /// Accepts a request of the kind `ask` or `cancel`. Returns the response with the nonce under which the maintenance
+    /// queue shows that the request was carried out.
     ///
     /// # Errors
     ///
-    /// If the body cannot be read or used, or too many requests wait.
+    /// Fails if the body is invalid or too many requests are waiting.
     pub fn submit(&self, kind: &str, body: &[u8]) -> Result<String, RequestError> {
         let RequestBody { machine, by, why, lasts_ms, waits_ms } = serde_json::from_slice(body)?;
         if machine.is_empty() {
@@ -126,7 +125,7 @@
         Ok(format!("{{\"nonce\":\"{nonce:016x}\"}}"))
     }
 
-    /// A linear congruential generator, Knuth's MMIX; odd, so that it is never 0.
+    /// Returns the next nonce from a linear congruential generator (Knuth's MMIX); it is odd and therefore never 0.
     fn next_nonce(&self) -> u64 {
         let nonce =
             self.nonce.get().wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407)
--- a/crates/frontnode/src/maintenance_view.rs
+++ b/crates/frontnode/src/maintenance_view.rs
@@ -1,4 +1,4 @@
-//! The order of work on machines as operators read it, in JSON. Its keys and words are read by programs.
+//! The maintenance queue as operators read it, in JSON. Programs parse its keys and values.
 
 use orchidvalve::interface::Nanos;
 use orchidvalve_maintenance::queue::{Event, MaintenanceQueue, Stage};
@@ -8,11 +8,11 @@
 struct View<'a> {
     version: u64,
     leads: bool,
-    /// Since this node last heard of the group; none before it did.
+    /// The time since this node last heard from the group; `None` if it never did.
     heard_ms_ago: Option<Nanos>,
     entries: Vec<EntryView<'a>>,
     events: Vec<EventView<'a>>,
-    /// Commands carried out lately.
+    /// The nonces of recently executed commands.
     done: Vec<String>,
 }
 
@@ -35,12 +35,12 @@
     event: &'static str,
 }
 
-/// The order as operators read it, in JSON.
+/// Returns the maintenance queue in JSON.
 pub fn view_json(order: &MaintenanceQueue, leads: bool, heard_ms_ago: Option<Nanos>) -> String {
     serde_json::to_string(&view(order, leads, heard_ms_ago)).unwrap_or_default()
 }
 
-/// What happened, by the words that operators' programs read.
+/// Returns the name of an event in the JSON view.
 fn event_word(event: Event) -> &'static str {
     match event {
         Event::Requested => "asked",
--- a/crates/frontnode/src/membership.rs
+++ b/crates/frontnode/src/membership.rs
@@ -1,4 +1,4 @@
-//! The endpoint list that discovery publishes, read and checked.
+//! Parses and checks the endpoint list that discovery publishes.
 
 use std::net::SocketAddr;
 
@@ -8,55 +8,55 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// What discovery published at one revision.
+/// An endpoint list, or the changes of one, at a revision.
 #[derive(Clone, Debug)]
 pub struct EndpointList {
-    /// Discovery's own count of its changes.
+    /// The revision, counted by discovery.
     pub revision: i64,
-    /// Whether it is the whole list, or the changes since an earlier revision.
+    /// Whether it is the complete list; otherwise it contains the changes since an earlier revision.
     pub complete: bool,
     /// The endpoints, in discovery's order.
     pub endpoints: Vec<Endpoint>,
 }
 
-/// One replica as discovery publishes it. Its serialized form stands on disk and in the lists that front nodes send
-/// each other.
+/// One replica as discovery publishes it. The serialized form is stored on disk and sent in the lists that front nodes
+/// exchange.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Endpoint {
-    /// Its name.
+    /// The name of the replica.
     pub id: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
-    /// Its kind, as far as discovery tells it; the operator's routes go by it.
+    /// Its kind, used by the operator's routes; empty if discovery does not publish one.
     pub flavor: String,
-    /// Its place, as far as discovery tells it; the operator's routes go by it.
+    /// Its location, used by the operator's routes; empty if discovery does not publish one.
     pub locality: String,
     /// Its cell of the ring.
     pub cell: usize,
-    /// Whether it takes new attempts.
+    /// Whether it accepts new attempts.
     pub serving: bool,
-    /// Whether it is gone for good.
+    /// Whether it is removed permanently.
     pub removed: bool,
     /// When it started, in nanoseconds since the Unix epoch.
     pub started: Option<Nanos>,
 }
 
-/// Why an answer of discovery cannot be used.
+/// Why a response of discovery is invalid.
 #[derive(Debug, Display, Error, From)]
 pub enum EndpointListError {
-    /// It is no JSON.
+    /// It is not valid JSON.
     #[display("no JSON: {_0}")]
     Json(serde_json::Error),
-    /// A field of it cannot be used.
+    /// A field is missing or invalid.
     #[display("{_0}")]
     Field(SettingsError),
 }
 
-/// Reads a list that stands in a section.
+/// Parses the endpoint list in a section.
 ///
 /// # Errors
 ///
-/// If a field that is needed is absent, or one can't be used.
+/// Fails if a required field is missing or a field is invalid.
 pub fn read_section(list: &Section) -> Result<EndpointList, SettingsError> {
     let revision = list.or("revision", 0, Section::integer)?;
     let complete = list.or("complete", false, Section::flag)?;
@@ -79,7 +79,7 @@
         other => return Err(section.error("phase", format!("unknown phase '{other}'"))),
     };
     let started = section.or("up_since_ms", 0, Section::integer)?;
-    // Nothing but routes go by these, and none of ours is worth refusing the list for.
+    // Only the operator's routes use these fields. A list with an invalid one is still usable.
     let optional_text = |name| section.get(name).and_then(Value::as_str).unwrap_or_default().to_owned();
     Ok(Endpoint {
         id: section.text("id")?.to_owned(),
@@ -93,13 +93,13 @@
     })
 }
 
-/// Reads the body of an answer of discovery.
+/// Parses the body of a response of discovery.
 ///
 /// # Errors
 ///
-/// If it is no JSON, or a field can't be used.
+/// Fails if the body is not valid JSON or a field is invalid.
 pub fn read(body: &[u8]) -> Result<EndpointList, EndpointListError> {
     let list: Value = serde_json::from_slice(body)?;
-    // The operators' pages call the list a roster.
+    // Operators' documentation calls the list a roster.
     Ok(read_section(&Section::of("roster", &list)?)?)
 }
--- a/crates/frontnode/src/metrics.rs
+++ b/crates/frontnode/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counts of what the node accepts, sends and answers, in the Prometheus text format.
+//! The node's counters and gauges in the Prometheus text format.
 
 use std::fmt::Write;
 
@@ -7,16 +7,16 @@
 /// A gauge of `/metrics`.
 #[derive(Clone, Copy, Debug)]
 pub struct Gauge {
-    /// Its published name, without the prefix.
+    /// The published name without the prefix.
     pub name: &'static str,
-    /// Its help text.
+    /// The help text.
     pub help: &'static str,
-    /// Its value now.
+    /// The current value.
     pub value: usize,
 }
 
 impl Gauge {
-    /// A gauge with that name, help text and value.
+    /// Returns a gauge.
     pub fn new(name: &'static str, help: &'static str, value: usize) -> Gauge {
         Gauge { name, help, value }
     }
@@ -30,17 +30,17 @@
     count: u64,
 }
 
-/// Declares the counters: the field, the published name and the help text, which doesn't change with the field.
+/// Declares the counters. The published name and help text are independent of the field's name.
 macro_rules! metrics {
     ($($field:ident as $name:literal: $help:literal,)*) => {
-        /// The counters of `/metrics`, all of them since the start.
+        /// The counters of `/metrics`, which count from the start of the node.
         #[derive(Clone, Debug, Default)]
         pub struct Metrics {
             $(#[doc = concat!("Metric `orchidvalve_", $name, "_total`: ", $help, ".")] pub $field: u64,)*
         }
 
         impl Metrics {
-            /// All counters, with their published names.
+            /// Returns all counters with their published names.
             fn counters(&self) -> Vec<Counter> {
                 vec![$(Counter { name: $name, help: $help, count: self.$field },)*]
             }
@@ -97,7 +97,7 @@
 }
 
 impl Metrics {
-    /// Counts how an attempt ended.
+    /// Counts an ended attempt by its outcome.
     pub fn attempt_ended(&mut self, outcome: AttemptOutcome) {
         let count = match outcome {
             AttemptOutcome::Answered => &mut self.attempts_answered,
@@ -113,7 +113,7 @@
         *count += 1;
     }
 
-    /// The counters and those gauges in the Prometheus text format.
+    /// Returns the counters and `gauges` in the Prometheus text format.
     pub fn text(&self, gauges: &[Gauge]) -> String {
         let mut text = String::new();
         let suppressed = Counter {
@@ -133,7 +133,7 @@
         text
     }
 
-    /// One line with the counters that aren't 0, for the log at the end.
+    /// Returns a line with all counters above 0, for the log at shutdown.
     pub fn line(&self) -> String {
         let counted = self.counters().into_iter().filter(|counter| counter.count > 0);
         let words: Vec<String> =
--- a/crates/frontnode/src/node/decisions.rs
+++ b/crates/frontnode/src/node/decisions.rs
@@ -1,4 +1,4 @@
-//! Carries out the decisions of a round.
+//! Carries out the aggregator's decisions of a round.
 
 use std::cell::RefCell;
 
@@ -10,7 +10,7 @@
 use crate::queries::{AttemptId, AttemptLimits, FinalAnswer, QueryTable};
 use crate::reply::Outcome;
 
-/// Takes the aggregator's decisions.
+/// Applies each decision of the aggregator to the state of the node.
 pub(super) struct DecisionWriter<'a>(pub &'a RefCell<NodeState>);
 
 impl ActionSink for DecisionWriter<'_> {
@@ -76,7 +76,7 @@
 }
 
 impl NodeState {
-    /// Answers a query, unless it has ended, and sends nothing more of it.
+    /// Ends a query: sends its final response and cancels its unsent attempts. Does nothing if it has already ended.
     fn end_query(
         &mut self,
         query: QueryIndex,
--- a/crates/frontnode/src/node/mod.rs
+++ b/crates/frontnode/src/node/mod.rs
@@ -1,5 +1,5 @@
-//! The node: waits for readiness or the next deadline, reads all that is there, runs one round of the aggregator and
-//! writes what it decided.
+//! The node's main loop: waits until a source is ready or the next deadline passes, reads all pending input, runs one
+//! round of the aggregator and carries out its decisions.
 
 mod decisions;
 mod round;
@@ -40,64 +40,64 @@
 
 use shutdown::Shutdown;
 
-/// Rounds whose durations are kept: some seconds of a busy node.
+/// The number of rounds whose durations are kept for metrics: a few seconds on a busy node.
 const ROUNDS_KEPT: usize = 1024;
 
-/// Why the node cannot start, or has ended.
+/// An error that prevents the node from starting or ends it.
 #[derive(Debug, Display, Error, From)]
 pub enum NodeError {
-    /// The configuration cannot be used.
+    /// The configuration is invalid.
     #[display("{_0}")]
     Config(ConfigError),
-    /// Nothing can listen for clients.
+    /// The listener for clients cannot be opened.
     #[display("configuration.listen: cannot listen on {address}: {error}")]
     Listen {
-        /// The address.
+        /// The configured listen address.
         address: SocketAddr,
-        /// What the system said.
+        /// The error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// Requests cannot be recorded.
+    /// The recording of requests cannot be opened.
     #[display("{_0}")]
     Recorder(RecorderError),
-    /// The log store cannot be used.
+    /// The log store cannot be opened.
     #[display("{_0}")]
     Persistence(PersistenceError),
-    /// The node cannot take part in its fleet.
+    /// The node cannot join the fleet of front nodes.
     #[display("{_0}")]
     Fleet(FleetError),
     /// The node cannot take part in maintenance.
     #[display("{_0}")]
     Maintenance(MaintenanceError),
-    /// The trace cannot be written.
+    /// The trace file cannot be opened.
     #[display("${}: cannot write {path}: {error}", config::TRACE_VARIABLE)]
     Trace {
-        /// Its path.
+        /// The path of the trace file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// The system gives no signals.
+    /// Signal handlers cannot be registered.
     #[from(ignore)]
-    #[display("no signals: {_0}")]
+    #[display("cannot register signal handlers: {_0}")]
     Signals(#[error(not(source))] String),
-    /// The system gives no event loop.
+    /// The event loop cannot be created.
     #[from(ignore)]
-    #[display("no event loop: {_0}")]
+    #[display("cannot create the event loop: {_0}")]
     EventLoop(#[error(not(source))] String),
-    /// The system doesn't say where clients connect.
+    /// The listener's local address cannot be read.
     #[from(ignore)]
-    #[display("no address: {_0}")]
+    #[display("cannot read the address of the listener: {_0}")]
     Address(io::Error),
-    /// The wait for events failed.
+    /// Waiting for events failed.
     #[from(ignore)]
-    #[display("the event loop failed: {_0}")]
+    #[display("cannot wait for events: {_0}")]
     Wait(#[error(not(source))] String),
 }
 
-/// The state of a node beside its aggregator.
+/// The state of a node besides its aggregator.
 struct NodeState {
     source: ConfigSource,
     config: NodeConfig,
@@ -106,18 +106,18 @@
     clients: Clients,
     connections: StoreConnections,
     discovery: Discovery,
-    /// The fleet of front nodes, where it is switched on.
+    /// This node's member of the fleet of front nodes; `None` if the fleet is disabled.
     fleet: Option<FleetNode>,
-    /// The cold start, where it is switched on.
+    /// The cold start; `None` if it is disabled.
     cold_start: Option<ColdStart>,
-    /// Maintenance, where it is switched on.
+    /// This node's part in maintenance; `None` if maintenance is disabled.
     maintenance: Option<MaintenanceNode>,
-    /// Replicas that are ejected here or in the fleet, for maintenance.
+    /// Ids of replicas that are ejected by this node or by the fleet; input of maintenance.
     failing: BTreeSet<String>,
     trace_writer: Option<TraceWriter>,
-    /// When the aggregator wants its next round.
+    /// The timer of the aggregator's next requested round.
     wake_timer: Option<DeadlineKey>,
-    /// Whether the aggregator wants discovery to be asked.
+    /// Whether the aggregator requested a new endpoint list from discovery.
     discovery_requested: bool,
     shutdown: Shutdown,
 }
@@ -132,11 +132,11 @@
     last_round: Nanos,
 }
 
-/// Runs a node with that configuration until a signal stops it.
+/// Runs a node with the configuration of `source` until a signal stops it.
 ///
 /// # Errors
 ///
-/// If the node cannot start, or the wait for events fails.
+/// Fails if the node cannot start or if waiting for events fails.
 pub fn serve(source: ConfigSource) -> Result<(), NodeError> {
     let signals = signals()?;
     let mut node = Node::start(source)?;
@@ -145,23 +145,23 @@
     node.run()
 }
 
-/// Blocks the signals for the event loop. Called before the node listens: from then on a signal waits until the node
-/// handles it.
+/// Blocks the signals that the node handles and returns their event source. It is called before the node listens, so
+/// that a signal received from then on is pending until the node handles it.
 ///
 /// # Errors
 ///
-/// If the system gives none.
+/// Fails if the operating system does not provide the signal source.
 pub fn signals() -> Result<Signals, NodeError> {
     Signals::new(&[Signal::SIGTERM, Signal::SIGINT, Signal::SIGHUP])
         .map_err(|error| NodeError::Signals(error.to_string()))
 }
 
 impl Node {
-    /// Reads the configuration, listens, and starts with the endpoint list last known.
+    /// Reads the configuration, listens for clients, and starts with the last known endpoint list.
     ///
     /// # Errors
     ///
-    /// If a file cannot be used or an address not be listened on.
+    /// Fails if a file of the configuration cannot be used or if the listen address cannot be bound.
     pub fn start(source: ConfigSource) -> Result<Node, NodeError> {
         let (config, aggregator_settings) = source.read()?;
         let events = EventLoop::try_new().map_err(|error| NodeError::EventLoop(error.to_string()))?;
@@ -176,7 +176,7 @@
         let mut node = Node { events, ready, aggregator, state, tick, last_round: Nanos::MIN / 2 };
         node.round(node.ready.clock.now(), |state, aggregator_state| {
             let NodeState { discovery, connections, queries, context, cold_start, .. } = state;
-            // Where there is a cold start, it says which list is used.
+            // If there is a cold start, it selects the first endpoint list.
             if cold_start.is_none() {
                 let origin = ListOrigin::Configuration;
                 discovery.apply_list(
@@ -190,16 +190,17 @@
             }
             discovery.start(aggregator_state, context);
         });
-        // From here on: discovery did not publish the list that the configuration knows.
+        // The persistent state is attached only here: the endpoint list of the configuration was not published by
+        // discovery and must not be stored as if it was.
         node.state.get_mut().context.persistent_state = persistent_state;
         Ok(node)
     }
 
-    /// Stops in order on SIGTERM and on SIGINT; reads the configuration again on SIGHUP.
+    /// Shuts down gracefully on SIGTERM and SIGINT, and reloads the configuration on SIGHUP.
     ///
     /// # Errors
     ///
-    /// If the system refuses to register the signals.
+    /// Fails if the event loop cannot register the signals.
     pub fn handle_signals(&self, signals: Signals) -> Result<(), NodeError> {
         let on_signal =
             |event: calloop::signals::Event, _: &mut _, ready: &mut ReadyEvents| match event.signal() {
@@ -211,25 +212,25 @@
         Ok(())
     }
 
-    /// Where clients connect.
+    /// Returns the address on which the node accepts clients.
     ///
     /// # Errors
     ///
-    /// If the system doesn't say.
+    /// Fails if the local address of the listener cannot be read.
     pub fn address(&self) -> Result<SocketAddr, NodeError> {
         self.state.borrow().clients.address().map_err(NodeError::Address)
     }
 
-    /// Where datagrams of other front nodes come in, where the fleet is switched on.
+    /// Returns the address that receives datagrams of other front nodes, or `None` if the fleet is disabled.
     pub fn fleet_address(&self) -> Option<SocketAddr> {
         self.state.borrow().fleet.as_ref().and_then(FleetNode::address)
     }
 
-    /// Serves until a signal stops the node and all accepted queries are answered.
+    /// Runs rounds until a signal stops the node and all accepted queries are answered.
     ///
     /// # Errors
     ///
-    /// If the wait for events fails.
+    /// Fails if waiting for events fails.
     pub fn run(&mut self) -> Result<(), NodeError> {
         while !self.state.borrow().shutdown.is_complete {
             let now = self.ready.clock.now();
@@ -257,8 +258,8 @@
         Ok(())
     }
 
-    /// Waits for events until something is due. Returns the time of the round: what had arrived by then is collected, so
-    /// that no attempt times out with its answer unread.
+    /// Waits for events until something is due and returns the time of the round. All events that arrived by then are
+    /// collected, so that no attempt times out while its response is unread.
     fn collect_events(&mut self, due: Option<Nanos>, wait: Option<Duration>) -> Result<Nanos, NodeError> {
         let (clock, events, ready) = (self.ready.clock, &mut self.events, &mut self.ready);
         let time = collect_events(
@@ -274,8 +275,8 @@
 }
 
 impl NodeState {
-    /// Opens all that the configuration enables. The persistent state is returned separately, as it is used only from
-    /// the second round on.
+    /// Opens everything that the configuration enables. The persistent state is returned separately because it is
+    /// attached only after the first round.
     fn open(
         source: ConfigSource,
         config: NodeConfig,
--- a/crates/frontnode/src/node/round.rs
+++ b/crates/frontnode/src/node/round.rs
@@ -1,5 +1,5 @@
-//! One round: what arrived and what fell due is recorded in the aggregator's state, the aggregator decides, and the
-//! decisions are carried out.
+//! One round: records received events and due timers in the aggregator's state, lets the aggregator decide, and carries
+//! out its decisions.
 
 use orchidvalve::interface::{Nanos, QueryIndex, ReplicaIndex};
 use orchidvalve::state::AggregatorState;
@@ -18,7 +18,7 @@
 use crate::queries::EndedAttempt;
 
 impl Node {
-    /// Whether something is left to do without waiting.
+    /// Returns whether there is work to do without waiting for an event.
     pub(super) fn has_work(&self) -> bool {
         let state = self.state.borrow();
         !state.queries.ended.is_empty()
@@ -30,7 +30,7 @@
             || !state.context.ready_again.is_empty()
     }
 
-    /// One round, at the time `now`. `handle`: reads what arrived and handles the timers that fell due.
+    /// Runs one round at the time `now`. `handle` reads the ready sources and handles the due timers.
     pub(super) fn round(&mut self, now: Nanos, handle: impl FnOnce(&mut NodeState, &mut AggregatorState)) {
         self.last_round = now;
         let state = &self.state;
@@ -49,7 +49,7 @@
         self.finish_round(now);
     }
 
-    /// Sends what the round decided, and records what it changed.
+    /// Sends the attempts that the round decided, then writes the trace, the persistent state and the recording.
     fn finish_round(&mut self, now: Nanos) {
         let state = self.state.get_mut();
         state.connections.send_queued(&mut state.queries, &mut state.context);
@@ -93,7 +93,7 @@
         let again = std::mem::take(&mut self.context.ready_again);
         let again = again.into_iter().map(|source| ReadyEvent { source, at: now });
         for event in ready.into_iter().chain(again) {
-            // What was collected a moment after the time of the round counts as of then.
+            // An event collected shortly after the time of the round counts as received at that time.
             let event = ReadyEvent { at: event.at.min(now), ..event };
             self.handle_ready(event, aggregator_state);
         }
@@ -152,14 +152,14 @@
             }
             Timer::Accept => clients.accept(context),
             Timer::Discovery => discovery.timer_due(aggregator_state, context),
-            // Their rounds follow.
+            // Their rounds run later in the same round of the node.
             Timer::Fleet | Timer::ColdStart | Timer::Maintenance => {}
             Timer::Wake => self.wake_timer = None,
             Timer::Stop => self.shut_down(),
         }
     }
 
-    /// The client of those queries disconnected: their attempts are cancelled.
+    /// Closes queries whose client disconnected and cancels their attempts.
     fn abandon(&mut self, abandoned: &[QueryIndex], aggregator_state: &mut AggregatorState) {
         for &query in abandoned {
             self.context.metrics.abandoned_by_client += 1;
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Reports the attempts and health checks that ended since the last round to the aggregator.
+    /// Reports the health checks and attempts that ended since the last round to the aggregator.
     fn report_ended(&mut self, aggregator_state: &mut AggregatorState) {
         for report in self.connections.health_reports.drain(..) {
             let load = report.load.map(|load| (load.queued, load.completed_per_second));
@@ -180,7 +180,7 @@
         }
     }
 
-    /// A round of the fleet, after all that ended was reported.
+    /// Runs a round of the fleet, after the ended attempts were reported.
     fn fleet_round(&mut self, aggregator_state: &AggregatorState) {
         let replicas = self.replicas_for_fleet();
         if let Some(fleet) = &mut self.fleet {
@@ -188,7 +188,7 @@
         }
     }
 
-    /// Hands the aggregator what the fleet allows and knows of each replica that is known by now.
+    /// Passes the fleet's limits and verdicts on each known replica to the aggregator.
     fn update_state_from_fleet(&mut self, aggregator_state: &mut AggregatorState) {
         let replicas = self.replicas_for_fleet();
         if let Some(fleet) = &mut self.fleet {
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Replicas with their ids, in the order of ids; none where there is no fleet.
+    /// Returns the replicas with their ids, ordered by id; empty if the fleet is disabled.
     fn replicas_for_fleet(&self) -> Vec<FleetReplica> {
         let replicas = self.fleet.iter().flat_map(|_| self.discovery.replicas());
         let replica = |(id, index): (&str, ReplicaIndex)| FleetReplica { id: id.to_owned(), index };
@@ -205,7 +205,7 @@
         replicas
     }
 
-    /// A round of the cold start: which list is used, and whether discovery is asked now.
+    /// Runs a round of the cold start, which selects the endpoint list and decides when discovery is queried.
     fn cold_start_round(&mut self, aggregator_state: &mut AggregatorState) {
         let NodeState { context, discovery, fleet, cold_start, .. } = self;
         let Some(cold_start) = cold_start else { return };
@@ -241,7 +241,7 @@
         }
     }
 
-    /// Uses a list that discovery did not publish to this node.
+    /// Uses an endpoint list that discovery did not publish to this node.
     fn adopt_list(&mut self, offer: &Offer, doubt: u32, aggregator_state: &mut AggregatorState) {
         let NodeState { context, queries, connections, discovery, cold_start, .. } = self;
         let Some(cold_start) = cold_start else { return };
@@ -253,7 +253,7 @@
         let age = context.now - offer.seen;
         let source = list_from(offer.source);
         log!(
-            "goes by {}, {} ms old, {} replicas, doubted by {doubt} steps",
+            "using the endpoint list from {}: {} ms old, {} replicas, {doubt} unverified steps",
             source.help(),
             age / 1_000_000,
             endpoints.len()
@@ -281,41 +281,41 @@
             unverified_steps: 0,
         });
         log!(
-            "nothing has answered for {} ms: it serves from what it has, {replicas} replicas",
+            "no endpoint list received for {} ms: serving with the current one, {replicas} replicas",
             age / 1_000_000
         );
     }
 
-    /// A round of maintenance: machines that it closes get no new attempts from this node.
+    /// Runs a round of maintenance: machines that it closes get no new attempts from this node.
     fn maintenance_round(&mut self, aggregator_state: &mut AggregatorState) {
         let NodeState { context, queries, connections, discovery, maintenance, failing, .. } = self;
         let Some(maintenance) = maintenance else { return };
         if let Some(closed) = maintenance.round(discovery.list().0, failing, context) {
             let names: Vec<&str> = closed.iter().map(String::as_str).collect();
             let names = if names.is_empty() { "none".to_owned() } else { names.join(", ") };
-            log!("maintenance: nothing new to {names}");
+            log!("maintenance: machines closed for new attempts: {names}");
             discovery.close_machines(closed, connections, queries, aggregator_state, context);
         }
     }
 
-    /// Takes up what may change while the node runs, which is where discovery is; all else goes on as it was.
+    /// Reloads the configuration. Only the address of discovery may change while the node runs.
     fn reload(&mut self, aggregator_state: &mut AggregatorState) {
         match self.source.read() {
             Ok((later, _)) => {
                 let changed = self.config.sections_changed_in(&later);
                 if !changed.is_empty() {
                     log!(
-                        "changed in the configuration, but in force from the next start: {}",
+                        "configuration: these changes take effect only after a restart: {}",
                         changed.join(", ")
                     );
                 }
-                log!("configuration read again: discovery at {}", later.discovery);
+                log!("configuration reloaded: discovery at {}", later.discovery);
                 self.context.metrics.reloads += 1;
                 self.discovery.follow_address(later.discovery, aggregator_state, &mut self.context);
             }
             Err(error) => {
                 self.context.metrics.bad_reloads += 1;
-                log!("the configuration stays as it was: {}", error.to_string().escape_default());
+                log!("configuration not reloaded: {}", error.to_string().escape_default());
             }
         }
     }
--- a/crates/frontnode/src/node/shutdown.rs
+++ b/crates/frontnode/src/node/shutdown.rs
@@ -1,4 +1,4 @@
-//! The graceful shutdown: connections end with their next answer, and all that was accepted is answered.
+//! The graceful shutdown: each client connection ends with its next response, and all accepted queries are answered.
 
 use orchidvalve::interface::Nanos;
 
@@ -7,33 +7,34 @@
 use crate::event_loop::Timer;
 use crate::log;
 
-/// After the last connection came in, a node told to stop waits so long for more.
+/// The node stops once no connection was accepted for this time (1 s).
 const QUIET: Nanos = 1_000_000_000;
-/// No sooner than so long after the word to stop, and the longest deadline, counted as this at most, may the node be
-/// killed: what comes after the word has its answer by then, with a margin.
+/// The node must not be killed earlier than this time (0.7 s) plus the longest deadline after the stop signal. The
+/// longest deadline counts with `LONGEST_COUNTED_DEADLINE` at most. Queries received after the signal are answered
+/// `KILL_MARGIN` before that moment.
 const KILLED_AFTER: Nanos = 700_000_000;
 const LONGEST_COUNTED_DEADLINE: Nanos = 3_000_000_000;
 const KILL_MARGIN: Nanos = 100_000_000;
 
-/// How far the shutdown is.
+/// The progress of the shutdown.
 #[derive(Default)]
 pub(super) struct Shutdown {
-    /// Since the word to stop: when to look again.
+    /// The timer of the next check; set since the stop signal.
     timer: Option<DeadlineKey>,
-    /// Whether all is answered.
+    /// Whether all clients are answered and disconnected.
     pub is_complete: bool,
 }
 
 impl NodeState {
-    /// The word to stop, or time to look again. New connections go on coming for a while after the word, and are
-    /// served.
+    /// Handles the stop signal and each later check. New connections are still accepted and served for a while after
+    /// the signal.
     pub(super) fn shut_down(&mut self) {
         let NodeState { context, clients, queries, config, shutdown, .. } = self;
         if let Some(timer) = shutdown.timer.take() {
             context.deadlines.cancel(timer);
         } else {
             log!(
-                "told to stop: {} retrievals open, {} clients",
+                "shutting down: {} queries pending, {} clients connected",
                 queries.pending_queries(),
                 clients.connected()
             );
--- a/crates/frontnode/src/operator_api.rs
+++ b/crates/frontnode/src/operator_api.rs
@@ -1,4 +1,4 @@
-//! What operators ask the node itself, whatever the protocols of its clients: health, metrics and maintenance.
+//! The HTTP API for operators, independent of the client protocols: health, metrics and maintenance.
 
 use crate::context::Context;
 use crate::http::Message;
@@ -7,8 +7,8 @@
 use crate::queries::QueryTable;
 use crate::reply::Reply;
 
-/// The answer to an operator's request. None where the path isn't one of the node's own. `serving`: whether it takes
-/// queries.
+/// Answers a request of an operator. Returns `None` if the path is not part of this API. `serving` says whether the node
+/// accepts queries.
 pub fn answer(message: &Message, serving: bool, queries: &QueryTable, context: &Context) -> Option<Reply> {
     let path = message.path.split('?').next().unwrap_or_default();
     match (message.method, path) {
