--- a/crates/frontnode/src/persistence.rs
+++ b/crates/frontnode/src/persistence.rs
@@ -1,6 +1,6 @@
-//! What the node keeps over a restart: the last endpoint list with its age, and which replicas were ejected. Written
-//! through the queue of the log store's own thread, so that no round waits for a disk; off unless a file names a
-//! directory.
+//! The state that the node keeps across restarts: the last endpoint list with its age, and the ejections of replicas. It
+//! is written by the log store's own thread, so that no round waits for a disk. Persistence is disabled unless a settings
+//! file names a directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -26,24 +26,24 @@
 use crate::metrics::Gauge;
 use crate::settings_file::{SectionName, SettingsFileError, parse};
 
-/// What the log store is for: one made for something else is not opened.
+/// The purpose recorded in the log store. A log store with another purpose is not opened.
 pub const STORE_NAME: &str = "orchidvalve-node";
 
 /// Keyspace of the endpoint list's revision.
 pub const REVISION_KEYSPACE: u16 = 1;
 /// Keyspace of the endpoints.
 pub const ENDPOINT_KEYSPACE: u16 = 2;
-/// Keyspace of what was last known of each replica's ejection.
+/// Keyspace of the last known ejection state of each replica.
 pub const EJECTION_KEYSPACE: u16 = 3;
-/// Keyspace of the node's starts.
+/// Keyspace of the node's start times.
 pub const START_KEYSPACE: u16 = 4;
-/// Keyspace of the maintenance group's log, by the keys that `orchidvalve-maintenance` gives it.
+/// Keyspace of the maintenance group's log; `orchidvalve-maintenance` defines its keys.
 pub const MAINTENANCE_KEYSPACE: u16 = 5;
 /// Key of the revision in its keyspace.
 const REVISION_KEY: &str = "heard";
-/// Key of the starts in their keyspace.
+/// Key of the start times in their keyspace.
 const STARTS_KEY: &str = "lately";
-/// Starts of the node kept.
+/// The number of start times that are kept.
 const MAX_STARTS: usize = 16;
 
 const SECTION: SectionName = SectionName("logbook");
@@ -99,21 +99,21 @@
     }
 }
 
-/// Where the log store is, and how it is kept.
+/// The location and the options of the log store.
 #[derive(Clone, Debug)]
 pub struct PersistenceSettings {
-    /// Its directory.
+    /// The directory of the log store.
     pub directory: String,
     store: LogStoreOptions,
     writer: WriterOptions,
 }
 
 impl PersistenceSettings {
-    /// Reads the operator's file.
+    /// Parses the operator's file.
     ///
     /// # Errors
     ///
-    /// If a key is absent, unknown or out of bounds.
+    /// Fails if a key is missing, unknown or out of bounds.
     ///
     /// ```
     /// use orchidvalve_frontnode::persistence::PersistenceSettings;
@@ -155,68 +155,68 @@
     }
 }
 
-/// Why the log store cannot be used.
+/// Why the log store cannot be opened.
 #[derive(Debug, Display, Error)]
 #[display("logbook.dir: {directory}: {cause}")]
 pub struct PersistenceError {
-    /// The directory.
+    /// The configured directory.
     pub directory: String,
-    /// What is wrong with it.
+    /// The cause of the failure.
     #[error(source)]
     pub cause: PersistenceErrorCause,
 }
 
-/// What is wrong with a log store's directory.
+/// The cause of a [`PersistenceError`].
 #[derive(Debug, Display, Error, From)]
 pub enum PersistenceErrorCause {
-    /// The directory cannot be made, or the thread that writes not be started.
+    /// The directory cannot be created, or the writer thread cannot be started.
     #[display("{_0}")]
     Io(io::Error),
-    /// The store cannot be opened.
+    /// The log store cannot be opened.
     #[display("{_0}")]
     Open(#[error(not(source))] OpenError),
 }
 
-/// The revision of the whole list, and when discovery published it.
+/// The revision of the endpoint list and the time when discovery published it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredRevision {
     /// The revision.
     pub revision: i64,
-    /// When it arrived.
+    /// When it was received, in nanoseconds since the Unix epoch.
     pub at: Nanos,
 }
 
-/// What was known of a replica's ejection when that last changed.
+/// The ejection state of a replica when it last changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredEjection {
-    /// Since when it has been ejected; none where it is not.
+    /// Since when it has been ejected; `None` if it is not ejected.
     #[serde(rename = "aside")]
     pub ejected_since: Option<Nanos>,
-    /// How often it failed again after it was readmitted.
+    /// How often it failed again after it had been readmitted.
     pub relapses: u32,
-    /// When that changed.
+    /// When this state changed.
     pub at: Nanos,
 }
 
-/// What an earlier run of the node left.
+/// The state that an earlier run of the node left on disk.
 #[derive(Clone, Debug, Default)]
 pub struct RecoveredState {
     /// The revision of the endpoint list.
     pub revision: Option<StoredRevision>,
     /// The endpoints, by their ids.
     pub endpoints: BTreeMap<String, Endpoint>,
-    /// What was known of ejections, by the replicas' ids.
+    /// The ejection states, by the replicas' ids.
     pub ejections: BTreeMap<String, StoredEjection>,
-    /// When the node started, the last few times.
+    /// The last start times of the node.
     pub starts: Vec<Nanos>,
-    /// The maintenance group's log, where this node is a member of the group.
+    /// The maintenance group's log; empty unless this node is a member of the group.
     pub maintenance_log: RecoveredLog,
-    /// Records that could not be read.
+    /// The number of records that could not be read.
     pub unreadable: usize,
 }
 
 impl RecoveredState {
-    /// Reads all that is in a log store.
+    /// Reads the state from a snapshot of the log store.
     pub fn read(snapshot: &Snapshot) -> RecoveredState {
         let mut state = RecoveredState::default();
         let unreadable = &mut state.unreadable;
@@ -275,24 +275,24 @@
     all
 }
 
-/// The node's state on disk.
+/// The node's persistent state.
 pub struct PersistentState {
     writer: BackgroundWriter,
     handle: WriterHandle,
-    /// What was last written of each replica in its slot, so that only changes are.
+    /// The last written ejection state of the replica in each slot; only changes are written.
     ejections: Vec<Option<EjectionRecord>>,
-    /// What an earlier run left, until it is taken.
+    /// The state that an earlier run left, until it is taken.
     recovered: Option<RecoveredState>,
-    /// Replicas on disk that discovery's whole list has neither confirmed nor cleared yet.
+    /// Stored replicas that no complete list of discovery has confirmed or removed yet.
     unconfirmed: BTreeSet<String>,
 }
 
 impl PersistentState {
-    /// Opens the log store and logs what it holds.
+    /// Opens the log store and logs a summary of its contents.
     ///
     /// # Errors
     ///
-    /// If the directory cannot be made or the store not be opened.
+    /// Fails if the directory cannot be created or the log store cannot be opened.
     pub fn open(settings: &PersistenceSettings, now: Nanos) -> Result<PersistentState, PersistenceError> {
         let open = || -> Result<_, PersistenceErrorCause> {
             let disk = RealDisk::open_or_create(Path::new(&settings.directory))?;
@@ -325,22 +325,22 @@
         Ok(state)
     }
 
-    /// Hands over a batch that must be durable before anything is said of it.
+    /// Queues a batch; the returned handle reports when it is durable.
     ///
     /// # Errors
     ///
-    /// The batch, where the queue has no room.
+    /// Returns the batch if the queue is full.
     pub fn write_durably(&mut self, batch: Batch) -> Result<PendingWrite, Batch> {
         self.handle.try_append(batch)
     }
 
-    /// What an earlier run left; once.
+    /// Takes the state that an earlier run left; `None` from the second call on.
     pub fn take_recovered(&mut self) -> Option<RecoveredState> {
         self.recovered.take()
     }
 
-    /// Discovery published its whole list: replicas on disk that it doesn't list are removed. A list on disk that was
-    /// never gone by would otherwise keep what left while the node was down.
+    /// Removes stored replicas that a complete list of discovery does not name. Otherwise replicas that were removed while
+    /// the node was down would stay on disk if the stored list was never used.
     pub fn remove_unlisted(&mut self, is_listed: impl Fn(&str) -> bool) {
         for id in std::mem::take(&mut self.unconfirmed) {
             if !is_listed(&id) {
@@ -354,12 +354,12 @@
         self.handle.update(keyspace, key.as_bytes(), value.as_deref());
     }
 
-    /// Keeps the revision that discovery published.
+    /// Stores the revision that discovery published.
     pub fn write_revision(&mut self, revision: i64, at: Nanos) {
         self.write(REVISION_KEYSPACE, REVISION_KEY, Some(&StoredRevision { revision, at }));
     }
 
-    /// Keeps a replica as discovery lists it now, or removes it where it is gone for good.
+    /// Stores a replica as discovery currently lists it, or deletes it if it was removed permanently.
     pub fn write_endpoint(&mut self, endpoint: &Endpoint) {
         self.write(ENDPOINT_KEYSPACE, &endpoint.id, (!endpoint.removed).then_some(endpoint));
         if endpoint.removed {
@@ -367,20 +367,20 @@
         }
     }
 
-    /// Removes a replica.
+    /// Deletes a replica.
     pub fn remove_endpoint(&mut self, id: &str) {
         self.write::<Endpoint>(ENDPOINT_KEYSPACE, id, None);
         self.write::<StoredEjection>(EJECTION_KEYSPACE, id, None);
     }
 
-    /// A slot has another replica now, of which nothing is known yet.
+    /// Resets a slot that a new replica uses now.
     pub fn reset_slot(&mut self, ix: ReplicaIndex) {
         if let Some(record) = self.ejections.get_mut(ix.0) {
             *record = None;
         }
     }
 
-    /// Keeps whether a replica is ejected, where that changed in the last round.
+    /// Stores the ejection state of a replica if it changed in the last round.
     pub fn write_ejection(&mut self, ix: ReplicaIndex, id: &str, record: EjectionRecord, at: Nanos) {
         if self.ejections.len() <= ix.0 {
             self.ejections.resize(ix.0 + 1, None);
@@ -396,12 +396,12 @@
         }
     }
 
-    /// Hands over what found the queue full. False where it still is.
+    /// Queues the changes that found the queue full. Returns false if it still is.
     pub fn flush(&mut self) -> bool {
         self.handle.flush()
     }
 
-    /// Gauges for `/metrics`.
+    /// Returns the gauges for `/metrics`.
     pub fn gauges(&self) -> Vec<Gauge> {
         let counts = self.writer.counters();
         let of = |count: &std::sync::atomic::AtomicU64| count.load(Relaxed) as usize;
@@ -425,18 +425,18 @@
         ]
     }
 
-    /// Writes what is left, and closes the store.
+    /// Writes the remaining changes and closes the log store.
     pub fn stop(self) {
         self.handle.finish();
         drop(self.writer.stop());
     }
 }
 
-/// Logs what a crash or a damaged disk cost.
+/// Logs data that was lost by a crash or by a damaged disk.
 fn log_recovery(found: &RecoveryReport) {
     if let Some(TornTail { segment, offset, bytes }) = found.torn_tail {
         log!(
-            "logbook: {bytes} bytes cut off at byte {offset} of {segment:016x}.seg, which a crash left half written"
+            "logbook: torn tail: {bytes} bytes truncated at byte {offset} of {segment:016x}.seg after a crash"
         );
     }
     if let Some(Corruption { segment, offset }) = found.corruption {
@@ -446,6 +446,6 @@
         );
     }
     if found.manifest_rebuilt {
-        log!("logbook: its manifest was lost or damaged and is made anew");
+        log!("logbook: the manifest was lost or damaged and has been rebuilt");
     }
 }
--- a/crates/frontnode/src/queries.rs
+++ b/crates/frontnode/src/queries.rs
@@ -1,5 +1,5 @@
-//! The accepted queries, their shard requests and attempts, by the aggregator's numbers, until the aggregator forgets
-//! them.
+//! The accepted queries with their shard requests and attempts, indexed by the aggregator's numbers. They are kept until
+//! the aggregator forgets them.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, VecDeque};
@@ -14,7 +14,7 @@
 use crate::recorder::RecordedQuery;
 use crate::reply::{Outcome, Reply, ReplyFormat};
 
-/// A table whose slots are given out in order and taken back from the front.
+/// A table whose slots are assigned in order and removed from the front.
 struct Window<T> {
     first: usize,
     items: VecDeque<T>,
@@ -40,30 +40,30 @@
     }
 }
 
-/// One of the queries of a client's message.
+/// The position of a query in a client's request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QueryOrigin {
-    /// The connection on which the message arrived.
+    /// The client connection that received the request.
     pub client: ClientKey,
-    /// The query's position in the message.
+    /// The position of the query in the request.
     pub position: usize,
 }
 
-/// A query that was accepted.
+/// An accepted query.
 pub struct Query {
-    /// Where its answer goes.
+    /// The connection and position that its response goes to.
     pub origin: QueryOrigin,
     reply_format: Box<dyn ReplyFormat>,
     accepted_at: Nanos,
-    /// The id that its client, or the protocol, gave it.
+    /// The id chosen by the client or by its protocol.
     pub id: Box<str>,
-    /// The idempotency key, in service classes that have one: with it an attempt may be repeated without harm.
+    /// The idempotency key, in service classes that require one: it makes repeated attempts safe.
     pub idempotency_key: Option<Box<str>>,
-    /// What is sent to each shard.
+    /// The payload that is sent to each shard.
     pub payload: Box<str>,
     /// Its shard requests.
     pub shard_requests: Vec<ShardRequestIndex>,
-    /// Whether it has no final answer yet.
+    /// Whether it has no final response yet.
     pub pending: bool,
 }
 
@@ -74,71 +74,71 @@
     }
 }
 
-/// The final answer to one of the queries of a client's message.
+/// The final response to one query of a client's request.
 pub struct FinalAnswer {
-    /// The query's position in the message, and the client's connection.
+    /// The client connection and the position of the query in the request.
     pub origin: QueryOrigin,
-    /// The answer.
+    /// The response.
     pub reply: Reply,
 }
 
-/// A query's part for one shard.
+/// The part of a query that goes to one shard.
 pub struct ShardRequest {
     /// The query that it belongs to.
     pub query: QueryIndex,
-    /// The shard that is asked.
+    /// The shard that is queried.
     pub shard: usize,
-    /// The first value that an attempt brought.
+    /// The value of the first attempt that succeeded.
     pub value: Option<Box<str>>,
     attempts: Vec<Attempt>,
-    /// When nothing more of it may be sent.
+    /// The time after which no further attempt may be sent.
     send_deadline: Nanos,
 }
 
-/// One attempt: a shard request that is sent to one replica.
+/// One attempt: a shard request sent to one replica.
 pub struct Attempt {
-    /// The replica that is asked.
+    /// The replica that the attempt is sent to.
     pub replica: ReplicaIndex,
     started_at: Nanos,
     /// When it times out.
     pub deadline: Nanos,
     timer: DeadlineKey,
-    /// The connection that it waits for, or is in flight on.
+    /// The connection on which it is pending or in flight.
     pub connection: Option<ConnectionKey>,
     /// Whether it was written to its connection.
     pub written: bool,
     ended: bool,
 }
 
-/// An attempt by the aggregator's numbers.
+/// Identifies an attempt by the aggregator's numbers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AttemptId {
     /// The shard request.
     pub shard_request: ShardRequestIndex,
-    /// The attempt's number among those of the shard request, from 0.
+    /// The number of the attempt among those of the shard request, from 0.
     pub number: usize,
 }
 
 /// An attempt that ended since the last round.
 pub struct EndedAttempt {
-    /// Which one.
+    /// The attempt that ended.
     pub id: AttemptId,
     /// How it ended.
     pub outcome: AttemptOutcome,
-    /// The time since it was started.
+    /// The time from its start to its end, in nanoseconds.
     pub duration: Nanos,
 }
 
-/// The time limits of an attempt, from its start.
+/// The time limits of an attempt, in nanoseconds from its start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptLimits {
-    /// Time until it times out.
+    /// The time until it times out.
     pub timeout: Nanos,
-    /// Time until nothing of its shard request may be sent any more, also as other attempts.
+    /// The time until no attempt of its shard request may be sent any more.
     pub send_within: Nanos,
 }
 
-/// A query as a client protocol read it from a message.
+/// A query as parsed by a client protocol.
 pub struct QueryRequest<'a> {
     /// Its id.
     pub id: Cow<'a, str>,
@@ -146,21 +146,21 @@
     pub service_class: usize,
     /// The index of its tenant.
     pub tenant: usize,
-    /// Time after which an answer is worth nothing.
+    /// The time after which a response is useless to the client.
     pub deadline: Nanos,
-    /// The client's estimate of the work, 0 where it gave none.
+    /// The client's estimate of the work in nanoseconds; 0 if it gave none.
     pub estimated_work: Nanos,
-    /// Whether its client says that it asks again.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// Least share of the shards' weight that it may be answered from, where it is more than its service class's.
+    /// The minimum fraction of the shards' weight that a response must cover, if it exceeds the one of the service class.
     pub min_weight: f64,
-    /// The idempotency key, in service classes that have one: with it an attempt may be repeated without harm.
+    /// The idempotency key, in service classes that require one: it makes repeated attempts safe.
     pub idempotency_key: Option<Cow<'a, str>>,
-    /// What is sent to each shard.
+    /// The payload that is sent to each shard.
     pub payload: Cow<'a, str>,
-    /// The format of its answer in the client's protocol.
+    /// The format of the response in the client's protocol.
     pub reply_format: Box<dyn ReplyFormat>,
-    /// The shards that it needs, each with its weight.
+    /// The shards to query, each with its weight.
     pub shards: Vec<ShardWeight>,
 }
 
@@ -169,30 +169,30 @@
     queries: Window<Query>,
     shard_requests: Window<ShardRequest>,
     by_id: HashMap<Box<str>, QueryIndex>,
-    /// Queries without a final answer, and their shard requests without a value.
+    /// The number of queries without a final response plus that of their shard requests without a value.
     pub pending: usize,
     /// Attempts that ended since the last round.
     pub ended: Vec<EndedAttempt>,
 }
 
 impl QueryTable {
-    /// An empty table.
+    /// Returns an empty table.
     pub fn new() -> Self {
         let (queries, shard_requests) = (Window::new(), Window::new());
         QueryTable { queries, shard_requests, by_id: HashMap::new(), pending: 0, ended: Vec::new() }
     }
 
-    /// Whether a query with that id has no final answer yet.
+    /// Returns whether a query with this id has no final response yet.
     pub fn is_pending(&self, id: &str) -> bool {
         self.by_id.contains_key(id)
     }
 
-    /// Queries that wait for their final answer.
+    /// Returns the number of queries without a final response.
     pub fn pending_queries(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Hands a query over to the aggregator.
+    /// Adds a query and passes it on to the aggregator.
     pub fn accept(
         &mut self,
         request: QueryRequest,
@@ -239,12 +239,12 @@
         ix
     }
 
-    /// A query that the aggregator has not forgotten.
+    /// Returns a query, or `None` if the aggregator has forgotten it.
     pub fn query(&self, ix: QueryIndex) -> Option<&Query> {
         self.queries.get(ix.0)
     }
 
-    /// The final answer from the shards that have answered.
+    /// Returns the final response with the values that were received from shards.
     pub fn answer(&self, ix: QueryIndex, complete: bool, now: Nanos) -> Option<FinalAnswer> {
         let query = self.query(ix)?;
         let shard_requests = query.shard_requests.iter().filter_map(|&ix| self.shard_request(ix));
@@ -253,29 +253,29 @@
         Some(query.final_answer(Outcome::Answered { complete, shards: &shards }, now))
     }
 
-    /// The final answer of a query that carries no value.
+    /// Returns the final response to a query that ends without values.
     pub fn answer_without_values(&self, ix: QueryIndex, outcome: Outcome, now: Nanos) -> Option<FinalAnswer> {
         Some(self.query(ix)?.final_answer(outcome, now))
     }
 
-    /// A shard request that the aggregator has not forgotten.
+    /// Returns a shard request, or `None` if the aggregator has forgotten it.
     pub fn shard_request(&self, ix: ShardRequestIndex) -> Option<&ShardRequest> {
         self.shard_requests.get(ix.0)
     }
 
-    /// A shard request together with its query.
+    /// Returns a shard request with its query.
     pub fn shard_request_and_query(&self, ix: ShardRequestIndex) -> Option<(&ShardRequest, &Query)> {
         let request = self.shard_request(ix)?;
         Some((request, self.query(request.query)?))
     }
 
-    /// An attempt that has not ended.
+    /// Returns an attempt, or `None` if it has ended.
     pub fn attempt(&mut self, id: AttemptId) -> Option<&mut Attempt> {
         let request = self.shard_requests.get_mut(id.shard_request.0)?;
         request.attempts.get_mut(id.number).filter(|attempt| !attempt.ended)
     }
 
-    /// Adds an attempt that the aggregator decided on, and sets its timer.
+    /// Adds an attempt that the aggregator started, and schedules its timer.
     pub fn start_attempt(
         &mut self,
         shard_request: ShardRequestIndex,
@@ -301,8 +301,8 @@
         Some(AttemptId { shard_request, number })
     }
 
-    /// Sets a new timer for an attempt whose timer fell due: one that was sent in time has longer than one that has not
-    /// been sent. False where it has timed out.
+    /// Schedules a new timer for an attempt whose timer fell due: a written attempt may run until its own deadline, which
+    /// is later than the deadline for sending. Returns false if it has timed out.
     pub fn extend_timeout(&mut self, id: AttemptId, context: &mut Context) -> bool {
         let waits = |attempt: &&mut Attempt| attempt.written && context.now < attempt.deadline;
         let Some(attempt) = self.attempt(id).filter(waits) else { return false };
@@ -311,12 +311,12 @@
         true
     }
 
-    /// Whether a shard request may still be sent.
+    /// Returns whether a shard request may still be sent.
     pub fn may_send(&self, shard_request: ShardRequestIndex, now: Nanos) -> bool {
         self.shard_request(shard_request).is_some_and(|request| now <= request.send_deadline)
     }
 
-    /// Ends an attempt, unless it has ended: the one place where that happens.
+    /// Ends an attempt, unless it has already ended. Every attempt ends here.
     pub fn end_attempt(&mut self, id: AttemptId, outcome: AttemptOutcome, context: &mut Context) {
         let Some(attempt) = self.attempt(id) else { return };
         attempt.ended = true;
@@ -326,7 +326,7 @@
         self.ended.push(EndedAttempt { id, outcome, duration });
     }
 
-    /// Keeps a shard's value, where its query still waits for it.
+    /// Stores the value of a shard, if its query is still pending and has no value for that shard.
     pub fn store_value(&mut self, shard_request: ShardRequestIndex, value: &str) {
         let Some(request) = self.shard_requests.get_mut(shard_request.0) else { return };
         let query = self.queries.get(request.query.0);
@@ -336,7 +336,7 @@
         }
     }
 
-    /// Ends a query, unless it has ended: the one place where that happens. False where it had ended.
+    /// Closes a query. Returns false if it was already closed. Every query is closed here.
     pub fn close(&mut self, ix: QueryIndex) -> bool {
         let Some(query) = self.queries.get_mut(ix.0).filter(|query| query.pending) else { return false };
         query.pending = false;
@@ -347,7 +347,7 @@
         self.pending -= 1 + query.shard_requests.iter().filter(waits).count();
         true
     }
-
+    /// Returns the attempts of a query that are not written yet.
     /// Attempts of a query that wait for a connection.
     pub fn unwritten_attempts(&self, ix: QueryIndex) -> Vec<AttemptId> {
         let mut unwritten = Vec::new();
@@ -363,7 +363,7 @@
         unwritten
     }
 
-    /// Drops what the aggregator has forgotten.
+    /// Drops the queries and shard requests that the aggregator has forgotten.
     pub fn forget(&mut self, aggregator_state: &AggregatorState) {
         self.queries.drop_before(aggregator_state.first_query().0);
         self.shard_requests.drop_before(aggregator_state.first_shard_request().0);
--- a/crates/frontnode/src/recorder.rs
+++ b/crates/frontnode/src/recorder.rs
@@ -1,5 +1,6 @@
-//! Records what clients ask in a file, for a rehearsal of that day, where the operator switches it on. A thread of its
-//! own writes: a round never waits for a disk. What finds no room on the way to it is left out and counted.
+//! Records the queries of clients to a file for a later rehearsal, if the operator enables it. A separate thread writes
+//! the file, so that no round waits for a disk. Records that do not fit into the queue of the thread are dropped and
+//! counted.
 
 use std::fs::File;
 use std::io::{self, Write};
@@ -17,7 +18,7 @@
 use crate::log;
 use crate::settings_file::{SectionName, SettingsFileError, parse};
 
-/// Chunks on their way to the disk at most, and the size and age at which one is handed over.
+/// The maximum number of chunks queued for the writer thread, and the size and age at which a chunk is queued.
 const MAX_CHUNKS: usize = 64;
 const CHUNK_BYTES: usize = 16 << 10;
 const CHUNK_AGE: Nanos = 1_000_000_000;
@@ -45,21 +46,21 @@
     }
 }
 
-/// Where requests are recorded, and how much of them.
+/// The settings of the recording.
 #[derive(Clone, Debug)]
 pub struct RecordingSettings {
-    /// Path of the file.
+    /// The path of the file.
     pub file: String,
-    /// Bytes after which nothing more is recorded.
+    /// The size of the file in bytes at which the recording ends.
     pub max_bytes: u64,
 }
 
 impl RecordingSettings {
-    /// Reads the operator's file.
+    /// Parses the operator's file.
     ///
     /// # Errors
     ///
-    /// If a key is absent, unknown or out of bounds.
+    /// Fails if a key is missing, unknown or out of bounds.
     ///
     /// ```
     /// use orchidvalve_frontnode::recorder::RecordingSettings;
@@ -78,46 +79,46 @@
     }
 }
 
-/// Why a recording cannot begin.
+/// Why a recording cannot be started.
 #[derive(Debug, Display, Error)]
 pub enum RecorderError {
     /// The file cannot be created.
     #[display("record.file: {path}: {error}")]
     File {
-        /// Its path.
+        /// The path of the file.
         path: String,
-        /// What the system said.
+        /// The error of the operating system.
         #[error(source)]
         error: io::Error,
     },
-    /// The thread that writes cannot be started.
+    /// The writer thread cannot be started.
     #[display("record: {_0}")]
     Thread(io::Error),
 }
 
-/// What is recorded of a query.
+/// The recorded properties of a query.
 #[derive(Clone, Copy, Debug)]
 pub struct RecordedQuery<'a> {
     /// The index of its service class.
     pub service_class: usize,
     /// The index of its tenant.
     pub tenant: Option<usize>,
-    /// Whether its client says that it asks again.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// The client's estimate of the work, 0 where it gave none.
+    /// The client's estimate of the work in nanoseconds; 0 if it gave none.
     pub estimated_work: Nanos,
-    /// The shards that it needs, each with its weight.
+    /// The shards to query, each with its weight.
     pub shards: &'a [ShardWeight],
 }
 
-/// One recording.
+/// A running recording.
 pub struct Recorder {
     to_thread: Option<SyncSender<Vec<u8>>>,
     thread: Option<JoinHandle<()>>,
-    /// What is handed over next, and since when it has been gathered.
+    /// The chunk that is being filled, and the time when it was started.
     chunk: Vec<u8>,
     chunk_started: Nanos,
-    /// When the last request that was recorded came.
+    /// When the last recorded query arrived, rounded down to the recorded microsecond.
     last_arrival: Nanos,
     bytes_left: u64,
     dropped: u64,
@@ -125,11 +126,11 @@
 }
 
 impl Recorder {
-    /// Begins a recording. A file that is there is replaced: a recording is one node's from one start on.
+    /// Starts a recording. An existing file is replaced: a recording contains one run of one node.
     ///
     /// # Errors
     ///
-    /// If the file cannot be created or the thread not started.
+    /// Fails if the file cannot be created or the writer thread cannot be started.
     pub fn open(settings: &RecordingSettings, head: &Header, now: Nanos) -> Result<Recorder, RecorderError> {
         let path = settings.file.clone();
         let mut file =
@@ -142,7 +143,7 @@
                 if let Err(error) = file.write_all(&chunk)
                     && failed.fetch_add(1, Relaxed) == 0
                 {
-                    log!("the recording cannot be written to {path}: {error}");
+                    log!("cannot write the recording to {path}: {error}");
                 }
             }
             let _ = file.sync_data();
@@ -163,7 +164,7 @@
         })
     }
 
-    /// Records a query that was accepted.
+    /// Records an accepted query.
     pub fn record(&mut self, now: Nanos, query: &RecordedQuery) {
         if self.bytes_left == 0 {
             return;
@@ -185,15 +186,15 @@
         if size > self.bytes_left {
             self.chunk.truncate(before);
             self.bytes_left = 0;
-            log!("the recording is full: nothing more of it is kept");
+            log!("the recording has reached its maximum size and ends");
             return;
         }
         self.bytes_left -= size;
-        // In whole microseconds: what is cut off of one interval comes in the next.
+        // Intervals are recorded in whole microseconds; the remainder is added to the next interval.
         self.last_arrival += arrival.gap_us as Nanos * 1000;
     }
 
-    /// Hands the gathered records over where they are large or old enough.
+    /// Queues the current chunk for the writer thread if it is large or old enough.
     pub fn end_round(&mut self, now: Nanos) {
         let old = now - self.chunk_started >= CHUNK_AGE;
         if self.chunk.len() >= CHUNK_BYTES || !self.chunk.is_empty() && old {
@@ -204,14 +205,14 @@
         }
     }
 
-    /// Chunks that found no room, or could not be written, and queries of more shards than a record holds.
+    /// Returns the number of chunks that were dropped or not written, plus the queries with too many shards for a record.
     pub fn lost(&self) -> u64 {
         self.dropped + self.unwritten.load(Relaxed)
     }
 }
 
 impl Drop for Recorder {
-    /// What is left is written: at the end nobody waits for a round.
+    /// Writes the remaining records; blocking is acceptable because no more rounds follow.
     fn drop(&mut self) {
         let chunk = std::mem::take(&mut self.chunk);
         if let Some(to_thread) = self.to_thread.take() {
--- a/crates/frontnode/src/reply.rs
+++ b/crates/frontnode/src/reply.rs
@@ -1,5 +1,5 @@
-//! The final answers to clients, and how a client protocol words them: the query table keeps a format with each query,
-//! so the protocol that parsed the query is not asked again.
+//! The final responses to clients and how a client protocol formats them. The query table keeps the format with each
+//! query, so that the protocol that parsed the query is not needed again.
 
 use std::borrow::Cow;
 
@@ -10,27 +10,27 @@
 /// Content type of JSON.
 pub const JSON: &str = "application/json";
 
-/// What became of a query.
+/// The final outcome of a query.
 #[derive(Clone, Copy, Debug)]
 pub enum Outcome<'a> {
-    /// Answered from the shards that have answered.
+    /// Answered with the values of the shards that responded.
     Answered {
-        /// Whether the answer counts as complete.
+        /// Whether the response counts as complete.
         complete: bool,
-        /// Each shard asked, with its value if it has answered.
+        /// Each queried shard, with its value if it responded.
         shards: &'a [(usize, Option<&'a str>)],
     },
-    /// Rejected before anything ran: trying again is harmless, after this time if it is above 0.
+    /// Rejected before anything ran. A retry is safe, after this time if it is above 0.
     Rejected(Nanos),
-    /// Given up at its deadline: parts of it may have run.
+    /// Expired at its deadline; some of its shard requests may have run.
     Expired,
-    /// Never accepted: a query with its id is pending.
+    /// Rejected because a query with the same id is pending.
     DuplicateId,
-    /// Never accepted: too many queries are pending.
+    /// Rejected because too many queries are pending.
     Overloaded,
 }
 
-/// What a client is answered.
+/// A response to a client.
 #[derive(Clone, Debug)]
 pub struct Reply {
     /// HTTP status.
@@ -44,7 +44,7 @@
 }
 
 impl Reply {
-    /// An answer in plain text.
+    /// Returns a response in plain text.
     pub fn text(status: u16, text: impl Into<Cow<'static, str>>) -> Reply {
         let body = match text.into() {
             Cow::Borrowed(text) => Cow::Borrowed(text.as_bytes()),
@@ -53,12 +53,12 @@
         Reply { status, content_type: TEXT, headers: String::new(), body }
     }
 
-    /// An answer in JSON.
+    /// Returns a response in JSON.
     pub fn json(status: u16, body: String) -> Reply {
         Reply { status, content_type: JSON, headers: String::new(), body: Cow::Owned(body.into_bytes()) }
     }
 
-    /// Adds the time after which the client may retry, where it is above 0 (RFC 9110, section 10.2.3).
+    /// Adds a `Retry-After` header if the time is above 0 (RFC 9110, section 10.2.3).
     #[must_use]
     pub fn retry_after(mut self, wait: Nanos) -> Reply {
         if wait > 0 {
@@ -68,16 +68,17 @@
     }
 }
 
-/// How a client protocol words the answer to one query.
+/// Formats the response to one query in a client protocol.
 pub trait ReplyFormat {
-    /// The query's one answer. `elapsed`: since it was accepted.
+    /// Returns the response to the query. `elapsed` is the time since it was accepted, in nanoseconds.
     fn reply(&self, outcome: Outcome, elapsed: Nanos) -> Reply;
 }
 
-/// Makes one message of the answers to all queries of one message, in their order, and of the time since it came.
+/// Combines the responses to all queries of one request, in their order, into one response. The second argument is the
+/// time since the request arrived, in nanoseconds.
 pub type CombineReplies = fn(Vec<Reply>, Nanos) -> Reply;
 
-/// For protocols whose messages carry one query each.
+/// Combines replies for protocols with one query per request.
 pub fn single(mut replies: Vec<Reply>, _: Nanos) -> Reply {
     replies.pop().unwrap_or_else(|| Reply::text(400, "nothing was asked\n"))
 }
--- a/crates/frontnode/src/settings_file.rs
+++ b/crates/frontnode/src/settings_file.rs
@@ -1,4 +1,4 @@
-//! The operators' TOML files: parsing, and the checks that their readers share.
+//! The operators' TOML files: parsing and common checks.
 
 use std::fmt::Display;
 use std::net::SocketAddrV4;
@@ -7,47 +7,47 @@
 use orchidvalve::interface::Nanos;
 use serde::de::DeserializeOwned;
 
-/// Why an operators' file cannot be used.
+/// Why an operator's file is invalid.
 #[derive(Clone, Debug, DeriveDisplay, Error, From)]
 pub enum SettingsFileError {
-    /// It is no TOML, or lacks a key, or has one of another type or one that is unknown.
+    /// The file is not valid TOML, or a key is missing, unknown or of the wrong type.
     #[display("{_0}")]
     Toml(toml::de::Error),
-    /// The value of a key cannot be used.
+    /// The value of a key is invalid.
     #[from(ignore)]
     #[display("{key}: {problem}")]
     Value {
-        /// The key in full, such as `logbook.dir`.
+        /// The full key, such as `logbook.dir`.
         key: String,
-        /// What it should be.
+        /// What the value should be.
         problem: String,
     },
 }
 
-/// Parses a file.
+/// Parses the text of a file.
 ///
 /// # Errors
 ///
-/// If it is no TOML of that form.
+/// Fails if the text is not valid TOML or does not have the form of `T`.
 pub fn parse<T: DeserializeOwned>(text: &str) -> Result<T, SettingsFileError> {
     Ok(toml::from_str(text)?)
 }
 
-/// One section of a file, for errors that name its keys in full.
+/// The name of a section in a file, for errors that contain the full key.
 #[derive(Clone, Copy, Debug)]
 pub struct SectionName(pub &'static str);
 
 impl SectionName {
-    /// An error about a key of the section.
+    /// Returns an error about a key of the section.
     pub fn error(self, key: &str, problem: impl Into<String>) -> SettingsFileError {
         SettingsFileError::Value { key: format!("{}.{key}", self.0), problem: problem.into() }
     }
 
-    /// Checks that a number is within bounds, both of which it may be.
+    /// Checks that a number is between `least` and `most`, both included.
     ///
     /// # Errors
     ///
-    /// If it isn't.
+    /// Fails if the number is out of bounds.
     pub fn check_range<T: PartialOrd + Display>(
         self,
         key: &str,
@@ -61,18 +61,18 @@
         Err(self.error(key, format!("should be {least} to {most}, not {found}")))
     }
 
-    /// Parses an IPv4 address and a port.
+    /// Parses an IPv4 address with a port.
     ///
     /// # Errors
     ///
-    /// If the text isn't one.
+    /// Fails if the text is not such an address.
     pub fn address(self, key: &str, text: &str) -> Result<SocketAddrV4, SettingsFileError> {
         let error = || self.error(key, format!("should be an IPv4 address and a port, not '{text}'"));
         text.parse().map_err(|_| error())
     }
 }
 
-/// Milliseconds as nanoseconds.
+/// Converts milliseconds to nanoseconds.
 pub fn milliseconds(count: u64) -> Nanos {
     count as Nanos * 1_000_000
 }
--- a/crates/frontnode/src/store_connections/attempts.rs
+++ b/crates/frontnode/src/store_connections/attempts.rs
@@ -1,4 +1,4 @@
-//! Attempts: the calls that they travel in, and their ends at the node's side.
+//! Attempts on connections: groups them into calls, writes the calls, and ends attempts that are cancelled or expire.
 
 use orchidvalve::interface::{QueryIndex, ReplicaIndex, ShardRequestIndex};
 use orchidvalve::state::AttemptOutcome;
@@ -12,7 +12,7 @@
 use crate::store_protocol::CallRequest;
 
 impl StoreConnections {
-    /// Queues an attempt that the aggregator decided on, until the round is over.
+    /// Queues an attempt that the aggregator started. It is sent at the end of the round.
     pub fn queue_attempt(&mut self, id: AttemptId, replica_ix: ReplicaIndex) {
         let replica = &mut self.replicas[replica_ix.0];
         if replica.queued.is_empty() {
@@ -21,7 +21,7 @@
         replica.queued.push(id);
     }
 
-    /// Sends the attempts of the round: those at one replica share calls.
+    /// Sends the attempts of the round. Attempts for the same replica are batched into calls.
     pub fn send_queued(&mut self, queries: &mut QueryTable, context: &mut Context) {
         for replica in std::mem::take(&mut self.with_queued) {
             let mut attempts = std::mem::take(&mut self.replicas[replica.0].queued);
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Puts a call on a connection, and writes it as soon as that is possible.
+    /// Assigns a call to a connection and writes it as soon as possible.
     pub(super) fn assign(
         &mut self,
         key: ConnectionKey,
@@ -68,7 +68,7 @@
         self.write_pending(key, queries, context);
     }
 
-    /// A connection with capacity, else a new one: connections and handshakes cost.
+    /// Chooses a connection with free capacity, or opens one: connections and handshakes have a cost.
     fn choose_connection(
         &mut self,
         replica: ReplicaIndex,
@@ -82,7 +82,7 @@
         };
         let connections = self.replicas[replica.0].connections.iter().copied();
         let usable = connections.filter(|&key| self.is_usable(key)).filter(has_capacity);
-        // One that owes the answer to a health check may be silent.
+        // A connection with an unanswered health check ranks lower, as it may be unresponsive.
         let rank = |connection: &Connection| {
             (connection.up_since.is_none(), connection.in_flight.health_check.is_some(), connection.load())
         };
@@ -90,7 +90,7 @@
         best.or_else(|| self.open(replica, context))
     }
 
-    /// Writes what waits, one call at a time, so that what has not begun can still be dropped.
+    /// Writes the pending calls one at a time, so that a call that has not been started can still be dropped.
     pub(super) fn write_pending(
         &mut self,
         key: ConnectionKey,
@@ -122,12 +122,12 @@
         }
     }
 
-    /// The aggregator cancels an attempt: its server is told, or it is never sent.
+    /// Cancels an attempt for the aggregator: its replica is notified if it was written, otherwise it is never sent.
     pub fn cancel(&mut self, id: AttemptId, queries: &mut QueryTable, context: &mut Context) {
         self.end_attempt(id, AttemptOutcome::Cancelled, AttemptOutcome::NotSent, queries, context);
     }
 
-    /// An attempt's time is over, to be answered or to be sent.
+    /// Handles the timer of an attempt: the response is overdue, or the time in which it may be sent is over.
     pub fn attempt_due(
         &mut self,
         shard_request: ShardRequestIndex,
@@ -144,14 +144,14 @@
         self.end_attempt(id, AttemptOutcome::TimedOut, if_unwritten, queries, context);
     }
 
-    /// A query that is over sends nothing more.
+    /// Cancels the unwritten attempts of a query that has ended.
     pub fn abandon(&mut self, query: QueryIndex, queries: &mut QueryTable, context: &mut Context) {
         for id in queries.unwritten_attempts(query) {
             self.cancel(id, queries, context);
         }
     }
 
-    /// Ends an attempt by whether it was written.
+    /// Ends an attempt with the outcome for a written or for an unwritten one.
     fn end_attempt(
         &mut self,
         id: AttemptId,
@@ -184,7 +184,7 @@
     }
 }
 
-/// Writes a call into a connection's outbox. False where its protocol cannot express it, and the attempts are ended.
+/// Writes a call to a connection's outbox. Returns false and ends the attempts if the protocol cannot express the call.
 fn write_call(
     connection: &mut Connection,
     call: &[AttemptId],
@@ -209,7 +209,7 @@
     });
     let requests: Vec<CallRequest> = requests.collect();
     if !connection.protocol.write_call(connection.stream.outbox(), &requests) {
-        log!("a part that the protocol of {} cannot say was not sent", connection.address.address);
+        log!("the protocol of {} cannot express a shard request: not sent", connection.address.address);
         call.iter().for_each(|&id| queries.end_attempt(id, AttemptOutcome::ConnectFailed, context));
         return false;
     }
--- a/crates/frontnode/src/store_connections/connection.rs
+++ b/crates/frontnode/src/store_connections/connection.rs
@@ -1,4 +1,4 @@
-//! One connection to a replica, and what is in flight on it.
+//! One connection to a replica and its requests in flight.
 
 use std::collections::VecDeque;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -13,40 +13,40 @@
 use crate::store_protocol::{Load, ProtocolError, StoreMessage, StoreProtocol};
 use crate::stream::Stream;
 
-/// Attempts that travel together.
+/// Attempts that are sent in one message.
 pub(super) type Call = Vec<AttemptId>;
 
-/// Ended shard requests of a connection that are remembered, as answers to them may still come, or come twice.
+/// The number of ended shard requests that a connection remembers, as late or duplicate responses to them may arrive.
 const MAX_ENDED: usize = 256;
 
 /// An attempt that was written to a connection.
 pub(super) struct SentAttempt {
     pub id: AttemptId,
-    /// Where its call ends in the stream of all bytes written.
+    /// The end of its call as an offset in the stream of all bytes written.
     pub ends_at: u64,
 }
 
 /// A health check in flight on a connection.
 #[derive(Clone, Copy)]
 pub(super) struct HealthCheck {
-    /// When its answer is missed.
+    /// The timer after which the health check counts as unanswered.
     pub timer: DeadlineKey,
-    /// Whether the aggregator asked for it, or the node did to learn of the connection.
+    /// Whether the aggregator requested the check; otherwise the node checks only this connection.
     pub for_aggregator: bool,
 }
 
-/// The answer to a health check.
+/// The response to a health check.
 pub(super) struct HealthAnswer {
     pub answered: bool,
     pub load: Option<Load>,
 }
 
-/// What is in flight on a connection.
+/// The requests in flight on a connection.
 pub(super) struct InFlight {
     pub replica: ReplicaIndex,
     pub attempts: Vec<SentAttempt>,
     pub health_check: Option<HealthCheck>,
-    /// Fingerprints of the last that were in flight.
+    /// Fingerprints of the shard requests that ended last, see `MAX_ENDED`.
     ended: VecDeque<u64>,
 }
 
@@ -67,7 +67,8 @@
         self.attempts.is_empty() && self.health_check.is_none()
     }
 
-    /// Takes a message. `bytes_written`: of the connection, so far. Gives the answer to a health check.
+    /// Handles a message. `bytes_written` is the number of bytes written to the connection so far. Returns the response
+    /// to a health check, if the message is one.
     pub fn receive(
         &mut self,
         message: StoreMessage,
@@ -83,7 +84,7 @@
                 };
                 let Some(position) = self.attempts.iter().position(is_answered) else {
                     context.metrics.late_answers += 1;
-                    // One with an id that was never in flight here is the corrupted answer of something that is.
+                    // A response with an id that was never in flight here is a corrupted response to another request.
                     let known = self.is_empty() || self.ended.contains(&fingerprint(&query_id, shard));
                     return if known {
                         Ok(None)
@@ -93,7 +94,7 @@
                 };
                 self.remember_ended(&query_id, shard);
                 let SentAttempt { id, ends_at } = self.attempts.swap_remove(position);
-                // Refused on its head alone, before all of it was there to be run.
+                // The replica refused the call after its head, before the rest was written, so it did not execute it.
                 let unread = ends_at > bytes_written && outcome != AttemptOutcome::Answered;
                 let outcome = if unread && outcome != AttemptOutcome::Rejected {
                     AttemptOutcome::ConnectFailed
@@ -116,7 +117,7 @@
     }
 }
 
-/// A shard request by a number.
+/// Returns a hash that identifies a shard request.
 fn fingerprint(query_id: &str, shard: usize) -> u64 {
     let mut hasher = DefaultHasher::new();
     (query_id, shard).hash(&mut hasher);
@@ -125,32 +126,32 @@
 
 /// A connection to a replica.
 pub(super) struct Connection {
-    /// Where it leads.
+    /// The address and protocol that it was opened for.
     pub address: ReplicaAddress,
     pub stream: Stream,
     pub protocol: Box<dyn StoreProtocol>,
-    /// When it came up.
+    /// When it was established; `None` while connecting.
     pub up_since: Option<Nanos>,
-    /// Until it is up: when that is too late. While it is idle: when it is closed.
+    /// While connecting: the connect timeout. While idle: the time at which it is closed.
     pub timer: Option<DeadlineKey>,
-    /// Calls that wait to be written.
+    /// Calls that are not yet written.
     pub pending: VecDeque<Call>,
     pub in_flight: InFlight,
-    /// A health check on it timed out: it may be an open end to a machine that is gone.
+    /// Whether a health check timed out on it: the machine at the other end may have vanished without closing it.
     pub suspect: bool,
-    /// When the message that has begun to arrive should be complete.
+    /// The timeout of a message that has been received in part.
     pub message_timer: Option<DeadlineKey>,
-    /// When it is given up, unless something arrives on it: its server has answered on another one.
+    /// The time at which it is closed unless something arrives: its replica has answered on another connection.
     pub unresponsive_timer: Option<DeadlineKey>,
 }
 
 impl Connection {
-    /// Attempts that wait or are in flight on it.
+    /// Returns the number of attempts that are pending or in flight on it.
     pub fn load(&self) -> usize {
         self.in_flight.attempts.len() + self.pending.iter().map(Vec::len).sum::<usize>()
     }
 
-    /// Whether nothing waits or is in flight on it, a health check included.
+    /// Returns whether nothing is pending or in flight on it, including health checks.
     pub fn is_unused(&self) -> bool {
         self.load() == 0 && self.in_flight.health_check.is_none()
     }
--- a/crates/frontnode/src/store_connections/health_checks.rs
+++ b/crates/frontnode/src/store_connections/health_checks.rs
@@ -11,13 +11,14 @@
 use crate::log;
 use crate::queries::QueryTable;
 
-/// The part of the time to connect for which a connection may stay silent once its server has answered a health check
-/// on another, later one: enough for answers that cross.
+/// A connection may stay unresponsive for the connect timeout divided by this number after its replica answered a
+/// health check on another connection. That is enough for responses that cross.
 const SILENCE_PART: Nanos = 10;
 
 impl StoreConnections {
-    /// Checks a replica's health. A connection with attempts in flight may be what is silent, and not its server: the
-    /// check goes on another one, a fresh one if need be, and those are checked too, to be compared with it.
+    /// Checks a replica's health. A connection with attempts in flight may be unresponsive although its replica is
+    /// healthy. The check therefore uses another connection, a new one if necessary, and the busy connections are
+    /// checked as well for comparison.
     pub fn check_health(&mut self, replica: ReplicaIndex, queries: &mut QueryTable, context: &mut Context) {
         context.metrics.health_checks += 1;
         if self.replicas[replica.0].pool.is_some() {
@@ -39,7 +40,8 @@
         }
     }
 
-    /// Shard requests of a pool have their connections to themselves, and a health check has one too.
+    /// Checks the health of a replica with pooled connections. The check needs a connection of its own, as each carries
+    /// one request at a time.
     fn check_health_pooled(
         &mut self,
         replica: ReplicaIndex,
@@ -83,9 +85,9 @@
         self.health_reports.push(HealthReport { replica, answered: false, load: None });
     }
 
-    /// A server has answered a health check on one connection. What stays silent then is not the server but another
-    /// connection: one with attempts in flight, not so many that the server leaves the rest unread, and on which a
-    /// health check is unanswered so far.
+    /// Handles a health check that was answered on one connection. The replica is healthy, so other connections that
+    /// stay unresponsive are broken. These are connections that have attempts in flight, but not so many that the
+    /// replica leaves the rest unread, and that have an unanswered health check.
     pub(super) fn suspect_silent_connections(&mut self, answered: ConnectionKey, context: &mut Context) {
         let Some(connection) = self.connections.get(answered) else { return };
         for &key in &self.replicas[connection.in_flight.replica.0].connections {
@@ -102,7 +104,7 @@
         }
     }
 
-    /// A connection stayed silent while its server answered on another one.
+    /// Closes a connection that stayed unresponsive while its replica answered on another one.
     pub fn silent_connection_due(
         &mut self,
         key: ConnectionKey,
@@ -112,12 +114,12 @@
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.unresponsive_timer = None;
         context.metrics.connections_silent += 1;
-        let reason = "silent, while its server answers on another";
+        let reason = "unresponsive, while its server answers on another connection";
         self.connection_ended(key, &reason, AttemptOutcome::ProtocolError, queries, context);
     }
 
-    /// A health check was not answered in time. Against connections that stay open to a machine that has vanished:
-    /// nothing new uses this one, and the next health check takes a fresh one.
+    /// Handles a health check that was not answered in time. Nothing new uses this connection, and the next health
+    /// check opens a new one: the machine at the other end may have vanished without closing the connection.
     pub fn health_check_due(&mut self, key: ConnectionKey, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         let Some(HealthCheck { for_aggregator, .. }) = connection.in_flight.health_check.take() else {
@@ -125,7 +127,7 @@
         };
         connection.suspect = true;
         let replica = connection.in_flight.replica;
-        log!("no answer to a probe from {}: its connection is used no more", connection.address.address);
+        log!("health check of {} timed out: its connection gets no new requests", connection.address.address);
         if for_aggregator {
             self.report_unanswered(replica);
         }
--- a/crates/frontnode/src/store_connections/lifecycle.rs
+++ b/crates/frontnode/src/store_connections/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Connections from their opening to their end, and what arrives on them.
+//! The life cycle of connections, and the handling of received messages.
 
 use std::collections::VecDeque;
 use std::fmt::Display;
@@ -15,21 +15,21 @@
 use crate::store_protocol::{ParsedMessage, ProtocolError};
 use crate::stream::{Stream, connect};
 
-/// How many times as long as a connection may take to come up a message may take to arrive in full.
+/// The timeout of a partially received message, as a multiple of the connect timeout.
 const MESSAGE_TIMEOUT_FACTOR: Nanos = 2;
 
-/// What arrived on a connection in one round.
+/// What was received on a connection in one round.
 struct Received {
-    /// Messages that could be used.
+    /// The number of valid messages.
     messages: usize,
-    /// Answers to health checks.
+    /// Responses to health checks.
     health: Vec<HealthAnswer>,
-    /// What could not be used.
+    /// Why the next message is invalid.
     error: Option<ProtocolError>,
 }
 
 impl StoreConnections {
-    /// Whether a connection leads to the process that the endpoint list names, as far as can be known.
+    /// Returns whether a connection leads to the process that the endpoint list names, as far as that is known.
     pub(super) fn is_usable(&self, key: ConnectionKey) -> bool {
         let connection = &self.connections[key];
         let replica = &self.replicas[connection.in_flight.replica.0];
@@ -38,10 +38,10 @@
         !connection.suspect && !is_stale && connection.address == replica.address
     }
 
-    /// Opens a connection. None where there is no capacity, or the system would not begin one.
+    /// Opens a connection. Returns `None` if there are too many or the operating system cannot open one.
     pub(super) fn open(&mut self, replica: ReplicaIndex, context: &mut Context) -> Option<ConnectionKey> {
         if self.connections.len() >= self.max_connections {
-            log!("no connection left for a replica: {} are open", self.connections.len());
+            log!("cannot connect to a replica: all {} connections are in use", self.connections.len());
             return None;
         }
         let address = self.replicas[replica.0].address;
@@ -71,13 +71,13 @@
             }
             Err(error) => {
                 context.metrics.connections_failed += 1;
-                log!("no connection to {}: {error}", address.address);
+                log!("cannot connect to {}: {error}", address.address);
                 None
             }
         }
     }
 
-    /// A connection is ready: it came up or failed, or something arrived on it.
+    /// Handles a ready connection: it was established, failed, or received data.
     pub fn ready(&mut self, key: ConnectionKey, queries: &mut QueryTable, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         if connection.up_since.is_none() {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Something arrived, or part of a message did.
+    /// Updates the timers of a connection after it received data.
     fn update_message_timers(&mut self, key: ConnectionKey, messages: usize, context: &mut Context) {
         let connection = &mut self.connections[key];
         if connection.stream.unread {
@@ -142,8 +142,8 @@
         }
     }
 
-    /// A message has not arrived in full in time. Against a length that does not fit: what comes later would be
-    /// swallowed as the rest of that message.
+    /// Closes a connection on which a message was not completed in time. Its length may be corrupted, and later messages
+    /// would then be read as the rest of it.
     pub fn partial_message_due(
         &mut self,
         key: ConnectionKey,
@@ -152,7 +152,7 @@
     ) {
         if let Some(connection) = self.connections.get_mut(key) {
             connection.message_timer = None;
-            self.message_unusable(key, &"a frame that does not end", queries, context);
+            self.message_unusable(key, &"a message was not completed in time", queries, context);
         }
     }
 
@@ -177,12 +177,12 @@
         self.connection_ended(key, reason, AttemptOutcome::ConnectionLost, queries, context);
     }
 
-    /// A connection did not come up in time, or was idle or drained for long enough.
+    /// Handles the connect timeout, the idle timeout or the drain timeout of a connection.
     pub fn connection_due(&mut self, key: ConnectionKey, queries: &mut QueryTable, context: &mut Context) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.timer = None;
         if connection.up_since.is_none() {
-            return self.connection_broken(key, &"it did not come up in time", queries, context);
+            return self.connection_broken(key, &"the connect timeout expired", queries, context);
         }
         if self.is_draining(key) {
             context.metrics.connections_cut += 1;
@@ -192,14 +192,13 @@
         self.close(key, context);
     }
 
-    /// Whether the answer to a cancelled shard request is read to its end there.
+    /// Returns whether the connection still reads the response to a cancelled shard request.
     fn is_draining(&self, key: ConnectionKey) -> bool {
         let replica = self.connections[key].in_flight.replica;
         self.replicas[replica.0].pool.as_ref().is_some_and(|pool| pool.is_draining(key))
     }
 
-    /// Closes a connection, and ends what was on it by what is known of each attempt: what was not written in full
-    /// never ran.
+    /// Closes a connection and ends its attempts. An attempt that was not completely written cannot have been executed.
     pub(super) fn connection_ended(
         &mut self,
         key: ConnectionKey,
@@ -216,7 +215,11 @@
             context.metrics.connections_broken += u64::from(!was_unused);
         }
         if !was_unused {
-            log!("connection to {} with {} parts: {reason}", connection.address.address, connection.load());
+            log!(
+                "connection to {} lost with {} attempts: {reason}",
+                connection.address.address,
+                connection.load()
+            );
         }
         for SentAttempt { id, ends_at } in connection.in_flight.attempts.drain(..) {
             let written = ends_at <= connection.stream.bytes_written;
@@ -230,7 +233,7 @@
         }
     }
 
-    /// Closes a connection: the one place where that happens.
+    /// Closes a connection and cancels its timers. Every connection is closed here.
     pub(super) fn close(&mut self, key: ConnectionKey, context: &mut Context) -> Option<Connection> {
         let connection = self.connections.remove(key)?;
         let health_check_timer = connection.in_flight.health_check.map(|check| check.timer);
@@ -247,7 +250,7 @@
         Some(connection)
     }
 
-    /// A connection has something to do again.
+    /// Cancels the idle or drain timer of a connection that is used again.
     pub(super) fn cancel_idle_timer(&mut self, key: ConnectionKey, context: &mut Context) {
         let connection = &mut self.connections[key];
         if connection.up_since.is_some()
@@ -257,14 +260,13 @@
         }
     }
 
-    /// Where a connection has nothing to do it is closed at once, if nothing may use it again, or once it was idle for
-    /// long enough.
+    /// Closes an unused connection if it may not be used again, else starts its idle timer.
     pub(super) fn idle_or_close(&mut self, key: ConnectionKey, context: &mut Context) {
         let Some(connection) = self.connections.get(key) else { return };
         if connection.up_since.is_none() || !connection.is_unused() || self.is_draining(key) {
             return;
         }
-        // Bytes left over with nothing in flight would be read as the beginning of the next answer.
+        // Leftover bytes with nothing in flight would be read as the beginning of the next response.
         let has_leftover = !connection.stream.inbox().is_empty();
         let is_serving = self.replicas[connection.in_flight.replica.0].serving;
         if has_leftover || !self.is_usable(key) || !is_serving {
@@ -276,7 +278,7 @@
     }
 }
 
-/// Takes all messages that are there in full.
+/// Handles all messages that have arrived completely.
 fn receive(connection: &mut Connection, queries: &mut QueryTable, context: &mut Context) -> Received {
     let bytes_written = connection.stream.bytes_written;
     let mut received = Received { messages: 0, health: Vec::new(), error: None };
--- a/crates/frontnode/src/store_connections/mod.rs
+++ b/crates/frontnode/src/store_connections/mod.rs
@@ -1,4 +1,4 @@
-//! Connections to the replicas: they are opened and closed, carry calls and their answers, and are health-checked.
+//! Connections to the replicas: opens and closes them, sends calls, receives responses and checks their health.
 
 mod attempts;
 mod connection;
@@ -23,36 +23,36 @@
 
 use connection::{Call, Connection};
 
-/// A replica's address and protocol.
+/// The address and the protocol of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReplicaAddress {
-    /// Its address.
+    /// The address to connect to.
     pub address: SocketAddr,
-    /// The protocol that it speaks.
+    /// The protocol that the replica speaks.
     pub protocol: ProtocolKind,
 }
 
-/// The load of a replica.
+/// The load of a replica, as reported by its health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct LoadRates {
     /// Shard requests in its queue.
     pub queued: f64,
-    /// Shard requests completed in a second.
+    /// Shard requests completed per second.
     pub completed_per_second: f64,
 }
 
-/// A health check that ended.
+/// The result of a health check.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HealthReport {
     /// The replica that was checked.
     pub replica: ReplicaIndex,
-    /// Whether it answered.
+    /// Whether the replica answered in time.
     pub answered: bool,
-    /// Its load, where that is known.
+    /// The reported load; `None` if the response did not contain one.
     pub load: Option<LoadRates>,
 }
 
-/// The last counts of a replica.
+/// The latest load counters of a replica, from which rates are computed.
 struct LoadCounts {
     at: Nanos,
     rejected: u64,
@@ -64,16 +64,17 @@
     serving: bool,
     started: Option<Nanos>,
     connections: Vec<ConnectionKey>,
-    /// Attempts of this round.
+    /// Attempts that the current round started.
     queued: Call,
-    /// Where its protocol carries one shard request at a time on a connection.
+    /// The pool; only for protocols that carry one shard request at a time on a connection.
     pool: Option<ConnectionPool<ConnectionKey, AttemptId>>,
     load_counts: Option<LoadCounts>,
 }
 
 impl Replica {
-    /// The load as rates. Counts make a rate where there are two of them and the first is the lower: a store that has
-    /// restarted counts from 0. What it refused since then would wait, had there been room.
+    /// Converts a reported load into rates. Counters give a rate from the second report on, unless they decreased: a
+    /// replica that restarted counts from 0. Shard requests that it rejected since the last report count as queued, as
+    /// they would wait if its queue had capacity.
     fn load_rates(&mut self, load: Load, now: Nanos) -> Option<LoadRates> {
         match load {
             Load::Rate { queued, completed_per_second } => Some(LoadRates { queued, completed_per_second }),
@@ -99,27 +100,27 @@
     protocols: StoreProtocolSettings,
     idle_timeout: Nanos,
     connect_timeout: Nanos,
-    /// Replicas with attempts of this round.
+    /// Replicas with attempts that the current round started.
     with_queued: Vec<ReplicaIndex>,
-    /// The timeouts of attempts that wait for a pooled connection.
+    /// The timers of attempts that wait for a pooled connection.
     pool_waits: BTreeMap<AttemptId, DeadlineKey>,
-    /// Replicas whose pool may want a connection.
+    /// Replicas whose pool may need another connection.
     pools_to_check: Vec<ReplicaIndex>,
-    /// Attempts that found no connection, and are still to be ended.
+    /// Attempts for which no connection could be opened; they still have to be ended.
     unreached: Vec<AttemptId>,
     /// Health checks that ended since the last round.
     pub health_reports: Vec<HealthReport>,
 }
 
 impl StoreConnections {
-    /// Without any connection.
+    /// Returns a table without replicas and connections.
     pub fn new(config: &NodeConfig) -> Self {
         StoreConnections {
             replicas: Vec::new(),
             connections: SlotMap::with_key(),
             max_connections: config.max_store_connections,
             protocols: config.store_protocols.clone(),
-            // A connection that its server may close under a call is closed before that.
+            // An idle connection is closed before its server closes it, so that no call is written into a closing one.
             idle_timeout: (config.idle_timeout - config.connect_timeout).max(config.idle_timeout / 2),
             connect_timeout: config.connect_timeout,
             with_queued: Vec::new(),
@@ -130,17 +131,17 @@
         }
     }
 
-    /// Connections that are open or on their way.
+    /// Returns the number of connections that are open or being opened.
     pub fn len(&self) -> usize {
         self.connections.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether no connection is open or being opened.
     pub fn is_empty(&self) -> bool {
         self.connections.is_empty()
     }
 
-    /// Clears a slot for a new replica: another one may have had it.
+    /// Clears the slot of a new replica: another replica may have used it before.
     pub fn reset_slot(&mut self, ix: ReplicaIndex, context: &mut Context) {
         let Some(replica) = self.replicas.get_mut(ix.0) else { return };
         (replica.started, replica.load_counts) = (None, None);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// Updates a replica from the endpoint list.
+    /// Adds a replica or updates it from the endpoint list.
     pub fn update_replica(
         &mut self,
         ix: ReplicaIndex,
@@ -174,7 +175,7 @@
         }
         let replica = &mut self.replicas[ix.0];
         if replica.address.protocol != address.protocol {
-            // Its connections speak the other protocol, and close with what is on them.
+            // Its connections speak the old protocol; they close once nothing is in flight on them.
             let waiting = replica.pool.as_mut().map_or(Vec::new(), ConnectionPool::take_queue);
             replica.pool = pool;
             self.end_unsent(waiting, queries, context);
@@ -184,8 +185,8 @@
         self.set_serving(ix, serving, queries, context);
     }
 
-    /// Whether a replica takes new attempts. What waits for a connection to one that doesn't is dropped: it may not be
-    /// sent.
+    /// Sets whether a replica accepts new attempts. If it does not, attempts that wait for a connection to it are
+    /// ended, as they may no longer be sent.
     pub fn set_serving(
         &mut self,
         ix: ReplicaIndex,
@@ -225,7 +226,7 @@
         self.protocols.connection_limits(self.replicas[replica.0].address.protocol)
     }
 
-    /// Whether something is left to do once the round is decided.
+    /// Returns whether there is work to do in the next round without waiting for an event.
     pub fn has_work(&self) -> bool {
         !self.health_reports.is_empty() || !self.pools_to_check.is_empty() || !self.unreached.is_empty()
     }
--- a/crates/frontnode/src/store_connections/pooled.rs
+++ b/crates/frontnode/src/store_connections/pooled.rs
@@ -1,4 +1,4 @@
-//! Connections that carry one shard request at a time: carries out what their pools decide.
+//! Connections that carry one shard request at a time: carries out the decisions of their pools.
 
 use orchidvalve::interface::{ReplicaIndex, ShardRequestIndex};
 use orchidvalve::state::AttemptOutcome;
@@ -10,7 +10,7 @@
 use crate::queries::{AttemptId, QueryTable};
 
 impl StoreConnections {
-    /// The capacity as the pool of one replica sees it.
+    /// Returns the connection capacity for the pool of one replica.
     pub(super) fn capacity(&self, replica: ReplicaIndex) -> Capacity {
         let mut capacity = Capacity {
             max_connections: self.max_connections,
@@ -25,7 +25,7 @@
         capacity
     }
 
-    /// Places an attempt on a connection, or has it wait for one.
+    /// Assigns an attempt to a free connection or queues it.
     pub(super) fn place(
         &mut self,
         replica: ReplicaIndex,
@@ -49,7 +49,7 @@
         }
     }
 
-    /// An attempt waits no more.
+    /// Cancels the timer of an attempt that waits for a connection.
     pub(super) fn cancel_pool_wait(&mut self, id: AttemptId, context: &mut Context) {
         if let Some(timer) = self.pool_waits.remove(&id) {
             context.deadlines.cancel(timer);
@@ -67,7 +67,7 @@
         self.assign(key, vec![id], queries, context);
     }
 
-    /// Opens the connections that a pool wants and may have.
+    /// Opens the connections that a pool needs and may open.
     pub(super) fn open_wanted(&mut self, replica: ReplicaIndex, context: &mut Context) {
         loop {
             let capacity = self.capacity(replica);
@@ -77,7 +77,7 @@
                 return;
             }
             let Some(key) = self.open(replica, context) else {
-                // The system would not begin one; what waits may still find one that comes free.
+                // No connection could be opened; queued attempts can still get an open one when it is released.
                 let pool = self.replicas[replica.0].pool.as_mut();
                 if let Some(pool) = pool.filter(|pool| pool.connections() == 0) {
                     self.unreached.extend(pool.take_queue());
@@ -90,11 +90,11 @@
         }
     }
 
-    /// A pooled connection with nothing in flight on it carries the next shard request, if it may carry any.
+    /// Assigns the next queued shard request to a pooled connection that is no longer in use, if it may be reused.
     pub(super) fn release(&mut self, key: ConnectionKey, queries: &mut QueryTable, context: &mut Context) {
         let Some(connection) = self.connections.get(key) else { return };
         let replica = connection.in_flight.replica;
-        // A cancelled shard request is in flight no more for us, and its answer still comes.
+        // The response to a cancelled shard request still arrives, although it no longer counts as in flight.
         if connection.up_since.is_none() || !connection.is_unused() || !connection.protocol.is_idle() {
             return;
         }
@@ -109,14 +109,14 @@
             return;
         }
         let next = pool.release(key);
-        // The time that it was given to drain an answer is over.
+        // The drain timeout no longer applies.
         self.cancel_idle_timer(key, context);
         if let Some(id) = next {
             self.assign_pooled(key, id, queries, context);
         }
     }
 
-    /// An attempt has waited for a connection for long enough: other replicas may have one.
+    /// Rejects an attempt whose time to wait for a connection is over: other replicas may have a free one.
     pub fn pool_wait_due(
         &mut self,
         shard_request: ShardRequestIndex,
@@ -134,7 +134,7 @@
         }
     }
 
-    /// An attempt in flight on a pooled connection, or waiting for one, is wanted no more.
+    /// Releases the connection or the queue position of an attempt that is no longer needed.
     pub(super) fn cancel_pooled(&mut self, replica: ReplicaIndex, id: AttemptId, context: &mut Context) {
         self.cancel_pool_wait(id, context);
         let replica = &mut self.replicas[replica.0];
--- a/crates/frontnode/src/store_protocol/frames.rs
+++ b/crates/frontnode/src/store_protocol/frames.rs
@@ -1,35 +1,35 @@
-//! Frames to and from index servers: four bytes of length, a letter for the kind, and the rest.
+//! The frame protocol of index servers. A frame consists of four bytes of length, a letter for its kind, and a payload.
 
 use orchidvalve::state::AttemptOutcome;
 
 use super::{CallRequest, Load, ParsedMessage, ProtocolError, StoreMessage, StoreProtocol};
 
-/// Kind of a call.
+/// The kind of a call.
 pub const CALL: u8 = b'1';
-/// Kind of a cancellation.
+/// The kind of a cancellation.
 pub const CANCEL: u8 = b'2';
-/// Kind of a health check, and of its answer.
+/// The kind of a health check and of its response.
 pub const HEALTH_CHECK: u8 = b'3';
-/// Kind of a health check that asks for the load, and of its answer.
+/// The kind of a health check that requests the load, and of its response.
 pub const HEALTH_CHECK_WITH_LOAD: u8 = b'4';
-/// Kind of a shard's answer.
+/// The kind of the response to a shard request.
 pub const ANSWER: u8 = b'5';
-/// Kind of the message that the server could not use a frame.
+/// The kind of the message that the server could not parse a frame.
 pub const REFUSED: u8 = b'X';
 
-/// Bytes of the longest frame that is read: a value goes into a body, with its line before it.
+/// The length of the longest accepted frame in bytes: a value of the maximum HTTP body size and the line before it.
 pub const MAX_FRAME_BYTES: usize = crate::http::MAX_BODY_BYTES + 1024;
 
-/// Bytes of a frame's length.
+/// The number of bytes of a frame's length field.
 const LENGTH_BYTES: usize = 4;
 
-/// One connection. Frames name what they answer, so there is no state.
+/// The protocol state of one connection. Each frame names the request that it answers, so there is no further state.
 pub struct Frames {
     request_load: bool,
 }
 
 impl Frames {
-    /// A new connection. `request_load`: whether health checks ask for the load.
+    /// Returns the state of a new connection. `request_load` says whether health checks request the load.
     pub fn new(request_load: bool) -> Self {
         Frames { request_load }
     }
@@ -72,14 +72,14 @@
     }
 }
 
-/// Writes the beginning of a frame; its position goes to [`end_frame`].
+/// Writes the beginning of a frame. Returns its position, which is passed to [`end_frame`].
 fn begin_frame(out: &mut Vec<u8>, kind: u8) -> usize {
     let start = out.len();
     out.extend_from_slice(&[0, 0, 0, 0, kind]);
     start
 }
 
-/// Fills in the length of the frame that begins there.
+/// Fills in the length of the frame that begins at `start`.
 fn end_frame(out: &mut [u8], start: usize) {
     let length = u32::try_from(out.len() - start - LENGTH_BYTES).unwrap_or(u32::MAX);
     out[start..start + LENGTH_BYTES].copy_from_slice(&length.to_be_bytes());
@@ -95,22 +95,22 @@
     out.extend_from_slice(payload.as_bytes());
 }
 
-/// A frame in a buffer.
+/// A frame at the front of a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Frame<'a> {
-    /// The letter of its kind.
+    /// The letter of the kind.
     pub kind: u8,
-    /// What follows the letter.
+    /// The payload, which follows the letter.
     pub rest: &'a [u8],
-    /// Bytes that the whole frame takes of the buffer.
+    /// The length of the complete frame in the buffer, in bytes.
     pub length: usize,
 }
 
-/// The first frame of a buffer; none while more bytes are needed.
+/// Returns the first frame of a buffer, or `None` while more bytes are needed.
 ///
 /// # Errors
 ///
-/// If its length is not possible.
+/// Fails if the length field is zero or too large.
 pub fn next_frame(buffer: &[u8]) -> Result<Option<Frame<'_>>, ProtocolError> {
     let Some((length, rest)) = buffer.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
     let length = u32::from_be_bytes(*length) as usize;
@@ -121,12 +121,12 @@
     Ok(Some(Frame { kind: frame[0], rest: &frame[1..], length: LENGTH_BYTES + length }))
 }
 
-/// Parses a shard's answer: `ID.SHARD ENDING SCORE REPORT`, a line end and the value. The report is not read, and
-/// spoils nothing whatever it says.
+/// Parses a shard's answer: `ID.SHARD ENDING SCORE REPORT`, a line end and the value. The report is not interpreted, so
+/// invalid bytes in it do no harm.
 ///
 /// # Errors
 ///
-/// If the line or the value cannot be read.
+/// Fails if the line or the value cannot be parsed.
 ///
 /// ```
 /// use orchidvalve_frontnode::store_protocol::StoreMessage;
@@ -163,10 +163,10 @@
     })
 }
 
-/// Beyond it a load says nothing that could be true, and would be believed for hours.
+/// Larger loads cannot be true, and would affect decisions for hours.
 const MAX_LOAD: f64 = 1e6;
 
-/// The load that a report says, where it says both the queue and the rate.
+/// Parses the load in a health report. Returns `None` unless it contains both the queue length and the rate.
 ///
 /// ```
 /// use orchidvalve_frontnode::store_protocol::Load;
--- a/crates/frontnode/src/store_protocol/mod.rs
+++ b/crates/frontnode/src/store_protocol/mod.rs
@@ -1,4 +1,4 @@
-//! The protocols of stores, one file for each: a protocol encodes calls, and decodes the messages of a store.
+//! The protocols of replicas, one file for each. A protocol encodes calls and decodes the messages of a replica.
 
 pub mod frames;
 pub mod search;
@@ -15,123 +15,123 @@
 pub struct CallRequest<'a> {
     /// The query's id.
     pub query_id: &'a str,
-    /// The shard that is asked.
+    /// The shard that is queried.
     pub shard: usize,
-    /// How long the node will wait, in milliseconds.
+    /// How long the node waits for the response, in milliseconds.
     pub timeout_ms: i64,
-    /// The idempotency key, where the service class has one: with it an attempt may be repeated without harm.
+    /// The idempotency key, if the service class requires one: it makes repeated attempts safe.
     pub idempotency_key: Option<&'a str>,
-    /// The shard's part of the query.
+    /// The payload of the query for this shard.
     pub payload: &'a str,
 }
 
-/// A message of a store.
+/// A message received from a replica.
 #[derive(Debug, PartialEq)]
 pub enum StoreMessage {
-    /// The answer to a shard request.
+    /// The response to a shard request.
     Answer {
         /// The query's id.
         query_id: String,
-        /// The shard that answers.
+        /// The shard that responded.
         shard: usize,
         /// How the attempt ended.
         outcome: AttemptOutcome,
-        /// The shard's value; empty where there is none.
+        /// The value of the shard; empty if there is none.
         value: String,
     },
-    /// The answer to a health check.
+    /// The response to a health check.
     Health {
-        /// Whether it counts as answered.
+        /// Whether the health check succeeded.
         answered: bool,
-        /// What the store says of its load.
+        /// The reported load; `None` if there is none.
         load: Option<Load>,
     },
 }
 
-/// A message that was read from the front of a buffer.
+/// A message parsed from the front of a buffer.
 #[derive(Debug, PartialEq)]
 pub struct ParsedMessage {
     /// The message.
     pub message: StoreMessage,
-    /// Bytes that it took of the buffer.
+    /// The length of the message in the buffer, in bytes.
     pub length: usize,
 }
 
-/// What a store says of its load.
+/// The load that a replica reports.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Load {
-    /// As rates.
+    /// Current rates.
     Rate {
-        /// Shard requests in the store's queue.
+        /// Shard requests in the replica's queue.
         queued: f64,
-        /// Shard requests completed in a second.
+        /// Shard requests completed per second.
         completed_per_second: f64,
     },
-    /// As counts, the last two since the store's start.
+    /// Counters; `rejected` and `completed` count from the start of the replica.
     Counts {
-        /// Shard requests in the store's queue.
+        /// Shard requests in the replica's queue.
         queued: u64,
-        /// Shard requests that the store refused.
+        /// Shard requests that the replica rejected.
         rejected: u64,
-        /// Shard requests that the store completed.
+        /// Shard requests that the replica completed.
         completed: u64,
     },
 }
 
-/// How connections are used under a protocol.
+/// The limits of connections under a protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectionLimits {
-    /// Shard requests that may share a call.
+    /// The maximum number of shard requests in a call.
     pub requests_per_call: usize,
-    /// Shard requests that a connection carries at once.
+    /// The maximum number of shard requests in flight on a connection.
     pub requests_per_connection: usize,
-    /// Whether connections carry one shard request at a time, and so are pooled.
+    /// Whether connections carry one shard request at a time and are pooled.
     pub pooled: bool,
-    /// Bytes of the longest message that is read.
+    /// The length of the longest accepted message in bytes.
     pub max_message_bytes: usize,
 }
 
-/// Why the bytes of a store cannot be used, nor anything after them.
+/// A protocol violation by a replica. The connection cannot be used any longer.
 #[derive(Debug, Display, Error, From)]
 pub enum ProtocolError {
-    /// The store could not use a frame of the node.
+    /// The replica could not parse a frame of the node.
     #[from(ignore)]
     #[display("its server could not use a frame: {_0}")]
     FrameRefused(#[error(not(source))] String),
-    /// A frame of no known kind.
+    /// The kind of a frame is unknown.
     #[from(ignore)]
     #[display("an unknown frame '{_0}'")]
     UnknownFrame(#[error(not(source))] String),
-    /// A frame of no possible length.
+    /// The length of a frame is zero or too large.
     #[from(ignore)]
     #[display("a frame of {_0} bytes")]
     FrameLength(#[error(not(source))] usize),
-    /// An answer whose first line does not end.
+    /// The first line of an answer frame has no end.
     #[display("an answer without the end of its line")]
     UnfinishedAnswerLine,
-    /// An answer whose first line cannot be read.
+    /// The first line of an answer frame cannot be parsed.
     #[from(ignore)]
     #[display("a bad answer line '{_0}'")]
     BadAnswerLine(#[error(not(source))] String),
-    /// An HTTP response that cannot be read.
+    /// An HTTP response cannot be parsed.
     #[display("{}", _0.text)]
     Http(http::MessageError),
-    /// A response while nothing was in flight.
+    /// A response arrived while no request was in flight.
     #[display("a response to nothing")]
     UnexpectedResponse,
-    /// A response whose body cannot be read.
+    /// The body of a response cannot be parsed.
     #[from(ignore)]
     #[display("a response that cannot be read: {_0}")]
     UnreadableResponse(#[error(not(source))] String),
-    /// A response with the id of another request.
+    /// A response carries the id of another request.
     #[display("a response to '{found}', not to '{expected}'")]
     OtherResponse {
-        /// The id that it has.
+        /// The id in the response.
         found: String,
-        /// The id of the request that is in flight.
+        /// The id of the request in flight.
         expected: String,
     },
-    /// An answer to a shard request that was never in flight on the connection.
+    /// The answered shard request was never in flight on the connection.
     #[display("an answer to nothing, '{query_id}.{shard}'")]
     UnexpectedAnswer {
         /// The query's id.
@@ -141,37 +141,37 @@
     },
 }
 
-/// One connection's protocol state.
+/// The protocol state of one connection.
 pub trait StoreProtocol {
-    /// Writes a call. False where the protocol cannot express it; then nothing was written.
+    /// Writes a call. Returns false and writes nothing if the protocol cannot express it.
     fn write_call(&mut self, out: &mut Vec<u8>, requests: &[CallRequest]) -> bool;
 
-    /// Writes the cancellation of a shard request. False where the protocol has none: its server learns of it only when
-    /// the connection closes.
+    /// Writes the cancellation of a shard request. Returns false if the protocol has no cancellation: the replica then
+    /// notices it only when the connection closes.
     fn write_cancel(&mut self, out: &mut Vec<u8>, query_id: &str, shard: usize) -> bool;
 
     /// Writes a health check.
     fn write_health_check(&mut self, out: &mut Vec<u8>);
 
-    /// The next message; none while more bytes are needed.
+    /// Returns the next message, or `None` while more bytes are needed.
     ///
     /// # Errors
     ///
-    /// If what came cannot be used, nor anything after it.
+    /// Fails if the received bytes violate the protocol; the connection cannot be used after that.
     fn next_message(&mut self, buffer: &[u8]) -> Result<Option<ParsedMessage>, ProtocolError>;
 
-    /// Whether nothing is in flight, as far as the protocol knows.
+    /// Returns whether nothing is in flight according to the protocol state.
     fn is_idle(&self) -> bool {
         true
     }
 
-    /// Whether another call may follow the last message.
+    /// Returns whether the connection may carry another call after the last message.
     fn keeps_alive(&self) -> bool {
         true
     }
 }
 
-/// Which protocol a store speaks.
+/// The protocol of a replica.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProtocolKind {
     /// The project's own frames.
@@ -181,21 +181,21 @@
     Search,
 }
 
-/// Settings of the protocols of stores.
+/// The settings of the replicas' protocols.
 #[derive(Clone, Debug)]
 pub struct StoreProtocolSettings {
-    /// Shard requests that may share a call of frames.
+    /// The maximum number of shard requests in a call of the frame protocol.
     pub requests_per_call: usize,
-    /// Shard requests that a connection of frames carries at once.
+    /// The maximum number of shard requests in flight on a connection of the frame protocol.
     pub requests_per_connection: usize,
-    /// Whether health checks ask for the load.
+    /// Whether health checks request the load.
     pub request_load: bool,
-    /// For protocols whose connections are pooled.
+    /// The settings of connection pools.
     pub pool: PoolSettings,
 }
 
 impl StoreProtocolSettings {
-    /// How connections are used under a protocol.
+    /// Returns the limits of connections under a protocol.
     pub fn connection_limits(&self, kind: ProtocolKind) -> ConnectionLimits {
         match kind {
             ProtocolKind::Frames => ConnectionLimits {
@@ -213,7 +213,7 @@
         }
     }
 
-    /// The state of a new connection.
+    /// Returns the protocol state of a new connection.
     pub fn new_connection(&self, kind: ProtocolKind, address: SocketAddr) -> Box<dyn StoreProtocol> {
         match kind {
             ProtocolKind::Frames => Box::new(frames::Frames::new(self.request_load)),
--- a/crates/frontnode/src/store_protocol/search.rs
+++ b/crates/frontnode/src/store_protocol/search.rs
@@ -1,5 +1,5 @@
-//! The search API of a store, OpenSearch's REST protocol over HTTP/1.1: one shard request at a time on a connection,
-//! and the shard named by `preference=_shards:N`. `docs/search.md` has the table of endings.
+//! The search API of a replica: OpenSearch's REST protocol over HTTP/1.1, with one shard request at a time on a
+//! connection. The shard is named by `preference=_shards:N`. `docs/search.md` has the table of endings.
 
 use std::collections::BTreeMap;
 
@@ -11,24 +11,24 @@
 use super::{CallRequest, Load, ParsedMessage, ProtocolError, StoreMessage, StoreProtocol};
 use crate::http;
 
-/// Where a health check asks for the load.
+/// The path of health checks; its response contains the load.
 const HEALTH_CHECK_PATH: &str = "/_nodes/_local/stats/thread_pool";
 
-/// What is in flight on the connection.
+/// The request in flight on the connection.
 enum InFlight {
     Search { query_id: String, shard: usize },
     Create { query_id: String, shard: usize, document_id: String },
     HealthCheck,
 }
 
-/// One connection.
+/// The protocol state of one connection.
 pub struct Search {
     host: String,
     in_flight: Option<InFlight>,
     keeps_alive: bool,
 }
 
-/// The payload of a shard request, read no further than it must be: the client protocol that took it has checked it.
+/// The payload of a shard request. Only the necessary parts are parsed: the client protocol has already checked it.
 #[derive(Deserialize)]
 enum Payload<'a> {
     #[serde(rename = "search")]
@@ -47,7 +47,7 @@
     },
 }
 
-/// The answer to a health check, as far as it is read.
+/// The parsed part of the response to a health check.
 #[derive(Deserialize)]
 struct Stats {
     nodes: BTreeMap<String, NodeStats>,
@@ -69,7 +69,7 @@
 }
 
 impl Search {
-    /// A new connection to that host.
+    /// Returns the state of a new connection to `host`.
     pub fn new(host: String) -> Self {
         Search { host, in_flight: None, keeps_alive: true }
     }
@@ -87,7 +87,7 @@
     }
 }
 
-/// How an attempt ended by the status and the body of its response, and its value.
+/// Returns the outcome and the value of an attempt from the status and the body of its response.
 fn outcome(
     in_flight: &InFlight,
     status: u16,
@@ -101,7 +101,7 @@
                 Err(ProtocolError::UnreadableResponse(error.to_string()))
             }
         },
-        // One that is there already was put in by an earlier attempt with the same key.
+        // If the document already exists, an earlier attempt with the same idempotency key created it.
         (InFlight::Create { document_id, .. }, 200 | 201 | 409) => {
             Ok((AttemptOutcome::Answered, created_result(document_id)))
         }
@@ -178,11 +178,11 @@
     }
 }
 
-/// The load of the first node's thread pool for searches.
+/// Returns the load of the first node's thread pool for searches.
 fn load(stats: Stats) -> Option<Load> {
     let (_, node) = stats.nodes.into_iter().next()?;
     let pool = node.thread_pool.get("search")?;
-    // What is being run does not wait, unless more is being run than there are threads for.
+    // Active searches do not wait, unless there are more of them than threads.
     let beyond_threads = if pool.threads > 0 { pool.active.saturating_sub(pool.threads) } else { 0 };
     Some(Load::Counts {
         queued: pool.queue + beyond_threads,
--- a/crates/frontnode/src/stream.rs
+++ b/crates/frontnode/src/stream.rs
@@ -1,4 +1,4 @@
-//! One non-blocking connection: its descriptor, its place in the event loop, and its two buffers.
+//! A non-blocking connection: its socket, its registration with the event loop, and its two buffers.
 
 use std::io::{self, ErrorKind, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -12,35 +12,36 @@
 use crate::event_loop::{EventLoopHandle, EventSource, ReadyEvents};
 
 const MIN_READ_BYTES: usize = 4 << 10;
-/// An empty buffer larger than this is freed.
+/// Empty buffers with a larger capacity are freed.
 const MAX_KEPT_BYTES: usize = 16 << 10;
 
-/// A connection of the event loop.
+/// A connection that is registered with the event loop.
 pub struct Stream {
     socket: Rc<TcpStream>,
     registration: RegistrationToken,
     events: EventLoopHandle,
     inbox: Vec<u8>,
-    /// Where the unread bytes begin and end in the inbox.
+    /// The start and the end of the unread bytes in the inbox.
     first: usize,
     last: usize,
     outbox: Vec<u8>,
-    /// Bytes of the outbox that the system has taken.
+    /// The number of bytes of the outbox that the system has accepted.
     sent: usize,
-    /// Whether the last reading stopped before all was read: the event loop tells of the rest only once.
+    /// Whether the last read stopped before the socket was empty. The event loop is edge-triggered and reports the rest
+    /// only once.
     pub unread: bool,
-    /// Bytes of the connection that the system has taken so far.
+    /// The total number of bytes written.
     pub bytes_written: u64,
-    /// Bytes of the connection that were read so far.
+    /// The total number of bytes read.
     pub bytes_read: u64,
 }
 
 impl Stream {
-    /// Takes over a socket. `event_source`: what becomes ready with it.
+    /// Registers a socket with the event loop, which then reports `event_source` as ready.
     ///
     /// # Errors
     ///
-    /// If the system refuses to register it.
+    /// Fails if the socket cannot be configured or registered.
     pub fn new(events: &EventLoopHandle, socket: TcpStream, event_source: EventSource) -> io::Result<Stream> {
         socket.set_nonblocking(true)?;
         socket.set_nodelay(true)?;
@@ -67,7 +68,7 @@
         })
     }
 
-    /// Whether a connection begun earlier is up; none while that is not known.
+    /// Returns the result of a connection attempt, or `None` while it is not known.
     pub fn connect_result(&self) -> Option<io::Result<()>> {
         match self.socket.take_error() {
             Ok(Some(fault)) | Err(fault) => Some(Err(fault)),
@@ -75,33 +76,33 @@
         }
     }
 
-    /// What was read and not taken yet.
+    /// Returns the bytes that were read and not consumed.
     pub fn inbox(&self) -> &[u8] {
         &self.inbox[self.first..self.last]
     }
 
-    /// Takes so many bytes off the front of the inbox.
+    /// Removes `length` bytes from the front of the inbox.
     pub fn consume(&mut self, length: usize) {
         self.first += length;
         if self.first == self.last {
             (self.first, self.last) = (0, 0);
-            // What one long message took is not kept for the day.
+            // The memory of a long message is not kept for the lifetime of the connection.
             if self.inbox.len() > MAX_KEPT_BYTES {
                 self.inbox = Vec::new();
             }
         }
     }
 
-    /// Bytes that the inbox takes, read or not.
+    /// Returns the size of the inbox's buffer in bytes, whether or not it is in use.
     pub fn inbox_capacity(&self) -> usize {
         self.inbox.len()
     }
 
-    /// Reads so much at most and keeps nothing of it; false at the end of the stream.
+    /// Reads up to about `most` bytes and discards them. Returns false at the end of the stream.
     ///
     /// # Errors
     ///
-    /// If the connection is broken.
+    /// Fails if the connection is broken.
     pub fn discard(&mut self, most: u64) -> io::Result<bool> {
         let enough = self.bytes_read + most;
         loop {
@@ -116,11 +117,11 @@
         }
     }
 
-    /// Reads until nothing more is there or so many bytes are in the inbox; false at the end of the stream.
+    /// Reads until the socket is empty or the inbox contains `most` bytes. Returns false at the end of the stream.
     ///
     /// # Errors
     ///
-    /// If the connection is broken.
+    /// Fails if the connection is broken.
     pub fn fill(&mut self, most: usize) -> io::Result<bool> {
         loop {
             self.unread = self.last - self.first >= most;
@@ -147,26 +148,26 @@
         }
     }
 
-    /// Where what is to be written is appended.
+    /// Returns the buffer to which bytes to be written are appended.
     pub fn outbox(&mut self) -> &mut Vec<u8> {
         &mut self.outbox
     }
 
-    /// Where the outbox ends in the stream of all bytes written.
+    /// Returns the end of the outbox as an offset in the stream of all bytes written.
     pub fn queued_until(&self) -> u64 {
         self.bytes_written + (self.outbox.len() - self.sent) as u64
     }
 
-    /// Whether the system has taken all of the outbox.
+    /// Returns whether the system has accepted the complete outbox.
     pub fn is_flushed(&self) -> bool {
         self.sent == self.outbox.len()
     }
 
-    /// Writes as much of the outbox as the system takes.
+    /// Writes as many bytes of the outbox as the system accepts.
     ///
     /// # Errors
     ///
-    /// If the connection is broken.
+    /// Fails if the connection is broken.
     pub fn flush(&mut self) -> io::Result<()> {
         while !self.is_flushed() {
             match (&*self.socket).write(&self.outbox[self.sent..]) {
@@ -186,18 +187,18 @@
         Ok(())
     }
 
-    /// Tells the peer that nothing more will be written; what the peer still sends is read, lest it be told of a reset
-    /// before it has read all.
+    /// Closes the writing side. The bytes that the peer still sends must be read; otherwise the peer could receive a reset
+    /// before it has read everything.
     pub fn shut_down_writing(&self) {
         let _ = self.socket.shutdown(Shutdown::Write);
     }
 }
 
-/// Begins a connection; the event loop says when it is up.
+/// Starts to connect a socket. It becomes ready once it is connected or has failed.
 ///
 /// # Errors
 ///
-/// If the system would not begin one.
+/// Fails if the socket cannot be created or the connection fails immediately.
 pub fn connect(address: SocketAddr) -> io::Result<TcpStream> {
     let socket = Socket::new(Domain::for_address(address), Type::STREAM, Some(Protocol::TCP))?;
     socket.set_nonblocking(true)?;
--- a/crates/frontnode/src/trace_writer.rs
+++ b/crates/frontnode/src/trace_writer.rs
@@ -1,5 +1,5 @@
-//! Writes the aggregator's trace to a file or to standard error, a line each behind a mark, with the names that the
-//! numbers stand for. `orchidvalve why` reads them. Off unless the node was given a path.
+//! Writes the aggregator's trace to a file or to standard error, one line per record, with the names behind the
+//! aggregator's numbers. `orchidvalve why` reads the trace. It is disabled unless a path is configured.
 
 use std::fs::File;
 use std::io::{self, BufWriter, Write};
@@ -10,12 +10,12 @@
 use crate::log;
 use crate::queries::QueryTable;
 
-/// What lines of a trace begin with, which tells them from the log.
+/// The prefix of trace lines, which distinguishes them from log lines.
 pub const LINE_PREFIX: &str = "~ ";
 
 const BUFFER_BYTES: usize = 64 << 10;
 
-/// Writes one trace.
+/// The writer of a trace.
 pub struct TraceWriter {
     out: BufWriter<Box<dyn Write>>,
 }
@@ -34,7 +34,7 @@
         Ok(TraceWriter { out: BufWriter::with_capacity(BUFFER_BYTES, out) })
     }
 
-    /// Names a replica that the aggregator met.
+    /// Writes the name of a new replica.
     pub fn name_replica(&mut self, at: Nanos, ix: ReplicaIndex, id: &str) {
         self.write_line(&format!("{at} replica {} {}", ix.0, id.escape_default()));
     }
@@ -44,13 +44,13 @@
     }
 
     fn write_line(&mut self, line: &str) {
-        // A trace that cannot be written must not stop the node, and says so no more than the log allows.
+        // A failed write must not stop the node. The log's rate limit bounds the error messages.
         if let Err(error) = writeln!(self.out, "{LINE_PREFIX}{line}") {
-            log!("the trace cannot be written: {error}");
+            log!("cannot write the trace: {error}");
         }
     }
 
-    /// Writes the records of a round.
+    /// Writes the trace records of a round.
     pub fn write(&mut self, records: &[TraceRecord], queries: &QueryTable) {
         for record in records {
             if let TraceEvent::QueryReceived { query: ix, .. } = record.event
@@ -64,7 +64,7 @@
         if !records.is_empty()
             && let Err(error) = self.out.flush()
         {
-            log!("the trace cannot be written: {error}");
+            log!("cannot write the trace: {error}");
         }
     }
 }
