--- a/crates/control-plane/src/process/connections.rs
+++ b/crates/control-plane/src/process/connections.rs
@@ -243,9 +243,7 @@
             PeerMessage::LearnerCaughtUp { partition, epoch, member } => {
                 self.roles.learner_caught_up(partition, epoch, member);
             }
-            PeerMessage::Usage { incarnation, windows } => {
-                self.forwarded_usage_received(incarnation, windows)
-            }
+            PeerMessage::Usage { incarnation, windows } => self.usage_forwarded(incarnation, windows),
             PeerMessage::Load { incarnation, loads } => {
                 self.roles.record_load(incarnation, loads, self.now);
             }
--- a/crates/control-plane/src/process/usage.rs
+++ b/crates/control-plane/src/process/usage.rs
@@ -23,7 +23,7 @@
     }
 
     /// Processes the counts of a gateway that another control node has forwarded.
-    pub(super) fn forwarded_usage_received(&mut self, incarnation: u64, windows: Vec<WindowUsage>) {
+    pub(super) fn usage_forwarded(&mut self, incarnation: u64, windows: Vec<WindowUsage>) {
         self.usage.add(incarnation, windows, self.current_window());
     }
 
--- a/crates/control-plane/src/scaling_planner.rs
+++ b/crates/control-plane/src/scaling_planner.rs
@@ -4,8 +4,8 @@
 //! Servers are paid for by the second, but work that is not done in time costs far more. So the planner starts from the
 //! servers that exist and adds servers as soon as work cannot start in time. It removes one server at a time, and only if
 //! the remaining ones would have had capacity for the peak demand: that of the last seconds for servers that the planner
-//! added, that of the last minutes for servers that existed at the beginning. Without complete facts it changes nothing,
-//! nor for a service that has had no demand yet. Servers that it removed are ordered back at the first sign of need.
+//! added, that of the last minutes for servers that existed at the beginning. It changes nothing without complete facts,
+//! or for a service that has had no demand yet. Servers that it removed are ordered back at the first sign of need.
 //!
 //! The desired count cannot be read back from the platform. It is the last ordered count or, before the first order, the
 //! largest number of servers seen in the zone.
--- a/crates/control-plane/tests/http_client.rs
+++ b/crates/control-plane/tests/http_client.rs
@@ -81,7 +81,7 @@
         self.until(|fixture| fixture.listener.accept().ok().map(|(stream, _)| Peer::new(stream)))
     }
 
-    fn request(&mut self, peer: &mut Peer) {
+    fn read_request(&mut self, peer: &mut Peer) {
         self.until(|_| {
             peer.look();
             peer.text().ends_with("\r\n\r\n").then_some(())
@@ -99,7 +99,7 @@
     fn complete_exchange(&mut self, number: Number, connection_use: ConnectionUse, response: &str) -> Peer {
         self.start(number, connection_use);
         let mut peer = self.accept();
-        self.request(&mut peer);
+        self.read_request(&mut peer);
         peer.send(response);
         assert_eq!(self.completed_body().0, number);
         peer
@@ -197,7 +197,7 @@
     fixture.until(|fixture| (fixture.network.connection_count() == 0).then_some(()));
     fixture.start(2, ConnectionUse::Reused);
     let mut peer = fixture.accept();
-    fixture.request(&mut peer);
+    fixture.read_request(&mut peer);
     peer.send(&response("two"));
     assert_eq!(fixture.completed_body(), (2, Some("two".to_owned())));
 }
@@ -213,7 +213,7 @@
     assert_eq!(fixture.completed_body(), (1, Some("early".to_owned())));
     fixture.start(2, ConnectionUse::Reused);
     let mut next = fixture.accept();
-    fixture.request(&mut next);
+    fixture.read_request(&mut next);
     fixture.until(|_| {
         early.look();
         early.ended.then_some(())
@@ -228,7 +228,7 @@
     let mut fixture = ClientFixture::new();
     fixture.start(1, ConnectionUse::New);
     let mut peer = fixture.accept();
-    fixture.request(&mut peer);
+    fixture.read_request(&mut peer);
     peer.send(WITHOUT_LENGTH);
     drop(peer);
     assert_eq!(fixture.completed_body(), (1, Some("bytes".to_owned())));
@@ -241,7 +241,7 @@
     let mut fixture = ClientFixture::new();
     fixture.start(1, ConnectionUse::New);
     let mut peer = fixture.accept();
-    fixture.request(&mut peer);
+    fixture.read_request(&mut peer);
     peer.send(bytes);
     fixture.turn();
     peer.reset();
@@ -289,7 +289,7 @@
     let mut fixture = ClientFixture::new();
     fixture.start(1, ConnectionUse::Reused);
     let mut peer = fixture.accept();
-    fixture.request(&mut peer);
+    fixture.read_request(&mut peer);
     fixture.now += CONNECT_TIMEOUT_MS;
     assert!(
         fixture.client.expire(&mut fixture.network, fixture.now).is_empty(),
--- a/crates/control-plane/tests/placement_random.rs
+++ b/crates/control-plane/tests/placement_random.rs
@@ -40,7 +40,7 @@
 
 /// The entries of one partition on the disks.
 #[derive(Clone, Default, Debug)]
-struct CopiesHeld {
+struct PartitionLogs {
     /// Number of committed entries.
     committed: u64,
     /// Number of entries on each disk.
@@ -54,7 +54,7 @@
     copies: usize,
     nodes: Vec<StoreNode>,
     partitions: Vec<Placement>,
-    copies_held: Vec<CopiesHeld>,
+    logs: Vec<PartitionLogs>,
     caught_up: BTreeSet<CaughtUp>,
     disks: u64,
     reports_lost_until: usize,
@@ -87,7 +87,7 @@
             copies,
             nodes: (0..ZONES.len()).map(node).collect(),
             partitions: Vec::new(),
-            copies_held: vec![CopiesHeld::default(); usize::from(PARTITIONS)],
+            logs: vec![PartitionLogs::default(); usize::from(PARTITIONS)],
             caught_up: BTreeSet::new(),
             disks: 1,
             reports_lost_until: 0,
@@ -135,23 +135,19 @@
     }
 
     fn is_complete(&self, partition: u16, member: &MemberId) -> bool {
-        let copies_held = &self.copies_held[usize::from(partition)];
+        let logs = &self.logs[usize::from(partition)];
         // A disk that was never written is complete as long as nothing is committed.
-        copies_held.held.get(member).copied().unwrap_or(0) >= copies_held.committed
+        logs.held.get(member).copied().unwrap_or(0) >= logs.committed
     }
 
     /// Enters a new view: the log of its head is authoritative.
     fn enter_view(&mut self, partition: usize) {
         let placement = &self.partitions[partition];
-        let copies_held = &mut self.copies_held[partition];
+        let logs = &mut self.logs[partition];
         let head = placement.members[0];
-        let held = copies_held.held.entry(head).or_default();
-        assert!(
-            *held >= copies_held.committed,
-            "the head of {placement:?} holds {held} of {}",
-            copies_held.committed
-        );
-        copies_held.synchronized = BTreeSet::from([head]);
+        let held = logs.held.entry(head).or_default();
+        assert!(*held >= logs.committed, "the head of {placement:?} holds {held} of {}", logs.committed);
+        logs.synchronized = BTreeSet::from([head]);
     }
 
     /// Passes entries along the chain of one partition; the members commit one entry when all of them are up to date.
@@ -161,25 +157,25 @@
         for pair in chain.windows(2) {
             let (from, to) = (pair[0], pair[1]);
             let passes = self.is_up(&from) && self.is_up(&to) && self.random.random_bool(0.3);
-            let copies_held = &mut self.copies_held[partition];
-            if !passes || !copies_held.synchronized.contains(&from) {
+            let logs = &mut self.logs[partition];
+            if !passes || !logs.synchronized.contains(&from) {
                 continue;
             }
-            copies_held.held.insert(to, copies_held.held[&from]);
+            logs.held.insert(to, logs.held[&from]);
             if placement.members.contains(&to) {
-                copies_held.synchronized.insert(to);
+                logs.synchronized.insert(to);
             } else {
                 self.report(partition, placement.epoch, to);
             }
         }
         let all_up = placement.members.iter().all(|m| self.is_up(m));
-        let copies_held = &mut self.copies_held[partition];
-        let complete = placement.members.iter().all(|m| copies_held.synchronized.contains(m));
+        let logs = &mut self.logs[partition];
+        let complete = placement.members.iter().all(|m| logs.synchronized.contains(m));
         if all_up && complete && placement.members.len() >= self.copies {
-            copies_held.committed += 1;
-            copies_held.held.extend(placement.members.iter().map(|m| (*m, copies_held.committed)));
+            logs.committed += 1;
+            logs.held.extend(placement.members.iter().map(|m| (*m, logs.committed)));
         }
-        for member in copies_held.synchronized.clone() {
+        for member in logs.synchronized.clone() {
             if self.is_up(&member) {
                 self.report(partition, placement.epoch, member);
             }
@@ -230,8 +226,8 @@
         if self.wipes_last || self.partitions.iter().all(keeps_complete_replica) {
             self.disks += 1;
             self.nodes[index].member = member(index, self.disks);
-            for copies_held in &mut self.copies_held {
-                copies_held.held.remove(&lost);
+            for logs in &mut self.logs {
+                logs.held.remove(&lost);
             }
         }
     }
@@ -258,14 +254,14 @@
     /// members are lost.
     fn restart_empty(&mut self, partition: usize) {
         let placement = &self.partitions[partition];
-        let copies_held = &mut self.copies_held[partition];
-        let mut candidates = placement.complete_replicas.iter().chain(&copies_held.synchronized);
+        let logs = &mut self.logs[partition];
+        let mut candidates = placement.complete_replicas.iter().chain(&logs.synchronized);
         let complete = candidates.find(|m| self.nodes.iter().any(|node| node.member == **m));
         assert!(
             complete.is_none(),
             "partition {partition} restarted empty although {complete:?} is complete"
         );
-        *copies_held = CopiesHeld::default();
+        *logs = PartitionLogs::default();
         self.restarted_empty += 1;
     }
 
@@ -327,11 +323,10 @@
         if !next.members.iter().any(|m| before.members.contains(m)) {
             self.continued_with_former += 1;
         }
-        let copies_held = &self.copies_held[usize::from(partition)];
-        for replica in next.complete_replicas.iter().filter(|replica| copies_held.held.contains_key(replica))
-        {
+        let logs = &self.logs[usize::from(partition)];
+        for replica in next.complete_replicas.iter().filter(|replica| logs.held.contains_key(replica)) {
             assert!(
-                copies_held.held[replica] >= copies_held.committed,
+                logs.held[replica] >= logs.committed,
                 "{replica} is recorded as complete but is not: {next:?}"
             );
         }
@@ -377,10 +372,7 @@
         model.recover();
         for (index, placement) in model.partitions.iter().enumerate() {
             assert_eq!((placement.members.len(), placement.learners.len()), (copies, 0), "{placement:?}");
-            assert!(
-                model.copies_held[index].committed > 50,
-                "seed {seed}: partition {index} made no progress"
-            );
+            assert!(model.logs[index].committed > 50, "seed {seed}: partition {index} made no progress");
         }
         assert!(can_remove_store_node(&model.nodes[0].member, &model.partitions));
         waited += model.waited;
