--- a/crates/control-plane/tests/history_checker.rs
+++ b/crates/control-plane/tests/history_checker.rs
@@ -49,8 +49,8 @@
     }
 
     /// Marks the last change as sent more than once, with another attempt that has no outcome.
-    fn with_open_send(mut self) -> Planted {
-        self.0.changes.last_mut().expect("a change").has_open_send = true;
+    fn with_open_attempt(mut self) -> Planted {
+        self.0.changes.last_mut().expect("a change").has_open_attempt = true;
         self
     }
 }
@@ -73,7 +73,7 @@
     Planted::new().change(1, 2, 1, OtherVersion(2)).change(0, 1, 3, Accepted(4)).change(1, 3, 5, Accepted(6))
 )]
 #[case::late_copy_of_a_change_refused_before_its_base(
-    Planted::new().change(0, 1, 3, Accepted(4)).change(1, 2, 1, OtherVersion(2)).with_open_send().read(Some(1), 5, 6)
+    Planted::new().change(0, 1, 3, Accepted(4)).change(1, 2, 1, OtherVersion(2)).with_open_attempt().read(Some(1), 5, 6)
 )]
 fn histories_that_a_register_can_have(#[case] planted: Planted) {
     assert_eq!(planted.0.check(), Ok(()));
@@ -93,7 +93,7 @@
     Contradiction::SameVersion(0, 1)
 )]
 #[case::resend_refused_though_it_had_taken_effect(
-    Planted::new().change(0, 1, 1, OtherVersion(6)).with_open_send().read(Some(0), 7, 8),
+    Planted::new().change(0, 1, 1, OtherVersion(6)).with_open_attempt().read(Some(0), 7, 8),
     no_order(None, 0)
 )]
 #[case::resend_refused_and_built_on(
@@ -152,7 +152,7 @@
 #[derive(Clone, Debug, PartialEq)]
 struct Register {
     version: u64,
-    newest: Option<usize>,
+    latest: Option<usize>,
 }
 
 #[derive(Clone, Debug)]
@@ -175,11 +175,11 @@
 
     fn invoke(&mut self, call: &Call) -> Return {
         match call {
-            Call::Read => Return::Seen(self.newest),
+            Call::Read => Return::Seen(self.latest),
             Call::Change { base, .. } if *base != self.version => Return::OtherVersion,
             Call::Change { proper: false, .. } => Return::Invalid,
             Call::Change { index, version, .. } => {
-                (self.version, self.newest) = (*version, Some(*index));
+                (self.version, self.latest) = (*version, Some(*index));
                 Return::Accepted
             }
         }
@@ -206,7 +206,7 @@
     for index in (1..stamps.len()).rev() {
         stamps.swap(index, random.random_range(0..=index));
     }
-    let mut register = Register { version: 0, newest: None };
+    let mut register = Register { version: 0, latest: None };
     let mut calls: Vec<RandomCall> = Vec::new();
     let mut spans: Vec<(Stamp, Stamp)> =
         stamps.chunks(2).map(|pair| (pair[0].min(pair[1]), pair[0].max(pair[1]))).collect();
@@ -226,12 +226,12 @@
         calls.push(RandomCall { call, called, returned: (!unclear).then_some((returned, answer)) });
     }
     if random.random_bool(0.6) {
-        spoil(&mut calls, random);
+        alter_one_response(&mut calls, random);
     }
     calls
 }
 
-fn spoil(calls: &mut [RandomCall], random: &mut Pcg64Mcg) {
+fn alter_one_response(calls: &mut [RandomCall], random: &mut Pcg64Mcg) {
     let index = random.random_range(0..calls.len());
     let seen = random.random_range(0..=calls.len());
     let Some((_, answer)) = &mut calls[index].returned else { return };
@@ -256,7 +256,7 @@
         events.extend(call.returned.iter().map(|(at, _)| (*at, thread, false)));
     }
     events.sort_unstable();
-    let mut tester = LinearizabilityTester::new(Register { version: 0, newest: None });
+    let mut tester = LinearizabilityTester::new(Register { version: 0, latest: None });
     for (_, thread, begins) in events {
         let call = &calls[thread];
         if begins {
--- a/crates/control-plane/tests/simulated_catch_up.rs
+++ b/crates/control-plane/tests/simulated_catch_up.rs
@@ -36,9 +36,9 @@
     let summary = cluster.run().expect("no violation");
     println!(
         "seed {seed}: {summary:?}, {} bytes on a disk at most, {:?}",
-        cluster.most_disk_bytes, cluster.recovery.finished
+        cluster.max_disk_bytes, cluster.recovery.finished
     );
-    assert!(cluster.most_disk_bytes < RING_BYTES, "{} bytes on one disk", cluster.most_disk_bytes);
+    assert!(cluster.max_disk_bytes < RING_BYTES, "{} bytes on one disk", cluster.max_disk_bytes);
     cluster
 }
 
--- a/crates/control-plane/tests/simulated_hunt.rs
+++ b/crates/control-plane/tests/simulated_hunt.rs
@@ -38,7 +38,7 @@
 }
 
 /// Returns the first seed, of a few, with which a scenario shows the same kind of violation.
-fn breaks_alike(seed: u64, scenario: &Scenario, kind: &str) -> Option<(u64, String)> {
+fn first_similar_violation(seed: u64, scenario: &Scenario, kind: &str) -> Option<(u64, String)> {
     let run = |seed| Cluster::new(seed, scenario.clone()).run().err().map(|violation| (seed, violation));
     let alike = |(_, violation): &(u64, String)| kind_of(violation) == kind;
     (seed..seed + SHRINKING_SEEDS).find_map(|seed| run(seed).filter(alike))
@@ -51,7 +51,7 @@
     for step in (0..scenario.script.len()).rev() {
         let mut smaller = scenario.clone();
         smaller.script.remove(step);
-        if let Some(broken) = breaks_alike(found.0, &smaller, &kind) {
+        if let Some(broken) = first_similar_violation(found.0, &smaller, &kind) {
             (found, scenario) = (broken, smaller);
         }
     }
@@ -68,11 +68,12 @@
     let first: u64 = setting("CONTROL_SIM_FIRST_SEED").unwrap_or(0);
     let runs = setting("CONTROL_SIM_RUNS").unwrap_or(USUAL_RUNS);
     let tolerance = setting("CONTROL_SIM_TOLERANCE").unwrap_or(Scenario::without_faults(machines).tolerance);
-    let wanted: String = setting("CONTROL_SIM_SCENARIO").unwrap_or_else(|| "all".to_owned());
-    let days = NAMED_SCENARIOS.iter().filter(|named| wanted == "all" || wanted == format!("{named:?}"));
-    let (mut played, mut broken_days) = (0, Vec::new());
-    for named in days {
-        let (mut broken, mut acknowledged, mut troubles) = (0, 0, 0);
+    let selected: String = setting("CONTROL_SIM_SCENARIO").unwrap_or_else(|| "all".to_owned());
+    let scenarios =
+        NAMED_SCENARIOS.iter().filter(|named| selected == "all" || selected == format!("{named:?}"));
+    let (mut scenarios_run, mut failed_scenarios) = (0, Vec::new());
+    for named in scenarios {
+        let (mut broken, mut acknowledged, mut faults) = (0, 0, 0);
         for seed in first..first + runs {
             let scenario = Scenario { tolerance, ..named_scenarios::scenario(*named, seed, machines) };
             let mut cluster = Cluster::new(seed, scenario.clone());
@@ -84,17 +85,17 @@
                 }
             }
             acknowledged += cluster.checker.acknowledged;
-            troubles += cluster.summary.faults;
+            faults += cluster.summary.faults;
         }
         println!(
-            "{named:?} on {machines} with tolerance {tolerance}: {runs} runs from {first}, {troubles} troubles, \
+            "{named:?} on {machines} with tolerance {tolerance}: {runs} runs from {first}, {faults} faults, \
              {acknowledged} acknowledged, {broken} broken"
         );
-        played += 1;
+        scenarios_run += 1;
         if broken > 0 {
-            broken_days.push(named);
+            failed_scenarios.push(named);
         }
     }
-    assert!(played > 0, "no scenario is named {wanted}");
-    assert!(broken_days.is_empty(), "broken: {broken_days:?}");
+    assert!(scenarios_run > 0, "no scenario is named {selected}");
+    assert!(failed_scenarios.is_empty(), "broken: {failed_scenarios:?}");
 }
--- a/crates/control-plane/tests/simulated_message_faults.rs
+++ b/crates/control-plane/tests/simulated_message_faults.rs
@@ -9,7 +9,7 @@
 use support::random_faults::RandomFault;
 use support::scenario::{Mutation, MutationKind, Scenario};
 
-use MutationKind::{CutOff, Double, Drop, Replay};
+use MutationKind::{Drop, Duplicate, Replay, Truncate};
 
 /// The number of message kinds that the state machine processes, by `kind_of`.
 const KINDS: usize = 18;
@@ -26,7 +26,7 @@
 
 #[rstest]
 fn one_message_changed(
-    #[values(Drop, Double, CutOff, Replay)] how: MutationKind,
+    #[values(Drop, Duplicate, Truncate, Replay)] how: MutationKind,
     #[values(0, 1, 5, 30)] number: u32,
 ) {
     let mut seen = 0;
--- a/crates/control-plane/tests/simulated_planted_bugs.rs
+++ b/crates/control-plane/tests/simulated_planted_bugs.rs
@@ -13,7 +13,7 @@
 const SEEDS: u64 = 200;
 
 /// Returns the scenario, adapted if necessary so that the planted bug takes effect.
-fn plan_of(planted_bug: PlantedBug, named: NamedScenario, seed: u64) -> Scenario {
+fn scenario_for(planted_bug: PlantedBug, named: NamedScenario, seed: u64) -> Scenario {
     let platform = matches!(
         planted_bug,
         PlantedBug::ViewNumberedTables | PlantedBug::NoLease | PlantedBug::LocalNotFound
@@ -31,7 +31,7 @@
 /// Returns the first violation that a scenario shows with a planted bug, and the number of runs that it took.
 fn first_violation(planted_bug: PlantedBug, named: NamedScenario) -> Option<(u64, String)> {
     let run = |seed| {
-        let scenario = Scenario { planted_bug: Some(planted_bug), ..plan_of(planted_bug, named, seed) };
+        let scenario = Scenario { planted_bug: Some(planted_bug), ..scenario_for(planted_bug, named, seed) };
         Cluster::new(seed, scenario).run().err().map(|violation| (seed + 1, violation))
     };
     (0..SEEDS).find_map(run)
@@ -66,7 +66,7 @@
         panic!("{planted_bug:?} was not detected in {SEEDS} runs of {named:?}");
     };
     println!("{planted_bug:?}, {named:?}: found by run {runs}: {violation}");
-    let sound = Cluster::new(runs - 1, plan_of(planted_bug, named, runs - 1)).run();
-    sound.expect("the same run has no violation without the planted bug");
+    let without_bug = Cluster::new(runs - 1, scenario_for(planted_bug, named, runs - 1)).run();
+    without_bug.expect("the same run has no violation without the planted bug");
     assert!(expected.iter().any(|part| violation.contains(part)), "{violation}");
 }
--- a/crates/control-plane/tests/simulated_planted_bugs_of_random_faults.rs
+++ b/crates/control-plane/tests/simulated_planted_bugs_of_random_faults.rs
@@ -10,7 +10,7 @@
 
 const SEEDS: u64 = 40;
 
-fn cheating(planted_bug: Option<PlantedBug>) -> Scenario {
+fn scenario(planted_bug: Option<PlantedBug>) -> Scenario {
     Scenario {
         faults: vec![RandomFault::Kill, RandomFault::PowerLoss, RandomFault::Freeze],
         fault_interval: 900,
@@ -25,14 +25,14 @@
 
 /// Returns the violation of the first seed for which the invariant checker detects the planted bug.
 fn violation(planted_bug: PlantedBug) -> String {
-    let run = |seed| Cluster::new(seed, cheating(Some(planted_bug))).run().err();
+    let run = |seed| Cluster::new(seed, scenario(Some(planted_bug))).run().err();
     (0..SEEDS).find_map(run).expect("the invariant checker detected no violation")
 }
 
 #[test]
 fn without_a_planted_bug_no_invariant_is_violated() {
     for seed in 0..SEEDS {
-        Cluster::new(seed, cheating(None)).run().expect("no violation");
+        Cluster::new(seed, scenario(None)).run().expect("no violation");
     }
 }
 
--- a/crates/control-plane/tests/support/clients.rs
+++ b/crates/control-plane/tests/support/clients.rs
@@ -251,7 +251,7 @@
     }
 
     /// Returns the outcome that a machine with a planted bug reports before its state machine decides.
-    pub fn cheated_outcome(&self, machine: usize, number: ChangeNumber) -> Option<RequestOutcome> {
+    pub fn planted_outcome(&self, machine: usize, number: ChangeNumber) -> Option<RequestOutcome> {
         match self.scenario.planted_bug {
             Some(PlantedBug::EarlyAnswers) => Some(RequestOutcome::Done),
             Some(PlantedBug::LocalRefusals) => {
--- a/crates/control-plane/tests/support/cluster/delivery.rs
+++ b/crates/control-plane/tests/support/cluster/delivery.rs
@@ -16,7 +16,7 @@
     Some(ChainMessage::Acknowledge { epoch: *epoch, sequence: last.sequence })
 }
 
-fn is_copy(packet: &Packet) -> bool {
+fn carries_entries(packet: &Packet) -> bool {
     let Packet::Message(PeerMessage::Chain(ChainMessage::Entries { entries, .. })) = packet else {
         return false;
     };
@@ -24,7 +24,7 @@
 }
 
 /// Returns the number of bytes of a message that count on a narrow line: a header and the payloads.
-fn bytes_of(packet: &Packet) -> usize {
+fn size_in_bytes(packet: &Packet) -> usize {
     const HEADER: usize = 60;
     let payload = match packet {
         Packet::Message(PeerMessage::Chain(ChainMessage::Entries { entries, .. })) => {
@@ -62,7 +62,7 @@
             self.machines[to].inbox.push((from, sender, packet));
             return;
         }
-        self.take(to, from, sender, packet);
+        self.handle_packet(to, from, sender, packet);
         self.turn(to);
     }
 
@@ -75,7 +75,7 @@
         }
     }
 
-    pub(super) fn take(&mut self, machine: usize, from: usize, sender: MemberId, packet: Packet) {
+    pub(super) fn handle_packet(&mut self, machine: usize, from: usize, sender: MemberId, packet: Packet) {
         let (from_address, now) = (self.machines[from].address, self.now);
         let mut early = None;
         let host = &mut self.machines[machine];
@@ -83,11 +83,11 @@
         control_node.advance_clock(now);
         match packet {
             Packet::Handshake(member) => {
-                host.links.introduced(member, now);
+                host.links.handshake_received(member, now);
                 control_node.link_up(member);
             }
             Packet::Message(message) => {
-                host.links.heard(from_address, now);
+                host.links.message_received(from_address, now);
                 match message {
                     PeerMessage::Agreement(message) => control_node.agreement_message(sender, message),
                     PeerMessage::Chain(message) => {
@@ -128,12 +128,12 @@
         }
         self.transmit(machine, other, start, Packet::Handshake(me));
         self.transmit(machine, other, start, Packet::Message(hello));
-        self.send_whole_table(machine, other, start);
+        self.send_full_table(machine, other, start);
     }
 
     pub(super) fn send(&mut self, machine: usize, to: MemberId, message: PeerMessage) {
-        let silent = self.scenario.planted_bug == Some(PlantedBug::SilentChain) && self.quiet;
-        if silent && matches!(message, PeerMessage::Chain(_)) {
+        let drops_chain_messages = self.scenario.planted_bug == Some(PlantedBug::SilentChain) && self.quiet;
+        if drops_chain_messages && matches!(message, PeerMessage::Chain(_)) {
             return;
         }
         if let Some(start) = self.machines[machine].links.start_at(to.address)
@@ -145,13 +145,13 @@
 
     /// Whether a packet may be duplicated. With operators, a forwarded request may not: a connection duplicates
     /// nothing, and an operator may receive only one outcome.
-    fn may_be_doubled(&self, packet: &Packet) -> bool {
+    fn may_be_duplicated(&self, packet: &Packet) -> bool {
         let is_call = matches!(packet, Packet::Message(PeerMessage::Forward { .. }));
         !is_call || self.scenario.operators == 0
     }
 
     /// Whether entries sent to a process are lost because it started recently within the fault window.
-    fn is_copying_slowly(&self, machine: usize) -> bool {
+    fn loses_copies(&self, machine: usize) -> bool {
         let started_at = self.machines[machine].started_at;
         started_at >= self.scenario.fault_window.0 && self.now < started_at + self.scenario.slow_copies
     }
@@ -190,18 +190,19 @@
         if may_be_lost && self.random.random_bool(self.scenario.loss) {
             return;
         }
-        if is_copy(&packet) && self.is_copying_slowly(to) {
+        if carries_entries(&packet) && self.loses_copies(to) {
             return;
         }
-        let doubled =
-            faults_active && self.random.random_bool(self.scenario.doubling) && self.may_be_doubled(&packet);
-        let mut copies = if doubled { 2 } else { 1 };
+        let duplicated = faults_active
+            && self.random.random_bool(self.scenario.duplication)
+            && self.may_be_duplicated(&packet);
+        let mut copies = if duplicated { 2 } else { 1 };
         let sender = self.machines[from].member();
         match self.mutation(&packet) {
             None => {}
             Some(MutationKind::Drop) => return,
-            Some(MutationKind::Double) => copies = 2,
-            Some(MutationKind::CutOff) => {
+            Some(MutationKind::Duplicate) => copies = 2,
+            Some(MutationKind::Truncate) => {
                 let address = self.machines[to].address;
                 return self.link_closed(from, address);
             }
@@ -216,7 +217,7 @@
             let delay = match self.scenario.bandwidth {
                 None => self.random.random_range(1..=longest),
                 // Messages on a narrow line keep their order.
-                Some(_) => 1 + self.line_delay(from, bytes_of(&packet)),
+                Some(_) => 1 + self.line_delay(from, size_in_bytes(&packet)),
             };
             let packet = packet.clone();
             let delay = self.in_order(from, to, delay * slowness);
--- a/crates/control-plane/tests/support/cluster/machine.rs
+++ b/crates/control-plane/tests/support/cluster/machine.rs
@@ -65,7 +65,7 @@
         MemberId { address: self.address, disk: self.disk_identity }
     }
 
-    pub fn runs(&self) -> bool {
+    pub fn is_running(&self) -> bool {
         self.control_node.is_some() && !self.frozen
     }
 }
--- a/crates/control-plane/tests/support/cluster/mod.rs
+++ b/crates/control-plane/tests/support/cluster/mod.rs
@@ -83,11 +83,11 @@
     pub clients: Clients,
     pub operators: Operators,
     /// Changes sent by operators, by the fingerprint of their bodies.
-    pub change_prints: BTreeMap<u64, ChangeIndex>,
+    pub change_fingerprints: BTreeMap<u64, ChangeIndex>,
     /// Machines that operators cannot reach.
     pub unreachable_for_operators: Vec<usize>,
     /// Fraction of the responses to operators that are lost.
-    pub answer_loss: f64,
+    pub response_loss: f64,
     pub subscribers: Vec<Subscriber>,
     pub sessions_opened: SessionNumber,
     pub recovery: Recovery,
@@ -99,7 +99,7 @@
     pub order_history: OrderHistory,
     pub table_queues: BTreeMap<(usize, usize), TableQueue>,
     /// The largest number of bytes held on any disk, recorded when a sync begins.
-    pub most_disk_bytes: usize,
+    pub max_disk_bytes: usize,
     pub disks: u64,
     pub granularity: u64,
     pub summary: Summary,
@@ -134,9 +134,9 @@
             checker: InvariantChecker::default(),
             clients: Clients::default(),
             operators: Operators::new(scenario.operators),
-            change_prints: BTreeMap::new(),
+            change_fingerprints: BTreeMap::new(),
             unreachable_for_operators: Vec::new(),
-            answer_loss: 0.0,
+            response_loss: 0.0,
             subscribers: Vec::new(),
             sessions_opened: 0,
             recovery: Recovery::default(),
@@ -146,7 +146,7 @@
             last_arrivals: BTreeMap::new(),
             order_history: OrderHistory::default(),
             table_queues: BTreeMap::new(),
-            most_disk_bytes: 0,
+            max_disk_bytes: 0,
             disks: 0,
             // A large body fills a file of the ring by itself.
             granularity: if scenario.bandwidth.is_some() { 1 } else { granularity },
@@ -166,7 +166,7 @@
         let (first, last) = cluster.scenario.fault_window;
         cluster.schedule(first, Event::RandomFault);
         cluster.schedule(last, Event::EndFaults);
-        cluster.checker.takes_states_unseen = !cluster.scenario.compares_states;
+        cluster.checker.skips_state_comparison = !cluster.scenario.compares_states;
         cluster.begin_calls();
         cluster
     }
@@ -177,7 +177,7 @@
         }
         for operator in 0..self.scenario.operators {
             let at = 600 + 37 * operator as u64;
-            self.schedule(at, Event::Operator(OperatorEvent::FaultStep { operator }));
+            self.schedule(at, Event::Operator(OperatorEvent::NextRequest { operator }));
         }
         self.add_subscribers();
         self.schedule_script();
@@ -276,7 +276,7 @@
             Event::Synced { machine, disk, through } => self.synced(machine, disk, through),
             Event::Tick { machine, start } => {
                 let host = &self.machines[machine];
-                if host.start == start && host.runs() && host.tick_at <= self.now {
+                if host.start == start && host.is_running() && host.tick_at <= self.now {
                     self.turn(machine);
                 }
             }
@@ -348,7 +348,7 @@
         self.recovery.unstable_at = self.now;
         let inbox = std::mem::take(&mut host.inbox);
         for (from, sender, packet) in inbox {
-            self.take(machine, from, sender, packet);
+            self.handle_packet(machine, from, sender, packet);
         }
         let host = &mut self.machines[machine];
         let sessions = std::mem::take(&mut host.session_inbox);
@@ -384,19 +384,19 @@
         let durable = host.disk.reported_durable();
         control_node.set_impaired(host.disk_watch.observe(now, durable, host.disk.has_pending()));
         control_node.durable(durable);
-        control_node.set_candidates(&host.links.heard_members(now));
+        control_node.set_candidates(&host.links.responsive_members(now));
         control_node.tick(now);
-        let news = host.links.maintain(now);
-        for member in news.dropped {
+        let link_changes = host.links.maintain(now);
+        for member in link_changes.dropped {
             control_node.link_down(member);
         }
-        for address in news.wanted {
+        for address in link_changes.to_open {
             self.open_link(machine, address);
         }
         self.drain(machine);
         self.check_term(machine);
         self.check_calls(machine);
-        self.keep_table(machine);
+        self.maintain_table(machine);
         self.give_orders(machine);
         self.serve_subscribers(machine);
         if self.exit_if_due(machine) {
@@ -482,8 +482,8 @@
     /// Checks that every request is completed within [`REQUEST_TIMEOUT_MS`], whatever faults occur.
     fn check_calls(&mut self, machine: usize) {
         let now = self.now;
-        let late = |call: &&OpenCall| call.begun_at + REQUEST_TIMEOUT_MS <= now;
-        if let Some(call) = self.machines[machine].calls.values().find(late) {
+        let is_overdue = |call: &&OpenCall| call.begun_at + REQUEST_TIMEOUT_MS <= now;
+        if let Some(call) = self.machines[machine].calls.values().find(is_overdue) {
             let violation =
                 format!("machine {machine} left a request open that began at {} ms", call.begun_at);
             self.checker.fail(violation);
@@ -499,7 +499,7 @@
         let (disk, through) = (host.disk_identity, host.disk.end());
         let (records, bytes) = host.disk.usage();
         self.summary.records = self.summary.records.max(records);
-        self.most_disk_bytes = self.most_disk_bytes.max(bytes);
+        self.max_disk_bytes = self.max_disk_bytes.max(bytes);
         let usual = if self.quiet { self.random.random_range(1..4) } else { self.random.random_range(1..15) };
         let delay = usual * self.machines[machine].sync_factor.max(self.machines[machine].slowness);
         self.schedule(delay, Event::Synced { machine, disk, through });
@@ -512,7 +512,7 @@
         }
         host.syncing = false;
         host.disk.synced(through);
-        if host.runs() {
+        if host.is_running() {
             self.turn(machine);
         }
         self.begin_sync(machine);
@@ -544,7 +544,7 @@
     }
 
     pub fn living(&self) -> Vec<usize> {
-        (0..self.machines.len()).filter(|m| self.machines[*m].runs()).collect()
+        (0..self.machines.len()).filter(|m| self.machines[*m].is_running()).collect()
     }
 
     pub fn stop(&mut self) {
--- a/crates/control-plane/tests/support/disk.rs
+++ b/crates/control-plane/tests/support/disk.rs
@@ -37,13 +37,13 @@
     fn release_before(&mut self, position: u64) {
         let mut contents = self.0.borrow_mut();
         contents.released = contents.released.max(position);
-        contents.give_back();
+        contents.drop_released();
     }
 }
 
 impl Contents {
     /// Drops released records that are durable, in groups of `granularity`, as the ring of files does.
-    fn give_back(&mut self) {
+    fn drop_released(&mut self) {
         let limit = self.released.min(self.durable) / self.granularity * self.granularity;
         while self.records.front().is_some_and(|(position, _)| *position < limit) {
             self.records.pop_front();
@@ -78,7 +78,7 @@
     pub fn synced(&self, through: u64) {
         let mut contents = self.0.borrow_mut();
         contents.durable = contents.durable.max(through.min(contents.next - 1));
-        contents.give_back();
+        contents.drop_released();
     }
 
     /// Returns the number of records held and their size in bytes.
@@ -96,7 +96,7 @@
         contents.records.retain(|(position, _)| *position <= kept);
         contents.durable = kept;
         contents.next = kept + 1;
-        contents.give_back();
+        contents.drop_released();
     }
 
     /// Returns the positions and payloads of all records held.
--- a/crates/control-plane/tests/support/fault_script.rs
+++ b/crates/control-plane/tests/support/fault_script.rs
@@ -5,7 +5,7 @@
 use rand::seq::IndexedRandom;
 
 use super::cluster::{Cluster, Event, address};
-use super::network_partitions::{Aim, Bait, LeftBehind, PartitionEnding};
+use super::network_partitions::{Aim, AimedChanges, LeftBehind, PartitionEnding};
 use super::recovery::CATCH_UP_MS;
 use super::shutdown::AfterShutdown;
 
@@ -127,7 +127,7 @@
         direction: PartitionDirection,
         down: u64,
         ending: PartitionEnding,
-        bait: Option<Bait>,
+        aimed_changes: Option<AimedChanges>,
     },
     /// The machines are partitioned into two halves, regardless of the tolerance; operators and subscribers reach both.
     SplitInHalves {
@@ -139,13 +139,13 @@
         after: u64,
     },
     /// A fraction of the responses to operators is lost.
-    LoseAnswers {
-        share: f64,
+    LoseResponses {
+        fraction: f64,
         down: u64,
     },
     /// A fraction of the messages between control nodes is lost, and the same fraction is duplicated.
     LoseMessages {
-        share: f64,
+        fraction: f64,
         down: u64,
     },
     /// The fault follows the next acknowledgement of any machine.
@@ -162,8 +162,8 @@
 
 #[derive(Debug)]
 pub enum ScriptEvent {
-    Strike(Fault),
-    EndLostAnswers,
+    Inject(Fault),
+    EndLostResponses,
     EndLostMessages,
     DiskFast { machine: usize },
     NodeFast { machine: usize },
@@ -174,15 +174,15 @@
 impl Cluster {
     pub fn schedule_script(&mut self) {
         for FaultStep { at, fault } in self.scenario.script.clone() {
-            self.schedule(at, Event::Script(ScriptEvent::Strike(fault)));
+            self.schedule(at, Event::Script(ScriptEvent::Inject(fault)));
         }
     }
 
     pub fn script_event(&mut self, event: ScriptEvent) {
         match event {
-            ScriptEvent::Strike(fault) => return self.inject_fault(fault),
-            ScriptEvent::EndLostAnswers => self.answer_loss = 0.0,
-            ScriptEvent::EndLostMessages => (self.scenario.loss, self.scenario.doubling) = (0.0, 0.0),
+            ScriptEvent::Inject(fault) => return self.inject_fault(fault),
+            ScriptEvent::EndLostResponses => self.response_loss = 0.0,
+            ScriptEvent::EndLostMessages => (self.scenario.loss, self.scenario.duplication) = (0.0, 0.0),
             ScriptEvent::DiskFast { machine } => self.machines[machine].sync_factor = 1,
             ScriptEvent::NodeFast { machine } => self.machines[machine].slowness = 1,
             ScriptEvent::LeaveBehind(left) => return self.leave_behind(left),
@@ -197,7 +197,7 @@
         for fault in waiting {
             let delay = self.random.random_range(0..=2);
             self.trace(|| format!("machine {machine} has acknowledged: {fault:?} follows"));
-            self.schedule(delay, Event::Script(ScriptEvent::Strike(fault)));
+            self.schedule(delay, Event::Script(ScriptEvent::Inject(fault)));
         }
     }
 
@@ -205,7 +205,7 @@
     pub fn change_sent(&mut self) {
         for fault in std::mem::take(&mut self.after_send) {
             let delay = self.random.random_range(5..=400);
-            self.schedule(delay, Event::Script(ScriptEvent::Strike(fault)));
+            self.schedule(delay, Event::Script(ScriptEvent::Inject(fault)));
         }
     }
 
@@ -221,32 +221,33 @@
         if lost.len() < self.scenario.tolerance || lost.contains(&meant) {
             return Some(meant);
         }
-        let sound = |m: &&usize| !self.machines[**m].removed && self.machines[**m].control_node.is_some();
-        let candidates: Vec<usize> = lost.iter().filter(sound).copied().collect();
+        let has_process =
+            |m: &&usize| !self.machines[**m].removed && self.machines[**m].control_node.is_some();
+        let candidates: Vec<usize> = lost.iter().filter(has_process).copied().collect();
         candidates.choose(&mut self.random).copied()
     }
 
     fn target(&mut self, target: Target) -> Option<usize> {
         let view = self.newest_view()?;
-        let sound = |m: &usize| !self.machines[*m].removed && self.machines[*m].control_node.is_some();
+        let has_process = |m: &usize| !self.machines[*m].removed && self.machines[*m].control_node.is_some();
         let known = |member: &orchidvalve_protocol::identity::MemberId| {
             self.machines.iter().position(|m| m.member() == *member && !m.removed)
         };
-        let chain: Vec<usize> = view.chain.iter().filter_map(known).filter(|m| sound(m)).collect();
+        let chain: Vec<usize> = view.chain.iter().filter_map(known).filter(|m| has_process(m)).collect();
         let chosen = match target {
             Target::Head => chain.first().copied(),
             Target::Tail => chain.last().copied(),
             Target::Oldest => chain.iter().copied().min_by_key(|m| self.machines[*m].disk_identity),
             Target::Middle => chain.get(1).copied(),
-            Target::Last => self.last_faulted.filter(sound),
+            Target::Last => self.last_faulted.filter(has_process),
             Target::Any => None,
-            Target::Exactly(machine) => return Some(machine).filter(sound),
+            Target::Exactly(machine) => return Some(machine).filter(has_process),
             Target::Machine(machine) => {
-                let meant = Some(machine).filter(sound)?;
+                let meant = Some(machine).filter(has_process)?;
                 return self.within_tolerance(meant);
             }
         };
-        let all: Vec<usize> = (0..self.machines.len()).filter(sound).collect();
+        let all: Vec<usize> = (0..self.machines.len()).filter(has_process).collect();
         if all.is_empty() {
             return None;
         }
@@ -290,7 +291,7 @@
             }),
             Fault::Partition { target, direction, side, down } => {
                 self.at(target, |cluster, m| {
-                    cluster.isolated(m, direction, side);
+                    cluster.isolate(m, direction, side);
                     cluster.schedule(down, Event::HealPartition { machine: m });
                 });
             }
@@ -305,8 +306,8 @@
             Fault::KillAll { back_within } => self.stop_all(true, back_within, 0),
             Fault::PowerLossOfAll { back_within } => self.stop_all(false, back_within, 0),
             Fault::PowerLossOfAllAndWipes { back_within } => {
-                let bearable = !self.scenario.within_tolerance || self.counted_lost().is_empty();
-                self.stop_all(false, back_within, if bearable { self.scenario.tolerance } else { 0 });
+                let may_wipe = !self.scenario.within_tolerance || self.counted_lost().is_empty();
+                self.stop_all(false, back_within, if may_wipe { self.scenario.tolerance } else { 0 });
             }
             Fault::ResetLinks => self.reset_links(),
             Fault::RestartSubscribers => self.restart_subscribers(),
@@ -318,20 +319,20 @@
                 cluster.machines[m].sync_factor = factor;
                 cluster.schedule(down, Event::Script(ScriptEvent::DiskFast { machine: m }));
             }),
-            Fault::LoseAnswers { share, down } => {
-                self.answer_loss = share;
-                self.schedule(down, Event::Script(ScriptEvent::EndLostAnswers));
+            Fault::LoseResponses { fraction, down } => {
+                self.response_loss = fraction;
+                self.schedule(down, Event::Script(ScriptEvent::EndLostResponses));
             }
-            Fault::LoseMessages { share, down } => {
-                (self.scenario.loss, self.scenario.doubling) = (share, share);
+            Fault::LoseMessages { fraction, down } => {
+                (self.scenario.loss, self.scenario.duplication) = (fraction, fraction);
                 self.schedule(down, Event::Script(ScriptEvent::EndLostMessages));
             }
             Fault::NodeSlow { target, factor, down } => self.at(target, |cluster, m| {
                 cluster.machines[m].slowness = factor;
                 cluster.schedule(down, Event::Script(ScriptEvent::NodeFast { machine: m }));
             }),
-            Fault::PartitionGroup { direction, down, ending, bait } => {
-                self.isolate_group(direction, down, ending, bait);
+            Fault::PartitionGroup { direction, down, ending, aimed_changes } => {
+                self.isolate_group(direction, down, ending, aimed_changes);
             }
             Fault::SplitInHalves { down } => self.split_in_halves(down),
             Fault::ReplaceSeed { seed, after } => self.replace_seed(seed, after),
@@ -352,16 +353,16 @@
     /// Replaces removed machines among the seeds if at most as many seeds as the tolerance remain. Without this, a starting
     /// machine could not find a deployment of which it knows only addresses of removed machines.
     pub fn renew_seeds(&mut self) {
-        let stands =
+        let is_present =
             |address: &NodeAddress| self.machines.iter().any(|m| m.address == *address && !m.removed);
-        let standing = self.seeds.iter().filter(|seed| stands(seed)).count();
-        if !self.scenario.within_tolerance || standing > self.scenario.tolerance {
+        let present_seeds = self.seeds.iter().filter(|seed| is_present(seed)).count();
+        if !self.scenario.within_tolerance || present_seeds > self.scenario.tolerance {
             return;
         }
         let is_other = |address: &NodeAddress| !self.seeds.contains(address);
         let present = self.machines.iter().filter(|m| !m.removed).map(|m| m.address);
         let mut others: Vec<NodeAddress> = present.filter(is_other).collect();
-        let removed: Vec<usize> = (0..self.seeds.len()).filter(|s| !stands(&self.seeds[*s])).collect();
+        let removed: Vec<usize> = (0..self.seeds.len()).filter(|s| !is_present(&self.seeds[*s])).collect();
         for seed in removed {
             if let Some(address) = others.pop() {
                 self.seeds[seed] = address;
@@ -386,22 +387,22 @@
         }
     }
 
-    fn isolated(&mut self, machine: usize, direction: PartitionDirection, side: Reachability) {
+    fn isolate(&mut self, machine: usize, direction: PartitionDirection, side: Reachability) {
         let mut others: Vec<usize> =
             (0..self.machines.len()).filter(|m| *m != machine && !self.machines[*m].removed).collect();
         if direction == PartitionDirection::OneLink {
             let chosen = self.random.random_range(0..others.len());
             others = vec![others[chosen]];
         }
-        self.unreachable(machine, &others, direction);
+        self.block_links(machine, &others, direction);
         if direction == PartitionDirection::OneLink {
             return;
         }
-        self.take_side(machine, side);
+        self.partition_clients(machine, side);
     }
 
     /// Blocks the links between a machine and others.
-    pub fn unreachable(&mut self, machine: usize, others: &[usize], direction: PartitionDirection) {
+    pub fn block_links(&mut self, machine: usize, others: &[usize], direction: PartitionDirection) {
         self.machines[machine].isolated = true;
         for other in others.iter().copied() {
             if direction != PartitionDirection::Inbound {
@@ -414,7 +415,7 @@
     }
 
     /// Partitions the machine from operators and subscribers as well, as `side` says.
-    pub fn take_side(&mut self, machine: usize, side: Reachability) {
+    pub fn partition_clients(&mut self, machine: usize, side: Reachability) {
         match side {
             Reachability::Unreachable => {
                 self.unreachable_for_operators.push(machine);
@@ -422,9 +423,9 @@
             }
             Reachability::Reachable => {}
             Reachability::OwnSubscribers => {
-                let lured: Vec<usize> = self.subscribers_at(machine);
+                let at_machine: Vec<usize> = self.subscribers_at(machine);
                 let others: Vec<usize> = (0..self.machines.len()).filter(|m| *m != machine).collect();
-                for subscriber in lured {
+                for subscriber in at_machine {
                     self.subscribers[subscriber].unreachable.extend(&others);
                 }
             }
@@ -453,7 +454,7 @@
     }
 
     /// Ends the partition of a machine from operators and subscribers.
-    pub fn end_sides(&mut self, machine: usize) {
+    pub fn heal_client_partitions(&mut self, machine: usize) {
         self.recovery.unstable_at = self.now;
         self.unreachable_for_operators.retain(|partition| *partition != machine);
         for subscriber in &mut self.subscribers {
--- a/crates/control-plane/tests/support/history.rs
+++ b/crates/control-plane/tests/support/history.rs
@@ -61,7 +61,7 @@
     pub called: Stamp,
     pub answer: Answer,
     /// Whether another attempt of this change had no clear outcome.
-    pub has_open_send: bool,
+    pub has_open_attempt: bool,
 }
 
 /// A read and its last attempt; `seen` is the change that produced the configuration read, `None` if there was none.
@@ -110,7 +110,7 @@
     pub fn call(&mut self, base: u64, version: u64, proper: bool) -> ChangeIndex {
         let called = self.stamp();
         let answer = Answer::Unknown;
-        self.changes.push(RecordedChange { base, version, proper, called, answer, has_open_send: false });
+        self.changes.push(RecordedChange { base, version, proper, called, answer, has_open_attempt: false });
         self.changes.len() - 1
     }
 
@@ -165,10 +165,10 @@
             longest: None,
         };
         for index in 0..history.changes.len() {
-            search.take_change(index)?;
+            search.add_change(index)?;
         }
         for read in &history.reads {
-            search.take_read(read)?;
+            search.add_read(read)?;
         }
         for refusals in search.refusals.values_mut() {
             refusals.sort_unstable();
@@ -176,7 +176,7 @@
         Ok(search)
     }
 
-    fn take_change(&mut self, index: ChangeIndex) -> Result<(), Contradiction> {
+    fn add_change(&mut self, index: ChangeIndex) -> Result<(), Contradiction> {
         let change = &self.history.changes[index];
         let mut window = (change.called, END_OF_TIME);
         let mut predecessor_from = 0;
@@ -190,7 +190,7 @@
             Answer::OtherVersion { since, at } => {
                 self.refusals.entry(change.base).or_default().push((since, at - 1));
                 predecessor_from = since;
-                change.has_open_send
+                change.has_open_attempt
             }
             Answer::Invalid { .. } if change.proper => return Err(Contradiction::ProperInvalid(index)),
             Answer::Invalid { .. } => false,
@@ -213,7 +213,7 @@
         }
     }
 
-    fn take_read(&mut self, read: &RecordedRead) -> Result<(), Contradiction> {
+    fn add_read(&mut self, read: &RecordedRead) -> Result<(), Contradiction> {
         let until = self.read_until.entry(read.seen).or_default();
         *until = (*until).max(read.called);
         if let Some(seen) = read.seen {
@@ -278,9 +278,9 @@
     partition.filter(|(from, to)| from <= to).collect()
 }
 
-fn subtract(points: &[Span], taken: &[Span]) -> Vec<Span> {
+fn subtract(points: &[Span], removed: &[Span]) -> Vec<Span> {
     let mut left = points.to_vec();
-    for (from, to) in taken {
+    for (from, to) in removed {
         let before = from.checked_sub(1).map(|last| (0, last));
         let behind = to.checked_add(1).map(|first| (first, END_OF_TIME));
         let windows = before.into_iter().chain(behind);
--- a/crates/control-plane/tests/support/invariant_checker.rs
+++ b/crates/control-plane/tests/support/invariant_checker.rs
@@ -27,9 +27,9 @@
 #[derive(Default)]
 pub struct InvariantChecker {
     /// Whether only sequence numbers are compared, and not the states.
-    pub takes_states_unseen: bool,
+    pub skips_state_comparison: bool,
     /// Every committed change in order, from sequence number 1, and the state after it.
-    truth: Vec<(Rc<[u8]>, StateSnapshot)>,
+    committed_changes: Vec<(Rc<[u8]>, StateSnapshot)>,
     state: ControlState,
     /// Encoded changes of the configuration that are or were current.
     in_force: BTreeSet<Rc<[u8]>>,
@@ -39,16 +39,16 @@
     reported: BTreeMap<Reporter, u64>,
     pub changes: Vec<SentChange>,
     /// The acknowledged change on top of each base version.
-    winners: BTreeMap<u64, ChangeNumber>,
+    acknowledged_by_base: BTreeMap<u64, ChangeNumber>,
     /// The view and process that held each term of the singleton roles.
     terms: BTreeMap<u64, (u64, Reporter)>,
     /// A read that begins now must see at least this change: the latest one that was acknowledged or read. A later
     /// change that some machine knows to be committed counts only once a client or a read has observed it.
     floor: u64,
     /// Sequence number of each change of the configuration that took effect, by its encoded bytes.
-    numbers: BTreeMap<Rc<[u8]>, u64>,
+    sequence_numbers: BTreeMap<Rc<[u8]>, u64>,
     /// Sequence number of the change that introduced each version of each model's weights.
-    named: BTreeMap<(String, u64), u64>,
+    version_changes: BTreeMap<(String, u64), u64>,
     pub violation: Option<String>,
     pub acknowledged: u64,
     pub refused: u64,
@@ -72,8 +72,8 @@
             Some(known) => self.fail(format!("{holder:?} holds term {term}, which {known:?} had")),
             None => {}
         }
-        let below = self.terms.range(..term).next_back().filter(|(_, lower)| !rises(lower, &holder));
-        let above = self.terms.range(term + 1..).next().filter(|(_, higher)| !rises(&holder, higher));
+        let below = self.terms.range(..term).next_back().filter(|(_, lower)| !follows(lower, &holder));
+        let above = self.terms.range(term + 1..).next().filter(|(_, higher)| !follows(&holder, higher));
         if let Some((other, known)) = below.or(above) {
             self.fail(format!("{holder:?} holds term {term} beside term {other} of {known:?}"));
         }
@@ -81,7 +81,7 @@
     }
 
     pub fn end(&self) -> u64 {
-        self.truth.len() as u64
+        self.committed_changes.len() as u64
     }
 
     pub fn floor(&self) -> u64 {
@@ -95,8 +95,8 @@
     /// Checks and records changes that a machine reports as committed.
     pub fn committed(&mut self, reporter: Reporter, first: u64, changes: &[Rc<[u8]>]) {
         let reported = self.reported.get(&reporter).copied().unwrap_or(0);
-        let begins_anew = matches!(decode(&changes[0]), Some(Change::Checkpoint(_)));
-        if first <= reported || (first > reported + 1 && reported > 0 && !begins_anew) {
+        let restarts = matches!(decode(&changes[0]), Some(Change::Checkpoint(_)));
+        if first <= reported || (first > reported + 1 && reported > 0 && !restarts) {
             self.fail(format!("{reporter:?} reported change {first} after {reported}"));
         }
         for (offset, change) in changes.iter().enumerate() {
@@ -106,17 +106,17 @@
     }
 
     fn committed_one(&mut self, reporter: Reporter, sequence: u64, change: &Rc<[u8]>) {
-        match self.truth.get(sequence as usize - 1) {
+        match self.committed_changes.get(sequence as usize - 1) {
             Some((known, _)) if known == change => {}
             Some(_) => {
                 self.fail(format!("{reporter:?} reported another change {sequence} than was committed"))
             }
-            None if sequence == self.end() + 1 => self.extend_truth(change),
+            None if sequence == self.end() + 1 => self.append_committed(change),
             None => self.fail(format!("{reporter:?} reported change {sequence}, {} are known", self.end())),
         }
     }
 
-    fn extend_truth(&mut self, payload: &Rc<[u8]>) {
+    fn append_committed(&mut self, payload: &Rc<[u8]>) {
         let Some(change) = decode::<Change>(payload) else {
             return self.fail("a committed change cannot be decoded".to_owned());
         };
@@ -131,10 +131,10 @@
         match change {
             Change::Checkpoint(_) => self.checkpoints += 1,
             Change::NameVersion { model, version } => {
-                self.named.insert((model, version), number);
+                self.version_changes.insert((model, version), number);
             }
             Change::Replace { .. } | Change::Patch { .. } => {
-                self.numbers.insert(payload.clone(), number);
+                self.sequence_numbers.insert(payload.clone(), number);
                 self.in_force.insert(payload.clone());
                 if self.refused_changes.contains(payload) {
                     self.fail(format!("change {number} had been refused and took effect"));
@@ -142,8 +142,9 @@
             }
             _ => {}
         }
-        let image = if self.takes_states_unseen { StateSnapshot::default() } else { self.state.snapshot() };
-        self.truth.push((payload.clone(), image));
+        let snapshot =
+            if self.skips_state_comparison { StateSnapshot::default() } else { self.state.snapshot() };
+        self.committed_changes.push((payload.clone(), snapshot));
     }
 
     /// Checks that the state of a machine after change `applied`, the last one it reported, equals the expected state.
@@ -164,13 +165,13 @@
         if applied > self.end() {
             return Err(format!("is at {applied}, {} are known", self.end()));
         }
-        if self.takes_states_unseen {
+        if self.skips_state_comparison {
             return Ok(());
         }
-        let image = state.snapshot();
+        let snapshot = state.snapshot();
         let is_expected = match applied.checked_sub(1) {
-            None => image == StateSnapshot::default(),
-            Some(index) => image == self.truth[index as usize].1,
+            None => snapshot == StateSnapshot::default(),
+            Some(index) => snapshot == self.committed_changes[index as usize].1,
         };
         if is_expected { Ok(()) } else { Err(format!("has another state as of change {applied}")) }
     }
@@ -216,8 +217,8 @@
             Change::Replace { base, .. } | Change::Patch { base, .. } => {
                 if !self.is_in_force(number) {
                     self.fail(format!("change {number} was acknowledged but is not committed"));
-                } else if *self.winners.entry(*base).or_insert(number) != number {
-                    let other = self.winners[base];
+                } else if *self.acknowledged_by_base.entry(*base).or_insert(number) != number {
+                    let other = self.acknowledged_by_base[base];
                     self.fail(format!("changes {other} and {number} on the same base were acknowledged"));
                 }
             }
@@ -238,9 +239,9 @@
             // Versions increase, so the first version at or above the requested one made it current.
             Change::NameVersion { model, version } => {
                 let at_least = (model.clone(), *version)..=(model.clone(), u64::MAX);
-                self.named.range(at_least).next().map(|(_, number)| number)
+                self.version_changes.range(at_least).next().map(|(_, number)| number)
             }
-            _ => self.numbers.get(&sent.encoded),
+            _ => self.sequence_numbers.get(&sent.encoded),
         };
         committed.copied().unwrap_or(0)
     }
@@ -266,7 +267,7 @@
 }
 
 /// Whether the second holder of a term follows the first: in a later view, or as a later start of the same head.
-fn rises(
+fn follows(
     (epoch, (machine, start)): &(u64, Reporter),
     (next_epoch, (next_machine, next_start)): &(u64, Reporter),
 ) -> bool {
--- a/crates/control-plane/tests/support/links.rs
+++ b/crates/control-plane/tests/support/links.rs
@@ -5,7 +5,7 @@
 use orchidvalve_protocol::identity::{MemberId, NodeAddress};
 
 const RETRY_MS: u64 = 300;
-const SILENCE_MS: u64 = 1_000;
+const UNRESPONSIVE_MS: u64 = 1_000;
 const FORGET_MS: u64 = 10_000;
 
 #[derive(Clone, Debug, Default)]
@@ -28,10 +28,10 @@
 
 /// Work for the host after [`Links::maintain`].
 #[derive(Debug, Default)]
-pub struct LinkNews {
+pub struct LinkChanges {
     pub dropped: Vec<MemberId>,
     /// Addresses to which a link is to be opened.
-    pub wanted: Vec<NodeAddress>,
+    pub to_open: Vec<NodeAddress>,
 }
 
 impl Links {
@@ -44,12 +44,13 @@
         }
     }
 
-    pub fn heard_members(&self, now: u64) -> Vec<MemberId> {
-        let heard = self.peers.values().filter(|p| p.last_heard_at > 0 && now < p.last_heard_at + SILENCE_MS);
-        heard.filter_map(|p| p.member).collect()
+    pub fn responsive_members(&self, now: u64) -> Vec<MemberId> {
+        let responsive =
+            self.peers.values().filter(|p| p.last_heard_at > 0 && now < p.last_heard_at + UNRESPONSIVE_MS);
+        responsive.filter_map(|p| p.member).collect()
     }
 
-    pub fn introduced(&mut self, member: MemberId, now: u64) {
+    pub fn handshake_received(&mut self, member: MemberId, now: u64) {
         let peer = self.peers.entry(member.address).or_default();
         peer.member = Some(member);
         peer.last_heard_at = now;
@@ -58,27 +59,27 @@
         }
     }
 
-    pub fn heard(&mut self, address: NodeAddress, now: u64) {
+    pub fn message_received(&mut self, address: NodeAddress, now: u64) {
         if let Some(peer) = self.peers.get_mut(&address) {
             peer.last_heard_at = now;
         }
     }
 
-    pub fn maintain(&mut self, now: u64) -> LinkNews {
-        let mut news = LinkNews::default();
+    pub fn maintain(&mut self, now: u64) -> LinkChanges {
+        let mut changes = LinkChanges::default();
         self.peers.retain(|_, p| p.lasting || p.last_heard_at == 0 || now < p.last_heard_at + FORGET_MS);
         for (address, peer) in &mut self.peers {
-            if peer.up && now > peer.last_heard_at.max(peer.opened_at) + SILENCE_MS {
+            if peer.up && now > peer.last_heard_at.max(peer.opened_at) + UNRESPONSIVE_MS {
                 peer.up = false;
                 peer.retry_at = now;
-                news.dropped.extend(peer.member);
+                changes.dropped.extend(peer.member);
             }
             if !peer.up && now >= peer.retry_at {
                 peer.retry_at = now + RETRY_MS;
-                news.wanted.push(*address);
+                changes.to_open.push(*address);
             }
         }
-        news
+        changes
     }
 
     /// Records that the link is open, and returns the member at its other end if that is known.
--- a/crates/control-plane/tests/support/mixed_faults.rs
+++ b/crates/control-plane/tests/support/mixed_faults.rs
@@ -7,7 +7,7 @@
 use rand_pcg::Pcg64Mcg;
 
 use super::fault_script::{Fault, FaultStep, PartitionDirection, Reachability, Target};
-use super::network_partitions::{Bait, PartitionEnding};
+use super::network_partitions::{AimedChanges, PartitionEnding};
 use super::recovery::CATCH_UP_MS;
 use super::scenario::Scenario;
 use super::shutdown::AfterShutdown;
@@ -24,7 +24,7 @@
 const SUCCESSOR_AFTER_MS: u64 = 1_000;
 /// Time in ms in which an acknowledgement that a fault waits for is given if nothing else happens.
 const ACKNOWLEDGED_WITHIN_MS: u64 = 1_000;
-const HERD_BACK_WITHIN_MS: u64 = 1_000;
+const ALL_BACK_WITHIN_MS: u64 = 1_000;
 const SLOW_NODE: u64 = 5;
 const SLOW_DISK: u64 = 30;
 
@@ -39,24 +39,24 @@
     TimedPowerLoss,
     WipeAfterAcknowledgement,
     Partition,
-    CutBehind,
-    CutRelieved,
-    CutBothRestarted,
-    CutWithLure,
+    PartitionLeftBehind,
+    PartitionThenOthersKilled,
+    PartitionBothRestarted,
+    PartitionWithAimedChanges,
     /// Each machine in turn is shut down gracefully and starts again.
     RollingStops,
     /// An empty machine is added, and another one is shut down gracefully and removed.
     PlannedReplacement,
     Replacement,
-    HerdKill,
+    KillOfAll,
     /// All machines lose power right after an acknowledgement.
-    HerdPowerLoss,
-    HerdWipe,
+    PowerLossOfAll,
+    PowerLossOfAllAndWipes,
     DiskSlow,
     DiskHang,
     NodeSlow,
     ResetLinks,
-    LostAnswers,
+    LostResponses,
     SeedTurnover,
     SubscriberRestarts,
 }
@@ -69,21 +69,21 @@
     Kind::TimedPowerLoss,
     Kind::WipeAfterAcknowledgement,
     Kind::Partition,
-    Kind::CutBehind,
-    Kind::CutRelieved,
-    Kind::CutBothRestarted,
-    Kind::CutWithLure,
+    Kind::PartitionLeftBehind,
+    Kind::PartitionThenOthersKilled,
+    Kind::PartitionBothRestarted,
+    Kind::PartitionWithAimedChanges,
     Kind::RollingStops,
     Kind::PlannedReplacement,
     Kind::Replacement,
-    Kind::HerdKill,
-    Kind::HerdPowerLoss,
-    Kind::HerdWipe,
+    Kind::KillOfAll,
+    Kind::PowerLossOfAll,
+    Kind::PowerLossOfAllAndWipes,
     Kind::DiskSlow,
     Kind::DiskHang,
     Kind::NodeSlow,
     Kind::ResetLinks,
-    Kind::LostAnswers,
+    Kind::LostResponses,
     Kind::SeedTurnover,
     Kind::SubscriberRestarts,
 ];
@@ -135,10 +135,13 @@
         direction.choose(&mut self.random).copied().unwrap_or(PartitionDirection::Both)
     }
 
-    fn cut_group(&mut self, ending: PartitionEnding, bait: Option<Bait>) {
+    fn partition_group(&mut self, ending: PartitionEnding, aimed_changes: Option<AimedChanges>) {
         let down = self.random.random_range(1_000..12_000);
         let direction = self.direction();
-        self.inject(Fault::PartitionGroup { direction, down, ending, bait }, down + ending.duration());
+        self.inject(
+            Fault::PartitionGroup { direction, down, ending, aimed_changes },
+            down + ending.duration(),
+        );
     }
 
     fn partition(&mut self) {
@@ -179,14 +182,16 @@
         self.inject_after(CATCH_UP_MS + 100, stop, super::shutdown::GRACE_MS);
     }
 
-    fn cut_behind(&mut self) {
+    fn partition_left_behind(&mut self) {
         let dark = self.random.random_range(1_000..6_000);
-        self.cut_group(PartitionEnding::Behind { dark }, None);
+        self.partition_group(PartitionEnding::Behind { dark }, None);
     }
 
-    fn cut_with_lure(&mut self) {
-        let bait = [Bait::Meet, Bait::Race, Bait::Hard].choose(&mut self.random).copied();
-        self.cut_group(PartitionEnding::Healed, bait);
+    fn partition_with_aimed_changes(&mut self) {
+        let aimed_changes = [AimedChanges::OnReturn, AimedChanges::RacingOnReturn, AimedChanges::Throughout]
+            .choose(&mut self.random)
+            .copied();
+        self.partition_group(PartitionEnding::Healed, aimed_changes);
     }
 
     fn write(&mut self, kind: Kind) {
@@ -208,27 +213,27 @@
                 self.after_acknowledgement(Fault::Wipe { target, down }, down);
             }
             Kind::Partition => self.partition(),
-            Kind::CutBehind => self.cut_behind(),
-            Kind::CutRelieved => self.cut_group(PartitionEnding::Relieved, None),
-            Kind::CutBothRestarted => self.cut_group(PartitionEnding::BothRestarted, None),
-            Kind::CutWithLure => self.cut_with_lure(),
+            Kind::PartitionLeftBehind => self.partition_left_behind(),
+            Kind::PartitionThenOthersKilled => self.partition_group(PartitionEnding::OthersKilled, None),
+            Kind::PartitionBothRestarted => self.partition_group(PartitionEnding::BothRestarted, None),
+            Kind::PartitionWithAimedChanges => self.partition_with_aimed_changes(),
             Kind::RollingStops => self.rolling_stops(),
             Kind::PlannedReplacement => self.planned_replacement(),
             Kind::Replacement => {
                 let after = SUCCESSOR_AFTER_MS;
                 self.inject(Fault::Replace { target, after }, after);
             }
-            Kind::HerdKill => {
-                let fault = Fault::KillAll { back_within: HERD_BACK_WITHIN_MS };
-                self.inject(fault, HERD_BACK_WITHIN_MS);
+            Kind::KillOfAll => {
+                let fault = Fault::KillAll { back_within: ALL_BACK_WITHIN_MS };
+                self.inject(fault, ALL_BACK_WITHIN_MS);
             }
-            Kind::HerdPowerLoss => {
-                let fault = Fault::PowerLossOfAll { back_within: HERD_BACK_WITHIN_MS };
-                self.after_acknowledgement(fault, HERD_BACK_WITHIN_MS);
+            Kind::PowerLossOfAll => {
+                let fault = Fault::PowerLossOfAll { back_within: ALL_BACK_WITHIN_MS };
+                self.after_acknowledgement(fault, ALL_BACK_WITHIN_MS);
             }
-            Kind::HerdWipe => {
-                let fault = Fault::PowerLossOfAllAndWipes { back_within: HERD_BACK_WITHIN_MS };
-                self.after_acknowledgement(fault, HERD_BACK_WITHIN_MS);
+            Kind::PowerLossOfAllAndWipes => {
+                let fault = Fault::PowerLossOfAllAndWipes { back_within: ALL_BACK_WITHIN_MS };
+                self.after_acknowledgement(fault, ALL_BACK_WITHIN_MS);
             }
             Kind::DiskSlow => {
                 let slow = Fault::DiskSlow { target, factor: SLOW_DISK, down: duration };
@@ -240,8 +245,8 @@
                 self.inject(slow, duration);
             }
             Kind::ResetLinks => self.inject(Fault::ResetLinks, 0),
-            Kind::LostAnswers => {
-                self.inject(Fault::LoseAnswers { share: 0.7, down: duration }, duration);
+            Kind::LostResponses => {
+                self.inject(Fault::LoseResponses { fraction: 0.7, down: duration }, duration);
             }
             Kind::SeedTurnover => self.seed_turnover(),
             Kind::SubscriberRestarts => self.inject(Fault::RestartSubscribers, 0),
--- a/crates/control-plane/tests/support/named_scenarios.rs
+++ b/crates/control-plane/tests/support/named_scenarios.rs
@@ -193,7 +193,7 @@
 
     fn lost_answers(&mut self, target: Target) {
         let at = self.now;
-        self.steps.push(FaultStep { at, fault: Fault::LoseAnswers { share: 0.7, down: 10_000 } });
+        self.steps.push(FaultStep { at, fault: Fault::LoseResponses { fraction: 0.7, down: 10_000 } });
         self.now += 2_000;
         let fault = if self.random.random_bool(0.5) { self.partition(8_000) } else { self.loss(target) };
         self.inject(fault, 8_000);
@@ -331,7 +331,7 @@
                 self.inject(Fault::ResetLinks, 0);
             }
             NamedScenario::LostMessages => {
-                self.inject(Fault::LoseMessages { share: 0.1, down: 5_000 }, 5_000);
+                self.inject(Fault::LoseMessages { fraction: 0.1, down: 5_000 }, 5_000);
             }
             NamedScenario::LostAnswers => self.lost_answers(target),
             NamedScenario::PartitionThenLoss => self.partition_then_loss(),
--- a/crates/control-plane/tests/support/network_partitions.rs
+++ b/crates/control-plane/tests/support/network_partitions.rs
@@ -8,7 +8,7 @@
 use super::fault_script::{DISTURBED_MS, Fault, PartitionDirection, Reachability, ScriptEvent, Target};
 
 /// The other machines are killed within this time in ms after the partition has healed.
-const RELIEVED_WITHIN_MS: u64 = 300;
+const OTHERS_KILLED_WITHIN_MS: u64 = 300;
 /// A process that is killed around a partition restarts within this time in ms.
 const RESTART_WITHIN_MS: u64 = 1_000;
 /// The other machines restart within this time in ms after the isolated ones.
@@ -31,7 +31,7 @@
         dark: u64,
     },
     /// Just after the partition has healed, the processes of the other machines are killed.
-    Relieved,
+    OthersKilled,
     /// The isolated machines restart, then the others.
     BothRestarted,
 }
@@ -42,7 +42,7 @@
         match self {
             PartitionEnding::Healed => 0,
             PartitionEnding::Behind { dark } => dark,
-            PartitionEnding::Relieved => RELIEVED_WITHIN_MS + RESTART_WITHIN_MS,
+            PartitionEnding::OthersKilled => OTHERS_KILLED_WITHIN_MS + RESTART_WITHIN_MS,
             PartitionEnding::BothRestarted => OTHERS_RESTARTED_AFTER_MS + RESTART_WITHIN_MS,
         }
     }
@@ -58,13 +58,13 @@
 
 /// The changes that are sent to an isolated machine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Bait {
+pub enum AimedChanges {
     /// One change at about the time at which the machine returns.
-    Meet,
+    OnReturn,
     /// Two racing changes at about the time at which the machine returns.
-    Race,
+    RacingOnReturn,
     /// Changes throughout the partition, each retried at this machine until the partition ends.
-    Hard,
+    Throughout,
 }
 
 /// A machine that a request is sent to, with retries to it until `until`.
@@ -100,26 +100,28 @@
         direction: PartitionDirection,
         down: u64,
         ending: PartitionEnding,
-        bait: Option<Bait>,
+        aimed_changes: Option<AimedChanges>,
     ) {
         let mut machines = self.living();
         machines.shuffle(&mut self.random);
         let others = machines.split_off(self.scenario.tolerance.min(machines.len()));
         let group = machines;
-        self.trace(|| format!("machines {group:?} are cut off from {others:?}, {ending:?}, {bait:?}"));
-        let side = if bait.is_some() || self.random.random_bool(0.5) {
+        self.trace(|| {
+            format!("machines {group:?} are cut off from {others:?}, {ending:?}, {aimed_changes:?}")
+        });
+        let side = if aimed_changes.is_some() || self.random.random_bool(0.5) {
             Reachability::Reachable
         } else {
             Reachability::Unreachable
         };
         for machine in &group {
-            self.unreachable(*machine, &others, direction);
-            self.take_side(*machine, side);
+            self.block_links(*machine, &others, direction);
+            self.partition_clients(*machine, side);
             self.machines[*machine].disturbed_until = self.now + DISTURBED_MS;
         }
         self.schedule_healing(&group, &others, down, ending);
-        if let (Some(bait), Some(machine)) = (bait, group.first()) {
-            self.bait(*machine, bait, down);
+        if let (Some(aimed_changes), Some(machine)) = (aimed_changes, group.first()) {
+            self.schedule_aimed_changes(*machine, aimed_changes, down);
         }
     }
 
@@ -130,15 +132,15 @@
         let others = half.split_off(half.len() / 2);
         self.trace(|| format!("machines {half:?} are cut off from {others:?}"));
         for machine in &half {
-            self.unreachable(*machine, &others, PartitionDirection::Both);
-            self.take_side(*machine, Reachability::Reachable);
+            self.block_links(*machine, &others, PartitionDirection::Both);
+            self.partition_clients(*machine, Reachability::Reachable);
             self.machines[*machine].disturbed_until = self.now + DISTURBED_MS;
         }
         self.schedule_healing(&half, &others, down, PartitionEnding::Healed);
     }
 
     fn inject_after(&mut self, delay: u64, fault: Fault) {
-        self.schedule(delay, Event::Script(ScriptEvent::Strike(fault)));
+        self.schedule(delay, Event::Script(ScriptEvent::Inject(fault)));
     }
 
     fn kill_in(&mut self, delay: u64, machine: usize) {
@@ -156,8 +158,8 @@
                 let left = LeftBehind { group, others: others.to_vec(), dark };
                 self.schedule(down, Event::Script(ScriptEvent::LeaveBehind(left)));
             }
-            PartitionEnding::Relieved => {
-                let after = down + self.random.random_range(0..RELIEVED_WITHIN_MS);
+            PartitionEnding::OthersKilled => {
+                let after = down + self.random.random_range(0..OTHERS_KILLED_WITHIN_MS);
                 others.iter().for_each(|machine| self.kill_in(after, *machine));
             }
             PartitionEnding::BothRestarted => {
@@ -188,17 +190,17 @@
         }
     }
 
-    fn bait(&mut self, machine: usize, bait: Bait, down: u64) {
+    fn schedule_aimed_changes(&mut self, machine: usize, aimed_changes: AimedChanges, down: u64) {
         let until = self.now + down;
-        match bait {
-            Bait::Meet | Bait::Race => {
+        match aimed_changes {
+            AimedChanges::OnReturn | AimedChanges::RacingOnReturn => {
                 let meeting = self.random.random_range(down - MEETING_WITHIN_MS..down + MEETING_WITHIN_MS);
-                for _ in 0..if bait == Bait::Race { 2 } else { 1 } {
+                for _ in 0..if aimed_changes == AimedChanges::RacingOnReturn { 2 } else { 1 } {
                     let aim = Aim { machine, until: 0 };
                     self.schedule(meeting, Event::Script(ScriptEvent::AimedChange(aim)));
                 }
             }
-            Bait::Hard => {
+            AimedChanges::Throughout => {
                 for delay in (0..down).step_by(HARD_PAUSE_MS as usize) {
                     let aim = Aim { machine, until };
                     self.schedule(delay, Event::Script(ScriptEvent::AimedChange(aim)));
--- a/crates/control-plane/tests/support/operators.rs
+++ b/crates/control-plane/tests/support/operators.rs
@@ -18,15 +18,15 @@
 /// The maximum number of requests that one operator has in flight.
 const MAX_IN_FLIGHT: usize = 8;
 /// Time in ms after which a request without a response is sent to another machine.
-const SILENCE_MS: u64 = 1_000;
+const RESPONSE_TIMEOUT_MS: u64 = 1_000;
 const FIRST_BACKOFF_MS: u64 = 50;
 const MAX_BACKOFF_MS: u64 = 800;
 /// The longest delay in ms of a request or a response.
 const MAX_DELAY_MS: u64 = 8;
 /// Fraction of the requests sent to a partitioned machine that arrive once the partition heals.
-const HELD_SHARE: f64 = 0.3;
+const HELD_FRACTION: f64 = 0.3;
 /// Fraction of the requests to a dead process whose sender receives a connection reset.
-const RESET_SHARE: f64 = 0.5;
+const RESET_FRACTION: f64 = 0.5;
 
 /// The operation that a request performs.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -57,11 +57,11 @@
 
 #[derive(Debug)]
 pub enum OperatorEvent {
-    FaultStep { operator: usize },
+    NextRequest { operator: usize },
     Send { call: usize },
     Arrival { attempt: Attempt, machine: usize },
-    Answer { attempt: Attempt, reply: Reply },
-    Silence { attempt: Attempt },
+    Response { attempt: Attempt, reply: Reply },
+    Timeout { attempt: Attempt },
 }
 
 #[derive(Debug)]
@@ -132,11 +132,11 @@
 impl Cluster {
     pub fn operator_event(&mut self, event: OperatorEvent) {
         match event {
-            OperatorEvent::FaultStep { operator } => self.operator_step(operator),
+            OperatorEvent::NextRequest { operator } => self.operator_step(operator),
             OperatorEvent::Send { call } => self.send_call(call),
             OperatorEvent::Arrival { attempt, machine } => self.call_arrives(attempt, machine),
-            OperatorEvent::Answer { attempt, reply } => self.call_answered(attempt, reply),
-            OperatorEvent::Silence { attempt } => self.call_failed(attempt),
+            OperatorEvent::Response { attempt, reply } => self.call_answered(attempt, reply),
+            OperatorEvent::Timeout { attempt } => self.call_failed(attempt),
         }
     }
 
@@ -144,7 +144,7 @@
         if self.operators.stopped {
             return;
         }
-        self.schedule(self.scenario.operator_pause, Event::Operator(OperatorEvent::FaultStep { operator }));
+        self.schedule(self.scenario.operator_pause, Event::Operator(OperatorEvent::NextRequest { operator }));
         if self.has_many_under_way(operator) {
             return;
         }
@@ -217,7 +217,7 @@
         let print = fingerprint(body);
         let number = self.checker.send(change);
         let index = self.operators.history.call(base, version, proper);
-        self.change_prints.insert(print, index);
+        self.change_fingerprints.insert(print, index);
         self.begin_call(operator, Request::Configure { index, number });
     }
 
@@ -260,14 +260,14 @@
         open.sent_at = self.now;
         open.waiting = true;
         if let Request::Configure { index, .. } = open.request {
-            self.operators.history.changes[index].has_open_send = open.sends > 1;
+            self.operators.history.changes[index].has_open_attempt = open.sends > 1;
         }
         let attempt = Attempt { call, number: open.sends };
         let request = open.request;
         self.trace(|| format!("operator: request {call} {request:?} to machine {machine}"));
-        let way = self.random.random_range(1..=MAX_DELAY_MS);
-        self.schedule(way, Event::Operator(OperatorEvent::Arrival { attempt, machine }));
-        self.schedule(SILENCE_MS, Event::Operator(OperatorEvent::Silence { attempt }));
+        let delay = self.random.random_range(1..=MAX_DELAY_MS);
+        self.schedule(delay, Event::Operator(OperatorEvent::Arrival { attempt, machine }));
+        self.schedule(RESPONSE_TIMEOUT_MS, Event::Operator(OperatorEvent::Timeout { attempt }));
     }
 
     /// Returns the machine that a request is aimed at, unless it has been removed.
@@ -291,7 +291,7 @@
     fn call_arrives(&mut self, attempt: Attempt, machine: usize) {
         let host = &mut self.machines[machine];
         if self.unreachable_for_operators.contains(&machine) {
-            if self.random.random_bool(HELD_SHARE) {
+            if self.random.random_bool(HELD_FRACTION) {
                 self.operators.held.push((machine, attempt));
             }
         } else if host.control_node.is_none() {
@@ -329,7 +329,7 @@
         };
         let change = self.checker.changes[number].encoded.to_vec();
         control_node.submit(call, HeadRequest::Change { change });
-        if let Some(outcome) = self.cheated_outcome(machine, number) {
+        if let Some(outcome) = self.planted_outcome(machine, number) {
             self.outcome(machine, call, outcome);
         }
         self.drain(machine);
@@ -380,18 +380,18 @@
 
     pub fn reply(&mut self, machine: usize, attempt: Attempt, reply: Reply) {
         let lost =
-            self.unreachable_for_operators.contains(&machine) || self.random.random_bool(self.answer_loss);
+            self.unreachable_for_operators.contains(&machine) || self.random.random_bool(self.response_loss);
         if !lost {
-            let way = self.random.random_range(1..=MAX_DELAY_MS);
-            self.schedule(way, Event::Operator(OperatorEvent::Answer { attempt, reply }));
+            let delay = self.random.random_range(1..=MAX_DELAY_MS);
+            self.schedule(delay, Event::Operator(OperatorEvent::Response { attempt, reply }));
         }
     }
 
     /// Handles an attempt whose receiving process is not running or has ended.
     pub fn connection_reset(&mut self, attempt: Attempt) {
-        if self.random.random_bool(RESET_SHARE) {
+        if self.random.random_bool(RESET_FRACTION) {
             let reply = Reply::Unknown;
-            self.schedule(1, Event::Operator(OperatorEvent::Answer { attempt, reply }));
+            self.schedule(1, Event::Operator(OperatorEvent::Response { attempt, reply }));
         }
     }
 
@@ -438,7 +438,7 @@
         let Reply::Seen(seen) = reply else {
             return self.checker.fail(format!("a read was completed as {reply:?}"));
         };
-        let known = seen.map(|(_, print)| self.change_prints.get(&print).copied());
+        let known = seen.map(|(_, print)| self.change_fingerprints.get(&print).copied());
         if known == Some(None) {
             return self.checker.fail(format!("a read saw {seen:?}, which no operator sent"));
         }
--- a/crates/control-plane/tests/support/random_faults.rs
+++ b/crates/control-plane/tests/support/random_faults.rs
@@ -65,9 +65,9 @@
         if lost >= self.scenario.tolerance || (blackout && lost > 0) {
             return;
         }
-        let sound: Vec<usize> =
+        let healthy: Vec<usize> =
             self.living().into_iter().filter(|m| self.machines[*m].lost.is_none()).collect();
-        let Some(machine) = sound.choose(&mut self.random).copied() else { return };
+        let Some(machine) = healthy.choose(&mut self.random).copied() else { return };
         self.summary.faults += 1;
         self.inject(fault, machine);
     }
@@ -198,7 +198,7 @@
     pub fn heal_partition(&mut self, machine: usize) {
         self.blocked_links.retain(|(from, to)| *from != machine && *to != machine);
         self.machines[machine].isolated = false;
-        self.end_sides(machine);
+        self.heal_client_partitions(machine);
         if self.machines[machine].control_node.is_some() && !self.machines[machine].frozen {
             self.machines[machine].lost = Some(self.now);
         }
@@ -217,7 +217,7 @@
         self.blocked_links.clear();
         for machine in 0..self.machines.len() {
             self.machines[machine].isolated = false;
-            self.end_sides(machine);
+            self.heal_client_partitions(machine);
         }
         for machine in 0..self.machines.len() {
             self.schedule(0, Event::Thaw { machine });
@@ -230,15 +230,16 @@
 
     /// Whether every machine knows the latest view, and as many of them as the tolerance requires are voters and in
     /// the chain. Further machines are standbys.
-    pub fn is_whole(&self) -> bool {
+    pub fn chain_is_complete(&self) -> bool {
         let Some(view) = self.newest_view() else { return false };
         let present: Vec<&super::cluster::Machine> = self.machines.iter().filter(|m| !m.removed).collect();
         let knows = |m: &&super::cluster::Machine| {
-            m.runs() && m.control_node.as_ref().is_some_and(|control_node| control_node.view() == Some(&view))
+            m.is_running()
+                && m.control_node.as_ref().is_some_and(|control_node| control_node.view() == Some(&view))
         };
-        let wanted = present.len().min(2 * self.scenario.tolerance + 1);
+        let required = present.len().min(2 * self.scenario.tolerance + 1);
         let in_chain = present.iter().filter(|m| view.in_chain(m.member())).count();
-        present.iter().all(knows) && in_chain == wanted && view.voters.len() == wanted
+        present.iter().all(knows) && in_chain == required && view.voters.len() == required
     }
 
     pub fn check_chain(&mut self) {
@@ -247,7 +248,7 @@
                 format!("a system without faults has not acknowledged {change:?} within {ANSWER_MS} ms");
             return self.checker.fail(message);
         }
-        if self.is_whole() {
+        if self.chain_is_complete() {
             self.clients.stop();
             self.operators.stop();
             // Requests in flight complete in the meantime, and the last machine receives the last commit.
--- a/crates/control-plane/tests/support/recovery.rs
+++ b/crates/control-plane/tests/support/recovery.rs
@@ -92,12 +92,12 @@
         let (now, newest) = (self.now, self.checker.end());
         let stable = self.cluster_is_stable();
         let older_end = committed_before(&mut self.recovery.older_ends, FRESH_MS, now, newest);
-        if stable && !self.free_subscribers_have(older_end) {
+        if stable && !self.reachable_subscribers_have(older_end) {
             let state = self.describe();
             self.checker.fail(format!("a subscriber lacks what was committed {FRESH_MS} ms ago; {state}"));
         }
-        if stable && self.disks_are_sound() && !self.free_subscribers_show_the_list() {
-            let lists: Vec<u32> = self.free_lists().collect();
+        if stable && self.disks_are_healthy() && !self.reachable_subscribers_show_list() {
+            let lists: Vec<u32> = self.lists_of_reachable_subscribers().collect();
             let state = self.describe();
             self.checker
                 .fail(format!("subscribers show the platform's lists {lists:?}, older ones; {state}"));
@@ -112,14 +112,14 @@
         }
         let Some(back_at) = self.recovery.back_at else { return };
         let passed = self.now - back_at;
-        if self.recovery.times.tolerance.is_none() && self.tolerance_is_whole(end) {
+        if self.recovery.times.tolerance.is_none() && self.has_full_tolerance(end) {
             self.trace(|| "the full tolerance is restored".to_owned());
             self.recovery.times.tolerance = Some(passed);
         }
         if self.recovery.times.subscribers.is_none() && self.subscribers_have(end) {
             self.recovery.times.subscribers = Some(passed);
         }
-        if self.recovery.times.chain.is_none() && self.is_whole() {
+        if self.recovery.times.chain.is_none() && self.chain_is_complete() {
             self.recovery.times.chain = Some(passed);
         }
         let times = self.recovery.times;
@@ -147,14 +147,14 @@
     }
 
     /// Whether no disk has been hanging for as long as it takes to replace a head whose disk hangs.
-    fn disks_are_sound(&self) -> bool {
+    fn disks_are_healthy(&self) -> bool {
         self.machines.iter().all(|m| m.removed || !m.hanging)
             && self.now >= self.recovery.disk_hung_at + CONTACT_MS
     }
 
     fn is_disturbed(&self, machine: &Machine) -> bool {
         let slow = machine.hanging || machine.sync_factor > 1 || machine.slowness > 1;
-        !machine.removed && (!machine.runs() || machine.isolated || machine.shutdown.is_some() || slow)
+        !machine.removed && (!machine.is_running() || machine.isolated || machine.shutdown.is_some() || slow)
     }
 
     /// Returns the size of the largest set of running machines that all reach each other.
@@ -176,7 +176,7 @@
     fn cluster_is_stable(&self) -> bool {
         let control_node = self.machines.iter().filter(|m| !m.removed).count();
         let slowed = self.machines.iter().any(|m| m.sync_factor > 1 || m.slowness > 1);
-        let disturbed = slowed || self.answer_loss > 0.0 || self.scenario.loss > 0.0;
+        let disturbed = slowed || self.response_loss > 0.0 || self.scenario.loss > 0.0;
         !disturbed
             && self.now >= self.recovery.unstable_at + CONTACT_MS
             && 2 * self.connected() > control_node
@@ -184,18 +184,18 @@
 
     fn check_acknowledgements(&mut self, stable: bool) {
         let now = self.now;
-        let mut late = None;
+        let mut overdue = None;
         for call in self.operators.open_calls() {
             let since = *call.stable_since.get_or_insert(now);
-            let insists = call.aim.is_some_and(|aim| now < aim.until);
+            let is_aimed = call.aim.is_some_and(|aim| now < aim.until);
             let bound = if call.request == Request::Read { READ_MS } else { ACK_MS };
-            if !stable || insists {
+            if !stable || is_aimed {
                 call.stable_since = None;
             } else if now > since + bound {
-                late.get_or_insert((call.request, bound));
+                overdue.get_or_insert((call.request, bound));
             }
         }
-        if let Some((request, bound)) = late {
+        if let Some((request, bound)) = overdue {
             let state = self.describe();
             let message =
                 format!("{request:?} has no response after {bound} ms of a stable cluster; {state}");
@@ -205,18 +205,18 @@
 
     fn all_are_back(&self) -> bool {
         let back = |m: &Machine| !self.is_disturbed(m);
-        let links_sound = self.blocked_links.is_empty()
+        let links_healthy = self.blocked_links.is_empty()
             && self.unreachable_for_operators.is_empty()
             && self.scenario.loss == 0.0;
-        self.machines.iter().all(back) && links_sound && self.answer_loss == 0.0
+        self.machines.iter().all(back) && links_healthy && self.response_loss == 0.0
     }
 
     /// Whether as many machines as the tolerance permits could be lost, whichever they are: a majority of the voters that
     /// know the view would remain, and a machine of the chain that has everything committed up to `end`.
-    pub fn tolerance_is_whole(&self, end: u64) -> bool {
+    pub fn has_full_tolerance(&self, end: u64) -> bool {
         let Some(view) = self.newest_view() else { return false };
         let knows = |m: &&Machine| {
-            m.runs()
+            m.is_running()
                 && m.control_node.as_ref().is_some_and(|c| c.view() == Some(&view) && c.epoch() == view.epoch)
         };
         let knowing: Vec<_> = self.machines.iter().filter(knows).collect();
@@ -270,7 +270,7 @@
     pub fn summary(&mut self) -> String {
         self.0.sort_unstable();
         let Some(last) = self.0.len().checked_sub(1) else { return "none".to_owned() };
-        let at = |share: usize| self.0[last * share / 100];
+        let at = |percent: usize| self.0[last * percent / 100];
         format!("{} / {} / {} / {}", at(0), at(50), at(99), at(100))
     }
 }
--- a/crates/control-plane/tests/support/scenario.rs
+++ b/crates/control-plane/tests/support/scenario.rs
@@ -66,7 +66,7 @@
     pub fault_window: (u64, u64),
     /// Fractions of the messages that are lost and duplicated in the fault window, and the longest delay of a message.
     pub loss: f64,
-    pub doubling: f64,
+    pub duplication: f64,
     pub delay: u64,
     /// Time after the end of the fault window by which all machines must be in the chain again.
     pub back_within: u64,
@@ -114,7 +114,7 @@
             // All seeds take part in the first view: a machine that joins later is only included in a second view.
             fault_window: (random.random_range(800..2_000), 12_000),
             loss: if lossy { random.random_range(0.0..0.1) } else { 0.0 },
-            doubling: if lossy { 0.05 } else { 0.0 },
+            duplication: if lossy { 0.05 } else { 0.0 },
             delay: random.random_range(2..60),
             back_within: 25_000,
             ..Scenario::without_faults(machines)
@@ -129,7 +129,7 @@
             fault_interval: 1_000_000,
             fault_window: (1_500, 3_000),
             loss: 0.0,
-            doubling: 0.0,
+            duplication: 0.0,
             delay: 4,
             back_within: 4_000,
             client_interval: 40,
@@ -158,9 +158,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum MutationKind {
     Drop,
-    Double,
+    Duplicate,
     /// Only a part of the message arrives, and its connection closes.
-    CutOff,
+    Truncate,
     /// The message arrives twice, the second time 4 s later, after further views.
     Replay,
 }
--- a/crates/control-plane/tests/support/server_tables.rs
+++ b/crates/control-plane/tests/support/server_tables.rs
@@ -25,7 +25,7 @@
 /// A page of the platform's list on its way to the head.
 #[derive(Clone, Copy, Debug)]
 struct PendingRead {
-    asked_at: u64,
+    requested_at: u64,
     list: u32,
 }
 
@@ -68,7 +68,7 @@
 
 impl Cluster {
     /// Updates the server table of a process, as it does after each input.
-    pub fn keep_table(&mut self, machine: usize) {
+    pub fn maintain_table(&mut self, machine: usize) {
         if !self.scenario.platform {
             return;
         }
@@ -87,9 +87,9 @@
         if !is_head {
             return;
         }
-        if let Some(reading) = list_state.reading.filter(|reading| now >= reading.asked_at + PAGE_MS) {
+        if let Some(reading) = list_state.reading.filter(|reading| now >= reading.requested_at + PAGE_MS) {
             list_state.reading = None;
-            if now < reading.asked_at + REQUEST_TIMEOUT_MS {
+            if now < reading.requested_at + REQUEST_TIMEOUT_MS {
                 list_state.listed = Some(reading.list);
                 list_state.next_poll = now + POLL_INTERVAL_MS;
                 self.publish(machine, reading.list, term);
@@ -99,7 +99,7 @@
         }
         let list_state = &mut self.machines[machine].list_state;
         if term.is_some() && list_state.reading.is_none() && now >= list_state.next_poll {
-            list_state.reading = Some(PendingRead { asked_at: now, list: list_at(now) });
+            list_state.reading = Some(PendingRead { requested_at: now, list: list_at(now) });
         }
     }
 
@@ -118,10 +118,10 @@
     }
 
     /// Sends the complete table, the first message on a newly opened link.
-    pub fn send_whole_table(&mut self, machine: usize, other: usize, start: u32) {
+    pub fn send_full_table(&mut self, machine: usize, other: usize, start: u32) {
         if self.scenario.platform {
-            let whole = self.machines[machine].list_state.table.snapshot();
-            self.send_table(machine, other, start, whole);
+            let snapshot = self.machines[machine].list_state.table.snapshot();
+            self.send_table(machine, other, start, snapshot);
         }
     }
 
@@ -164,8 +164,8 @@
     }
 
     /// Whether all subscribers that are not partitioned show the list that the platform had `LISTED_MS` ago.
-    pub fn free_subscribers_show_the_list(&self) -> bool {
+    pub fn reachable_subscribers_show_list(&self) -> bool {
         let expected = list_at(self.now.saturating_sub(LISTED_MS));
-        !self.scenario.platform || self.free_lists().all(|list| list >= expected)
+        !self.scenario.platform || self.lists_of_reachable_subscribers().all(|list| list >= expected)
     }
 }
--- a/crates/control-plane/tests/support/shutdown.rs
+++ b/crates/control-plane/tests/support/shutdown.rs
@@ -40,13 +40,14 @@
 
     /// Whether the other machines have a majority of the voters and a complete copy of the log in a chain without this
     /// machine. A machine lost less than `DETECTION_MS` ago counts as present, since its loss cannot be detected yet.
-    fn others_go_on_without(&self, machine: usize) -> bool {
+    fn others_suffice_without(&self, machine: usize) -> bool {
         let Some(view) = self.newest_view() else { return true };
-        let stands = |m: &usize| {
+        let is_present = |m: &usize| {
             let host = &self.machines[*m];
-            host.runs() || (!host.removed && self.now < host.down_since + DETECTION_MS)
+            host.is_running() || (!host.removed && self.now < host.down_since + DETECTION_MS)
         };
-        let others: Vec<usize> = (0..self.machines.len()).filter(|m| *m != machine && stands(m)).collect();
+        let others: Vec<usize> =
+            (0..self.machines.len()).filter(|m| *m != machine && is_present(m)).collect();
         let voters = others.iter().filter(|m| view.is_voter(self.machines[**m].member())).count();
         let has_all = |m: &&usize| self.holds_all(**m, &view);
         let leaves_chain = !view.in_chain(self.machines[machine].member());
@@ -92,7 +93,7 @@
         if !handed_over && self.now < shutdown.deadline {
             return false;
         }
-        if handed_over && !self.others_go_on_without(machine) && !self.is_outside(machine) {
+        if handed_over && !self.others_suffice_without(machine) && !self.is_outside(machine) {
             let state = self.describe();
             self.checker.fail(format!("machine {machine} exits while the others need it; {state}"));
         }
--- a/crates/control-plane/tests/support/subscribers.rs
+++ b/crates/control-plane/tests/support/subscribers.rs
@@ -38,7 +38,7 @@
 }
 
 pub struct Subscriber {
-    copy: FeedReplica,
+    replica: FeedReplica,
     session: Option<Session>,
     controls: Vec<NodeAddress>,
     next: usize,
@@ -75,7 +75,7 @@
     pub fn add_subscribers(&mut self) {
         for index in 0..self.scenario.subscribers {
             self.subscribers.push(Subscriber {
-                copy: FeedReplica::default(),
+                replica: FeedReplica::default(),
                 session: None,
                 controls: Vec::new(),
                 next: index,
@@ -104,9 +104,9 @@
         let now = self.now;
         let subscriber = &mut self.subscribers[index];
         if let Some(session) = &mut subscriber.session {
-            let silent = session.welcomed && now >= session.last_heard_at + SILENCE_MS;
-            let unwelcome = !session.welcomed && now >= session.begun_at + WELCOME_TIMEOUT_MS;
-            if silent || unwelcome {
+            let is_unresponsive = session.welcomed && now >= session.last_heard_at + SILENCE_MS;
+            let is_welcome_overdue = !session.welcomed && now >= session.begun_at + WELCOME_TIMEOUT_MS;
+            if is_unresponsive || is_welcome_overdue {
                 self.leave_session(index);
             } else if session.welcomed && now >= session.heartbeat_at {
                 session.heartbeat_at = now + HEARTBEAT_MS;
@@ -144,7 +144,7 @@
             last_heard_at: now,
             heartbeat_at: now,
         };
-        let (position, table) = (subscriber.copy.sequence(), subscriber.copy.servers().version());
+        let (position, table) = (subscriber.replica.sequence(), subscriber.replica.servers().version());
         subscriber.session = Some(session);
         self.send_to_machine(index, ToMachine::Handshake { position, table });
     }
@@ -172,7 +172,7 @@
     pub fn restart_subscribers(&mut self) {
         self.leave_all_sessions();
         for subscriber in &mut self.subscribers {
-            subscriber.copy = FeedReplica::default();
+            subscriber.replica = FeedReplica::default();
             subscriber.controls.clear();
             subscriber.shown = 0;
         }
@@ -358,9 +358,9 @@
         if self.scenario.planted_bug == Some(PlantedBug::BackwardFeed)
             && matches!(message, ControlMessage::Snapshot { .. })
         {
-            subscriber.copy = FeedReplica::default();
+            subscriber.replica = FeedReplica::default();
         }
-        let news = match message {
+        let update = match message {
             ControlMessage::Welcome { controls } => {
                 session.welcomed = true;
                 session.heartbeat_at = now + HEARTBEAT_MS;
@@ -375,15 +375,17 @@
             }
             ControlMessage::Heartbeat => Some(FeedUpdate::default()),
             ControlMessage::Snapshot { sequence, state } => {
-                subscriber.copy.apply_snapshot(sequence, &state).ok()
+                subscriber.replica.apply_snapshot(sequence, &state).ok()
             }
-            ControlMessage::Changes { first, changes } => subscriber.copy.apply_changes(first, &changes).ok(),
-            ControlMessage::Servers(update) => subscriber.copy.apply_server_update(&update).ok(),
-            ControlMessage::Gateways(list) => Some(subscriber.copy.apply_workers(list)),
+            ControlMessage::Changes { first, changes } => {
+                subscriber.replica.apply_changes(first, &changes).ok()
+            }
+            ControlMessage::Servers(update) => subscriber.replica.apply_server_update(&update).ok(),
+            ControlMessage::Gateways(list) => Some(subscriber.replica.apply_workers(list)),
         };
-        match news {
+        match update {
             None => self.leave_session(index),
-            Some(news) if news.state => self.check_subscriber(index),
+            Some(update) if update.state => self.check_subscriber(index),
             Some(_) => {}
         }
     }
@@ -391,30 +393,30 @@
     /// Checks that a subscriber shows the expected state for its sequence number, and never goes back to an older one.
     fn check_subscriber(&mut self, index: usize) {
         let subscriber = &mut self.subscribers[index];
-        let sequence = subscriber.copy.sequence();
+        let sequence = subscriber.replica.sequence();
         if sequence < subscriber.shown {
             let message =
                 format!("subscriber {index} went back from change {} to {sequence}", subscriber.shown);
             return self.checker.fail(message);
         }
         subscriber.shown = sequence;
-        self.checker.check_subscriber(index, self.subscribers[index].copy.state(), sequence);
+        self.checker.check_subscriber(index, self.subscribers[index].replica.state(), sequence);
     }
 
     /// Whether all subscribers that are not partitioned have everything up to `end`.
-    pub fn free_subscribers_have(&self, end: u64) -> bool {
-        let free = self.subscribers.iter().filter(|subscriber| subscriber.unreachable.is_empty());
-        free.clone().all(|subscriber| subscriber.copy.sequence() >= end)
+    pub fn reachable_subscribers_have(&self, end: u64) -> bool {
+        let reachable = self.subscribers.iter().filter(|subscriber| subscriber.unreachable.is_empty());
+        reachable.clone().all(|subscriber| subscriber.replica.sequence() >= end)
     }
 
     /// Returns the numbers of the platform's lists shown by the subscribers that are not partitioned.
-    pub fn free_lists(&self) -> impl Iterator<Item = u32> {
-        let free = self.subscribers.iter().filter(|subscriber| subscriber.unreachable.is_empty());
-        free.map(|subscriber| list_of(subscriber.copy.servers()))
+    pub fn lists_of_reachable_subscribers(&self) -> impl Iterator<Item = u32> {
+        let reachable = self.subscribers.iter().filter(|subscriber| subscriber.unreachable.is_empty());
+        reachable.map(|subscriber| list_of(subscriber.replica.servers()))
     }
 
     pub fn subscribers_have(&self, end: u64) -> bool {
-        self.subscribers.iter().all(|subscriber| subscriber.copy.sequence() >= end)
+        self.subscribers.iter().all(|subscriber| subscriber.replica.sequence() >= end)
     }
 }
 
