--- a/crates/control-plane/tests/encodings/main.rs
+++ b/crates/control-plane/tests/encodings/main.rs
@@ -19,23 +19,23 @@
 use orchidvalve_protocol::frames::encode;
 
 #[test]
-fn messages_of_peers() {
+fn peer_messages_round_trip() {
     check_encoding::<PeerMessage>();
 }
 
 #[test]
-fn frames_of_peers() {
+fn frames_of_peer_messages_round_trip() {
     check_frames::<PeerMessage>();
 }
 
 #[test]
-fn records() {
+fn disk_records_round_trip() {
     check_encoding::<DiskRecord>();
 }
 
 /// A message of the agreement carries its own checksum: no damaged message is accepted.
 #[test]
-fn a_damaged_message_of_the_agreement_is_refused() {
+fn a_damaged_message_of_the_agreement_is_rejected() {
     for_each_variant(|message: &AgreementMessage| {
         let mut bytes = Vec::new();
         message.encode(&mut bytes).expect("encoded");
@@ -51,7 +51,7 @@
 
 /// An unreadable record is counted and changes nothing.
 #[test]
-fn a_cut_record_is_counted_as_unreadable() {
+fn a_truncated_record_is_counted_as_unreadable() {
     for_each_variant(|record: &DiskRecord| {
         let bytes = encode(record);
         let mut recovered = RecoveredState::default();
--- a/crates/control-plane/tests/history_checker.rs
+++ b/crates/control-plane/tests/history_checker.rs
@@ -18,14 +18,14 @@
     Unknown,
 }
 
-struct Planted(History);
+struct ConstructedHistory(History);
 
-impl Planted {
-    fn new() -> Planted {
-        Planted(History::default())
+impl ConstructedHistory {
+    fn new() -> ConstructedHistory {
+        ConstructedHistory(History::default())
     }
 
-    fn change(mut self, base: u64, version: u64, called: Stamp, end: End) -> Planted {
+    fn change(mut self, base: u64, version: u64, called: Stamp, end: End) -> ConstructedHistory {
         self.push(base, version, true, called, end);
         self
     }
@@ -43,13 +43,13 @@
         index
     }
 
-    fn read(mut self, seen: Option<usize>, called: Stamp, returned: Stamp) -> Planted {
+    fn read(mut self, seen: Option<usize>, called: Stamp, returned: Stamp) -> ConstructedHistory {
         self.0.reads.push(RecordedRead { called, returned, seen });
         self
     }
 
     /// Marks the last change as sent more than once, with another attempt that has no outcome.
-    fn with_open_attempt(mut self) -> Planted {
+    fn with_open_attempt(mut self) -> ConstructedHistory {
         self.0.changes.last_mut().expect("a change").has_open_attempt = true;
         self
     }
@@ -58,25 +58,25 @@
 use End::{Accepted, Invalid, OtherVersion, Unknown};
 
 #[rstest]
-#[case::empty(Planted::new())]
-#[case::one_after_the_other(Planted::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, Accepted(4)))]
-#[case::race(Planted::new().change(0, 1, 1, Accepted(4)).change(0, 1, 2, OtherVersion(5)))]
+#[case::empty(ConstructedHistory::new())]
+#[case::one_after_the_other(ConstructedHistory::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, Accepted(4)))]
+#[case::race(ConstructedHistory::new().change(0, 1, 1, Accepted(4)).change(0, 1, 2, OtherVersion(5)))]
 #[case::unclear_took_effect(
-    Planted::new().change(0, 1, 1, Unknown).change(1, 2, 3, Accepted(4)).read(Some(1), 5, 6)
+    ConstructedHistory::new().change(0, 1, 1, Unknown).change(1, 2, 3, Accepted(4)).read(Some(1), 5, 6)
 )]
 #[case::unclear_took_effect_late(
-    Planted::new().change(0, 1, 1, Unknown).read(None, 2, 3).read(Some(0), 4, 5)
+    ConstructedHistory::new().change(0, 1, 1, Unknown).read(None, 2, 3).read(Some(0), 4, 5)
 )]
-#[case::unclear_explains_a_refusal(Planted::new().change(0, 1, 1, Unknown).change(0, 2, 2, OtherVersion(3)))]
-#[case::read_beside_a_change(Planted::new().change(0, 1, 1, Accepted(4)).read(None, 2, 3))]
+#[case::unclear_explains_a_refusal(ConstructedHistory::new().change(0, 1, 1, Unknown).change(0, 2, 2, OtherVersion(3)))]
+#[case::read_beside_a_change(ConstructedHistory::new().change(0, 1, 1, Accepted(4)).read(None, 2, 3))]
 #[case::base_not_there_yet(
-    Planted::new().change(1, 2, 1, OtherVersion(2)).change(0, 1, 3, Accepted(4)).change(1, 3, 5, Accepted(6))
+    ConstructedHistory::new().change(1, 2, 1, OtherVersion(2)).change(0, 1, 3, Accepted(4)).change(1, 3, 5, Accepted(6))
 )]
 #[case::late_copy_of_a_change_refused_before_its_base(
-    Planted::new().change(0, 1, 3, Accepted(4)).change(1, 2, 1, OtherVersion(2)).with_open_attempt().read(Some(1), 5, 6)
+    ConstructedHistory::new().change(0, 1, 3, Accepted(4)).change(1, 2, 1, OtherVersion(2)).with_open_attempt().read(Some(1), 5, 6)
 )]
-fn histories_that_a_register_can_have(#[case] planted: Planted) {
-    assert_eq!(planted.0.check(), Ok(()));
+fn linearizable_histories_are_accepted(#[case] history: ConstructedHistory) {
+    assert_eq!(history.0.check(), Ok(()));
 }
 
 fn no_order(after: Option<usize>, version: u64) -> Contradiction {
@@ -85,67 +85,67 @@
 
 #[rstest]
 #[case::two_confirmed_on_one_base(
-    Planted::new().change(0, 1, 1, Accepted(5)).change(0, 2, 2, Accepted(6)),
+    ConstructedHistory::new().change(0, 1, 1, Accepted(5)).change(0, 2, 2, Accepted(6)),
     no_order(Some(0), 1)
 )]
 #[case::two_confirmed_under_one_number(
-    Planted::new().change(0, 1, 1, Accepted(5)).change(0, 1, 2, Accepted(6)),
+    ConstructedHistory::new().change(0, 1, 1, Accepted(5)).change(0, 1, 2, Accepted(6)),
     Contradiction::SameVersion(0, 1)
 )]
 #[case::resend_refused_though_it_had_taken_effect(
-    Planted::new().change(0, 1, 1, OtherVersion(6)).with_open_attempt().read(Some(0), 7, 8),
+    ConstructedHistory::new().change(0, 1, 1, OtherVersion(6)).with_open_attempt().read(Some(0), 7, 8),
     no_order(None, 0)
 )]
 #[case::resend_refused_and_built_on(
-    Planted::new().change(0, 1, 1, OtherVersion(6)).change(1, 2, 7, Accepted(8)),
+    ConstructedHistory::new().change(0, 1, 1, OtherVersion(6)).change(1, 2, 7, Accepted(8)),
     no_order(None, 0)
 )]
 #[case::read_older_than_an_acknowledged_change(
-    Planted::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, Accepted(4)).read(Some(0), 5, 6),
+    ConstructedHistory::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, Accepted(4)).read(Some(0), 5, 6),
     no_order(Some(0), 1)
 )]
 #[case::no_configuration_after_one_was_acknowledged(
-    Planted::new().change(0, 1, 1, Accepted(2)).read(None, 3, 4),
+    ConstructedHistory::new().change(0, 1, 1, Accepted(2)).read(None, 3, 4),
     no_order(None, 0)
 )]
 #[case::reads_that_go_back(
-    Planted::new().change(0, 1, 1, Unknown).change(1, 2, 2, Unknown).read(Some(1), 3, 4).read(Some(0), 5, 6),
+    ConstructedHistory::new().change(0, 1, 1, Unknown).change(1, 2, 2, Unknown).read(Some(1), 3, 4).read(Some(0), 5, 6),
     no_order(Some(0), 1)
 )]
 #[case::refused_though_its_base_was_current(
-    Planted::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, OtherVersion(4)),
+    ConstructedHistory::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, OtherVersion(4)),
     no_order(Some(0), 1)
 )]
 #[case::refused_though_its_base_was_current_until_later(
-    Planted::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, OtherVersion(4)).change(1, 3, 5, Accepted(6)),
+    ConstructedHistory::new().change(0, 1, 1, Accepted(2)).change(1, 2, 3, OtherVersion(4)).change(1, 3, 5, Accepted(6)),
     no_order(Some(0), 1)
 )]
-#[case::first_change_refused(Planted::new().change(0, 1, 1, OtherVersion(2)), no_order(None, 0))]
+#[case::first_change_refused(ConstructedHistory::new().change(0, 1, 1, OtherVersion(2)), no_order(None, 0))]
 #[case::proper_change_called_invalid(
-    Planted::new().change(0, 1, 1, Invalid(2)),
+    ConstructedHistory::new().change(0, 1, 1, Invalid(2)),
     Contradiction::ProperInvalid(0)
 )]
 #[case::read_of_a_change_before_it_was_sent(
-    Planted::new().change(0, 1, 3, Unknown).read(Some(0), 1, 2),
+    ConstructedHistory::new().change(0, 1, 3, Unknown).read(Some(0), 1, 2),
     no_order(None, 0)
 )]
 #[case::acknowledged_before_its_base(
-    Planted::new().change(1, 2, 1, Accepted(2)).change(0, 1, 3, Accepted(4)),
+    ConstructedHistory::new().change(1, 2, 1, Accepted(2)).change(0, 1, 3, Accepted(4)),
     no_order(Some(1), 1)
 )]
 #[case::gap_in_the_chain(
-    Planted::new().change(0, 1, 1, Accepted(2)).change(2, 3, 3, Accepted(4)),
+    ConstructedHistory::new().change(0, 1, 1, Accepted(2)).change(2, 3, 3, Accepted(4)),
     no_order(Some(0), 1)
 )]
-fn histories_that_no_register_can_have(#[case] planted: Planted, #[case] expected: Contradiction) {
-    assert_eq!(planted.0.check(), Err(expected));
+fn other_histories_are_rejected(#[case] history: ConstructedHistory, #[case] expected: Contradiction) {
+    assert_eq!(history.0.check(), Err(expected));
 }
 
 #[test]
 fn a_change_that_is_not_proper_may_not_be_accepted() {
-    let mut planted = Planted::new();
-    planted.push(0, 1, false, 1, Accepted(2));
-    assert_eq!(planted.0.check(), Err(Contradiction::ImproperAccepted(0)));
+    let mut history = ConstructedHistory::new();
+    history.push(0, 1, false, 1, Accepted(2));
+    assert_eq!(history.0.check(), Err(Contradiction::ImproperAccepted(0)));
 }
 
 /// The register as a sequential specification for `stateright`.
@@ -249,7 +249,7 @@
     }
 }
 
-fn by_stateright(calls: &[RandomCall]) -> bool {
+fn stateright_accepts(calls: &[RandomCall]) -> bool {
     let mut events: Vec<(Stamp, usize, bool)> = Vec::new();
     for (thread, call) in calls.iter().enumerate() {
         events.push((call.called, thread, true));
@@ -268,8 +268,8 @@
     tester.is_consistent()
 }
 
-fn by_the_check(calls: &[RandomCall]) -> bool {
-    let mut planted = Planted::new();
+fn check_accepts(calls: &[RandomCall]) -> bool {
+    let mut history = ConstructedHistory::new();
     let mut indices = Vec::new();
     for RandomCall { call, called, returned } in calls {
         let Call::Change { base, version, proper, .. } = call else {
@@ -282,14 +282,14 @@
             Some((at, Return::OtherVersion)) => OtherVersion(*at),
             Some((at, Return::Invalid)) => Invalid(*at),
         };
-        indices.push(planted.push(*base, *version, *proper, *called, end));
+        indices.push(history.push(*base, *version, *proper, *called, end));
     }
     for RandomCall { call, called, returned } in calls {
         if let (Call::Read, Some((at, Return::Seen(seen)))) = (call, returned) {
-            planted = planted.read(seen.map(|call| indices[call]), *called, *at);
+            history = history.read(seen.map(|call| indices[call]), *called, *at);
         }
     }
-    planted.0.check().is_ok()
+    history.0.check().is_ok()
 }
 
 /// Small consistent and altered histories: the check and `stateright` come to the same verdict.
@@ -298,8 +298,8 @@
     let mut verdicts = [0, 0];
     for seed in 0..6_000 {
         let calls = random_calls(&mut Pcg64Mcg::seed_from_u64(seed));
-        let expected = by_stateright(&calls);
-        assert_eq!(by_the_check(&calls), expected, "seed {seed}: {calls:#?}");
+        let expected = stateright_accepts(&calls);
+        assert_eq!(check_accepts(&calls), expected, "seed {seed}: {calls:#?}");
         verdicts[usize::from(expected)] += 1;
     }
     println!("{} histories are not linearizable, {} are", verdicts[0], verdicts[1]);
--- a/crates/control-plane/tests/simulated_message_faults.rs
+++ b/crates/control-plane/tests/simulated_message_faults.rs
@@ -25,7 +25,7 @@
 }
 
 #[rstest]
-fn one_message_changed(
+fn no_invariant_is_violated_if_one_message_is_mutated(
     #[values(Drop, Duplicate, Truncate, Replay)] how: MutationKind,
     #[values(0, 1, 5, 30)] number: u32,
 ) {
@@ -43,7 +43,7 @@
 
 /// All numbers of `kind_of` occur in a run; a new message type breaks the build of `kind_of`.
 #[test]
-fn all_kinds_occur() {
+fn every_message_kind_occurs() {
     // Rejections of ballots are rare.
     let mut missing: Vec<usize> = (0..KINDS).filter(|kind| *kind != 7).collect();
     for seed in 0..6 {
--- a/crates/control-plane/tests/simulated_random_faults.rs
+++ b/crates/control-plane/tests/simulated_random_faults.rs
@@ -67,7 +67,7 @@
 #[case::four(4)]
 #[case::five(5)]
 fn without_faults_everything_is_acknowledged(#[case] machines: u8) {
-    let total = run_all("calm", runs().min(100), |_| Scenario::without_faults(machines));
+    let total = run_all("without faults", runs().min(100), |_| Scenario::without_faults(machines));
     assert!(total.acknowledged > 0 && total.reads > 0 && total.refused > 0);
     assert_eq!((total.faults, total.views), (0, runs().min(100)));
 }
@@ -77,7 +77,7 @@
 #[case::four(4)]
 #[case::five(5)]
 fn nothing_acknowledged_is_lost_under_random_faults(#[case] machines: u8) {
-    let total = run_all("storm", runs(), |seed| Scenario::with_random_faults(seed, machines));
+    let total = run_all("random faults", runs(), |seed| Scenario::with_random_faults(seed, machines));
     assert!(total.faults > 0 && total.acknowledged > 0 && total.unclear > 0);
 }
 
@@ -86,14 +86,14 @@
 #[case::power_loss(RandomFault::PowerLoss)]
 #[case::wipe(RandomFault::Wipe)]
 #[case::freeze(RandomFault::Freeze)]
-#[case::one_way_cut(RandomFault::OneWayPartition)]
-#[case::single_cut(RandomFault::SingleLinkPartition)]
+#[case::one_way_partition(RandomFault::OneWayPartition)]
+#[case::single_link_partition(RandomFault::SingleLinkPartition)]
 #[case::disk_hang(RandomFault::DiskHang)]
 #[case::replacement(RandomFault::Replacement)]
 #[case::power_loss_of_all(RandomFault::PowerLossOfAll)]
 #[case::kill_of_all(RandomFault::KillOfAll)]
 #[case::power_loss_of_all_and_wipe(RandomFault::PowerLossOfAllAndWipe)]
-fn after_one_fault_all_are_back_soon(#[case] fault: RandomFault, #[values(3, 4, 5)] machines: u8) {
+fn all_machines_recover_after_one_fault(#[case] fault: RandomFault, #[values(3, 4, 5)] machines: u8) {
     let name = format!("{fault:?}");
     let total = run_all(&name, runs(), |_| Scenario {
         faults: vec![fault],
@@ -107,8 +107,8 @@
 #[case::three(3)]
 #[case::four(4)]
 #[case::five(5)]
-fn everything_stops_right_after_an_acknowledgement(#[case] machines: u8) {
-    let total = run_all("blackout", runs(), |seed| Scenario {
+fn acknowledged_changes_survive_a_fault_of_all_machines(#[case] machines: u8) {
+    let total = run_all("faults of all machines", runs(), |seed| Scenario {
         blackout_after_acknowledgement: 0.1,
         faults: vec![RandomFault::Kill, RandomFault::Freeze, RandomFault::Wipe],
         fault_interval: 2_500,
@@ -125,7 +125,7 @@
 #[case::quiet(&[])]
 #[case::fault_window(&SINGLE_MACHINE_FAULTS)]
 #[case::power_loss_of_all(&[RandomFault::PowerLossOfAll, RandomFault::Wipe])]
-fn checkpoints_replace_what_came_before(#[case] faults: &[RandomFault], #[values(3, 5)] machines: u8) {
+fn checkpoints_replace_earlier_records(#[case] faults: &[RandomFault], #[values(3, 5)] machines: u8) {
     let runs = runs().div_ceil(8);
     let total = run_all("checkpoints", runs, |seed| Scenario {
         faults: faults.to_vec(),
@@ -146,7 +146,7 @@
 #[rstest]
 #[case::quiet(&[])]
 #[case::kills(&[RandomFault::Kill, RandomFault::PowerLossOfAll])]
-fn many_small_changes_call_for_a_checkpoint(#[case] faults: &[RandomFault]) {
+fn many_small_changes_trigger_a_checkpoint(#[case] faults: &[RandomFault]) {
     let total = run_all("small changes", 2, |_| Scenario {
         faults: faults.to_vec(),
         fault_interval: 2_000,
--- a/crates/control-plane/tests/simulated_regressions.rs
+++ b/crates/control-plane/tests/simulated_regressions.rs
@@ -21,7 +21,9 @@
 /// The chain waited for a disk that hangs or is full as long as it did: nothing was acknowledged for 5 s, although the
 /// cluster counts as stable while a disk hangs.
 #[rstest]
-fn a_disk_that_hangs(#[values(Target::Head, Target::Middle, Target::Tail)] target: Target) {
+fn changes_are_acknowledged_while_a_disk_hangs(
+    #[values(Target::Head, Target::Middle, Target::Tail)] target: Target,
+) {
     let hang = Fault::DiskHang { target, down: 5_000 };
     // By then the cluster counts as stable.
     let at = FIRST + 1_500;
@@ -31,7 +33,7 @@
 /// Two members that do not reach each other repeatedly removed each other from the chain, and were held back for
 /// that. When the chain then lost another member, two complete copies were on standby and only one was in the chain.
 #[rstest]
-fn a_partition_between_two_and_then_a_freeze(#[values(1_500, 2_300)] freeze: u64) {
+fn the_tolerance_recovers_from_a_link_partition_and_a_freeze(#[values(1_500, 2_300)] freeze: u64) {
     let partition = Fault::Partition {
         target: Target::Tail,
         direction: PartitionDirection::OneLink,
@@ -49,7 +51,7 @@
 /// A standby mistook entries from the tail's former process for the response to the position that it had sent to the new
 /// process. The new process had dropped that position and never sent the standby any entries again.
 #[test]
-fn a_standby_is_fed_after_a_quick_restart_of_the_tail() {
+fn a_standby_catches_up_after_a_quick_restart_of_the_tail() {
     let kill = Fault::Kill { target: Target::Tail, down: 1 };
     let scenario = Scenario {
         operators: 2,
--- a/crates/control-plane/tests/simulated_rolling_restarts.rs
+++ b/crates/control-plane/tests/simulated_rolling_restarts.rs
@@ -41,18 +41,18 @@
 
 /// Returns the number of graceful shutdowns in all runs, and how many of them handed over before their deadline.
 fn graceful_shutdowns(scenario: &Scenario) -> (u64, u64) {
-    let (mut ends, mut handed_over, mut violations) = (0, 0, Vec::new());
+    let (mut exits, mut handed_over, mut violations) = (0, 0, Vec::new());
     for seed in 0..runs() {
         let mut cluster = Cluster::new(seed, scenario.clone());
         if let Err(violation) = cluster.run() {
             violations.push(violation);
         }
-        ends += cluster.summary.graceful_shutdowns;
+        exits += cluster.summary.graceful_shutdowns;
         handed_over += cluster.summary.handed_over;
     }
-    println!("{} machines: {handed_over} of {ends} handed over", scenario.machines);
+    println!("{} machines: {handed_over} of {exits} handed over", scenario.machines);
     assert!(violations.is_empty(), "{} of {} runs, as {:#?}", violations.len(), runs(), violations[0]);
-    (ends, handed_over)
+    (exits, handed_over)
 }
 
 #[rstest]
@@ -63,15 +63,15 @@
     #[case] machines: u8,
     #[case] tolerance: usize,
     #[values(1_000, 3_000)] gap: u64,
-    #[values(false, true)] backwards: bool,
+    #[values(false, true)] reversed: bool,
 ) {
     let mut order: Vec<usize> = (0..usize::from(machines)).collect();
-    if backwards {
+    if reversed {
         order.reverse();
     }
-    let (ends, handed_over) = graceful_shutdowns(&scenario(machines, tolerance, gap, &order, DOWN_MS));
-    assert_eq!(ends, runs() * u64::from(machines));
-    assert_eq!(handed_over, ends);
+    let (exits, handed_over) = graceful_shutdowns(&scenario(machines, tolerance, gap, &order, DOWN_MS));
+    assert_eq!(exits, runs() * u64::from(machines));
+    assert_eq!(handed_over, exits);
 }
 
 /// Several machines receive the stop signal in the same millisecond.
@@ -80,12 +80,12 @@
 #[case::five(5, 2, &[0, 1, 2])]
 #[case::six(6, 2, &[0, 1, 2])]
 #[case::the_ends_of_the_chain(6, 2, &[0, 4])]
-fn several_at_once(
+fn several_machines_stop_at_once(
     #[case] machines: u8,
     #[case] tolerance: usize,
     #[case] stopped: &[usize],
     #[values(DOWN_MS, 3_000)] down: u64,
 ) {
-    let (ends, _) = graceful_shutdowns(&scenario(machines, tolerance, 0, stopped, down));
-    assert_eq!(ends, runs() * stopped.len() as u64);
+    let (exits, _) = graceful_shutdowns(&scenario(machines, tolerance, 0, stopped, down));
+    assert_eq!(exits, runs() * stopped.len() as u64);
 }
--- a/crates/control-plane/tests/simulated_scenarios.rs
+++ b/crates/control-plane/tests/simulated_scenarios.rs
@@ -68,7 +68,7 @@
 }
 
 #[rstest]
-fn a_named_scenario_breaks_no_promise(
+fn a_named_scenario_violates_no_invariant(
     #[values(3, 4, 5)] machines: u8,
     #[values(
         NamedScenario::LongPartition,
--- a/crates/control-plane/tests/support/clients.rs
+++ b/crates/control-plane/tests/support/clients.rs
@@ -133,8 +133,8 @@
         let broken = match self.random.random_range(0..4) {
             0 => body(base, &note, 0),
             1 => {
-                let whole = body(base + 1, &note, 0);
-                whole[..whole.len() - 2].to_vec()
+                let complete = body(base + 1, &note, 0);
+                complete[..complete.len() - 2].to_vec()
             }
             2 => json!({"config-version": base + 1, "services": [{"name": note}, {"name": note}]})
                 .to_string()
--- a/crates/control-plane/tests/support/cluster/mod.rs
+++ b/crates/control-plane/tests/support/cluster/mod.rs
@@ -257,7 +257,7 @@
         self.summary.unclear = checker.unclear;
         self.summary.reads = checker.reads;
         self.summary.checkpoints = checker.checkpoints;
-        self.summary.views = self.newest_view().map_or(0, |view| view.epoch);
+        self.summary.views = self.latest_view().map_or(0, |view| view.epoch);
         Ok(self.summary)
     }
 
@@ -519,7 +519,7 @@
     }
 
     /// Returns the latest view known to any machine.
-    pub fn newest_view(&self) -> Option<View> {
+    pub fn latest_view(&self) -> Option<View> {
         let views = self
             .machines
             .iter()
@@ -530,7 +530,7 @@
 
     /// Returns the number of machines that count as lost.
     pub fn lost(&mut self) -> usize {
-        let view = self.newest_view();
+        let view = self.latest_view();
         let now = self.now;
         for host in &mut self.machines {
             // A machine has returned once its own durable state shows that it is in the chain.
--- a/crates/control-plane/tests/support/fault_script.rs
+++ b/crates/control-plane/tests/support/fault_script.rs
@@ -228,7 +228,7 @@
     }
 
     fn target(&mut self, target: Target) -> Option<usize> {
-        let view = self.newest_view()?;
+        let view = self.latest_view()?;
         let has_process = |m: &usize| !self.machines[*m].removed && self.machines[*m].control_node.is_some();
         let known = |member: &orchidvalve_protocol::identity::MemberId| {
             self.machines.iter().position(|m| m.member() == *member && !m.removed)
--- a/crates/control-plane/tests/support/network_partitions.rs
+++ b/crates/control-plane/tests/support/network_partitions.rs
@@ -107,7 +107,7 @@
         let others = machines.split_off(self.scenario.tolerance.min(machines.len()));
         let group = machines;
         self.trace(|| {
-            format!("machines {group:?} are cut off from {others:?}, {ending:?}, {aimed_changes:?}")
+            format!("machines {group:?} are isolated from {others:?}, {ending:?}, {aimed_changes:?}")
         });
         let side = if aimed_changes.is_some() || self.random.random_bool(0.5) {
             Reachability::Reachable
@@ -130,7 +130,7 @@
         let mut half = self.living();
         half.shuffle(&mut self.random);
         let others = half.split_off(half.len() / 2);
-        self.trace(|| format!("machines {half:?} are cut off from {others:?}"));
+        self.trace(|| format!("machines {half:?} are isolated from {others:?}"));
         for machine in &half {
             self.block_links(*machine, &others, PartitionDirection::Both);
             self.partition_clients(*machine, Reachability::Reachable);
@@ -179,9 +179,9 @@
         let LeftBehind { group, others, dark } = left;
         let has_disk = |member: &MemberId| self.machines.iter().any(|m| m.member() == *member && !m.removed);
         let may_be_wiped = group.iter().all(has_disk);
-        for (place, machine) in others.into_iter().enumerate() {
+        for (index, machine) in others.into_iter().enumerate() {
             let target = Target::Exactly(machine);
-            let fault = match (place, may_be_wiped) {
+            let fault = match (index, may_be_wiped) {
                 (0, true) => Fault::Wipe { target, down: dark / 3 },
                 (0, false) => Fault::PowerLoss { target, down: dark / 3 },
                 _ => Fault::PowerLoss { target, down: dark },
--- a/crates/control-plane/tests/support/operators.rs
+++ b/crates/control-plane/tests/support/operators.rs
@@ -88,7 +88,7 @@
 struct Operator {
     seen: u64,
     /// The version of the operator's latest change, which may not have been accepted.
-    newest: u64,
+    latest: u64,
 }
 
 #[derive(Default)]
@@ -174,11 +174,11 @@
     }
 
     fn send_change(&mut self, operator: usize) {
-        let Operator { seen, newest } = self.operators.operators[operator];
+        let Operator { seen, latest } = self.operators.operators[operator];
         // Some changes are based on the operator's own change that is still in flight.
-        let base = if newest > seen && self.random.random_bool(0.3) { newest } else { seen };
+        let base = if latest > seen && self.random.random_bool(0.3) { latest } else { seen };
         let version = base + if self.random.random_bool(0.9) { 1 } else { 2 };
-        self.operators.operators[operator].newest = version;
+        self.operators.operators[operator].latest = version;
         let note = format!("o{}", self.operators.history.changes.len());
         let change = if base == 0 || self.random.random_bool(0.5) {
             let filling = "x".repeat(self.filling());
@@ -423,7 +423,7 @@
                     operator.seen = operator.seen.max(version);
                 } else if reply == Reply::OtherVersion {
                     // The operator reads the current version before its next change.
-                    self.operators.operators[operator].newest = 0;
+                    self.operators.operators[operator].latest = 0;
                     self.begin_call(operator, Request::Read);
                 }
             }
--- a/crates/control-plane/tests/support/random_faults.rs
+++ b/crates/control-plane/tests/support/random_faults.rs
@@ -231,7 +231,7 @@
     /// Whether every machine knows the latest view, and as many of them as the tolerance requires are voters and in
     /// the chain. Further machines are standbys.
     pub fn chain_is_complete(&self) -> bool {
-        let Some(view) = self.newest_view() else { return false };
+        let Some(view) = self.latest_view() else { return false };
         let present: Vec<&super::cluster::Machine> = self.machines.iter().filter(|m| !m.removed).collect();
         let knows = |m: &&super::cluster::Machine| {
             m.is_running()
@@ -256,7 +256,7 @@
         }
         let (_, last) = self.scenario.fault_window;
         if self.now >= last + self.scenario.back_within {
-            let view = self.newest_view();
+            let view = self.latest_view();
             let message = format!("the chain is not complete after the faults: {view:?}");
             return self.checker.fail(message);
         }
--- a/crates/control-plane/tests/support/recovery.rs
+++ b/crates/control-plane/tests/support/recovery.rs
@@ -89,9 +89,9 @@
     pub fn watch(&mut self) {
         self.schedule(WATCH_MS, Event::Watch);
         self.note_disturbed();
-        let (now, newest) = (self.now, self.checker.end());
+        let (now, latest) = (self.now, self.checker.end());
         let stable = self.cluster_is_stable();
-        let older_end = committed_before(&mut self.recovery.older_ends, FRESH_MS, now, newest);
+        let older_end = committed_before(&mut self.recovery.older_ends, FRESH_MS, now, latest);
         if stable && !self.reachable_subscribers_have(older_end) {
             let state = self.describe();
             self.checker.fail(format!("a subscriber lacks what was committed {FRESH_MS} ms ago; {state}"));
@@ -103,7 +103,7 @@
                 .fail(format!("subscribers show the platform's lists {lists:?}, older ones; {state}"));
         }
         self.check_acknowledgements(stable);
-        let end = committed_before(&mut self.recovery.ends, LAG_MS, now, newest);
+        let end = committed_before(&mut self.recovery.ends, LAG_MS, now, latest);
         let Some(faulted_at) = self.recovery.faulted_at else { return };
         if self.recovery.back_at.is_none() && self.all_are_back() {
             self.recovery.back_at = Some(self.now);
@@ -165,7 +165,7 @@
         };
         let groups = 0..1_u32 << running.len();
         let members = |group: u32| -> Vec<usize> {
-            let chosen = running.iter().enumerate().filter(|(place, _)| group >> place & 1 == 1);
+            let chosen = running.iter().enumerate().filter(|(index, _)| group >> index & 1 == 1);
             chosen.map(|(_, machine)| *machine).collect()
         };
         let all_linked = |group: &Vec<usize>| group.iter().all(|l| group.iter().all(|r| linked(*l, *r)));
@@ -214,7 +214,7 @@
     /// Whether as many machines as the tolerance permits could be lost, whichever they are: a majority of the voters that
     /// know the view would remain, and a machine of the chain that has everything committed up to `end`.
     pub fn has_full_tolerance(&self, end: u64) -> bool {
-        let Some(view) = self.newest_view() else { return false };
+        let Some(view) = self.latest_view() else { return false };
         let knows = |m: &&Machine| {
             m.is_running()
                 && m.control_node.as_ref().is_some_and(|c| c.view() == Some(&view) && c.epoch() == view.epoch)
--- a/crates/control-plane/tests/support/shutdown.rs
+++ b/crates/control-plane/tests/support/shutdown.rs
@@ -41,7 +41,7 @@
     /// Whether the other machines have a majority of the voters and a complete copy of the log in a chain without this
     /// machine. A machine lost less than `DETECTION_MS` ago counts as present, since its loss cannot be detected yet.
     fn others_suffice_without(&self, machine: usize) -> bool {
-        let Some(view) = self.newest_view() else { return true };
+        let Some(view) = self.latest_view() else { return true };
         let is_present = |m: &usize| {
             let host = &self.machines[*m];
             host.is_running() || (!host.removed && self.now < host.down_since + DETECTION_MS)
@@ -66,15 +66,15 @@
     /// view that it knows is durable on a majority of that view's voters.
     fn is_outside(&self, machine: usize) -> bool {
         let host = &self.machines[machine];
-        let (Some(newest), me) = (self.newest_view(), host.member()) else { return true };
+        let (Some(latest), me) = (self.latest_view(), host.member()) else { return true };
         let Some(known) = host.control_node.as_ref().and_then(|control_node| control_node.view()) else {
             return true;
         };
         let others = || (0..self.machines.len()).filter(|m| *m != machine && !self.machines[*m].removed);
         let is_voter = |m: &usize| known.is_voter(self.machines[*m].member());
         let knowing = others().filter(|m| is_voter(m) && self.has_on_disk(*m, known)).count();
-        let is_named = newest.is_voter(me) || newest.in_chain(me);
-        !is_named && knowing > known.voters.len() / 2 && others().any(|m| self.holds_all(m, &newest))
+        let is_named = latest.is_voter(me) || latest.in_chain(me);
+        !is_named && knowing > known.voters.len() / 2 && others().any(|m| self.holds_all(m, &latest))
     }
 
     /// Whether the disk of a machine holds this view or a later one.
--- a/crates/control-plane/tests/usage_support/mod.rs
+++ b/crates/control-plane/tests/usage_support/mod.rs
@@ -277,7 +277,7 @@
             (text.contains("\r\n\r\n") && text.ends_with('}')).then(|| text.to_owned())
         });
         head.sent_at.push(head.now);
-        let (lines, body) = text.split_once("\r\n\r\n").expect("a whole request");
+        let (lines, body) = text.split_once("\r\n\r\n").expect("a complete request");
         Call { peer, head: format!("{lines}\r\n"), body: body.to_owned() }
     }
 
