--- a/crates/golden/tests/golden.rs
+++ b/crates/golden/tests/golden.rs
@@ -1,4 +1,4 @@
-//! Golden files: stable hashes, exact comparison, and that nothing is recorded over.
+//! Golden files: hashes are stable, comparison is exact, and a check never overwrites or creates a file.
 
 use std::panic::catch_unwind;
 use std::path::PathBuf;
@@ -6,9 +6,9 @@
 use orchidvalve_golden::{RECORD_VARIABLE, Trace, check_hashes, check_samples, read_samples};
 
 fn file(name: &str, content: &str) -> PathBuf {
-    let folder = std::env::temp_dir().join(format!("orchidvalve-golden-{}", std::process::id()));
-    std::fs::create_dir_all(&folder).expect("a folder for the test");
-    let path = folder.join(name);
+    let directory = std::env::temp_dir().join(format!("orchidvalve-golden-{}", std::process::id()));
+    std::fs::create_dir_all(&directory).expect("a directory for the test");
+    let path = directory.join(name);
     std::fs::write(&path, content).expect("a file for the test");
     path
 }
--- a/crates/request-recording/src/frame.rs
+++ b/crates/request-recording/src/frame.rs
@@ -1,6 +1,6 @@
-//! Frames: `length (2 bytes), crc32c of what follows (4), record`, little-endian.
+//! Frames: `length (2 bytes), CRC-32C of the record (4 bytes), record`, little-endian.
 
-/// Appends a record, unless it is empty or too long for a frame; false then.
+/// Appends a record as a frame. Returns `false`, and appends nothing, if the record is empty or longer than 65,535 bytes.
 pub fn write(record: &[u8], out: &mut Vec<u8>) -> bool {
     let Ok(length) = u16::try_from(record.len()) else { return false };
     if length == 0 {
@@ -12,7 +12,7 @@
     true
 }
 
-/// The record of the first frame, and what stands after it; none where the frame is torn or corrupt.
+/// Returns the record of the first frame and the bytes after it, or `None` if the frame is torn or corrupt.
 pub fn split_first(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let (length, rest) = bytes.split_first_chunk::<2>()?;
     let (checksum, rest) = rest.split_first_chunk::<4>()?;
--- a/crates/request-recording/src/lib.rs
+++ b/crates/request-recording/src/lib.rs
@@ -1,10 +1,10 @@
-//! What a front node was asked, kept in a few bytes a query, so that a day can be replayed as it came. No texts and no
-//! ids: when, of which service class and tenant, for which shards, how much work was expected, and whether it was a
-//! client's retry.
+//! Recordings of the queries that a front node received, in a few bytes each, for replaying them with the original
+//! timing. A recording holds no texts and no ids: only the arrival time, the service class and tenant, the shards, the
+//! expected work, and whether the query was a retry of the client.
 //!
-//! A recording is a header and then records, each `length (2 bytes), crc32c of what follows (4), record`,
-//! little-endian; records are in postcard's form. It may end anywhere: what stands before the first piece that is not
-//! whole counts.
+//! A recording is the magic bytes and then frames, first one of the header and then one of each arrival:
+//! `length (2 bytes), CRC-32C of the record (4 bytes), record`, little-endian, with records in postcard encoding. It may
+//! end anywhere: everything before the first torn or corrupt frame is valid.
 //!
 //! ```
 //! use orchidvalve_request_recording::{Arrival, Header, read, write_arrival, write_header};
@@ -25,66 +25,67 @@
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// The first bytes of a recording: its mark and the version of its form.
+/// The first bytes of a recording: a magic string and the version of the format.
 const MAGIC: [u8; 5] = *b"OVRC\x01";
 
-/// What was recorded, and in which words.
+/// The origin of a recording, and the names that its arrivals refer to.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Header {
-    /// The front node's name.
+    /// The name of the front node.
     pub node: String,
-    /// When it began, Unix milliseconds.
+    /// The start of the recording, in milliseconds since the Unix epoch.
     pub started_unix_ms: i64,
-    /// Names of the service classes that arrivals give by their positions.
+    /// The names of the service classes; arrivals refer to them by position.
     pub classes: Vec<String>,
-    /// Names of the tenants that arrivals give by their positions.
+    /// The names of the tenants; arrivals refer to them by position.
     pub tenants: Vec<String>,
 }
 
-/// A query that came in.
+/// The arrival of one query.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Arrival {
-    /// Time since the one before it, or since the beginning, microseconds.
+    /// The time since the previous arrival, or since the start of the recording, in microseconds.
     pub gap_us: u64,
-    /// Position of its service class in the header.
+    /// The position of the service class in the header.
     pub class: u32,
-    /// Position of its tenant in the header, where it has one.
+    /// The position of the tenant in the header, or `None` for a query without a tenant.
     pub tenant: Option<u32>,
-    /// Whether its client said that it asks again.
+    /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// Work that the client expected, microseconds; 0 where it said nothing.
+    /// The work that the client expected, in microseconds; 0 if the client did not say.
     pub expected_work_us: u64,
-    /// The shards that it asked.
+    /// The shards that the query goes to.
     pub shards: Vec<u32>,
 }
 
-/// A recording as it was read.
+/// A decoded recording.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Recording {
-    /// What was recorded.
+    /// The header of the recording.
     pub header: Header,
-    /// The queries, in the order of their arrival.
+    /// The arrivals, in the order of their recording.
     pub arrivals: Vec<Arrival>,
-    /// Bytes at its end that are no whole record: the node died in the middle of one, or the disk corrupted it.
+    /// The number of bytes after the last valid record: the node stopped in the middle of a write, or the disk corrupted
+    /// them.
     pub torn_bytes: usize,
 }
 
-/// Why bytes are no recording.
+/// The reason why bytes cannot be read as a recording.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display, Error)]
 pub enum ReadError {
-    /// They don't begin as one.
-    #[display("no recording: it does not begin as one")]
+    /// The bytes do not begin with the magic bytes of a recording.
+    #[display("no recording: the magic bytes are missing")]
     NoMagic,
-    /// The header is torn or corrupt.
-    #[display("no recording: its header is not whole")]
+    /// The header's frame is torn or corrupt.
+    #[display("no recording: the header is torn or corrupt")]
     TornHeader,
-    /// The header is whole but not in a form that is known.
-    #[display("no recording: its header cannot be read")]
+    /// The header's frame is intact, but its record cannot be decoded.
+    #[display("no recording: the header cannot be decoded")]
     UnknownHeader,
 }
 
-/// Appends the beginning of a recording. Its names are left out where they would not fit one frame: 64 KiB of names are
-/// a mistake of another kind.
+/// Appends the magic bytes and the header. The names of classes and tenants are left out if they exceed the 64 KiB of one
+/// frame, which only happens by mistake; the recording then still has its arrivals.
 pub fn write_header(header: &Header, out: &mut Vec<u8>) {
     out.extend_from_slice(&MAGIC);
     if !frame::write(&encode(header), out) {
@@ -93,21 +94,21 @@
     }
 }
 
-/// Appends a query. One that asks more shards than fit a frame is left out; false then.
+/// Appends an arrival. Returns `false`, and appends nothing, if its shards exceed one frame.
 pub fn write_arrival(arrival: &Arrival, out: &mut Vec<u8>) -> bool {
     frame::write(&encode(arrival), out)
 }
 
-/// Postcard fails on no type of this crate; what it can't write is no record.
+/// Encodes a record. Postcard cannot fail for the types of this crate; a failure would yield an empty record.
 fn encode(record: &impl Serialize) -> Vec<u8> {
     postcard::to_stdvec(record).unwrap_or_default()
 }
 
-/// Reads as much as is whole.
+/// Decodes all valid records from the beginning of a recording.
 ///
 /// # Errors
 ///
-/// The beginning is no recording's.
+/// Returns an error if the magic bytes are missing or the header cannot be read.
 pub fn read(bytes: &[u8]) -> Result<Recording, ReadError> {
     let rest = bytes.strip_prefix(&MAGIC).ok_or(ReadError::NoMagic)?;
     let (header, mut rest) = frame::split_first(rest).ok_or(ReadError::TornHeader)?;
--- a/crates/request-recording/tests/golden_recording.rs
+++ b/crates/request-recording/tests/golden_recording.rs
@@ -1,4 +1,4 @@
-//! The bytes of a recording are those that were written before, and files written before are read as they were meant, also one
+//! The bytes of a recording match those recorded earlier, and earlier files are still decoded correctly, including one
 //! with a torn tail.
 
 use std::path::Path;
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_recording_has_the_bytes_it_had() {
+fn the_encoding_is_unchanged() {
     let mut samples: Vec<(String, Vec<u8>)> = Vec::new();
     let mut bytes = Vec::new();
     write_header(&header(), &mut bytes);
@@ -55,9 +55,9 @@
     }
     samples.push(("whole".into(), bytes.clone()));
     samples.push(("torn-tail".into(), bytes[..bytes.len() - 5].to_vec()));
-    let mut cut_names = Vec::new();
-    write_header(&Header { classes: vec!["x".repeat(1 << 16)], ..header() }, &mut cut_names);
-    samples.push(("head-of-too-long-names".into(), cut_names));
+    let mut without_names = Vec::new();
+    write_header(&Header { classes: vec!["x".repeat(1 << 16)], ..header() }, &mut without_names);
+    samples.push(("head-of-too-long-names".into(), without_names));
     check_samples(&path("recording.txt"), &samples);
     let too_large = Arrival { shards: vec![u32::MAX; 20_000], ..arrivals()[0].clone() };
     let mut none = Vec::new();
@@ -65,17 +65,19 @@
 }
 
 #[test]
-fn a_recording_written_before_is_read_as_it_was_meant() {
+fn an_earlier_recording_is_decoded_correctly() {
     let samples = read_samples(&path("recording.txt"));
-    let sample = |name: &str| &samples.iter().find(|(found, _)| found == name).expect("it was recorded").1;
-    let whole = read(sample("whole")).expect("it is a recording");
-    assert_eq!((whole.header, whole.arrivals, whole.torn_bytes), (header(), arrivals(), 0));
-    let torn = read(sample("torn-tail")).expect("its beginning is a recording");
+    let sample = |name: &str| {
+        &samples.iter().find(|(found, _)| found == name).expect("the sample is in the golden file").1
+    };
+    let complete = read(sample("whole")).expect("a valid recording");
+    assert_eq!((complete.header, complete.arrivals, complete.torn_bytes), (header(), arrivals(), 0));
+    let torn = read(sample("torn-tail")).expect("a recording with a torn tail");
     assert_eq!((torn.header, torn.arrivals), (header(), arrivals()[..2].to_vec()));
     assert_eq!(torn.torn_bytes, sample("record-2").len() - 5);
-    let cut = read(sample("head-of-too-long-names")).expect("it is a recording");
+    let without_names = read(sample("head-of-too-long-names")).expect("a valid recording");
     assert_eq!(
-        (cut.header.classes, cut.header.tenants, cut.header.node),
+        (without_names.header.classes, without_names.header.tenants, without_names.header.node),
         (vec![], vec![], "front-1".to_owned())
     );
 }
--- a/crates/request-recording/tests/recording.rs
+++ b/crates/request-recording/tests/recording.rs
@@ -1,4 +1,4 @@
-//! Any recording comes back as it was, and from any piece of it comes a beginning of what was recorded.
+//! Recordings round-trip, and a truncated or corrupted recording yields a prefix of the recorded arrivals.
 
 use orchidvalve_request_recording::{Arrival, Header, read, write_arrival, write_header};
 use proptest::prelude::*;
@@ -20,23 +20,23 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 64, ..ProptestConfig::default() })]
     #[test]
-    fn what_is_cut_or_flipped_anywhere_keeps_a_beginning(all in proptest::collection::vec(arrival(), 0..12)) {
+    fn a_truncated_or_corrupted_recording_yields_a_prefix(all in proptest::collection::vec(arrival(), 0..12)) {
         let header = Header { node: "n".into(), started_unix_ms: 7, classes: vec!["look".into()], tenants: vec!["t".into()] };
         let mut bytes = Vec::new();
         write_header(&header, &mut bytes);
         let first = bytes.len();
         all.iter().for_each(|a| assert!(write_arrival(a, &mut bytes)));
-        let whole = read(&bytes).unwrap();
-        prop_assert_eq!((&whole.header, &whole.arrivals, whole.torn_bytes), (&header, &all, 0));
+        let complete = read(&bytes).unwrap();
+        prop_assert_eq!((&complete.header, &complete.arrivals, complete.torn_bytes), (&header, &all, 0));
         for at in 0..bytes.len() {
             match read(&bytes[..at]) {
-                Ok(cut) => prop_assert!(all.starts_with(&cut.arrivals) && at >= first),
-                Err(fault) => prop_assert!(fault.to_string().starts_with("no recording") && at < first),
+                Ok(truncated) => prop_assert!(all.starts_with(&truncated.arrivals) && at >= first),
+                Err(error) => prop_assert!(error.to_string().starts_with("no recording") && at < first),
             }
             let mut flipped = bytes.clone();
             flipped[at] ^= 1 << (at % 8);
-            if let Ok(spoilt) = read(&flipped) {
-                prop_assert!(all.starts_with(&spoilt.arrivals), "invented at {}", at);
+            if let Ok(corrupted) = read(&flipped) {
+                prop_assert!(all.starts_with(&corrupted.arrivals), "unknown arrivals after a flip at {}", at);
             }
         }
     }
--- a/crates/test-store/src/connection.rs
+++ b/crates/test-store/src/connection.rs
@@ -1,4 +1,4 @@
-//! Reading and writing of one connection, with the faults of its answers.
+//! Reads from and writes to one connection, with the faults that affect responses.
 
 use std::io::{self, Read, Write};
 use std::net::TcpStream;
@@ -7,11 +7,11 @@
 
 use crate::{Fault, StoreState};
 
-/// Pause before a byte of an answer that trickles; a slow one waits twice as long.
+/// Pause before each byte of a trickled response; a slow response is delayed by twice this time.
 const PAUSE: Duration = Duration::from_millis(20);
 const READ_BYTES: usize = 16 << 10;
 
-/// Reads more; an error at the end of the stream.
+/// Reads available bytes into `inbox`. Returns an error at the end of the stream.
 pub(crate) fn read_more(mut socket: &TcpStream, inbox: &mut Vec<u8>) -> io::Result<()> {
     let mut buffer = [0; READ_BYTES];
     match socket.read(&mut buffer)? {
@@ -23,25 +23,25 @@
     }
 }
 
-/// Writes an answer as its fault has it. `head_length`: the bytes that go out of one that stalls. An error ends the
-/// connection.
-pub(crate) fn write_answer(
+/// Writes a response as its fault demands. `head_length` is the number of bytes that a stalled response sends. An error
+/// ends the connection.
+pub(crate) fn write_response(
     state: &StoreState,
     mut socket: &TcpStream,
-    answer: &[u8],
+    response: &[u8],
     head_length: usize,
     fault: Option<Fault>,
 ) -> io::Result<()> {
     match fault {
         Some(Fault::Silent) => Ok(()),
-        Some(Fault::Stalled) => socket.write_all(&answer[..head_length]),
+        Some(Fault::Stalled) => socket.write_all(&response[..head_length]),
         Some(Fault::Truncated) => {
-            socket.write_all(&answer[..answer.len() / 2])?;
+            socket.write_all(&response[..response.len() / 2])?;
             Err(io::ErrorKind::ConnectionAborted.into())
         }
         Some(Fault::Disconnected) => Err(io::ErrorKind::ConnectionAborted.into()),
         Some(Fault::Trickled) => {
-            for byte in answer.chunks(1) {
+            for byte in response.chunks(1) {
                 socket.write_all(byte)?;
                 thread::sleep(PAUSE);
             }
@@ -49,12 +49,12 @@
         }
         Some(Fault::Held) => {
             state.wait_for_release();
-            socket.write_all(answer)
+            socket.write_all(response)
         }
         Some(Fault::Slow) => {
             thread::sleep(2 * PAUSE);
-            socket.write_all(answer)
+            socket.write_all(response)
         }
-        _ => socket.write_all(answer),
+        _ => socket.write_all(response),
     }
 }
--- a/crates/test-store/src/discovery.rs
+++ b/crates/test-store/src/discovery.rs
@@ -1,5 +1,5 @@
-//! A stand-in for the agent of discovery: publishes its list whole, or to a watch what is newer, and misbehaves as it
-//! is told to.
+//! A stub of the discovery agent: it publishes its complete list, or to a watch the next revision, and misbehaves as a
+//! test configures it.
 
 use std::io::{self, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -13,29 +13,29 @@
 use crate::connection::read_more;
 use crate::lock;
 
-/// How long a silent agent sleeps before it looks again whether it is stopped.
-const SILENT_POLL: Duration = Duration::from_millis(100);
+/// Time after which an unresponsive agent checks again whether it has been stopped.
+const STOP_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest watch, in milliseconds.
 const MAX_WATCH_MS: i64 = 60_000;
 
-/// How it answers.
+/// How the agent responds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Behavior {
-    /// As it should.
+    /// The agent responds correctly.
     #[default]
     Normal,
-    /// Accepts and reads, and never answers.
+    /// The agent accepts and reads requests, and never responds.
     Silent,
-    /// Answers whole lists one at a time, each after so long.
+    /// The agent serves requests for the complete list one at a time, each after this delay.
     Slow(Duration),
 }
 
-/// A request that came.
+/// A request that the agent has received.
 #[derive(Clone, Copy, Debug)]
 pub struct ListRequest {
-    /// When it came.
+    /// The time at which the request was received.
     pub at: Instant,
-    /// The revision that a watch starts from; none where it is for the whole list.
+    /// The revision that a watch starts from; `None` for a request for the complete list.
     pub from: Option<i64>,
 }
 
@@ -49,25 +49,25 @@
 struct AgentState {
     published: Mutex<Published>,
     changed: Condvar,
-    /// Held while a slow one is answered.
-    slow: Mutex<()>,
+    /// Held while a slow response is delayed.
+    slow_responses: Mutex<()>,
     sockets: Mutex<Vec<TcpStream>>,
     stopped: AtomicBool,
 }
 
-/// An agent that runs until it is dropped.
+/// A stub of the discovery agent, which runs until it is dropped.
 pub struct DiscoveryAgent {
-    /// Where it listens.
+    /// The address that the agent listens on.
     pub address: SocketAddr,
     state: Arc<AgentState>,
 }
 
 impl DiscoveryAgent {
-    /// Starts an agent. `members`: as the list names them.
+    /// Starts an agent. `members` is the JSON array of the members that the list contains.
     ///
     /// # Errors
     ///
-    /// If nothing can listen on the address.
+    /// Returns an error if the address cannot be listened on.
     pub fn start(listen: SocketAddr, members: Value) -> io::Result<DiscoveryAgent> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
@@ -75,7 +75,7 @@
         let state = Arc::new(AgentState {
             published: Mutex::new(published),
             changed: Condvar::new(),
-            slow: Mutex::default(),
+            slow_responses: Mutex::default(),
             sockets: Mutex::default(),
             stopped: AtomicBool::new(false),
         });
@@ -92,25 +92,25 @@
         Ok(DiscoveryAgent { address, state })
     }
 
-    /// Publishes another list, one revision on; watches are answered with it.
+    /// Publishes a new list under the next revision, and sends it to all pending watches.
     pub fn publish(&self, members: Value) {
         let mut published = lock(&self.state.published);
         (published.revision, published.members) = (published.revision + 1, members);
         self.state.changed.notify_all();
     }
 
-    /// Behaves so from now on.
+    /// Sets the behavior for all pending and future requests.
     pub fn set_behavior(&self, behavior: Behavior) {
         lock(&self.state.published).behavior = behavior;
         self.state.changed.notify_all();
     }
 
-    /// The requests so far.
+    /// Returns the requests received so far.
     pub fn requests(&self) -> Vec<ListRequest> {
         lock(&self.state.published).requests.clone()
     }
 
-    /// Most requests of nodes that know no revision within any span of that length.
+    /// Returns the largest number of requests without a known revision that were received within any span of that length.
     pub fn max_first_requests_within(&self, span: Duration) -> usize {
         let is_first = |request: &&ListRequest| request.from.unwrap_or(0) == 0;
         let times: Vec<Instant> = self.requests().iter().filter(is_first).map(|request| request.at).collect();
@@ -118,7 +118,7 @@
         times.iter().map(within).max().unwrap_or(0)
     }
 
-    /// Closes every connection without a word.
+    /// Closes all connections without sending anything.
     pub fn close_connections(&self) {
         for socket in lock(&self.state.sockets).drain(..) {
             let _ = socket.shutdown(Shutdown::Both);
@@ -131,7 +131,7 @@
         self.state.stopped.store(true, Relaxed);
         self.state.changed.notify_all();
         self.close_connections();
-        // So that the listener's thread sees it.
+        // Wakes the listener's thread, which then sees that the agent is stopped.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -151,7 +151,7 @@
         let (from, watch_ms) = (number("from"), number("hold_ms").unwrap_or(0).clamp(0, MAX_WATCH_MS));
         let Some((body, behavior)) = wait_for_list(state, from, watch_ms) else { return Ok(()) };
         if let (Behavior::Slow(delay), None) = (behavior, from) {
-            let one_at_a_time = lock(&state.slow);
+            let one_at_a_time = lock(&state.slow_responses);
             thread::sleep(delay);
             drop(one_at_a_time);
         }
@@ -172,8 +172,8 @@
     Ok(head)
 }
 
-/// The body of the answer once there is one: a watch waits for something newer, and a request to a silent agent until
-/// it speaks again. None where the agent is stopped.
+/// Waits until a response is due, and returns its body: a watch waits for a newer revision or its end, and a request to
+/// an unresponsive agent until the behavior changes. Returns `None` if the agent is stopped.
 fn wait_for_list(state: &AgentState, from: Option<i64>, watch_ms: i64) -> Option<(String, Behavior)> {
     let mut published = lock(&state.published);
     published.requests.push(ListRequest { at: Instant::now(), from });
@@ -187,7 +187,7 @@
         if published.behavior != Behavior::Silent && is_due {
             break;
         }
-        let wait = if published.behavior == Behavior::Silent { SILENT_POLL } else { left };
+        let wait = if published.behavior == Behavior::Silent { STOP_POLL_INTERVAL } else { left };
         let waited = state.changed.wait_timeout(published, wait);
         published = waited.unwrap_or_else(PoisonError::into_inner).0;
     }
--- a/crates/test-store/src/documents.rs
+++ b/crates/test-store/src/documents.rs
@@ -1,4 +1,4 @@
-//! The documents of stores, and the shard requests that are run on them.
+//! The documents of a store, and the execution of shard requests on them.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -12,39 +12,39 @@
 /// Documents by index and shard.
 #[derive(Debug)]
 pub struct Documents {
-    /// They say which shard holds a new document.
+    /// The routes, which determine the shard of a new document.
     pub routes: Arc<Routes>,
     by_shard: BTreeMap<(String, usize), Vec<Document>>,
     ids: BTreeSet<(String, usize, String)>,
 }
 
-/// What a shard request came to.
+/// The result of a shard request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RunResult {
-    /// The shard's value.
+    /// The value that the shard responds with.
     pub value: String,
     /// Whether a document was added.
     pub created: bool,
 }
 
-/// Why a shard request cannot be run.
+/// The reason why a shard request cannot be executed.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum RunError {
-    /// Its payload, or the document in it, cannot be read.
+    /// The payload, or the document in it, cannot be read.
     #[display("{_0}")]
     Unreadable(#[error(not(source))] String),
-    /// There is no such index.
+    /// The index does not exist.
     #[display("no such index")]
     UnknownIndex,
 }
 
 impl Documents {
-    /// None yet.
+    /// Creates an empty collection.
     pub fn new(routes: Arc<Routes>) -> Documents {
         Documents { routes, by_shard: BTreeMap::new(), ids: BTreeSet::new() }
     }
 
-    /// Adds a document. False where one of that id is there.
+    /// Adds a document. Returns `false`, and adds nothing, if the shard has a document with the same id.
     pub fn insert(&mut self, index: &str, shard: usize, document: Document) -> bool {
         let is_new = self.ids.insert((index.to_owned(), shard, document.id.clone()));
         if is_new {
@@ -53,22 +53,22 @@
         is_new
     }
 
-    /// The documents of one shard.
+    /// Returns the documents of one shard.
     pub fn of_shard(&self, index: &str, shard: usize) -> &[Document] {
         self.by_shard.get(&(index.to_owned(), shard)).map_or(&[], Vec::as_slice)
     }
 
-    /// How many there are of an id, over all shards.
+    /// Returns the number of documents with this id, over all shards of the index.
     pub fn count(&self, index: &str, id: &str) -> usize {
         let of_index = self.by_shard.iter().filter(|((name, _), _)| name == index);
         of_index.flat_map(|(_, documents)| documents).filter(|document| document.id == id).count()
     }
 
-    /// Runs a shard request.
+    /// Executes a shard request.
     ///
     /// # Errors
     ///
-    /// If its payload cannot be read.
+    /// Returns an error if the payload cannot be read or the index does not exist.
     pub fn run(&mut self, payload: &str, shard: usize) -> Result<RunResult, RunError> {
         let request = ShardRequest::read(payload, |index| self.routes.mapping(index))
             .map_err(|error| RunError::Unreadable(error.to_string()))?;
--- a/crates/test-store/src/fault.rs
+++ b/crates/test-store/src/fault.rs
@@ -1,59 +1,59 @@
-//! What goes wrong with shard requests and health checks.
+//! Faults of shard requests and health checks.
 
-/// What goes wrong with a shard request. Scenarios and the command line name the faults in lower case.
+/// A fault of a shard request or health check. Scenarios and the command line use the lower-case names.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize)]
 pub enum Fault {
-    /// Accepted, and never answered.
+    /// The request is accepted and never answered.
     #[serde(rename = "silent")]
     Silent,
-    /// The head of an answer, and no more of it.
+    /// Only the head of the response is sent.
     #[serde(rename = "stall")]
     Stalled,
-    /// An answer whose bytes come one by one, with a pause before each.
+    /// The response is sent byte by byte, with a pause before each byte.
     #[serde(rename = "trickle")]
     Trickled,
-    /// Complete, after 40 ms.
+    /// The complete response is sent after 40 ms.
     #[serde(rename = "slow")]
     Slow,
-    /// Complete, once the store is told to release it.
+    /// The complete response is sent once the store is released by `Store::set_released`.
     #[serde(rename = "held")]
     Held,
-    /// Rejected unread.
+    /// The request is rejected before it is executed.
     #[serde(rename = "full")]
     Rejected,
-    /// An error of the store's own.
+    /// The store responds with an internal error.
     #[serde(rename = "error")]
     Error,
-    /// What no protocol knows.
+    /// The response is invalid in either protocol.
     #[serde(rename = "garbled")]
     Garbled,
-    /// An answer that says itself that it is incomplete; an error where the protocol cannot say that.
+    /// The response says that it is incomplete; an error in the protocol that cannot express this.
     #[serde(rename = "short")]
     Incomplete,
-    /// An answer that says that its time was up; an error where the protocol cannot say that.
+    /// The response says that its time limit was exceeded; an error in the protocol that cannot express this.
     #[serde(rename = "late")]
     TimedOut,
-    /// Half an answer, and the connection closed.
+    /// Half of the response is sent, and the connection is closed.
     #[serde(rename = "cut")]
     Truncated,
-    /// Run, and the connection closed without a word.
+    /// The request is executed, and the connection is closed without a response.
     #[serde(rename = "dead")]
     Disconnected,
 }
 
-/// What happens to which shard requests.
+/// Selects the faults of shard requests and health checks.
 #[derive(Clone, Debug, Default)]
 pub struct FaultPlan {
-    /// Words and a fault: the first rule whose words stand in a payload decides.
+    /// Pairs of a text and a fault: the first rule whose text occurs in the payload decides.
     pub rules: Vec<(String, Fault)>,
-    /// Whatever no rule is for.
+    /// The fault of shard requests that match no rule.
     pub default: Option<Fault>,
-    /// What happens to health checks.
+    /// The fault of health checks.
     pub health_checks: Option<Fault>,
 }
 
 impl FaultPlan {
-    /// The fault of a shard request with that payload.
+    /// Returns the fault of a shard request with this payload.
     pub(crate) fn of(&self, payload: &str) -> Option<Fault> {
         let rule = self.rules.iter().find(|(words, _)| payload.contains(words));
         rule.map(|(_, fault)| *fault).or(self.default)
--- a/crates/test-store/src/frames.rs
+++ b/crates/test-store/src/frames.rs
@@ -1,16 +1,16 @@
-//! The store's side of the frames.
+//! The server side of the binary frame protocol.
 
 use std::io;
 use std::net::TcpStream;
 
-use crate::connection::{read_more, write_answer};
+use crate::connection::{read_more, write_response};
 use crate::{Fault, StoreState, lock};
 
 const LENGTH_BYTES: usize = 4;
-/// Bytes of a frame's length and kind.
+/// Length in bytes of a frame's length and kind.
 const HEAD_BYTES: usize = LENGTH_BYTES + 1;
 
-/// Answers the frames of a connection until it ends.
+/// Responds to the frames of a connection until it ends.
 pub(crate) fn serve(state: &StoreState, socket: &TcpStream) -> io::Result<()> {
     let mut inbox = Vec::new();
     loop {
@@ -23,20 +23,20 @@
         }
         let frame: Vec<u8> = inbox.drain(..LENGTH_BYTES + length).skip(LENGTH_BYTES).collect();
         match frame.split_first() {
-            Some((b'1', parts)) => answer_call(state, socket, parts)?,
+            Some((b'1', shard_requests)) => execute_call(state, socket, shard_requests)?,
             Some((b'2', _)) => lock(&state.observations).cancelled += 1,
             Some((&kind @ (b'3' | b'4'), _)) => {
                 let fault = state.health_check();
-                let answer: &[u8] = match (kind, fault) {
+                let response: &[u8] = match (kind, fault) {
                     (_, Some(Fault::Error)) => b"E",
                     (b'3', _) => b"S",
                     _ => b"waiting=0,rps=100",
                 };
-                write_answer(state, socket, &frame_of(kind, answer), HEAD_BYTES, fault)?;
+                write_response(state, socket, &frame_of(kind, response), HEAD_BYTES, fault)?;
             }
             _ => {
-                let refusal = frame_of(b'X', b"unknown frame");
-                return write_answer(state, socket, &refusal, HEAD_BYTES, None);
+                let error = frame_of(b'X', b"unknown frame");
+                return write_response(state, socket, &error, HEAD_BYTES, None);
             }
         }
     }
@@ -49,18 +49,18 @@
     frame
 }
 
-/// Answers the shard requests of a call, each with a frame.
-fn answer_call(state: &StoreState, socket: &TcpStream, mut parts: &[u8]) -> io::Result<()> {
+/// Executes the shard requests of one frame, and responds to each with its own frame.
+fn execute_call(state: &StoreState, socket: &TcpStream, mut shard_requests: &[u8]) -> io::Result<()> {
     let malformed = || io::Error::from(io::ErrorKind::InvalidData);
-    while let Some(end) = parts.iter().position(|&byte| byte == b'\n') {
-        let line = std::str::from_utf8(&parts[..end]).map_err(|_| malformed())?;
+    while let Some(end) = shard_requests.iter().position(|&byte| byte == b'\n') {
+        let line = std::str::from_utf8(&shard_requests[..end]).map_err(|_| malformed())?;
         let words: Vec<&str> = line.split(' ').collect();
         let [id, shard, _, length] = words[..] else { return Err(malformed()) };
         let shard = shard.parse().map_err(|_| malformed())?;
         let length = length.parse::<usize>().map_err(|_| malformed())?;
-        let payload = parts.get(end + 1..end + 1 + length).ok_or_else(malformed)?;
+        let payload = shard_requests.get(end + 1..end + 1 + length).ok_or_else(malformed)?;
         let payload = std::str::from_utf8(payload).map_err(|_| malformed())?;
-        parts = &parts[end + 1 + length..];
+        shard_requests = &shard_requests[end + 1 + length..];
         let fault = state.shard_request(payload);
         let (outcome, value) = match fault {
             Some(Fault::Rejected) => ("B", String::new()),
@@ -71,11 +71,11 @@
             },
         };
         lock(&state.observations).completed += 1;
-        let answer = match fault {
+        let response = match fault {
             Some(Fault::Garbled) => frame_of(b'7', b"what"),
             _ => frame_of(b'5', format!("{id} {outcome} 7 -\n{value}").as_bytes()),
         };
-        write_answer(state, socket, &answer, HEAD_BYTES, fault)?;
+        write_response(state, socket, &response, HEAD_BYTES, fault)?;
     }
     Ok(())
 }
--- a/crates/test-store/src/lib.rs
+++ b/crates/test-store/src/lib.rs
@@ -1,6 +1,7 @@
-//! A stand-in for a store: documents in memory, answers by the evaluator of `orchidvalve-search`, faults by plan. It
-//! speaks frames and the search API on one address, told apart by the first byte of a connection. For tests, rehearsals
-//! and a try by hand, on loopback; it is no server.
+//! A stub of a store that a front node sends queries to: documents in memory, results from the evaluator of
+//! `orchidvalve-search`, and configurable faults. It serves the frame protocol and the search API on one address, and
+//! distinguishes them by the first byte of a connection. It is meant for tests, rehearsals and manual trials on loopback,
+//! not for production.
 
 mod connection;
 pub mod discovery;
@@ -20,77 +21,77 @@
 pub use documents::{Documents, RunError, RunResult};
 pub use fault::{Fault, FaultPlan};
 
-/// What a store has observed so far.
+/// Counters of a store since its start.
 #[derive(Clone, Debug, Default)]
 pub struct Observations {
-    /// Connections accepted.
+    /// The number of connections accepted.
     pub connections: usize,
-    /// When each of them was accepted.
+    /// The time at which each connection was accepted.
     pub accepted_at: Vec<Instant>,
-    /// Connections open now.
+    /// The number of connections that are currently open.
     pub open: usize,
-    /// Payloads of shard requests, in order.
+    /// The payloads of all shard requests, in order of arrival.
     pub payloads: Vec<String>,
-    /// Shard requests cancelled.
+    /// The number of shard requests cancelled.
     pub cancelled: usize,
-    /// Health checks.
+    /// The number of health checks received.
     pub health_checks: usize,
-    /// Shard requests rejected unread.
+    /// The number of shard requests of the search API rejected before execution.
     pub rejected: u64,
-    /// Shard requests completed.
+    /// The number of shard requests completed.
     pub completed: u64,
 }
 
-/// What the threads of a store share.
+/// The state shared by the threads of a store.
 struct StoreState {
     documents: Arc<Mutex<Documents>>,
     fault_plan: Mutex<FaultPlan>,
     observations: Mutex<Observations>,
     sockets: Mutex<Vec<TcpStream>>,
-    /// Whether answers that are held may go out.
+    /// Whether held responses may be sent.
     released: Mutex<bool>,
     release: Condvar,
     stopped: AtomicBool,
 }
 
-/// Locks a mutex, also one that a panicking thread has left.
+/// Locks a mutex, even if a thread panicked while it held the lock.
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl StoreState {
-    /// Notes a shard request. Gives its fault.
+    /// Records a shard request, and returns its fault.
     fn shard_request(&self, payload: &str) -> Option<Fault> {
         lock(&self.observations).payloads.push(payload.to_owned());
         lock(&self.fault_plan).of(payload)
     }
 
-    /// Notes a health check. Gives its fault.
+    /// Records a health check, and returns its fault.
     fn health_check(&self) -> Option<Fault> {
         lock(&self.observations).health_checks += 1;
         lock(&self.fault_plan).health_checks
     }
 
-    /// Waits until answers that are held may go out.
+    /// Waits until held responses may be sent.
     fn wait_for_release(&self) {
         let released = self.release.wait_while(lock(&self.released), |released| !*released);
         drop(released.unwrap_or_else(PoisonError::into_inner));
     }
 }
 
-/// A store that runs until it is dropped.
+/// A stub of a store, which runs until it is dropped.
 pub struct Store {
-    /// Where it listens.
+    /// The address that the store listens on.
     pub address: SocketAddr,
     state: Arc<StoreState>,
 }
 
 impl Store {
-    /// Starts a store. Several may share documents, as replicas of one shard.
+    /// Starts a store. Several stores may share documents, as replicas of one shard.
     ///
     /// # Errors
     ///
-    /// If nothing can listen on the address.
+    /// Returns an error if the address cannot be listened on.
     pub fn start(listen: SocketAddr, documents: Arc<Mutex<Documents>>) -> io::Result<Store> {
         let listener = TcpListener::bind(listen)?;
         let address = listener.local_addr()?;
@@ -116,23 +117,23 @@
         Ok(Store { address, state })
     }
 
-    /// Goes by that plan from now on.
+    /// Replaces the fault plan for all further requests.
     pub fn set_faults(&self, plan: FaultPlan) {
         *lock(&self.state.fault_plan) = plan;
     }
 
-    /// What it has observed so far.
+    /// Returns the counters so far.
     pub fn observations(&self) -> Observations {
         lock(&self.state.observations).clone()
     }
 
-    /// Whether answers that are held may go out.
+    /// Sets whether held responses may be sent.
     pub fn set_released(&self, released: bool) {
         *lock(&self.state.released) = released;
         self.state.release.notify_all();
     }
 
-    /// Closes every connection without a word, as a process that dies does; it still listens.
+    /// Closes all connections without sending anything, as a process that dies does; the store still listens.
     pub fn close_connections(&self) {
         for socket in lock(&self.state.sockets).drain(..) {
             let _ = socket.shutdown(Shutdown::Both);
@@ -145,7 +146,7 @@
         self.state.stopped.store(true, Relaxed);
         self.set_released(true);
         self.close_connections();
-        // So that the listener's thread sees it.
+        // Wakes the listener's thread, which then sees that the store is stopped.
         let _ = TcpStream::connect(self.address);
     }
 }
@@ -162,7 +163,7 @@
         observations.open += 1;
     }
     let mut first = [0];
-    // Frames begin with their length, which is never so great that its first byte is a letter.
+    // A frame begins with its length, whose first byte is 0; a request of the search API begins with a letter.
     if let Ok(1) = socket.peek(&mut first) {
         let _ = if first[0] == 0 { frames::serve(state, socket) } else { search::serve(state, socket) };
     }
--- a/crates/test-store/src/relay.rs
+++ b/crates/test-store/src/relay.rs
@@ -1,5 +1,5 @@
-//! Datagrams between front nodes, through one socket for each: lost, duplicated, delayed, reordered and partitioned as
-//! a test or a rehearsal says.
+//! A relay of datagrams between front nodes, with one socket per receiving node. It loses, duplicates, delays, reorders
+//! and partitions datagrams as a test or a rehearsal configures it.
 
 use std::collections::BTreeSet;
 use std::io;
@@ -11,35 +11,35 @@
 
 use crate::lock;
 
-/// How often a relay looks whether it is stopped and which delayed datagrams are due.
-const POLL: Duration = Duration::from_millis(5);
+/// Longest time until a relay thread checks whether it is stopped and which delayed datagrams are due.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 const MAX_DATAGRAM_BYTES: usize = 2048;
 
-/// What the relay does to datagrams, as a test changes it.
+/// The faults that the relay injects, which a test may change at any time, and its counters.
 #[derive(Default)]
 pub struct LinkFaults {
-    /// Where each node's datagrams really go, once it said.
+    /// The address that each node receives datagrams on, once the node has reported it.
     pub targets: Vec<Option<SocketAddr>>,
-    /// Pairs of nodes, sender and receiver, between which nothing passes.
+    /// Pairs of a sender and a receiver between which all datagrams are lost.
     pub partitions: BTreeSet<(usize, usize)>,
-    /// Share of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub loss: f64,
-    /// Share of the datagrams that arrive twice.
+    /// Fraction of the datagrams that arrive twice.
     pub duplication: f64,
-    /// How much later they arrive.
+    /// Delay of every datagram.
     pub delay: Duration,
-    /// On top of it, up to that much more, so that datagrams overtake each other.
+    /// Upper bound of a random additional delay, which lets datagrams overtake each other.
     pub jitter: Duration,
-    /// State of the generator that chance is drawn from.
+    /// State of the random number generator.
     pub random_state: u64,
-    /// Datagrams passed on.
+    /// The number of datagrams forwarded, without duplicates.
     pub forwarded: u64,
-    /// Datagrams lost, partitions included.
+    /// The number of datagrams lost, including those lost to partitions.
     pub lost: u64,
 }
 
 impl LinkFaults {
-    /// A number from 0 to 1, by Marsaglia's xorshift.
+    /// Returns a random number from 0 to 1, by Marsaglia's xorshift.
     fn draw(&mut self) -> f64 {
         self.random_state ^= self.random_state << 13;
         self.random_state ^= self.random_state >> 7;
@@ -48,19 +48,19 @@
     }
 }
 
-/// One socket for each node, where the others send to it.
+/// A running relay, with one socket for each node that the other nodes send to.
 pub struct Relay {
     faults: Arc<Mutex<LinkFaults>>,
-    /// Where each node is reached by the others.
+    /// The address at which each node is reached by the others.
     pub addresses: Vec<SocketAddr>,
     stopped: Arc<AtomicBool>,
 }
 
 impl Relay {
-    /// Starts a relay between so many nodes.
+    /// Starts a relay between the given number of nodes.
     ///
     /// # Errors
-    ///
+    /// Returns an error if a socket cannot be created.
     /// If the system gives no socket.
     pub fn start(nodes: usize) -> io::Result<Relay> {
         let faults = Arc::new(Mutex::new(LinkFaults {
@@ -72,7 +72,7 @@
         let mut addresses = Vec::new();
         for receiver in 0..nodes {
             let socket = UdpSocket::bind("127.0.0.1:0")?;
-            socket.set_read_timeout(Some(POLL))?;
+            socket.set_read_timeout(Some(POLL_INTERVAL))?;
             addresses.push(socket.local_addr()?);
             let (faults, stopped) = (faults.clone(), stopped.clone());
             thread::spawn(move || relay(receiver, &socket, &faults, &stopped));
@@ -80,12 +80,12 @@
         Ok(Relay { faults, addresses, stopped })
     }
 
-    /// What it does from now on.
+    /// Locks the faults, to read or change them.
     pub fn faults(&self) -> MutexGuard<'_, LinkFaults> {
         lock(&self.faults)
     }
 
-    /// Nothing passes between `side` and all others, both ways.
+    /// Adds a partition, in both directions, between the nodes in `side` and all others of `nodes`.
     pub fn partition(&self, side: &[usize], nodes: usize) {
         let mut faults = lock(&self.faults);
         for &inside in side {
@@ -97,7 +97,7 @@
     }
 }
 
-/// Relays the datagrams to one node until it is stopped.
+/// Relays datagrams to one node until the relay is stopped.
 fn relay(receiver: usize, socket: &UdpSocket, faults: &Mutex<LinkFaults>, stopped: &AtomicBool) {
     let mut delayed: Vec<(Instant, Vec<u8>)> = Vec::new();
     let mut buffer = [0u8; MAX_DATAGRAM_BYTES];
@@ -108,7 +108,7 @@
             let (due, waiting): (Vec<_>, Vec<_>) = delayed.drain(..).partition(|(at, _)| *at <= now);
             delayed = waiting;
             for (_, datagram) in due {
-                // One that the system does not take is lost, as on a network.
+                // A datagram that the system does not accept is lost, as on a network.
                 let _ = socket.send_to(&datagram, target);
             }
         }
--- a/crates/test-store/src/search.rs
+++ b/crates/test-store/src/search.rs
@@ -1,4 +1,4 @@
-//! The store's side of the search API.
+//! The server side of the search API.
 
 use std::io;
 use std::net::TcpStream;
@@ -7,7 +7,7 @@
 use serde_json::value::RawValue;
 use serde_json::{Value, json};
 
-use crate::connection::{read_more, write_answer};
+use crate::connection::{read_more, write_response};
 use crate::{Fault, StoreState, lock};
 
 const MAX_HEADERS: usize = 32;
@@ -26,12 +26,12 @@
     fault: Option<Fault>,
 }
 
-/// Answers the requests of a connection until it ends.
+/// Responds to the requests of a connection until it ends.
 pub(crate) fn serve(state: &StoreState, socket: &TcpStream) -> io::Result<()> {
     let mut inbox = Vec::new();
     loop {
         let request = read_request(socket, &mut inbox)?;
-        let Response { status, body, fault } = answer(state, &request);
+        let Response { status, body, fault } = respond(state, &request);
         let body = match fault {
             Some(Fault::Garbled) => "<html>".to_owned(),
             _ => body.to_string(),
@@ -39,7 +39,7 @@
         let opaque_id = request.opaque_id.map(|id| format!("X-Opaque-Id: {id}\r\n")).unwrap_or_default();
         let head = format!("HTTP/1.1 {status} Status\r\nContent-Type: application/json\r\n{opaque_id}");
         let head = format!("{head}Content-Length: {}\r\n\r\n", body.len());
-        write_answer(state, socket, format!("{head}{body}").as_bytes(), head.len(), fault)?;
+        write_response(state, socket, format!("{head}{body}").as_bytes(), head.len(), fault)?;
     }
 }
 
@@ -53,7 +53,7 @@
     }
 }
 
-/// The first request of a buffer, and its bytes; none while more are needed.
+/// Parses the first request of a buffer, and returns it with its length in bytes, or `None` if it is incomplete.
 fn parse_request(inbox: &[u8]) -> io::Result<Option<(Request, usize)>> {
     let malformed = || io::Error::from(io::ErrorKind::InvalidData);
     let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
@@ -99,12 +99,12 @@
     Response { status, body: error_body(kind, reason, status), fault }
 }
 
-fn answer(state: &StoreState, request: &Request) -> Response {
+fn respond(state: &StoreState, request: &Request) -> Response {
     let Request { method, segments, parameters, body, .. } = request;
     let parameter = |name: &str| parameters.iter().find(|(other, _)| other == name).map(|(_, v)| &**v);
     let segments: Vec<&str> = segments.iter().map(String::as_str).collect();
     match (&**method, &segments[..]) {
-        ("GET", ["_nodes", "_local", "stats", "thread_pool"]) => answer_health_check(state),
+        ("GET", ["_nodes", "_local", "stats", "thread_pool"]) => health_check_response(state),
         ("POST", [index, "_search"]) => {
             let shard = parameter("preference").and_then(|value| value.strip_prefix("_shards:"));
             let (Some(Ok(shard)), Ok(raw)) =
@@ -129,7 +129,7 @@
     }
 }
 
-fn answer_health_check(state: &StoreState) -> Response {
+fn health_check_response(state: &StoreState) -> Response {
     let fault = state.health_check();
     let observations = lock(&state.observations);
     let pool = json!({"threads": 4, "queue": 0, "active": 0, "rejected": observations.rejected,
@@ -138,8 +138,8 @@
     Response { status, body: json!({"nodes": {"standin": {"thread_pool": {"search": pool}}}}), fault }
 }
 
-/// The answer to a shard request that is rejected, or fails, before anything ran.
-fn answer_before_run(state: &StoreState, fault: Option<Fault>) -> Option<Response> {
+/// Returns the response to a shard request that is rejected or fails before execution, if its fault says so.
+fn response_before_run(state: &StoreState, fault: Option<Fault>) -> Option<Response> {
     match fault {
         Some(Fault::Rejected) => {
             lock(&state.observations).rejected += 1;
@@ -152,7 +152,7 @@
 
 fn search(state: &StoreState, payload: &str, shard: usize) -> Response {
     let fault = state.shard_request(payload);
-    if let Some(response) = answer_before_run(state, fault) {
+    if let Some(response) = response_before_run(state, fault) {
         return response;
     }
     let result = lock(&state.documents).run(payload, shard);
@@ -172,7 +172,7 @@
 
 fn create(state: &StoreState, payload: &str, id: &str, shard: usize) -> Response {
     let fault = state.shard_request(payload);
-    if let Some(response) = answer_before_run(state, fault) {
+    if let Some(response) = response_before_run(state, fault) {
         return response;
     }
     let result = lock(&state.documents).run(payload, shard);
--- a/crates/test-store/tests/golden_answers.rs
+++ b/crates/test-store/tests/golden_answers.rs
@@ -1,4 +1,4 @@
-//! The bytes that the stand-ins answer with, on real connections, as recorded before names in the code changed.
+//! The bytes that the stubs send on real connections, compared with recorded ones.
 
 use std::io::{Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpStream};
@@ -33,18 +33,18 @@
     "127.0.0.1:0".parse().unwrap()
 }
 
-/// A store of three slices with six documents.
+/// Starts a store with three shards and six documents.
 fn store() -> Store {
     let class = |name: &str, has_idempotency_key| RouteClass { name: name.to_owned(), has_idempotency_key };
-    let settled = RoutingContext { classes: vec![class("look", false), class("hold", true)], shards: 3 };
-    let routes = Arc::new(Routes::read(ROUTES, &settled).unwrap());
+    let context = RoutingContext { classes: vec![class("look", false), class("hold", true)], shards: 3 };
+    let routes = Arc::new(Routes::read(ROUTES, &context).unwrap());
     let mut documents = Documents::new(routes.clone());
     let index = routes.index("jobs").unwrap();
     for n in 0..6 {
         let source = json!({"customer": format!("c{}", n % 2), "crew": n});
         let document = Document::new(&format!("d{n}"), source, &index.mapping).unwrap();
-        let home = index.document_shard(&document.id, None).unwrap();
-        assert!(documents.insert("jobs", home, document));
+        let shard = index.document_shard(&document.id, None).unwrap();
+        assert!(documents.insert("jobs", shard, document));
     }
     Store::start(any(), Arc::new(Mutex::new(documents))).unwrap()
 }
@@ -55,11 +55,11 @@
     bytes
 }
 
-fn part(id: &str, shard: usize, text: &str) -> String {
+fn shard_request(id: &str, shard: usize, text: &str) -> String {
     format!("{id}.{shard} {shard} d=480 {}\n{text}", text.len())
 }
 
-/// All that comes back on one connection until the other side has nothing more to say.
+/// Sends bytes on a new connection, and returns all bytes received until the other side closes it.
 fn exchange(address: SocketAddr, sent: &[u8]) -> Vec<u8> {
     let mut stream = TcpStream::connect(address).unwrap();
     stream.set_read_timeout(Some(TOO_LONG)).unwrap();
@@ -73,8 +73,8 @@
 const SEARCH: &str = r#"{"search":{"index":"jobs","body":{"query":{"term":{"customer":"c1"}}}}}"#;
 const CREATE: &str = r#"{"create":{"index":"jobs","id":"n1","document":{"customer":"c9","crew":4}}}"#;
 
-/// All but two: one waits until it is told to go on, and one sends byte by byte.
-const TROUBLES: [(&str, Fault); 10] = [
+/// All faults except two: `Held`, which waits for a release, and `Trickled`, which sends byte by byte.
+const FAULTS: [(&str, Fault); 10] = [
     ("silent", Fault::Silent),
     ("stall", Fault::Stalled),
     ("slow", Fault::Slow),
@@ -93,78 +93,78 @@
 }
 
 #[test]
-fn a_store_answers_frames_as_recorded() {
+fn a_store_sends_the_recorded_frames() {
     let store = store();
     let mut samples = Vec::new();
-    let mut note = |name: String, sent: Vec<u8>| samples.push((name, exchange(store.address, &sent)));
-    note("probe".to_owned(), frame("3"));
-    note("probe-of-load".to_owned(), frame("4"));
-    note("unknown-frame".to_owned(), frame("9what"));
-    note("cancel".to_owned(), frame("2r1.0"));
-    let call: String = (0..3).map(|shard| part("r1", shard, SEARCH)).collect();
-    note("call-of-three-parts".to_owned(), frame(&format!("1{call}")));
-    note("call-that-cannot-be-run".to_owned(), frame(&format!("1{}", part("r2", 0, "{}"))));
-    note("create".to_owned(), frame(&format!("1{}", part("r3", 1, CREATE))));
-    note("create-again".to_owned(), frame(&format!("1{}", part("r4", 1, CREATE))));
-    for (name, trouble) in TROUBLES {
-        store.set_faults(FaultPlan { default: Some(trouble), ..FaultPlan::default() });
-        note(format!("call-{name}"), frame(&format!("1{}", part("r5", 0, SEARCH))));
+    let mut record = |name: String, sent: Vec<u8>| samples.push((name, exchange(store.address, &sent)));
+    record("probe".to_owned(), frame("3"));
+    record("probe-of-load".to_owned(), frame("4"));
+    record("unknown-frame".to_owned(), frame("9what"));
+    record("cancel".to_owned(), frame("2r1.0"));
+    let call: String = (0..3).map(|shard| shard_request("r1", shard, SEARCH)).collect();
+    record("call-of-three-parts".to_owned(), frame(&format!("1{call}")));
+    record("call-that-cannot-be-run".to_owned(), frame(&format!("1{}", shard_request("r2", 0, "{}"))));
+    record("create".to_owned(), frame(&format!("1{}", shard_request("r3", 1, CREATE))));
+    record("create-again".to_owned(), frame(&format!("1{}", shard_request("r4", 1, CREATE))));
+    for (name, fault) in FAULTS {
+        store.set_faults(FaultPlan { default: Some(fault), ..FaultPlan::default() });
+        record(format!("call-{name}"), frame(&format!("1{}", shard_request("r5", 0, SEARCH))));
     }
     store.set_faults(FaultPlan { health_checks: Some(Fault::Error), ..FaultPlan::default() });
-    note("probe-error".to_owned(), frame("3"));
-    note("probe-of-load-error".to_owned(), frame("4"));
+    record("probe-error".to_owned(), frame("3"));
+    record("probe-of-load-error".to_owned(), frame("4"));
     check_samples(&golden("frames.txt"), &samples);
     let observed = store.observations();
     assert_eq!((observed.payloads.len(), observed.cancelled, observed.health_checks), (16, 1, 4));
 }
 
 #[test]
-fn a_store_answers_requests_as_recorded() {
+fn a_store_sends_the_recorded_http_responses() {
     let store = store();
     let mut samples = Vec::new();
-    let mut note = |name: String, sent: Vec<u8>| samples.push((name, exchange(store.address, &sent)));
+    let mut record = |name: String, sent: Vec<u8>| samples.push((name, exchange(store.address, &sent)));
     let search = "/jobs/_search?preference=_shards:1&timeout=480ms&allow_partial_search_results=false";
     let body = r#"{"query":{"term":{"customer":"c1"}}}"#;
     let document = r#"{"customer":"c9","crew":4}"#;
     let probe = "/_nodes/_local/stats/thread_pool";
-    note("probe".to_owned(), request("GET", probe, ""));
-    note("search".to_owned(), request("POST", search, body));
-    note("search-that-cannot-be-read".to_owned(), request("POST", search, r#"{"query":{"fuzzy":{}}}"#));
-    note("create".to_owned(), request("PUT", "/jobs/_create/n1?timeout=480ms", document));
-    note("create-again".to_owned(), request("PUT", "/jobs/_create/n1?timeout=480ms", document));
-    note(
+    record("probe".to_owned(), request("GET", probe, ""));
+    record("search".to_owned(), request("POST", search, body));
+    record("search-that-cannot-be-read".to_owned(), request("POST", search, r#"{"query":{"fuzzy":{}}}"#));
+    record("create".to_owned(), request("PUT", "/jobs/_create/n1?timeout=480ms", document));
+    record("create-again".to_owned(), request("PUT", "/jobs/_create/n1?timeout=480ms", document));
+    record(
         "create-routed".to_owned(),
         request("PUT", "/jobs/_create/n%202?timeout=480ms&routing=c%2F7", document),
     );
-    note("no-such-path".to_owned(), request("GET", "/nothing", ""));
-    for (name, trouble) in TROUBLES {
+    record("no-such-path".to_owned(), request("GET", "/nothing", ""));
+    for (name, fault) in FAULTS {
         store.set_faults(FaultPlan {
-            default: Some(trouble),
-            health_checks: Some(trouble),
+            default: Some(fault),
+            health_checks: Some(fault),
             ..FaultPlan::default()
         });
-        note(format!("search-{name}"), request("POST", search, body));
-        note(format!("create-{name}"), request("PUT", &format!("/jobs/_create/{name}"), document));
-        note(format!("probe-{name}"), request("GET", probe, ""));
+        record(format!("search-{name}"), request("POST", search, body));
+        record(format!("create-{name}"), request("PUT", &format!("/jobs/_create/{name}"), document));
+        record(format!("probe-{name}"), request("GET", probe, ""));
     }
     check_samples(&golden("requests.txt"), &samples);
 }
 
 #[test]
-fn the_first_rule_whose_words_are_in_a_part_decides() {
+fn the_first_rule_whose_text_occurs_in_a_payload_decides() {
     let store = store();
     let rules = vec![("c1".to_owned(), Fault::Rejected), ("jobs".to_owned(), Fault::Error)];
     store.set_faults(FaultPlan { rules, default: Some(Fault::Truncated), health_checks: None });
     let other = SEARCH.replace("c1", "c2");
-    let call = [part("r1", 0, SEARCH), part("r1", 1, &other)].concat();
+    let call = [shard_request("r1", 0, SEARCH), shard_request("r1", 1, &other)].concat();
     check_samples(&golden("rules.txt"), &[("call", exchange(store.address, &frame(&format!("1{call}"))))]);
 }
 
 #[test]
-fn the_agent_of_discovery_answers_as_recorded() {
+fn the_discovery_agent_sends_the_recorded_responses() {
     let agent = DiscoveryAgent::start(any(), json!([{"id": "s-0", "cell": 0}])).unwrap();
-    // It keeps connections open, so what comes is read to the length that its head says.
-    let ask = |path: &str| {
+    // The agent keeps connections open, so the response is read up to the length stated in its head.
+    let request_list = |path: &str| {
         let mut stream = TcpStream::connect(agent.address).unwrap();
         stream.set_read_timeout(Some(TOO_LONG)).unwrap();
         stream.write_all(format!("GET {path} HTTP/1.1\r\nHost: a\r\n\r\n").as_bytes()).unwrap();
@@ -182,23 +182,23 @@
         answer
     };
     let mut samples = vec![
-        ("whole-list", ask("/catalog/members")),
-        ("watch-with-news", ask("/catalog/members?from=0&hold_ms=20000")),
-        ("watch-without-news", ask("/catalog/members?from=1&hold_ms=0")),
+        ("whole-list", request_list("/catalog/members")),
+        ("watch-with-news", request_list("/catalog/members?from=0&hold_ms=20000")),
+        ("watch-without-news", request_list("/catalog/members?from=1&hold_ms=0")),
     ];
     agent.publish(json!([{"id": "s-1", "cell": 1}]));
-    samples.push(("watch-after-a-change", ask("/catalog/members?from=1&hold_ms=20000")));
+    samples.push(("watch-after-a-change", request_list("/catalog/members?from=1&hold_ms=20000")));
     check_samples(&golden("agent.txt"), &samples);
     assert_eq!(
-        agent.requests().iter().map(|ask| ask.from).collect::<Vec<_>>(),
+        agent.requests().iter().map(|request| request.from).collect::<Vec<_>>(),
         [None, Some(0), Some(1), Some(1)]
     );
 }
 
-/// Scenarios name troubles by these words.
+/// Scenarios refer to faults by these names.
 #[test]
-fn troubles_are_read_by_their_names() {
-    for (name, trouble) in TROUBLES.into_iter().chain([("held", Fault::Held), ("trickle", Fault::Trickled)]) {
-        assert_eq!(serde_json::from_value::<Fault>(json!(name)).unwrap(), trouble);
+fn faults_are_deserialized_from_their_names() {
+    for (name, fault) in FAULTS.into_iter().chain([("held", Fault::Held), ("trickle", Fault::Trickled)]) {
+        assert_eq!(serde_json::from_value::<Fault>(json!(name)).unwrap(), fault);
     }
 }
