--- a/crates/control-plane/tests/simulated_message_faults.rs
+++ b/crates/control-plane/tests/simulated_message_faults.rs
@@ -9,7 +9,7 @@
 use support::random_faults::RandomFault;
 use support::scenario::{Mutation, MutationKind, Scenario};
 
-use MutationKind::{CutOff, Double, Drop, Replay};
+use MutationKind::{Drop, Duplicate, Replay, Truncate};
 
 /// The number of message kinds that the state machine processes, by `kind_of`.
 const KINDS: usize = 18;
@@ -25,8 +25,8 @@
 }
 
 #[rstest]
-fn one_message_changed(
-    #[values(Drop, Double, CutOff, Replay)] how: MutationKind,
+fn no_invariant_is_violated_if_one_message_is_mutated(
+    #[values(Drop, Duplicate, Truncate, Replay)] how: MutationKind,
     #[values(0, 1, 5, 30)] number: u32,
 ) {
     let mut seen = 0;
@@ -43,7 +43,7 @@
 
 /// All numbers of `kind_of` occur in a run; a new message type breaks the build of `kind_of`.
 #[test]
-fn all_kinds_occur() {
+fn every_message_kind_occurs() {
     // Rejections of ballots are rare.
     let mut missing: Vec<usize> = (0..KINDS).filter(|kind| *kind != 7).collect();
     for seed in 0..6 {
--- a/crates/control-plane/tests/simulated_planted_bugs.rs
+++ b/crates/control-plane/tests/simulated_planted_bugs.rs
@@ -13,7 +13,7 @@
 const SEEDS: u64 = 200;
 
 /// Returns the scenario, adapted if necessary so that the planted bug takes effect.
-fn plan_of(planted_bug: PlantedBug, named: NamedScenario, seed: u64) -> Scenario {
+fn scenario_for(planted_bug: PlantedBug, named: NamedScenario, seed: u64) -> Scenario {
     let platform = matches!(
         planted_bug,
         PlantedBug::ViewNumberedTables | PlantedBug::NoLease | PlantedBug::LocalNotFound
@@ -31,7 +31,7 @@
 /// Returns the first violation that a scenario shows with a planted bug, and the number of runs that it took.
 fn first_violation(planted_bug: PlantedBug, named: NamedScenario) -> Option<(u64, String)> {
     let run = |seed| {
-        let scenario = Scenario { planted_bug: Some(planted_bug), ..plan_of(planted_bug, named, seed) };
+        let scenario = Scenario { planted_bug: Some(planted_bug), ..scenario_for(planted_bug, named, seed) };
         Cluster::new(seed, scenario).run().err().map(|violation| (seed + 1, violation))
     };
     (0..SEEDS).find_map(run)
@@ -43,20 +43,20 @@
 #[case::reads_without_barrier(PlantedBug::LocalReads, NamedScenario::LongPartition, &["a read saw"])]
 #[case::reads_without_barrier_in_halves(PlantedBug::LocalReads, NamedScenario::SplitInHalves, &["a read saw"])]
 #[case::refusals_without_barrier(PlantedBug::LocalRefusals, NamedScenario::LongPartition, &["NoOrder", "refused but took effect"])]
-#[case::refusals_confirmed(PlantedBug::RefusalsAsDone, NamedScenario::Kill, &["is not committed", "same base"])]
+#[case::refusals_acknowledged(PlantedBug::RefusalsAsDone, NamedScenario::Kill, &["is not committed", "same base"])]
 #[case::resends_refused(PlantedBug::DoneAsRefusals, NamedScenario::Kill, &["a proper request"])]
 #[case::entries_forgotten(PlantedBug::ForgottenEntries, NamedScenario::HerdKill, &["a read saw", "reported another change", "are known"])]
 #[case::votes_forgotten(PlantedBug::ForgottenVotes, NamedScenario::EverythingInTurn, &["a subscriber lacks", "not recovered", "reported ", "has no response", "holds term"])]
 #[case::acknowledged_before_the_disk(PlantedBug::EarlyAcknowledgements, NamedScenario::HerdWipe, &["reported ", "a read saw"])]
-#[case::learners_taken_in_early(PlantedBug::HastyLearners, NamedScenario::Kill, &["a subscriber lacks", "has no response"])]
-#[case::ends_without_handing_over(PlantedBug::HastyShutdowns, NamedScenario::GracefulRestarts, &["exits while the others need it"])]
-#[case::old_feed_positions(PlantedBug::StaleFeedPositions, NamedScenario::SubscriberRestarts, &["subscriber "])]
+#[case::learners_added_too_early(PlantedBug::HastyLearners, NamedScenario::Kill, &["a subscriber lacks", "has no response"])]
+#[case::exits_without_handing_over(PlantedBug::HastyShutdowns, NamedScenario::GracefulRestarts, &["exits while the others need it"])]
+#[case::stale_feed_positions(PlantedBug::StaleFeedPositions, NamedScenario::SubscriberRestarts, &["subscriber "])]
 #[case::feed_goes_back(PlantedBug::BackwardFeed, NamedScenario::PartitionAndReset, &["went back"])]
-#[case::followers_kept_out_of_touch(PlantedBug::KeptSubscribers, NamedScenario::LongPartition, &["subscriber "])]
-#[case::tables_numbered_by_view(PlantedBug::ViewNumberedTables, NamedScenario::HerdKill, &["older ones"])]
+#[case::subscribers_kept_without_quorum(PlantedBug::KeptSubscribers, NamedScenario::LongPartition, &["subscriber "])]
+#[case::tables_numbered_by_epoch(PlantedBug::ViewNumberedTables, NamedScenario::HerdKill, &["older ones"])]
 #[case::orders_without_lease(PlantedBug::NoLease, NamedScenario::Kill, &["gives orders"])]
-#[case::not_found_without_proof(PlantedBug::LocalNotFound, NamedScenario::LongPartition, &["was not found"])]
-#[case::calls_numbered_alike(PlantedBug::SameIncarnation, NamedScenario::QuickRestarts, &["is not recorded", "is not committed", "same base", "NoOrder"])]
+#[case::not_found_without_barrier(PlantedBug::LocalNotFound, NamedScenario::LongPartition, &["was not found"])]
+#[case::request_numbers_reused(PlantedBug::SameIncarnation, NamedScenario::QuickRestarts, &["is not recorded", "is not committed", "same base", "NoOrder"])]
 fn a_planted_bug_is_found_in_a_named_scenario(
     #[case] planted_bug: PlantedBug,
     #[case] named: NamedScenario,
@@ -66,7 +66,7 @@
         panic!("{planted_bug:?} was not detected in {SEEDS} runs of {named:?}");
     };
     println!("{planted_bug:?}, {named:?}: found by run {runs}: {violation}");
-    let sound = Cluster::new(runs - 1, plan_of(planted_bug, named, runs - 1)).run();
-    sound.expect("the same run has no violation without the planted bug");
+    let without_bug = Cluster::new(runs - 1, scenario_for(planted_bug, named, runs - 1)).run();
+    without_bug.expect("the same run has no violation without the planted bug");
     assert!(expected.iter().any(|part| violation.contains(part)), "{violation}");
 }
--- a/crates/control-plane/tests/support/clients.rs
+++ b/crates/control-plane/tests/support/clients.rs
@@ -133,8 +133,8 @@
         let broken = match self.random.random_range(0..4) {
             0 => body(base, &note, 0),
             1 => {
-                let whole = body(base + 1, &note, 0);
-                whole[..whole.len() - 2].to_vec()
+                let complete = body(base + 1, &note, 0);
+                complete[..complete.len() - 2].to_vec()
             }
             2 => json!({"config-version": base + 1, "services": [{"name": note}, {"name": note}]})
                 .to_string()
@@ -251,7 +251,7 @@
     }
 
     /// Returns the outcome that a machine with a planted bug reports before its state machine decides.
-    pub fn cheated_outcome(&self, machine: usize, number: ChangeNumber) -> Option<RequestOutcome> {
+    pub fn planted_outcome(&self, machine: usize, number: ChangeNumber) -> Option<RequestOutcome> {
         match self.scenario.planted_bug {
             Some(PlantedBug::EarlyAnswers) => Some(RequestOutcome::Done),
             Some(PlantedBug::LocalRefusals) => {
