--- a/crates/testbed/src/application_server.rs
+++ b/crates/testbed/src/application_server.rs
@@ -239,10 +239,10 @@
         id.is_some()
     }
 
-    fn late_body(&mut self, request: &Request, out: &mut Effects) {
+    fn remaining_body(&mut self, request: &Request, out: &mut Effects) {
         let id = request.headers.get("Attempt-Id").unwrap_or_default().to_owned();
         let body = synthetic_text::digest(&request.body);
-        out.observations.push(Observation::LateBodyReceived { id, body });
+        out.observations.push(Observation::RemainingBodyReceived { id, body });
     }
 
     fn closed(&mut self, now: u64, connection: ConnectionKey, out: &mut Effects) {
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -239,7 +239,7 @@
 /// What the invariant checker sees of an attempt's end.
 fn observed(id: String, outcome: &Outcome) -> Observation {
     match outcome {
-        Outcome::Answered(answer) => Observation::RequestAnswered {
+        Outcome::Response(answer) => Observation::ResponseReceived {
             id,
             status: answer.status,
             signature: answer.headers.get("Server-Signature").map(str::to_owned),
@@ -247,8 +247,8 @@
             body: synthetic_text::digest(&answer.body),
         },
         Outcome::TrailingBytes(_) | Outcome::Malformed => Observation::MalformedResponseReceived { id },
-        Outcome::Disconnected { .. } => Observation::RequestUnanswered { id, connection_lost: true },
-        Outcome::Refused | Outcome::TimedOut => Observation::RequestUnanswered { id, connection_lost: false },
+        Outcome::Disconnected { .. } => Observation::RequestFailed { id, connection_lost: true },
+        Outcome::Refused | Outcome::TimedOut => Observation::RequestFailed { id, connection_lost: false },
     }
 }
 
@@ -281,8 +281,8 @@
         let Some(request) = self.pending.get(&tag) else { return };
         out.observations.push(observed(request.attempt_id.clone(), &outcome));
         match outcome {
-            Outcome::Answered(answer) if answer.is_success() => self.succeed(now, tag),
-            Outcome::Answered(answer) => {
+            Outcome::Response(answer) if answer.is_success() => self.succeed(now, tag),
+            Outcome::Response(answer) => {
                 let not_executed = NOT_EXECUTED_STATUSES.contains(&answer.status);
                 let is_final = FINAL_STATUSES.contains(&answer.status);
                 let retry_after_s =
--- a/crates/testbed/src/concurrent_operators.rs
+++ b/crates/testbed/src/concurrent_operators.rs
@@ -188,7 +188,7 @@
         status: Option<u16>,
         out: &mut Effects,
     ) {
-        out.observations.push(Observation::ConfigurationAnswered { change, status });
+        out.observations.push(Observation::ConfigurationSendEnded { change, status });
         let mut stats = self.stats.borrow_mut();
         match status {
             Some(200..=299) => {
--- a/crates/testbed/src/control_call.rs
+++ b/crates/testbed/src/control_call.rs
@@ -193,7 +193,7 @@
 
     /// Takes the outcome of the last attempt.
     pub fn attempt_ended(&mut self, now: u64, outcome: Outcome) -> CallProgress {
-        if let Outcome::Answered(answer) = outcome {
+        if let Outcome::Response(answer) = outcome {
             if answer.status == 307 && self.redirects < MAX_REDIRECTS {
                 self.redirects += 1;
                 self.redirect = answer.headers.get("Location").and_then(address_of);
--- a/crates/testbed/src/effects.rs
+++ b/crates/testbed/src/effects.rs
@@ -76,7 +76,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Outcome {
     /// A whole response came.
-    Answered(Response),
+    Response(Response),
     /// The address refused the connection; or the peer closed it in order, before it came to a pipelined call.
     Refused,
     /// The connection ended before the response was whole.
@@ -172,7 +172,7 @@
     }
 
     /// The rest of a request that got an early response has come.
-    fn late_body(&mut self, _request: &Request, _out: &mut Effects) {}
+    fn remaining_body(&mut self, _request: &Request, _out: &mut Effects) {}
 
     /// The peer has closed the connection.
     fn closed(&mut self, now: u64, connection: ConnectionKey, out: &mut Effects);
--- a/crates/testbed/src/host/inbound.rs
+++ b/crates/testbed/src/host/inbound.rs
@@ -33,8 +33,8 @@
                     let mut out = Effects::default();
                     let service = self.servers[server.0].service();
                     match head {
-                        HeadState::Answered => service.late_body(&request, &mut out),
-                        HeadState::NotShown | HeadState::Shown => {
+                        HeadState::Responded => service.remaining_body(&request, &mut out),
+                        HeadState::NotShown | HeadState::Reported => {
                             service.request(now, key, request, &mut out);
                         }
                     }
@@ -66,8 +66,8 @@
         let Ok(Some(head)) = http::parse_request_head(self.network.inbox(id)) else { return };
         if state == HeadState::NotShown {
             let mut out = Effects::default();
-            let is_answered = self.servers[server.0].service().request_head(key, &head, &mut out);
-            let head = if is_answered { HeadState::Answered } else { HeadState::Shown };
+            let has_responded = self.servers[server.0].service().request_head(key, &head, &mut out);
+            let head = if has_responded { HeadState::Responded } else { HeadState::Reported };
             self.roles.insert(id, ConnectionRole::Inbound { server, key, head });
             self.apply(now, None, out);
         }
--- a/crates/testbed/src/host/mod.rs
+++ b/crates/testbed/src/host/mod.rs
@@ -38,9 +38,9 @@
     /// The server wasn't shown it yet.
     NotShown,
     /// The server saw it and waits for the body.
-    Shown,
+    Reported,
     /// The server responded to it; the body comes late.
-    Answered,
+    Responded,
 }
 
 /// What a connection of the host is for.
--- a/crates/testbed/src/host/outbound.rs
+++ b/crates/testbed/src/host/outbound.rs
@@ -13,14 +13,14 @@
 
 /// Whether another request may follow on the connection of a response.
 fn may_be_kept(outcome: &Outcome) -> bool {
-    let Outcome::Answered(answer) = outcome else { return false };
+    let Outcome::Response(answer) = outcome else { return false };
     !answer.headers.get("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
 /// How a pipelined call ends whose connection ended with the call before it.
 fn outcome_behind(outcome: &Outcome) -> Outcome {
     match outcome {
-        Outcome::Refused | Outcome::Answered(_) => Outcome::Refused,
+        Outcome::Refused | Outcome::Response(_) => Outcome::Refused,
         Outcome::TimedOut => Outcome::TimedOut,
         Outcome::Disconnected { .. } | Outcome::Malformed | Outcome::TrailingBytes(_) => {
             Outcome::Disconnected { partial: false }
@@ -60,7 +60,7 @@
         let bytes = self.network.inbox(id);
         let outcome = match http::parse_response(bytes, ended) {
             Ok(Some((answer, length))) if length < bytes.len() => Outcome::TrailingBytes(answer),
-            Ok(Some((answer, _))) => Outcome::Answered(answer),
+            Ok(Some((answer, _))) => Outcome::Response(answer),
             Ok(None) if ended => Outcome::Disconnected { partial: !bytes.is_empty() },
             Ok(None) => return,
             Err(_) => Outcome::Malformed,
@@ -80,7 +80,7 @@
         let Ok(Some((answer, length))) = http::parse_response(self.network.inbox(id), false) else {
             return false;
         };
-        let outcome = Outcome::Answered(answer);
+        let outcome = Outcome::Response(answer);
         if !may_be_kept(&outcome) {
             return false;
         }
--- a/crates/testbed/src/invariants/configurations.rs
+++ b/crates/testbed/src/invariants/configurations.rs
@@ -4,32 +4,32 @@
 
 use super::context::{CheckContext, ExpectedRequest};
 use super::invariant::Invariant;
-use super::key_use::KeyHolders;
+use super::key_use::TenantKeys;
 use crate::configuration_document::{routes_of, services_of_route, version_of};
 use crate::observation::Observation;
 
-/// Time that an acknowledgement may take longer for each route, in milliseconds.
+/// Additional time for an acknowledgement per route of the configuration, in milliseconds.
 const ACK_MS_PER_ROUTE: u64 = 3;
 
-/// A configuration or a change that an operator sent; resends of it are the same change.
+/// A configuration or a change that an operator sent; retries belong to the same change.
 #[derive(Debug)]
 pub(super) struct ChangeRecord {
     number: u64,
     version: u64,
     base: u64,
     pub document: Value,
-    pub key_holders: KeyHolders,
+    pub tenant_keys: TenantKeys,
     valid: bool,
     sent_at: u64,
-    /// When the system first answered that it's accepted, also where that response was lost.
+    /// When the system first accepted the change, even if that response was lost.
     accepted_at: Option<u64>,
-    /// When the operator first had that response.
+    /// When the operator first received a response of acceptance.
     pub acknowledged_at: Option<u64>,
     refused: bool,
 }
 
 impl ChangeRecord {
-    /// How long a stable control plane may take to acknowledge it.
+    /// Maximum time in which a stable control plane acknowledges the change, in milliseconds.
     fn ack_ms(&self, context: &CheckContext) -> u64 {
         context.bounds.ack_ms + routes_of(&self.document).count() as u64 * ACK_MS_PER_ROUTE
     }
@@ -39,11 +39,11 @@
     }
 }
 
-/// Every change of the operators, in the order of their first sends.
+/// All changes of the operators, in the order of their first sends.
 #[derive(Debug, Default)]
 pub(super) struct Configurations {
     pub sent: Vec<ChangeRecord>,
-    /// Indices of changes without a conclusive response.
+    /// Indices of the changes without a conclusive response.
     open: Vec<usize>,
 }
 
@@ -58,7 +58,7 @@
                     version: *version,
                     base: *base,
                     document: document.clone(),
-                    key_holders: KeyHolders::of(document),
+                    tenant_keys: TenantKeys::of(document),
                     valid: *valid,
                     sent_at: context.now,
                     accepted_at: None,
@@ -66,7 +66,7 @@
                     refused: false,
                 });
             }
-            Observation::ConfigurationAnswered { change, status } => {
+            Observation::ConfigurationSendEnded { change, status } => {
                 let Some(index) = self.index_of(*change) else { return };
                 self.close(index);
                 if let Some(status) = *status {
@@ -100,20 +100,20 @@
         self.open.retain(|open| *open != index);
     }
 
-    /// A stable control plane acknowledges a valid change in time, as long as no other took its place.
+    /// Checks that a stable control plane acknowledges a valid change in time, unless another change superseded it.
     fn check_open(&mut self, context: &mut CheckContext) {
-        let newest = self.newest_accepted().unwrap_or(0);
+        let latest = self.latest_accepted().unwrap_or(0);
         let sent = &self.sent;
         self.open.retain(|index| {
             let change = &sent[*index];
             let ack_ms = change.ack_ms(context);
             let begun = context.stable_since().max(change.sent_at);
-            let is_late = change.valid && change.base == newest && context.now > begun + ack_ms;
-            if is_late {
+            let is_overdue = change.valid && change.base == latest && context.now > begun + ack_ms;
+            if is_overdue {
                 let detail = format!("got no conclusive response in {ack_ms} ms of a stable control plane");
                 context.violate(Invariant::Acks, &change.version.to_string(), detail);
             }
-            !is_late
+            !is_overdue
         });
     }
 
@@ -129,7 +129,8 @@
         }
     }
 
-    /// What is accepted is valid, was not refused, and is the only one on its base and under its version.
+    /// Checks that an accepted change is valid, was not rejected before, and is the only one with its base and its
+    /// version.
     fn check_acceptance(&self, context: &mut CheckContext, index: usize) {
         let change = &self.sent[index];
         let (subject, base) = (change.version.to_string(), change.base);
@@ -149,7 +150,7 @@
         }
     }
 
-    /// A valid change is refused only if another one may have taken its place, and never after it was accepted.
+    /// Checks that a valid change is rejected only if another one may have superseded it, and never after its acceptance.
     fn check_refusal(&self, context: &mut CheckContext, index: usize, status: u16) {
         let change = &self.sent[index];
         let subject = change.version.to_string();
@@ -176,21 +177,21 @@
         }
     }
 
-    fn newest_accepted(&self) -> Option<u64> {
+    fn latest_accepted(&self) -> Option<u64> {
         self.sent.iter().filter(|change| change.is_accepted()).map(|change| change.version).max()
     }
 
-    /// A reading holds what was accepted before it was asked for, at whatever node.
+    /// Checks that a read at any node returns the changes that were accepted before the read was requested.
     fn check_observed(&self, context: &mut CheckContext, requested_at: u64, version: u64) {
         let before = self.sent.iter().filter(|change| change.accepted_at.is_some_and(|at| at < requested_at));
-        let newest = before.map(|change| change.version).max().unwrap_or(0);
-        if version < newest {
-            let detail = format!("was read though {newest} had been acknowledged before the reading began");
+        let latest = before.map(|change| change.version).max().unwrap_or(0);
+        if version < latest {
+            let detail = format!("was read though {latest} had been acknowledged before the reading began");
             context.violate(Invariant::Config, &version.to_string(), detail);
         }
     }
 
-    /// The configuration at the end is the newest accepted one, as it was sent.
+    /// Checks that the configuration at the end is the latest accepted one, with the content that was sent.
     fn check_final(&self, context: &mut CheckContext, document: Option<&Value>) {
         let Some(document) = document else {
             let detail = "the configuration doesn't come at the end";
@@ -198,8 +199,8 @@
         };
         let version = version_of(document);
         let subject = version.to_string();
-        if let Some(newest) = self.newest_accepted().filter(|newest| version < *newest) {
-            let detail = format!("was read back though {newest} was acknowledged");
+        if let Some(latest) = self.latest_accepted().filter(|latest| version < *latest) {
+            let detail = format!("was read back though {latest} was acknowledged");
             context.violate(Invariant::Config, &subject, detail);
         }
         let of_version: Vec<&ChangeRecord> =
@@ -223,7 +224,7 @@
         }
     }
 
-    /// Some configuration that may be in force sends a request to the service that executes it.
+    /// Checks that a configuration that may be active routes the request to the service that executes it.
     pub fn check_execution(
         &self,
         context: &mut CheckContext,
@@ -239,7 +240,7 @@
             return context.violate(Invariant::Route, id, detail);
         }
         let is_allowed = self
-            .maybe_in_force(context, expected.since)
+            .possibly_active(context, expected.since)
             .any(|change| routes_to(&change.document, service, expected));
         if !is_allowed && context.is_undisrupted_since(expected.since) {
             let detail = format!("{service} executes it, as only an older configuration allows");
@@ -247,8 +248,8 @@
         }
     }
 
-    /// Configurations by which a machine in contact may handle what was sent at `since`.
-    pub fn maybe_in_force(&self, context: &CheckContext, since: u64) -> impl Iterator<Item = &ChangeRecord> {
+    /// Returns the configurations that a connected machine may apply to a request sent at `since`.
+    pub fn possibly_active(&self, context: &CheckContext, since: u64) -> impl Iterator<Item = &ChangeRecord> {
         let applied_at = since.saturating_sub(context.bounds.config_apply_ms);
         let acknowledged =
             self.sent.iter().filter(|change| change.acknowledged_at.is_some_and(|at| at <= applied_at));
@@ -256,7 +257,7 @@
         self.sent.iter().filter(move |change| change.version >= oldest && !change.refused)
     }
 
-    /// Checks what is still open at the end.
+    /// Checks the changes that are still open at the end.
     pub fn finish(&mut self, context: &mut CheckContext) {
         self.check_open(context);
     }
@@ -266,12 +267,12 @@
     (200..300).contains(&status)
 }
 
-/// Whether a status says that a change won't be accepted: 408, 421 and 429 only put it off.
+/// Whether a status rejects a change for good; 408, 421 and 429 only defer it.
 fn is_refusal(status: u16) -> bool {
     (400..500).contains(&status) && !matches!(status, 408 | 421 | 429)
 }
 
-/// The longest matching route of a configuration.
+/// Returns the route with the longest matching prefix in a configuration.
 pub(super) fn route_of<'a>(document: &'a Value, expected: &ExpectedRequest<'_>) -> Option<&'a Value> {
     let path = expected.target.split('?').next().unwrap_or_default();
     let matching = routes_of(document).filter_map(|route| {
@@ -281,7 +282,7 @@
     matching.max_by_key(|(length, _)| *length).map(|(_, route)| route)
 }
 
-/// Whether the longest matching route of a configuration sends a request to a service.
+/// Whether the route with the longest matching prefix sends a request to a service.
 fn routes_to(document: &Value, service: &str, expected: &ExpectedRequest<'_>) -> bool {
     let route = route_of(document, expected);
     route.is_some_and(|route| services_of_route(route).iter().any(|name| name == service))
--- a/crates/testbed/src/invariants/invariant.rs
+++ b/crates/testbed/src/invariants/invariant.rs
@@ -2,43 +2,43 @@
 
 use derive_more::Display;
 
-/// An invariant. Its name in reports is the one of the operators' pages.
+/// An invariant. Reports print the name that the operators' documentation uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Display)]
 pub enum Invariant {
-    /// Nothing that was accepted or read is gone.
+    /// Everything that was accepted or read stays available.
     #[display("LOST")]
     Lost,
-    /// Nothing is executed or listed twice that may not be.
+    /// Nothing is executed or listed twice unless that is allowed.
     #[display("TWICE")]
     Twice,
-    /// Responses and results belong to what was asked, and are whole.
+    /// Responses and results belong to their requests and are complete.
     #[display("MIXED")]
     Mixed,
-    /// Texts have all their events, in order.
+    /// Texts contain all their events, in order.
     #[display("ORDER")]
     Order,
-    /// Results name the versions under which they were generated, and only allowed ones.
+    /// Results name the versions that generated them, and all of these versions are allowed.
     #[display("VERSION")]
     Version,
-    /// Servers get only what was asked for.
+    /// Servers receive only requests that were sent by a client or a trainer.
     #[display("UNASKED")]
     Unasked,
-    /// What was refused with the promise that it doesn't run is not executed.
+    /// A request that was rejected with a status that promises no execution is not executed.
     #[display("REFUSED")]
     Refused,
-    /// Requests go only to services to which some configuration sends them.
+    /// Requests reach only services to which at least one configuration routes them.
     #[display("ROUTE")]
     Route,
-    /// Configurations are accepted one after the other, and the acknowledged one is in force.
+    /// Configurations are accepted one after the other, and the acknowledged one is active.
     #[display("CONFIG")]
     Config,
-    /// A stable control plane acknowledges changes in time.
+    /// A stable control plane acknowledges changes within the time bound.
     #[display("ACKS")]
     Acks,
-    /// One leader at a time sends orders to a server, and one holder at a time calls the platform.
+    /// One leader at a time sends orders to a server, and one leader at a time calls the platform.
     #[display("ONE")]
     One,
-    /// Draining servers get no more requests.
+    /// Draining servers receive no new requests.
     #[display("DRAIN")]
     Drain,
 }
@@ -49,38 +49,38 @@
 pub struct Violation {
     /// The invariant.
     pub invariant: Invariant,
-    /// Id of the request, batch job, item, version or server.
+    /// Id of the request, batch job, item, version or server concerned.
     pub subject: String,
     /// Time of the observation, in milliseconds of the host's clock.
     pub at: u64,
-    /// What was observed, in words.
+    /// Description of what was observed.
     pub detail: String,
 }
 
-/// Time bounds of the invariants, in milliseconds. The names are those of the settings `bounds.*`.
+/// Time bounds of the invariants, in milliseconds. The fields are named like the settings `bounds.*`.
 #[derive(Clone, Copy, Debug)]
 pub struct InvariantBounds {
-    /// Time after a disruption until all machines are in contact again.
+    /// Time after a disruption until all machines can reach each other again.
     pub contact_ms: u64,
-    /// How long a stable control plane may take to acknowledge a change.
+    /// Maximum time in which a stable control plane acknowledges a change.
     pub ack_ms: u64,
-    /// How long an acknowledged configuration may take to be in force everywhere.
+    /// Maximum time until an acknowledged configuration is active on all nodes.
     pub config_apply_ms: u64,
-    /// How long what was accepted or read may take to show everywhere.
+    /// Maximum time until accepted or read data is visible on all nodes.
     pub settle_ms: u64,
-    /// How long items of a cancelled batch job may still be executed.
+    /// Maximum time during which items of a cancelled batch job may still be executed.
     pub cancel_ms: u64,
-    /// How long the lease of a leader lasts.
+    /// Duration of a leader's lease.
     pub lease_ms: u64,
-    /// How long orders and calls don't count after their sender was thawed or its link has healed.
+    /// Time after a resumed sender or a restored link during which orders and platform calls are not checked.
     pub thaw_slack_ms: u64,
-    /// How long a server may get requests after the list shows that it's draining.
+    /// Time during which a server may receive requests after the list shows it as draining.
     pub drain_ms: u64,
-    /// How far the platform's list lags.
+    /// Delay of the platform's server list.
     pub list_lag_ms: u64,
-    /// How long a stopping process may take.
+    /// Maximum time that a graceful shutdown takes.
     pub grace_ms: u64,
-    /// Time after which a lost connection can't be that of a request that came too late.
+    /// Time after which a lost connection cannot be explained by a request that arrived after the gateway stopped reading.
     pub loss_slack_ms: u64,
 }
 
--- a/crates/testbed/src/invariants/job_record.rs
+++ b/crates/testbed/src/invariants/job_record.rs
@@ -10,29 +10,29 @@
 use crate::credentials::Credentials;
 use crate::observation::{ItemResult, ItemSent, JobSent};
 
-/// Results of a batch job that were read in one response.
+/// A page of results of a batch job that was read in one response.
 pub(super) struct PageRead<'a> {
-    /// Items of the batch job, as the response states them.
+    /// Number of items in the batch job, as the response states it.
     pub total: u64,
-    /// Position behind which results were asked for.
+    /// Number of results before the requested page.
     pub after: u64,
-    /// Position behind the results.
+    /// Number of results up to the end of the page.
     pub next: u64,
     pub results: &'a [ItemResult],
 }
 
-/// A result, with the time at which it was first read.
+/// A result with the time at which it was first read.
 #[derive(Debug)]
 struct ResultRecord {
     first_read: u64,
     result: ItemResult,
 }
 
-/// A batch job: how it was sent, and what was read of it.
+/// A batch job: its submissions, and the results that were read.
 #[derive(Debug)]
 pub(super) struct JobRecord {
     pub sent: JobSent,
-    /// Those of all sends together: any of them may be the one that was accepted.
+    /// The credentials of all submissions together, since any of them may be the accepted one.
     pub credentials: Credentials,
     pub first_sent: u64,
     pub sends: u64,
@@ -41,12 +41,12 @@
     pub cancel_sent: bool,
     pub cancelled_at: Option<u64>,
     results: BTreeMap<u64, ResultRecord>,
-    /// Position of each item with a result.
+    /// Position of the result of each item that has one.
     position_of: HashMap<String, u64>,
 }
 
 impl JobRecord {
-    /// A batch job that is sent for the first time.
+    /// Records the first submission of a batch job.
     pub fn new(now: u64, sent: JobSent) -> JobRecord {
         JobRecord {
             credentials: sent.credentials.clone(),
@@ -62,8 +62,8 @@
         }
     }
 
-    /// Takes in how a send ended.
-    pub fn answered(&mut self, now: u64, status: Option<u16>) {
+    /// Records the end of a submission.
+    pub fn send_ended(&mut self, now: u64, status: Option<u16>) {
         match status {
             Some(202) => {
                 self.accepted_at.get_or_insert(now);
@@ -73,12 +73,12 @@
         }
     }
 
-    /// Whether every send was answered with the promise that none of it is executed.
+    /// Whether every submission received a status that promises that nothing of the job is executed.
     pub fn is_refused(&self) -> bool {
         self.refusals >= self.sends && self.accepted_at.is_none()
     }
 
-    /// Checks results that were read, against each other and against what servers did.
+    /// Checks a page of results against earlier pages and against the record of the servers.
     pub fn check_page(&mut self, context: &mut CheckContext, server_log: &ServerLog, page: &PageRead<'_>) {
         let (id, PageRead { total, after, next, results }) = (self.sent.job.clone(), page);
         if *total != self.sent.items.len() as u64 {
@@ -133,7 +133,7 @@
         }
     }
 
-    /// An item expires because its attempts failed, its time is over, or its batch job is cancelled.
+    /// Checks that an item expired because its attempts failed, its time was over, or its batch job was cancelled.
     fn check_expired(&self, context: &mut CheckContext, server_log: &ServerLog, item: &ItemSent) {
         let has_failed = [&item.id, &item.reward.id]
             .iter()
@@ -196,7 +196,7 @@
     }
 }
 
-/// The score is the signature of a success, and the reward call came after the text was whole.
+/// Checks that the score is the signature of a successful reward call, which reached a server after the text was complete.
 fn check_score(context: &mut CheckContext, server_log: &ServerLog, item: &ItemSent, result: &ItemResult) {
     let bears_score = |response: &ResponseRecord| {
         response.is_success() && Some(&response.signature) == result.score.as_ref()
--- a/crates/testbed/src/invariants/jobs.rs
+++ b/crates/testbed/src/invariants/jobs.rs
@@ -1,4 +1,4 @@
-//! Invariants for batch jobs as a whole: LOST, MIXED, UNASKED, REFUSED. Those of their results are in `job_record`.
+//! Invariants for complete batch jobs: LOST, MIXED, UNASKED, REFUSED. Those for their results are in `job_record`.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -15,7 +15,7 @@
     index: usize,
 }
 
-/// Batch jobs by their ids, and the references of items and reward calls; a later batch job may bring them back.
+/// Batch jobs by id, and references to items and reward calls by id. Several batch jobs may contain the same id.
 #[derive(Debug, Default)]
 pub(super) struct Jobs {
     jobs: BTreeMap<String, JobRecord>,
@@ -24,7 +24,7 @@
 }
 
 impl Jobs {
-    /// An item or a reward call as its trainer asked for it, with the first batch job that has it.
+    /// Returns an item or a reward call as sent by its trainer, from the first batch job that contains it.
     pub fn expected(&self, id: &str) -> Option<ExpectedRequest<'_>> {
         let (reference, is_item) = match self.items.get(id) {
             Some(references) => (references.first()?, true),
@@ -41,7 +41,7 @@
         Some(ExpectedRequest { method: "POST", host, target, body, purpose, credentials, since })
     }
 
-    /// Batch jobs that have an item or a reward call.
+    /// Returns the batch jobs that contain an item or a reward call.
     fn jobs_with(&self, id: &str) -> impl Iterator<Item = &JobRecord> {
         let references = self.items.get(id).or_else(|| self.rewards.get(id));
         references.into_iter().flatten().map(|reference| &self.jobs[&reference.job])
@@ -50,9 +50,9 @@
     pub fn observe(&mut self, context: &mut CheckContext, server_log: &ServerLog, observation: &Observation) {
         match observation {
             Observation::JobSent(sent) => self.record_send(context.now, sent),
-            Observation::JobAnswered { job, status } => {
+            Observation::JobSendEnded { job, status } => {
                 if let Some(job) = self.jobs.get_mut(job) {
-                    job.answered(context.now, *status);
+                    job.send_ended(context.now, *status);
                 }
             }
             Observation::JobCancelSent { job } => {
@@ -65,7 +65,7 @@
                     job.cancelled_at.get_or_insert(context.now);
                 }
             }
-            Observation::JobRead { job, total, after, next, results } => {
+            Observation::ResultsRead { job, total, after, next, results } => {
                 if let Some(job) = self.jobs.get_mut(job) {
                     let page = PageRead { total: *total, after: *after, next: *next, results };
                     job.check_page(context, server_log, &page);
@@ -121,14 +121,14 @@
         let is_over =
             |job: &JobRecord| job.cancelled_at.is_some_and(|at| at + context.bounds.cancel_ms < context.now);
         let mut jobs = self.jobs_with(id).peekable();
-        let is_late = jobs.peek().is_some() && jobs.all(is_over);
-        if is_late && context.is_undisrupted_since(context.now) {
+        let is_overdue = jobs.peek().is_some() && jobs.all(is_over);
+        if is_overdue && context.is_undisrupted_since(context.now) {
             let detail = "is executed although every batch job that has it is cancelled";
             context.violate(Invariant::Unasked, id, detail);
         }
     }
 
-    /// Batch jobs that were refused at every send must not have been executed.
+    /// Checks that no item of a batch job was executed if every submission of the job was rejected.
     pub fn finish(&self, context: &mut CheckContext, server_log: &ServerLog) {
         for (job_id, job) in self.jobs.iter().filter(|(_, job)| job.is_refused()) {
             for id in job.sent.items.iter().flat_map(|item| [&item.id, &item.reward.id]) {
--- a/crates/testbed/src/invariants/lease_history.rs
+++ b/crates/testbed/src/invariants/lease_history.rs
@@ -1,7 +1,7 @@
-//! The invariant ONE for one subject: one holder at a time acts on it, under growing fencing tokens.
+//! The invariant ONE for one subject: one leader at a time acts on it, under increasing fencing tokens.
 //!
-//! Nothing checks the tokens on the way, so a lower token after a higher one and holders that take turns within a lease
-//! break it as well.
+//! The emulators do not enforce the tokens. So these also violate the invariant: a lower token after a higher one, and
+//! leaders that alternate within the duration of a lease.
 
 use std::collections::BTreeMap;
 
@@ -11,29 +11,29 @@
 /// One action on a subject.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct Action<'a> {
-    /// Name of the machine that acts, by its own words.
-    pub holder: &'a str,
-    /// Address of the machine that acts; empty where it isn't known.
+    /// Name of the acting machine, as the machine states it.
+    pub leader: &'a str,
+    /// Address of the acting machine; empty if it is unknown.
     pub source: &'a str,
-    /// Its fencing token.
+    /// Fencing token of the action.
     pub token: u64,
 }
 
 impl Action<'_> {
-    /// One machine is one holder, whatever names it or others give.
-    fn identity(&self) -> HolderIdentity {
-        HolderIdentity { name: self.holder.to_owned(), source: self.source.to_owned() }
+    /// Identifies the leader by name and source address.
+    fn identity(&self) -> LeaderIdentity {
+        LeaderIdentity { name: self.leader.to_owned(), source: self.source.to_owned() }
     }
 }
 
-/// A machine that acts: the same name from two machines is two holders.
+/// An acting machine. The same name at two addresses stands for two leaders.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
-struct HolderIdentity {
+struct LeaderIdentity {
     name: String,
     source: String,
 }
 
-impl std::fmt::Display for HolderIdentity {
+impl std::fmt::Display for LeaderIdentity {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self.source.as_str() {
             "" => f.write_str(&self.name),
@@ -42,37 +42,37 @@
     }
 }
 
-/// Who has acted on one subject, and under which tokens.
+/// The leaders that acted on one subject, with their tokens.
 #[derive(Debug, Default)]
 pub(super) struct LeaseHistory {
-    holder_of_token: BTreeMap<u64, HolderIdentity>,
+    leader_of_token: BTreeMap<u64, LeaderIdentity>,
     highest_token: u64,
-    /// When each holder last acted.
-    last_action: BTreeMap<HolderIdentity, u64>,
-    last_holder: HolderIdentity,
+    /// When each leader last acted.
+    last_action: BTreeMap<LeaderIdentity, u64>,
+    last_leader: LeaderIdentity,
 }
 
 impl LeaseHistory {
-    /// Checks an action and takes it into the history.
+    /// Checks an action and adds it to the history.
     pub fn check(&mut self, context: &mut CheckContext, subject: &str, action: Action<'_>) {
-        let (holder, token) = (action.identity(), action.token);
-        let known = self.holder_of_token.entry(token).or_insert_with(|| holder.clone());
-        if *known != holder {
-            let detail = format!("{known} and {holder} both use fencing token {token}");
+        let (leader, token) = (action.identity(), action.token);
+        let known = self.leader_of_token.entry(token).or_insert_with(|| leader.clone());
+        if *known != leader {
+            let detail = format!("{known} and {leader} both use fencing token {token}");
             context.violate(Invariant::One, subject, detail);
         }
         if token < self.highest_token {
-            let detail = format!("{holder} sends token {token} after {} was seen", self.highest_token);
+            let detail = format!("{leader} sends token {token} after {} was seen", self.highest_token);
             context.violate(Invariant::One, subject, detail);
         }
-        let returns = self.last_holder != holder
-            && self.last_action.get(&holder).is_some_and(|at| at + context.bounds.lease_ms > context.now);
+        let returns = self.last_leader != leader
+            && self.last_action.get(&leader).is_some_and(|at| at + context.bounds.lease_ms > context.now);
         if returns {
-            let detail = format!("{} and {holder} take turns within a lease", self.last_holder);
+            let detail = format!("{} and {leader} take turns within a lease", self.last_leader);
             context.violate(Invariant::One, subject, detail);
         }
         self.highest_token = self.highest_token.max(token);
-        self.last_action.insert(holder.clone(), context.now);
-        self.last_holder = holder;
+        self.last_action.insert(leader.clone(), context.now);
+        self.last_leader = leader;
     }
 }
--- a/crates/testbed/src/invariants/mod.rs
+++ b/crates/testbed/src/invariants/mod.rs
@@ -1,4 +1,4 @@
-//! The invariant checker: compares one series of observations with the rules that the system promises to keep.
+//! The invariant checker: compares a series of observations with the guarantees of the system.
 //!
 //! Invariants with a time bound hold only while nothing was disrupted for [`InvariantBounds::contact_ms`].
 
@@ -30,7 +30,7 @@
 pub use invariant::{Invariant, InvariantBounds, Violation};
 pub use usage_accounts::{UsageAccounts, UsageBounds, UsageFigures};
 
-/// Checks observations as they come.
+/// Checks observations in the order of their times.
 pub struct InvariantChecker {
     context: CheckContext,
     server_log: ServerLog,
@@ -43,7 +43,7 @@
 }
 
 impl InvariantChecker {
-    /// A checker that has observed nothing.
+    /// Returns a checker without observations.
     pub fn new(bounds: InvariantBounds) -> InvariantChecker {
         InvariantChecker {
             context: CheckContext::new(bounds),
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Takes the next observation, seen at `now` in milliseconds.
+    /// Checks the next observation, which was made at `now` (in milliseconds).
     pub fn observe(&mut self, now: u64, observation: &Observation) {
         self.context.begin_observation(now, observation);
         self.server_log.observe(&self.context, observation);
@@ -72,7 +72,7 @@
                 self.check_execution(server, id, method, target, *body);
                 self.check_caller(id, tenant.as_deref());
             }
-            Observation::RequestAnswered {
+            Observation::ResponseReceived {
                 id, status: status @ (401 | 403 | 404), signature: None, ..
             } => {
                 if let Some(expected) = self.requests.expected(id) {
@@ -86,7 +86,7 @@
             Observation::AuthorizationReceived { server, id } => {
                 self.configurations.check_authorization(&mut self.context, server, id);
             }
-            Observation::LateBodyReceived { id, body } => self.check_late_body(id, *body),
+            Observation::RemainingBodyReceived { id, body } => self.check_remaining_body(id, *body),
             Observation::MalformedRequestReceived { reason } => {
                 let detail = format!("got bytes that are no request: {reason}");
                 self.context.violate(Invariant::Unasked, "server", detail);
@@ -95,8 +95,8 @@
         }
     }
 
-    /// A server that responds early still gets the rest of the body, and no other bytes in its place.
-    fn check_late_body(&mut self, id: &str, body: u64) {
+    /// Checks that a server which responded early still receives the rest of the request body unchanged.
+    fn check_remaining_body(&mut self, id: &str, body: u64) {
         let expected = self.requests.expected(id).or_else(|| self.jobs.expected(id));
         if expected.map(|expected| expected.body) != Some(body) {
             let detail = "other bytes came where the rest of its body was due";
@@ -104,14 +104,14 @@
         }
     }
 
-    /// Compares the tenant that a server is told with the key that was sent.
+    /// Compares the tenant that a server received with the API key that the client sent.
     fn check_caller(&mut self, id: &str, tenant: Option<&str>) {
         if let Some(expected) = self.requests.expected(id).or_else(|| self.jobs.expected(id)) {
             self.configurations.check_caller(&mut self.context, id, &expected, tenant);
         }
     }
 
-    /// Compares an execution with what was asked for and with the configurations.
+    /// Compares an execution with the request that was sent and with the configurations.
     fn check_execution(&mut self, server: &str, id: &str, method: &str, target: &str, body: u64) {
         let Some(expected) = self.requests.expected(id).or_else(|| self.jobs.expected(id)) else {
             let detail = format!("{server} executes an id that nobody sent");
@@ -128,14 +128,14 @@
         }
     }
 
-    /// Checks what can only be checked at the end, and returns all violations.
+    /// Runs the checks that need the complete series, and returns all violations.
     pub fn finish(&mut self) -> &[Violation] {
         self.jobs.finish(&mut self.context, &self.server_log);
         self.configurations.finish(&mut self.context);
         self.context.violations()
     }
 
-    /// The violations so far.
+    /// Returns the violations found so far.
     pub fn violations(&self) -> &[Violation] {
         self.context.violations()
     }
--- a/crates/testbed/src/invariants/outputs.rs
+++ b/crates/testbed/src/invariants/outputs.rs
@@ -1,4 +1,4 @@
-//! Which texts servers can have generated, given the executions of an item.
+//! The texts that servers can have generated, given the executions of an item.
 
 use std::collections::BTreeSet;
 
@@ -7,21 +7,21 @@
 use super::server_log::ExecutionRecord;
 use crate::synthetic_text;
 
-/// What is wrong with a text by itself.
+/// A defect that is visible in the text alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Display)]
 pub(super) enum OutputDefect {
-    /// A line is no event of the item.
+    /// A line is not an event of the item.
     #[display("it has a line that is no event of the item")]
     Foreign,
-    /// Events are missing, doubled or out of order.
+    /// Events are missing, duplicated or out of order.
     #[display("its events aren't in order")]
     Disordered,
-    /// It ends before the last event.
+    /// The text ends before the last event.
     #[display("it ends before the last event")]
     Truncated,
 }
 
-/// Compares a text with the whole text of an item.
+/// Compares a text with the complete text of an item.
 pub(super) fn check_text(id: &str, message: &str, events: u64) -> Result<(), OutputDefect> {
     let mut numbers = Vec::new();
     for line in message.split('\n').filter(|line| !line.is_empty()) {
@@ -36,8 +36,9 @@
     }
 }
 
-/// The sets of versions of all whole texts that can be joined from the executions: the first one from the start, each
-/// later one asked to go on after the event where the one before it was left. Empty if there is none.
+/// Returns the version sets of all complete texts that the executions can form. The first execution of a text starts at
+/// the beginning, and each following one resumes after the last event used from the one before. Empty if no complete
+/// text is possible.
 pub(super) fn possible_versions(executions: &[ExecutionRecord], events: u64) -> Vec<BTreeSet<u64>> {
     let mut found = Vec::new();
     for execution in executions.iter().filter(|execution| execution.after_event == 0) {
@@ -46,7 +47,7 @@
     found
 }
 
-/// Follows one execution, and all that can go on from each of its events, to the end of the text.
+/// Follows one execution, and all executions that resume after one of its events, to the end of the text.
 fn follow(
     executions: &[ExecutionRecord],
     execution: &ExecutionRecord,
@@ -74,7 +75,7 @@
     }
 }
 
-/// Number of the observation at which the last event of a text was first emitted.
+/// Returns the number of the observation in which the last event of a text was first emitted.
 pub(super) fn last_event_emitted(executions: &[ExecutionRecord], events: u64) -> Option<u64> {
     let emitted = executions.iter().flat_map(|execution| &execution.events);
     emitted.filter(|event| event.event == events).map(|event| event.sequence).min()
--- a/crates/testbed/src/invariants/requests.rs
+++ b/crates/testbed/src/invariants/requests.rs
@@ -1,4 +1,4 @@
-//! Invariants for plain requests: MIXED, TWICE, REFUSED, and LOST while a gateway stops.
+//! Invariants for single requests: MIXED, TWICE, REFUSED, and LOST while a gateway stops.
 
 use std::collections::HashMap;
 
@@ -9,7 +9,7 @@
 use crate::credentials::Credentials;
 use crate::observation::Observation;
 
-/// Time after the grace that still counts as planned work, in milliseconds.
+/// Time after the graceful shutdown that still counts as planned work, in milliseconds.
 const SLACK_AFTER_GRACE_MS: u64 = 1_000;
 
 #[derive(Debug)]
@@ -25,16 +25,16 @@
     refused: bool,
 }
 
-/// Requests of clients by their ids.
+/// Requests of clients by id.
 #[derive(Debug, Default)]
 pub(super) struct Requests {
     sent: HashMap<String, RequestRecord>,
-    /// When gateways were told to stop.
+    /// Times at which gateways were ordered to stop, by address.
     stopping_since: HashMap<String, u64>,
 }
 
 impl Requests {
-    /// A request as its client asked for it.
+    /// Returns a request as its client sent it.
     pub fn expected(&self, id: &str) -> Option<ExpectedRequest<'_>> {
         self.sent.get(id).map(|request| ExpectedRequest {
             method: &request.method,
@@ -64,7 +64,7 @@
                 self.sent.insert(id.clone(), request);
             }
             Observation::ExecutionStarted { id, .. } => self.check_execution(context, server_log, id),
-            Observation::RequestAnswered { id, status, signature, echoed_id, body } => {
+            Observation::ResponseReceived { id, status, signature, echoed_id, body } => {
                 if echoed_id.as_ref().is_some_and(|echoed| echoed != id) {
                     let detail = format!("got the response of request {echoed_id:?}");
                     context.violate(Invariant::Mixed, id, detail);
@@ -80,7 +80,7 @@
             Observation::GatewayStopping { gateway } => {
                 self.stopping_since.insert(gateway.clone(), context.now);
             }
-            Observation::RequestUnanswered { id, connection_lost: true } => {
+            Observation::RequestFailed { id, connection_lost: true } => {
                 self.check_connection_loss(context, server_log, id);
             }
             Observation::MalformedResponseReceived { id } => {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// A gateway that stops gives whole responses to the requests that it has read.
+    /// Checks that a stopping gateway completes the responses to all requests that it has read.
     fn check_connection_loss(&self, context: &mut CheckContext, server_log: &ServerLog, id: &str) {
         let Some(request) = self.sent.get(id) else { return };
         let Some(&stopped) = self.stopping_since.get(&request.gateway) else { return };
@@ -126,7 +126,7 @@
     }
 }
 
-/// A success bears the signature of a server that responded so to the request.
+/// Checks that a successful response has the signature and the body of a successful response of a server.
 fn check_success(
     context: &mut CheckContext,
     server_log: &ServerLog,
--- a/crates/testbed/src/invariants/server_log.rs
+++ b/crates/testbed/src/invariants/server_log.rs
@@ -1,4 +1,4 @@
-//! What servers did, by the id of the request; and the invariant DRAIN.
+//! The record of what servers did, by request id, and the invariant DRAIN.
 
 use std::collections::HashMap;
 
@@ -20,7 +20,7 @@
 pub(super) struct ResponseRecord {
     pub status: u16,
     pub signature: String,
-    /// Digest of its body.
+    /// Digest of the response body.
     pub body: u64,
 }
 
@@ -36,18 +36,18 @@
     pub execution: u64,
     /// Number of the observation in the series.
     pub sequence: u64,
-    /// The stream goes on after this event; 0 from the start.
+    /// The event after which a resumed stream continues; 0 for a stream from its beginning.
     pub after_event: u64,
     pub events: Vec<EventRecord>,
     pub response: Option<ResponseRecord>,
 }
 
-/// All executions, and what is known of the servers.
+/// All executions, with the service and the draining time of each server.
 #[derive(Debug, Default)]
 pub(super) struct ServerLog {
     executions: HashMap<String, Vec<ExecutionRecord>>,
     service_of: HashMap<String, String>,
-    /// When servers were marked as draining.
+    /// Times at which servers were marked as draining.
     draining_since: HashMap<String, u64>,
 }
 
@@ -89,27 +89,27 @@
         self.executions.get_mut(id)?.iter_mut().find(|record| record.execution == execution)
     }
 
-    /// Executions of a request, in the order in which they began.
+    /// Returns the executions of a request, in the order of their starts.
     pub fn executions(&self, id: &str) -> &[ExecutionRecord] {
         self.executions.get(id).map_or(&[], Vec::as_slice)
     }
 
-    /// A server that is marked as draining gets no requests after a while.
+    /// Checks that a draining server receives no requests after the time bound.
     pub fn check_draining(&self, context: &mut CheckContext, server: &str, id: &str) {
         let allowed_ms = context.bounds.drain_ms + context.bounds.list_lag_ms;
-        let is_late = self.draining_since.get(server).is_some_and(|at| at + allowed_ms < context.now);
-        if is_late && context.is_undisrupted_since(context.now) {
+        let is_overdue = self.draining_since.get(server).is_some_and(|at| at + allowed_ms < context.now);
+        if is_overdue && context.is_undisrupted_since(context.now) {
             let detail = format!("is executed at {server}, which has been draining for long");
             context.violate(Invariant::Drain, id, detail);
         }
     }
 
-    /// The service of a server, if it's known.
+    /// Returns the service of a server; `None` if the server is unknown.
     pub fn service_of(&self, server: &str) -> Option<&str> {
         self.service_of.get(server).map(String::as_str)
     }
 
-    /// How many responses with this status servers gave to a request.
+    /// Returns the number of responses with the given status that servers sent for a request.
     pub fn count_responses(&self, id: &str, status: u16) -> u64 {
         let responses = self.executions(id).iter().filter_map(|record| record.response.as_ref());
         responses.filter(|response| response.status == status).count() as u64
--- a/crates/testbed/src/invariants/starved_items.rs
+++ b/crates/testbed/src/invariants/starved_items.rs
@@ -1,5 +1,5 @@
-//! The invariant LOST for items that the system leaves lying: a step runs out of time while one of its items is at no
-//! server, though nothing stands in its way.
+//! The invariant LOST for items that the system does not dispatch: a step misses its deadline while one of its items is
+//! at no server, although servers are free and nothing is disrupted.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
@@ -7,25 +7,25 @@
 use super::invariant::Invariant;
 use crate::observation::Observation;
 
-/// An item has to have been at no server for this time, in milliseconds.
+/// Time that an item must have been at no server to count as starved, in milliseconds.
 const STARVED_MS: u64 = 5_000;
-/// Servers that load new weights take no items for a while after a version is named, in milliseconds.
+/// Time after the announcement of a version during which servers load weights and take no items, in milliseconds.
 const LOADING_MS: u64 = 6_000;
-/// The servers may be busy with items of other models if one began within this time, in milliseconds.
+/// Time after the last start of an item during which servers may be busy with other models, in milliseconds.
 const BUSY_MS: u64 = 3_000;
 
 /// What servers did with an item.
 #[derive(Clone, Copy, Debug, Default)]
 struct ItemActivity {
     has_begun: bool,
-    /// Executions without a response; one that was cancelled counts for good.
+    /// Number of executions without a response. A cancelled execution stays in this count.
     open: u32,
-    /// It was finished, or a server failed it.
+    /// Whether the item was finished, or failed by a server.
     is_over: bool,
     last_at: u64,
 }
 
-/// A step, as far as this check needs it.
+/// The facts about a step that this check needs.
 #[derive(Clone, Debug)]
 struct Step {
     items: Vec<String>,
@@ -34,7 +34,7 @@
     accepted_at: Option<u64>,
 }
 
-/// All items and the steps that they belong to.
+/// All items, and the steps that they belong to.
 #[derive(Debug, Default)]
 pub(super) struct StarvedItems {
     steps: BTreeMap<String, Step>,
@@ -58,7 +58,7 @@
                     accepted_at: None,
                 });
             }
-            Observation::JobAnswered { job, status: Some(202) } => {
+            Observation::JobSendEnded { job, status: Some(202) } => {
                 if let Some(step) = self.steps.get_mut(job) {
                     step.accepted_at.get_or_insert(context.now);
                 }
@@ -95,7 +95,7 @@
         }
     }
 
-    /// A trainer gives a step up.
+    /// Checks the items of a step that its trainer abandons.
     fn check(&mut self, context: &mut CheckContext, job: &str) {
         let Some(step) = self.steps.get(job) else { return };
         let now = context.now;
--- a/crates/testbed/src/invariants/usage_accounts.rs
+++ b/crates/testbed/src/invariants/usage_accounts.rs
@@ -1,68 +1,68 @@
-//! What reports of usage should hold, and how far those that came are from it. No rule is broken by a report that is
-//! missing or off: it's a figure of the scenario.
+//! Compares usage reports with the requests that servers actually started. A missing or inaccurate report violates no
+//! invariant; it is a figure of the scenario.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
-use crate::observation::{DutyOrder, Observation};
+use crate::observation::{Observation, PlatformOrder};
 
 const MS_PER_S: u64 = 1_000;
 
-/// How usage is reported.
+/// Parameters of usage reporting.
 #[derive(Clone, Copy, Debug)]
 pub struct UsageBounds {
-    /// Milliseconds from the start of 1970 to the beginning of the observations' clock.
+    /// Wall-clock time at which the observations' clock starts, in milliseconds since the start of 1970.
     pub wall_ms_at_start: u64,
-    /// Length of a window, in seconds.
+    /// Length of a usage window, in seconds.
     pub window_s: u64,
-    /// How long after its end a window is due, in seconds.
+    /// Time after the end of a window until its report is due, in seconds.
     pub late_s: u64,
-    /// How far a count may be off, as a share of the true one.
+    /// Allowed deviation of a count, as a fraction of the true count.
     pub tolerance: f64,
 }
 
-/// Windows of usage by what became of them.
+/// Numbers of usage windows by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct UsageFigures {
-    /// Windows that had to be reported.
+    /// Windows for which a report was due.
     pub due: u64,
-    /// Those of which no report was accepted in time.
+    /// Windows without a report that was accepted in time.
     pub missing: u64,
-    /// Those whose report was beyond the tolerance for a tenant.
+    /// Windows whose report exceeded the tolerance for at least one tenant.
     pub off: u64,
 }
 
-/// A request that a server began to run.
+/// A request that a server started to run.
 #[derive(Debug)]
 struct StartedRequest {
-    /// When it began; `None` while a stream has no event.
+    /// Time of the start; `None` while a stream has no event.
     at: Option<u64>,
     tenant: String,
 }
 
-/// A report that was accepted.
+/// A usage report that the platform accepted.
 #[derive(Debug)]
 struct AcceptedReport {
     at: u64,
     counts: BTreeMap<String, u64>,
 }
 
-/// Requests by tenant, and the reports about them.
+/// Started requests by tenant, and the accepted reports.
 #[derive(Debug)]
 pub struct UsageAccounts {
     bounds: UsageBounds,
     requests: HashMap<String, StartedRequest>,
-    /// Ids of items of batch jobs and of their reward calls.
+    /// Ids of the items of batch jobs and of their reward calls.
     excluded: HashSet<String>,
     reports: BTreeMap<u64, AcceptedReport>,
 }
 
 impl UsageAccounts {
-    /// Accounts without requests.
+    /// Returns accounts without requests.
     pub fn new(bounds: UsageBounds) -> UsageAccounts {
         UsageAccounts { bounds, requests: HashMap::new(), excluded: HashSet::new(), reports: BTreeMap::new() }
     }
 
-    /// Takes the next observation.
+    /// Records an observation made at `now` (in milliseconds).
     pub fn observe(&mut self, now: u64, observation: &Observation) {
         match observation {
             Observation::TenantRequestStarted { id, tenant, is_stream } => {
@@ -75,13 +75,13 @@
                     request.at.get_or_insert(now);
                 }
             }
-            // Items of batch jobs and their reward calls are outside of reports of usage.
+            // Usage reports do not count items of batch jobs and their reward calls.
             Observation::JobSent(job) => {
                 let items = job.items.iter();
                 self.excluded.extend(items.flat_map(|item| [item.id.clone(), item.reward.id.clone()]));
             }
-            Observation::DutyCallReceived { call, accepted: true } => {
-                if let DutyOrder::UsageReport { window, counts } = &call.order {
+            Observation::PlatformCallReceived { call, accepted: true } => {
+                if let PlatformOrder::UsageReport { window, counts } = &call.order {
                     let report = AcceptedReport { at: now, counts: counts.clone() };
                     self.reports.entry(*window).or_insert(report);
                 }
@@ -90,7 +90,7 @@
         }
     }
 
-    /// What became of the windows that lie between two times and were due by the second.
+    /// Classifies the windows that lie after `from` and whose reports were due by `until` (both in milliseconds).
     pub fn figures(&self, from: u64, until: u64) -> UsageFigures {
         let truth = self.truth();
         let mut figures = UsageFigures::default();
@@ -115,20 +115,20 @@
         (self.bounds.wall_ms_at_start + at) / self.window_ms()
     }
 
-    /// When a window is due, on the observations' clock.
+    /// Time at which the report of a window is due, on the observations' clock in milliseconds.
     fn due_at(&self, window: u64) -> u64 {
         let due = (window + 1) * self.window_ms() + self.bounds.late_s * MS_PER_S;
         due.saturating_sub(self.bounds.wall_ms_at_start)
     }
 
-    /// Whole windows after `from` that are due by `until`.
+    /// Returns the complete windows after `from` whose reports are due by `until`.
     fn due_windows(&self, from: u64, until: u64) -> impl Iterator<Item = u64> {
         let first = self.window_of(from) + 1;
         let end = self.window_of(until) + 1;
         (first..end).filter(move |window| self.due_at(*window) <= until)
     }
 
-    /// Requests that began, by window and tenant.
+    /// Counts the started requests by window and tenant.
     fn truth(&self) -> BTreeMap<u64, BTreeMap<String, u64>> {
         let mut truth: BTreeMap<u64, BTreeMap<String, u64>> = BTreeMap::new();
         for (id, request) in &self.requests {
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -264,7 +264,7 @@
         let is_success = answer.as_ref().is_some_and(Response::is_success);
         let body = answer.and_then(|answer| serde_json::from_slice::<Value>(&answer.body).ok());
         match purpose {
-            Purpose::Change(change) => self.change_answered(now, change, status, out),
+            Purpose::Change(change) => self.change_completed(now, change, status, out),
             Purpose::ReadBack => {
                 let document = body.filter(|_| is_success);
                 self.stats.borrow_mut().read_back = document.is_some();
@@ -295,8 +295,8 @@
         self.call(Purpose::RetirementState { node }, call);
     }
 
-    fn change_answered(&mut self, now: u64, change: Change, status: Option<u16>, out: &mut Effects) {
-        out.observations.push(Observation::ConfigurationAnswered { change: change.number, status });
+    fn change_completed(&mut self, now: u64, change: Change, status: Option<u16>, out: &mut Effects) {
+        out.observations.push(Observation::ConfigurationSendEnded { change: change.number, status });
         let mut stats = self.stats.borrow_mut();
         match status {
             Some(200..=299) => {
--- a/crates/testbed/src/platform/mod.rs
+++ b/crates/testbed/src/platform/mod.rs
@@ -1,8 +1,8 @@
 //! Stub of the platform: its list of servers, and the calls that are the duty of one node at a time, with rate limits
 //! and faults.
 
-mod duty_calls;
 mod fault;
+mod platform_calls;
 mod rate_limit;
 mod server_list;
 
@@ -12,13 +12,13 @@
 
 use serde_json::Value;
 
-use self::duty_calls::{SCALING_PATH, USAGE_REPORTS_PATH, read_duty_call};
 use self::fault::{FaultState, Handling};
+use self::platform_calls::{SCALING_PATH, USAGE_REPORTS_PATH, read_platform_call};
 use self::rate_limit::RateLimit;
 use self::server_list::ServerList;
 use crate::effects::{ConnectionKey, Effects, Service};
 use crate::http::{self, Request};
-use crate::observation::{DutyCall, DutyOrder, Observation};
+use crate::observation::{Observation, PlatformCall, PlatformOrder};
 
 pub use self::fault::PlatformFault;
 pub use self::server_list::ListedServer;
@@ -42,12 +42,12 @@
     /// Servers on one page.
     pub page_size: usize,
     /// Calls that are a duty a second from all nodes together.
-    pub duty_per_s: f64,
+    pub platform_calls_per_second: f64,
 }
 
 /// Counts of the calls that are a duty.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DutyCallCounts {
+pub struct PlatformCallCounts {
     /// Reports of usage that were taken.
     pub usage_reports: u64,
     /// Orders of how many servers there are that were taken.
@@ -71,7 +71,7 @@
 pub struct PlatformStub {
     list: ServerList,
     list_rate: RateLimit,
-    duty_rate: RateLimit,
+    platform_call_rate: RateLimit,
     fault: FaultState,
     delayed: Vec<DelayedAnswer>,
     /// Where connections come from.
@@ -81,7 +81,7 @@
     /// Calls of the list that were refused, over the rate or because of a fault, and those of an unknown path.
     pub refused: u64,
     /// Calls that are a duty.
-    pub duty_calls: DutyCallCounts,
+    pub platform_calls: PlatformCallCounts,
 }
 
 impl PlatformStub {
@@ -90,13 +90,13 @@
         PlatformStub {
             list: ServerList::new(settings.lag_ms, settings.page_size),
             list_rate: RateLimit::new(settings.rate_per_s),
-            duty_rate: RateLimit::new(settings.duty_per_s),
+            platform_call_rate: RateLimit::new(settings.platform_calls_per_second),
             fault: FaultState::default(),
             delayed: Vec::new(),
             sources: BTreeMap::new(),
             calls: 0,
             refused: 0,
-            duty_calls: DutyCallCounts::default(),
+            platform_calls: PlatformCallCounts::default(),
         }
     }
 
@@ -145,7 +145,7 @@
             ("GET", "/instances") if self.list_rate.admit(now) => self.answer_page(now, request),
             ("GET", "/instances") => self.refuse_list(OVER_RATE),
             ("POST", USAGE_REPORTS_PATH | SCALING_PATH) => {
-                Answer::empty(self.take_duty_call(now, connection, request, None, out))
+                Answer::empty(self.take_platform_call(now, connection, request, None, out))
             }
             _ => self.refuse_list(UNKNOWN_PATH),
         }
@@ -161,7 +161,7 @@
         out: &mut Effects,
     ) -> Answer {
         if request.method == "POST" {
-            return Answer::empty(self.take_duty_call(now, connection, request, Some(status), out));
+            return Answer::empty(self.take_platform_call(now, connection, request, Some(status), out));
         }
         self.refuse_list(status)
     }
@@ -179,7 +179,7 @@
     }
 
     /// Takes a call that is a duty, unless it's to be refused, is malformed or over the rate. Returns its status.
-    fn take_duty_call(
+    fn take_platform_call(
         &mut self,
         now: u64,
         connection: ConnectionKey,
@@ -187,30 +187,30 @@
         refusal: Option<u16>,
         out: &mut Effects,
     ) -> u16 {
-        let call = match read_duty_call(request) {
-            Ok(call) => DutyCall { source: self.source(connection), ..call },
+        let call = match read_platform_call(request) {
+            Ok(call) => PlatformCall { source: self.source(connection), ..call },
             Err(error) => {
                 log::warn!("platform: a call of {} is malformed: {error}", request.path());
-                self.duty_calls.malformed += 1;
+                self.platform_calls.malformed += 1;
                 return MALFORMED;
             }
         };
         let status = match refusal {
             Some(status) => status,
-            None if self.duty_rate.admit(now) => TAKEN,
+            None if self.platform_call_rate.admit(now) => TAKEN,
             None => OVER_RATE,
         };
         self.count(&call.order, status);
-        out.observations.push(Observation::DutyCallReceived { call, accepted: status == TAKEN });
+        out.observations.push(Observation::PlatformCallReceived { call, accepted: status == TAKEN });
         status
     }
 
-    fn count(&mut self, order: &DutyOrder, status: u16) {
-        let counts = &mut self.duty_calls;
+    fn count(&mut self, order: &PlatformOrder, status: u16) {
+        let counts = &mut self.platform_calls;
         match order {
             _ if status != TAKEN => counts.refused += 1,
-            DutyOrder::UsageReport { .. } => counts.usage_reports += 1,
-            DutyOrder::Scaling { .. } => counts.scaling_orders += 1,
+            PlatformOrder::UsageReport { .. } => counts.usage_reports += 1,
+            PlatformOrder::Scaling { .. } => counts.scaling_orders += 1,
         }
     }
 
--- a/crates/testbed/src/scenario/execution.rs
+++ b/crates/testbed/src/scenario/execution.rs
@@ -57,7 +57,7 @@
             Step::Pause(ids) => ids.into_iter().try_for_each(|id| self.launcher.pause(id))?,
             Step::Resume(ids) => {
                 ids.iter().try_for_each(|id| self.launcher.resume(*id))?;
-                self.observe_thaw(ids.iter().map(|id| self.launcher.machine_index(*id)).collect());
+                self.observe_resume(ids.iter().map(|id| self.launcher.machine_index(*id)).collect());
             }
             Step::SpendQuota(ids) => self.running(ids).try_for_each(|id| self.launcher.pause(id))?,
             Step::RenewQuota(ids) => self.running(ids).try_for_each(|id| self.launcher.resume(id))?,
@@ -76,7 +76,7 @@
                 self.schedule.is_link_slow = matches!(fault, Some(LinkFault::Slow { .. }));
                 links.iter().for_each(|link| self.host.set_link(link.from, link.to, fault));
                 if fault.is_none() {
-                    self.observe_thaw(links.iter().flat_map(|link| [link.from, link.to]).collect());
+                    self.observe_resume(links.iter().flat_map(|link| [link.from, link.to]).collect());
                 }
             }
             Step::InjectServerFault(index, fault) => {
@@ -96,10 +96,10 @@
     }
 
     /// Machines were thawed, or links of theirs have healed.
-    fn observe_thaw(&mut self, machines: BTreeSet<MachineIndex>) {
+    fn observe_resume(&mut self, machines: BTreeSet<MachineIndex>) {
         let topology = self.launcher.topology();
         let machines = machines.into_iter().map(|index| topology.machines[index.0].name.clone()).collect();
-        self.host.observe(Observation::MachinesThawed { machines });
+        self.host.observe(Observation::MachinesResumed { machines });
     }
 
     fn set_platform_fault(&mut self, fault: Option<PlatformFault>) {
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -26,7 +26,9 @@
 
 pub use error::ScenarioError;
 pub use faults::{Fault, UnknownFault};
-pub use report::{DutyReport, EndedProcess, PlatformCalls, ProcessUsage, Report, TrainerReport, percentile};
+pub use report::{
+    EndedProcess, PlatformCalls, ProcessUsage, Report, SingletonRoleReport, TrainerReport, percentile,
+};
 pub use run::run;
 
 /// What is run.
--- a/crates/testbed/src/scenario/report.rs
+++ b/crates/testbed/src/scenario/report.rs
@@ -9,7 +9,7 @@
 use crate::invariants::{Invariant, UsageFigures, Violation};
 use crate::launch::Usage;
 use crate::operator::OperatorStats;
-use crate::platform::DutyCallCounts;
+use crate::platform::PlatformCallCounts;
 use crate::trainer::TrainerStats;
 
 /// Violations of one invariant that are listed at most.
@@ -53,9 +53,9 @@
 
 /// What came of the duties of one node at a time.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DutyReport {
+pub struct SingletonRoleReport {
     /// Calls of the platform by what became of them.
-    pub calls: DutyCallCounts,
+    pub calls: PlatformCallCounts,
     /// Windows of usage by what became of their reports.
     pub usage: UsageFigures,
 }
@@ -80,7 +80,7 @@
     /// Calls of the platform's list.
     pub platform_calls: PlatformCalls,
     /// Of the duties of one node at a time.
-    pub duties: DutyReport,
+    pub singleton_roles: SingletonRoleReport,
     /// Where settings, data and logs were left.
     pub directory: Option<PathBuf>,
 }
@@ -151,8 +151,8 @@
         write_percentiles(f, &stats.ack_ms)
     }
 
-    fn write_duties(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let DutyReport { calls, usage } = self.duties;
+    fn write_singleton_roles(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let SingletonRoleReport { calls, usage } = self.singleton_roles;
         let (reports, scaling) = (calls.usage_reports, calls.scaling_orders);
         write!(f, "duties: {reports} usage reports and {scaling} scaling orders taken, ")?;
         writeln!(f, "{} refused, {} malformed", calls.refused, calls.malformed)?;
@@ -193,7 +193,7 @@
         }
         let PlatformCalls { answered, refused } = self.platform_calls;
         writeln!(f, "platform: {answered} calls answered, {refused} refused")?;
-        self.write_duties(f)?;
+        self.write_singleton_roles(f)?;
         if !operator.retired.is_empty() {
             writeln!(f, "emptied and taken away: {}", operator.retired.join(", "))?;
         }
--- a/crates/testbed/src/scenario/run.rs
+++ b/crates/testbed/src/scenario/run.rs
@@ -7,7 +7,7 @@
 use super::error::ScenarioError;
 use super::fault_steps::{FaultTargets, steps};
 use super::faults::Fault;
-use super::report::{DutyReport, PlatformCalls, ProcessUsage, Report};
+use super::report::{PlatformCalls, ProcessUsage, Report, SingletonRoleReport};
 use super::servers::{ServerIndices, open_servers};
 use super::steps::ScheduledStep;
 use super::supervision::Supervision;
@@ -250,12 +250,12 @@
             .platform()
             .map(|platform| PlatformCalls { answered: platform.calls, refused: platform.refused });
         let (from, until) = self.traffic_times;
-        let duties = DutyReport {
-            calls: self.host.platform().map(|platform| platform.duty_calls).unwrap_or_default(),
+        let singleton_roles = SingletonRoleReport {
+            calls: self.host.platform().map(|platform| platform.platform_calls).unwrap_or_default(),
             usage: self.usage_accounts.figures(from, until),
         };
         let mut report = Report {
-            duties,
+            singleton_roles,
             clients: self.traffic.client_stats(),
             trainers: self.traffic.trainer_stats(),
             operator: self.traffic.operator_stats(),
--- a/crates/testbed/src/scenario/servers.rs
+++ b/crates/testbed/src/scenario/servers.rs
@@ -20,7 +20,7 @@
 const PLATFORM_LAG_MS: u64 = 800;
 const PLATFORM_RATE_PER_S: f64 = 40.0;
 /// The same as `cloud-api.duty-per-s` in the settings of the processes.
-const PLATFORM_DUTY_PER_S: f64 = 10.0;
+const PLATFORM_CALLS_PER_SECOND: f64 = 10.0;
 const PAGE_SIZE: usize = 50;
 /// Tokens in one event.
 pub(super) const STRIDE: u64 = 53;
@@ -47,7 +47,7 @@
         lag_ms: PLATFORM_LAG_MS,
         rate_per_s: PLATFORM_RATE_PER_S,
         page_size: PAGE_SIZE,
-        duty_per_s: PLATFORM_DUTY_PER_S,
+        platform_calls_per_second: PLATFORM_CALLS_PER_SECOND,
     };
     host.open(EmulatedServer::Platform(PlatformStub::new(settings)), topology.platform)?;
     let mut servers = ServerIndices::default();
--- a/crates/testbed/src/trainer/responses.rs
+++ b/crates/testbed/src/trainer/responses.rs
@@ -24,10 +24,10 @@
         out: &mut Effects,
     ) {
         let status = match outcome {
-            Outcome::Answered(answer) => Some(answer.status),
+            Outcome::Response(answer) => Some(answer.status),
             _ => None,
         };
-        out.observations.push(Observation::JobAnswered { job: self.id().to_owned(), status });
+        out.observations.push(Observation::JobSendEnded { job: self.id().to_owned(), status });
         if self.phase != Phase::Submitting {
             return;
         }
@@ -88,7 +88,7 @@
     ) {
         let reading = observe_reading(self.id(), after, outcome, out);
         self.next_at = Some(now + RETRY_DELAY_MS);
-        let is_missing = matches!(outcome, Outcome::Answered(Response { status: 404, .. }));
+        let is_missing = matches!(outcome, Outcome::Response(Response { status: 404, .. }));
         if is_missing && !self.accepted {
             self.review = None;
         }
@@ -111,7 +111,7 @@
         out: &mut Effects,
     ) {
         let status = match outcome {
-            Outcome::Answered(Response { status, .. }) => *status,
+            Outcome::Response(Response { status, .. }) => *status,
             _ => 0,
         };
         match status {
@@ -133,8 +133,8 @@
     /// The request for the body of an item has ended.
     pub(super) fn item_body_read(&self, item: String, outcome: &Outcome, out: &mut Effects) {
         let body = match outcome {
-            Outcome::Answered(answer) if answer.status == 200 => Some(synthetic_text::digest(&answer.body)),
-            Outcome::Answered(answer) if answer.status == 404 => None,
+            Outcome::Response(answer) if answer.status == 200 => Some(synthetic_text::digest(&answer.body)),
+            Outcome::Response(answer) if answer.status == 404 => None,
             _ => return,
         };
         out.observations.push(Observation::ItemBody { job: self.id().to_owned(), item, body });
--- a/crates/testbed/src/trainer/result_reading.rs
+++ b/crates/testbed/src/trainer/result_reading.rs
@@ -22,7 +22,7 @@
     out: &mut Effects,
 ) -> Option<ResultPage> {
     let job = job.to_owned();
-    let Outcome::Answered(answer) = outcome else { return None };
+    let Outcome::Response(answer) = outcome else { return None };
     if matches!(answer.status, 404 | 410) {
         out.observations.push(Observation::JobMissing { job, status: answer.status });
         return None;
@@ -35,7 +35,7 @@
         return None;
     };
     let (total, next, results) = (page.total, page.next, page.results.clone());
-    out.observations.push(Observation::JobRead { job, total, after, next, results });
+    out.observations.push(Observation::ResultsRead { job, total, after, next, results });
     Some(page)
 }
 
--- a/crates/testbed/src/trainer/steps.rs
+++ b/crates/testbed/src/trainer/steps.rs
@@ -203,7 +203,7 @@
 
     /// A call whose key the system doesn't take is made again with another key of the tenant.
     fn observe_denial(&mut self, call: &JobCall, outcome: &Outcome, out: &mut Effects) {
-        let Outcome::Answered(Response { status: status @ (401 | 403), .. }) = outcome else { return };
+        let Outcome::Response(Response { status: status @ (401 | 403), .. }) = outcome else { return };
         self.keys.denied(&call.credentials);
         out.observations.push(Observation::JobCallDenied {
             job: self.jobs[call.job].id().to_owned(),
--- a/crates/testbed/tests/concurrent_operators.rs
+++ b/crates/testbed/tests/concurrent_operators.rs
@@ -78,7 +78,7 @@
 
     fn answer(&mut self, call: &Call, status: u16, body: &Value) {
         let body = body.to_string().into_bytes();
-        self.end(call, Outcome::Answered(Response { status, headers: Headers::default(), body }));
+        self.end(call, Outcome::Response(Response { status, headers: Headers::default(), body }));
     }
 
     /// Answers the readings that are under way, and returns the changes that follow.
@@ -186,7 +186,7 @@
     let answered = harness
         .observations
         .iter()
-        .filter(|seen| matches!(seen, Observation::ConfigurationAnswered { status: Some(200), .. }));
+        .filter(|seen| matches!(seen, Observation::ConfigurationSendEnded { status: Some(200), .. }));
     assert_eq!(answered.count(), 1);
 }
 
--- a/crates/testbed/tests/fault_proxy.rs
+++ b/crates/testbed/tests/fault_proxy.rs
@@ -99,7 +99,7 @@
 }
 
 fn is_whole(outcome: &Outcome) -> bool {
-    matches!(outcome, Outcome::Answered(answer) if answer.status == 200 && answer.body.len() == BODY_BYTES)
+    matches!(outcome, Outcome::Response(answer) if answer.status == 200 && answer.body.len() == BODY_BYTES)
 }
 
 #[test]
--- a/crates/testbed/tests/golden_callers.rs
+++ b/crates/testbed/tests/golden_callers.rs
@@ -66,7 +66,7 @@
             let status = STATUSES[random.random_range(0..STATUSES.len())];
             let after: &[(&str, &str)] =
                 if random.random_bool(0.3) { &[("Retry-After", "0.2")] } else { &[] };
-            Some(Outcome::Answered(response(status, after, Vec::new())))
+            Some(Outcome::Response(response(status, after, Vec::new())))
         }
         _ => None,
     }
@@ -102,7 +102,7 @@
         failure(random).unwrap_or_else(|| {
             let id = request.headers.get("Attempt-Id").unwrap_or_default().to_owned();
             let fields = [("Attempt-Id", id.as_str()), ("Server-Signature", "stamp")];
-            Outcome::Answered(response(200, &fields, request.body))
+            Outcome::Response(response(200, &fields, request.body))
         })
     });
     let stats = stats.borrow();
@@ -120,7 +120,7 @@
     let mut directory = directory();
     let mut checks = ReadinessChecks::default();
     let trace = play_caller(&mut checks, &mut directory, &mut random, UNTIL, |_, random| {
-        failure(random).unwrap_or_else(|| Outcome::Answered(response(200, &[], Vec::new())))
+        failure(random).unwrap_or_else(|| Outcome::Response(response(200, &[], Vec::new())))
     });
     trace ^ directory.ready_gateways() as u64
 }
@@ -150,7 +150,7 @@
         }
         if random.random_bool(0.05) {
             let location = format!("http://{}/v1/configuration", address(random.random_range(1..6), 82));
-            return Outcome::Answered(response(307, &[("Location", &location)], Vec::new()));
+            return Outcome::Response(response(307, &[("Location", &location)], Vec::new()));
         }
         let (request, _) = parse_request(&call.bytes).unwrap().unwrap();
         let given = serde_json::from_slice::<Value>(&request.body).unwrap_or_default();
@@ -162,7 +162,7 @@
             ("POST", _) => (200, Value::Null),
             (method, _) => (self.change(method, request.headers.get("If-Match"), given, random), Value::Null),
         };
-        Outcome::Answered(response(status, &[], body.to_string().into_bytes()))
+        Outcome::Response(response(status, &[], body.to_string().into_bytes()))
     }
 
     fn change(&mut self, method: &str, base: Option<&str>, given: Value, random: &mut Pcg64Mcg) -> u16 {
--- a/crates/testbed/tests/golden_invariants.rs
+++ b/crates/testbed/tests/golden_invariants.rs
@@ -14,9 +14,9 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::json;
 use support::observed_run::{
-    ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration, configuration_answered,
-    event_emitted, execution_started, insert, job_read, order_received, orderly_run, request_answered,
-    request_sent, response_sent, result, server_started,
+    ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration, configuration_send_ended,
+    event_emitted, execution_started, insert, job_read, order_received, orderly_run, request_sent,
+    response_received, response_sent, result, server_started,
 };
 
 const SEEDS: u64 = 40;
@@ -37,7 +37,7 @@
     let body = one_of(random, &[5, 77, 78, ITEM_BODY, REWARD_BODY]);
     match random.random_range(0..7) {
         0 => request_sent(id, random.random_bool(0.5)),
-        1 => request_answered(id, one_of(random, &STATUSES), stamp, body),
+        1 => response_received(id, one_of(random, &STATUSES), stamp, body),
         2 => execution_started(
             one_of(random, &["a1", "m1", "m2", "x1"]),
             random.random_range(100..110),
@@ -47,16 +47,16 @@
             0,
         ),
         3 => response_sent(random.random_range(100..110), id, one_of(random, &STATUSES), "stamp-p", body),
-        4 => Observation::LateBodyReceived { id: id.to_owned(), body },
+        4 => Observation::RemainingBodyReceived { id: id.to_owned(), body },
         5 => Observation::MalformedResponseReceived { id: id.to_owned() },
-        _ => Observation::RequestUnanswered { id: id.to_owned(), connection_lost: random.random_bool(0.8) },
+        _ => Observation::RequestFailed { id: id.to_owned(), connection_lost: random.random_bool(0.8) },
     }
 }
 
 fn of_a_job(random: &mut Pcg64Mcg) -> Observation {
     let (job, item) = (JOB.to_owned(), ITEM.to_owned());
     match random.random_range(0..8) {
-        0 => Observation::JobAnswered { job, status: Some(one_of(random, &STATUSES)) },
+        0 => Observation::JobSendEnded { job, status: Some(one_of(random, &STATUSES)) },
         1 => Observation::JobMissing { job, status: one_of(random, &[404, 410]) },
         2 => Observation::JobCancelled { job },
         3 => Observation::JobCancelSent { job },
@@ -101,7 +101,7 @@
                 valid: random.random_bool(0.8),
             }
         }
-        2 => configuration_answered(number, status),
+        2 => configuration_send_ended(number, status),
         3 => Observation::ConfigurationResponseLost { change: number, status },
         4 => Observation::ConfigurationObserved {
             requested_at: random.random_range(0..9_000),
--- a/crates/testbed/tests/golden_servers.rs
+++ b/crates/testbed/tests/golden_servers.rs
@@ -227,7 +227,7 @@
         lag_ms: 100 * seed,
         rate_per_s: 1.0 + seed as f64,
         page_size: 3 + seed as usize,
-        duty_per_s: 5.0,
+        platform_calls_per_second: 5.0,
     };
     let mut platform = RecordedService::new(PlatformStub::new(settings));
     for step in 0..STEPS {
--- a/crates/testbed/tests/host.rs
+++ b/crates/testbed/tests/host.rs
@@ -117,7 +117,7 @@
 fn a_stream_comes_whole_over_a_socket() {
     let mut host = Host::new().unwrap();
     let (_, address) = host.open(model(), LOOPBACK).unwrap();
-    let Outcome::Answered(answer) = call(&mut host, address, item(), LIMIT_MS) else { panic!("no answer") };
+    let Outcome::Response(answer) = call(&mut host, address, item(), LIMIT_MS) else { panic!("no answer") };
     let body = String::from_utf8(answer.body).unwrap();
     assert_eq!(body.matches("data: ").count() as u64, synthetic_text::event_count("i1", 300, 10));
     let seen = host.take_observations();
@@ -150,7 +150,7 @@
         after(ServerFault::Crash, LIMIT_MS),
         Outcome::Disconnected { partial: false } | Outcome::Refused
     ));
-    assert!(matches!(after(ServerFault::Slowdown(2), LIMIT_MS), Outcome::Answered(_)));
+    assert!(matches!(after(ServerFault::Slowdown(2), LIMIT_MS), Outcome::Response(_)));
 }
 
 /// Reads from a socket until what came holds `text`, while the host turns.
@@ -188,7 +188,8 @@
     socket.write_all(&next).unwrap();
     read_until(&mut host, &mut socket, &mut received, b"HTTP/1.1 200");
     let seen: Vec<Observation> = host.take_observations().into_iter().map(|seen| seen.observation).collect();
-    let late = Observation::LateBodyReceived { id: "x-1".to_owned(), body: synthetic_text::digest(&body) };
+    let late =
+        Observation::RemainingBodyReceived { id: "x-1".to_owned(), body: synthetic_text::digest(&body) };
     assert!(seen.contains(&late));
     let runs = |seen: &&Observation| matches!(seen, Observation::ExecutionStarted { id, .. } if id == "x-2");
     assert_eq!(seen.iter().filter(runs).count(), 1);
--- a/crates/testbed/tests/invariants.rs
+++ b/crates/testbed/tests/invariants.rs
@@ -9,7 +9,7 @@
 use orchidvalve_testbed::observation::{ItemSent, Observation};
 use rstest::rstest;
 use support::observed_run::{
-    EVENTS, ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration_answered,
+    EVENTS, ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration_send_ended,
     configuration_sent, event_emitted, execution_started, insert, item, orderly_run, response_sent,
 };
 use support::sabotages::*;
@@ -122,7 +122,7 @@
 fn a_resend_that_is_accepted_again(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, response_lost(2, 200));
-    insert(observed, 6_200, configuration_answered(2, 200));
+    insert(observed, 6_200, configuration_send_ended(2, 200));
     insert(observed, 6_300, configuration_observed(6_250, 2));
     read_back(observed, 2);
 }
@@ -130,15 +130,15 @@
 fn a_race_with_a_loser(observed: &mut ObservedRun) {
     insert(observed, 6_000, change_sent(8, 2, 1));
     insert(observed, 6_001, change_sent(9, 2, 1));
-    insert(observed, 6_010, Observation::ConfigurationAnswered { change: 8, status: Some(412) });
-    insert(observed, 6_020, Observation::ConfigurationAnswered { change: 9, status: Some(200) });
+    insert(observed, 6_010, Observation::ConfigurationSendEnded { change: 8, status: Some(412) });
+    insert(observed, 6_020, Observation::ConfigurationSendEnded { change: 9, status: Some(200) });
     read_back(observed, 2);
 }
 
 /// A reading that was asked for before the acknowledgement may hold either.
 fn a_reading_beside_a_change(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
-    insert(observed, 6_010, configuration_answered(2, 200));
+    insert(observed, 6_010, configuration_send_ended(2, 200));
     insert(observed, 6_020, configuration_observed(6_010, 1));
     read_back(observed, 2);
 }
@@ -153,12 +153,12 @@
 fn no_clear_answer_for_the_loser(observed: &mut ObservedRun) {
     insert(observed, 4_020, configuration_sent(2, 1, true));
     insert(observed, 4_021, configuration_sent(3, 1, true));
-    insert(observed, 4_030, configuration_answered(3, 200));
+    insert(observed, 4_030, configuration_send_ended(3, 200));
     read_back(observed, 3);
 }
 
 fn the_rest_of_a_body(observed: &mut ObservedRun) {
-    insert(observed, 4_055, Observation::LateBodyReceived { id: "plain-2".to_owned(), body: 5 });
+    insert(observed, 4_055, Observation::RemainingBodyReceived { id: "plain-2".to_owned(), body: 5 });
 }
 
 #[rstest]
@@ -184,7 +184,7 @@
     #[case] unplanned: bool,
 ) {
     let mut observed = orderly_run();
-    observed.retain(|(_, seen)| !matches!(seen, Observation::RequestAnswered { id, .. } if id == "plain-2"));
+    observed.retain(|(_, seen)| !matches!(seen, Observation::ResponseReceived { id, .. } if id == "plain-2"));
     lost_connection(at, stopped)(&mut observed);
     if unplanned {
         insert(
@@ -231,7 +231,7 @@
 /// A step of which one item is finished; the other one has been at no server when the trainer gives up at 60 s.
 fn run_with_an_idle_item() -> ObservedRun {
     let mut observed = orderly_run();
-    let job = |status| Observation::JobAnswered { job: STEP.to_owned(), status };
+    let job = |status| Observation::JobSendEnded { job: STEP.to_owned(), status };
     observed.extend([
         (40_000, support::observed_run::job(STEP, vec![named("done"), named("idle")])),
         (40_010, job(Some(202))),
--- a/crates/testbed/tests/key_invariants.rs
+++ b/crates/testbed/tests/key_invariants.rs
@@ -10,8 +10,8 @@
 use rstest::rstest;
 use serde_json::{Value, json};
 use support::observed_run::{
-    HOST, ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration, configuration_answered,
-    execution_started, item, job, request_answered, request_sent, server_started,
+    HOST, ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration, configuration_send_ended,
+    execution_started, item, job, request_sent, response_received, server_started,
 };
 
 const REQUEST: &str = "plain-1";
@@ -34,7 +34,7 @@
     }
     let base = version - 1;
     let sent = Observation::ConfigurationSent { change: version, version, base, document, valid: true };
-    vec![(at, sent), (at + 10, configuration_answered(version, 200))]
+    vec![(at, sent), (at + 10, configuration_send_ended(version, 200))]
 }
 
 /// Alpha has the keys a1 and a2, and beta has b1.
@@ -98,7 +98,7 @@
 
 /// A request that is denied 10 ms after it was sent.
 fn denied(sent_at: u64, path: &str, credentials: Credentials, status: u16) -> ObservedRun {
-    vec![request(sent_at, path, credentials), (sent_at + 10, request_answered(REQUEST, status, None, 0))]
+    vec![request(sent_at, path, credentials), (sent_at + 10, response_received(REQUEST, status, None, 0))]
 }
 
 fn job_sent(at: u64, key: &str) -> (u64, Observation) {
@@ -108,7 +108,7 @@
 
 /// A batch job is handed in, and its item or reward call is executed.
 fn job_executes(key: &str, at: u64, id: &str, tenant: Option<&str>) -> ObservedRun {
-    let accepted = Observation::JobAnswered { job: JOB.to_owned(), status: Some(202) };
+    let accepted = Observation::JobSendEnded { job: JOB.to_owned(), status: Some(202) };
     vec![job_sent(3_500, key), (3_520, accepted), executed(at, id, tenant)]
 }
 
--- a/crates/testbed/tests/operator.rs
+++ b/crates/testbed/tests/operator.rs
@@ -73,7 +73,7 @@
         let (call, request) = self.next();
         let headers = headers.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect();
         let body = body.to_string().into_bytes();
-        self.end(&call, Outcome::Answered(Response { status, headers: Headers(headers), body }));
+        self.end(&call, Outcome::Response(Response { status, headers: Headers(headers), body }));
         request
     }
 
@@ -101,8 +101,8 @@
 #[case::silence(Outcome::TimedOut)]
 #[case::refusal(Outcome::Refused)]
 #[case::cut(Outcome::Disconnected { partial: true })]
-#[case::unready(Outcome::Answered(Response { status: 503, headers: Headers::default(), body: Vec::new() }))]
-#[case::busy(Outcome::Answered(Response { status: 429, headers: Headers::default(), body: Vec::new() }))]
+#[case::unready(Outcome::Response(Response { status: 503, headers: Headers::default(), body: Vec::new() }))]
+#[case::busy(Outcome::Response(Response { status: 429, headers: Headers::default(), body: Vec::new() }))]
 fn the_first_configuration_is_sent_unchanged_until_it_is_accepted(#[case] outcome: Outcome) {
     let mut harness = Harness::new(vec![Action::PutFirst(document())]);
     let (call, first) = harness.next();
--- a/crates/testbed/tests/pipelining.rs
+++ b/crates/testbed/tests/pipelining.rs
@@ -97,7 +97,7 @@
 
 fn name(outcome: &Outcome) -> String {
     match outcome {
-        Outcome::Answered(answer) => String::from_utf8_lossy(&answer.body).into_owned(),
+        Outcome::Response(answer) => String::from_utf8_lossy(&answer.body).into_owned(),
         Outcome::Refused => "refused".to_owned(),
         Outcome::Disconnected { .. } => "lost".to_owned(),
         Outcome::Malformed => "malformed".to_owned(),
--- a/crates/testbed/tests/platform_duties.rs
+++ b/crates/testbed/tests/platform_calls.rs
@@ -6,7 +6,7 @@
 
 use orchidvalve_testbed::effects::{ConnectionKey, Service};
 use orchidvalve_testbed::http;
-use orchidvalve_testbed::observation::{DutyCall, DutyOrder, Observation};
+use orchidvalve_testbed::observation::{Observation, PlatformCall, PlatformOrder};
 use orchidvalve_testbed::platform::{PlatformFault, PlatformSettings, PlatformStub};
 use rstest::rstest;
 use support::ServiceHarness;
@@ -16,7 +16,8 @@
 const SCALING: &str = r#"{"service":"apps","zone":"north","desired-count":4}"#;
 
 fn harness() -> ServiceHarness<PlatformStub> {
-    let settings = PlatformSettings { lag_ms: 0, rate_per_s: 4.0, page_size: 10, duty_per_s: 2.0 };
+    let settings =
+        PlatformSettings { lag_ms: 0, rate_per_s: 4.0, page_size: 10, platform_calls_per_second: 2.0 };
     ServiceHarness::new(PlatformStub::new(settings))
 }
 
@@ -28,9 +29,9 @@
     call(path, &[("Duty-Holder", "edge-1"), ("Fence-Token", "12")], body)
 }
 
-fn received(harness: &ServiceHarness<PlatformStub>) -> Vec<(DutyCall, bool)> {
+fn received(harness: &ServiceHarness<PlatformStub>) -> Vec<(PlatformCall, bool)> {
     let calls = harness.observations.iter().filter_map(|observation| match observation {
-        Observation::DutyCallReceived { call, accepted } => Some((call.clone(), *accepted)),
+        Observation::PlatformCallReceived { call, accepted } => Some((call.clone(), *accepted)),
         _ => None,
     });
     calls.collect()
@@ -49,11 +50,11 @@
     harness.step(|platform, now, out| platform.request(now, key, request, out));
     assert_eq!(statuses(&harness, &[key]), [Some(200)]);
     let counts = [("acme".to_owned(), 3)].into();
-    let call = DutyCall {
-        holder: "edge-1".to_owned(),
+    let call = PlatformCall {
+        leader: "edge-1".to_owned(),
         source: "127.9.3.1".to_owned(),
         token: 12,
-        order: DutyOrder::UsageReport { window: 7, counts },
+        order: PlatformOrder::UsageReport { window: 7, counts },
     };
     assert_eq!(received(&harness), [(call, true)]);
 }
@@ -63,8 +64,8 @@
     let mut harness = harness();
     assert_eq!(harness.ask(&of_leader("/scaling", SCALING)).status, 200);
     let (service, zone) = ("apps".to_owned(), "north".to_owned());
-    assert_eq!(received(&harness)[0].0.order, DutyOrder::Scaling { service, zone, desired_count: 4 });
-    assert_eq!(harness.service.duty_calls.scaling_orders, 1);
+    assert_eq!(received(&harness)[0].0.order, PlatformOrder::Scaling { service, zone, desired_count: 4 });
+    assert_eq!(harness.service.platform_calls.scaling_orders, 1);
 }
 
 #[rstest]
@@ -83,7 +84,7 @@
     let mut harness = harness();
     assert_eq!(harness.ask(&call(path, fields, body)).status, 400);
     assert_eq!(received(&harness), []);
-    assert_eq!(harness.service.duty_calls.malformed, 1);
+    assert_eq!(harness.service.platform_calls.malformed, 1);
 }
 
 #[test]
@@ -148,5 +149,5 @@
     let seen: Vec<u16> = calls.iter().map(|bytes| harness.ask(bytes).status).collect();
     assert_eq!(seen, [429, 503, 429]);
     assert!(received(&harness).iter().all(|(_, accepted)| !accepted));
-    assert_eq!(harness.service.duty_calls.refused, 2);
+    assert_eq!(harness.service.platform_calls.refused, 2);
 }
--- a/crates/testbed/tests/platform_invariants.rs
+++ b/crates/testbed/tests/platform_invariants.rs
@@ -6,7 +6,9 @@
 use orchidvalve_testbed::invariants::{
     Invariant, InvariantBounds, InvariantChecker, UsageAccounts, UsageBounds, UsageFigures,
 };
-use orchidvalve_testbed::observation::{DutyCall, DutyOrder, ItemSent, JobSent, Observation, RewardSent};
+use orchidvalve_testbed::observation::{
+    ItemSent, JobSent, Observation, PlatformCall, PlatformOrder, RewardSent,
+};
 use rstest::rstest;
 
 type Observed = Vec<(u64, Observation)>;
@@ -20,24 +22,24 @@
     [("acme".to_owned(), of_acme)].into()
 }
 
-fn call_from(holder: &str, source: &str, token: u64, order: DutyOrder) -> Observation {
-    let call = DutyCall { holder: holder.to_owned(), source: source.to_owned(), token, order };
-    Observation::DutyCallReceived { call, accepted: true }
+fn call_from(leader: &str, source: &str, token: u64, order: PlatformOrder) -> Observation {
+    let call = PlatformCall { leader: leader.to_owned(), source: source.to_owned(), token, order };
+    Observation::PlatformCallReceived { call, accepted: true }
 }
 
 /// Each machine has an address of its own.
-fn call(holder: &str, token: u64, order: DutyOrder) -> Observation {
-    call_from(holder, &format!("address of {holder}"), token, order)
+fn call(leader: &str, token: u64, order: PlatformOrder) -> Observation {
+    call_from(leader, &format!("address of {leader}"), token, order)
 }
 
 /// A report of a window whose counts depend on its number only.
-fn report(holder: &str, token: u64, window: u64) -> Observation {
-    call(holder, token, DutyOrder::UsageReport { window, counts: counts(window) })
+fn report(leader: &str, token: u64, window: u64) -> Observation {
+    call(leader, token, PlatformOrder::UsageReport { window, counts: counts(window) })
 }
 
-fn scaling(holder: &str, token: u64, zone: &str) -> Observation {
+fn scaling(leader: &str, token: u64, zone: &str) -> Observation {
     let (service, zone) = ("apps".to_owned(), zone.to_owned());
-    call(holder, token, DutyOrder::Scaling { service, zone, desired_count: 3 })
+    call(leader, token, PlatformOrder::Scaling { service, zone, desired_count: 3 })
 }
 
 fn order(leader: &str, token: u64) -> Observation {
@@ -46,13 +48,15 @@
 
 fn refused(observation: Observation) -> Observation {
     match observation {
-        Observation::DutyCallReceived { call, .. } => Observation::DutyCallReceived { call, accepted: false },
+        Observation::PlatformCallReceived { call, .. } => {
+            Observation::PlatformCallReceived { call, accepted: false }
+        }
         other => other,
     }
 }
 
 fn thawed(machine: &str) -> Observation {
-    Observation::MachinesThawed { machines: vec![machine.to_owned()] }
+    Observation::MachinesResumed { machines: vec![machine.to_owned()] }
 }
 
 fn platform(begins: bool) -> Observation {
@@ -70,20 +74,20 @@
 
 #[rstest]
 #[case::different_counts(
-    vec![(10, report(A, 1, 7)), (20, call(A, 1, DutyOrder::UsageReport { window: 7, counts: counts(8) }))],
+    vec![(10, report(A, 1, 7)), (20, call(A, 1, PlatformOrder::UsageReport { window: 7, counts: counts(8) }))],
     "window-7", 20
 )]
 #[case::a_tenant_is_missing(
     vec![
         (10, report(A, 1, 7)),
-        (20, call(A, 1, DutyOrder::UsageReport { window: 7, counts: BTreeMap::new() })),
+        (20, call(A, 1, PlatformOrder::UsageReport { window: 7, counts: BTreeMap::new() })),
     ],
     "window-7", 20
 )]
 #[case::different_counts_of_two_holders_long_after(
     vec![
         (10, report(A, 1, 7)),
-        (90_000, call(B, 2, DutyOrder::UsageReport { window: 7, counts: counts(8) })),
+        (90_000, call(B, 2, PlatformOrder::UsageReport { window: 7, counts: counts(8) })),
     ],
     "window-7", 90_000
 )]
@@ -91,15 +95,15 @@
     vec![
         (10, platform(true)),
         (20, report(A, 1, 7)),
-        (30, call(A, 1, DutyOrder::UsageReport { window: 7, counts: counts(8) })),
+        (30, call(A, 1, PlatformOrder::UsageReport { window: 7, counts: counts(8) })),
     ],
     "window-7", 30
 )]
 #[case::same_token_of_two_names(vec![(10, report(A, 1, 7)), (9_000, report(B, 1, 8))], "usage", 9_000)]
 #[case::same_token_of_two_machines_of_one_name(
     vec![
-        (10, call_from(A, "127.0.0.1", 1, DutyOrder::UsageReport { window: 7, counts: counts(7) })),
-        (9_000, call_from(A, "127.0.0.2", 1, DutyOrder::UsageReport { window: 8, counts: counts(8) })),
+        (10, call_from(A, "127.0.0.1", 1, PlatformOrder::UsageReport { window: 7, counts: counts(7) })),
+        (9_000, call_from(A, "127.0.0.2", 1, PlatformOrder::UsageReport { window: 8, counts: counts(8) })),
     ],
     "usage", 9_000
 )]
@@ -151,7 +155,7 @@
 #[case::growing_tokens(vec![(10, report(A, 1, 7)), (20, report(A, 2, 8)), (30, report(B, 3, 9))])]
 #[case::an_exact_repeat(vec![(10, report(A, 1, 7)), (20, report(A, 1, 7)), (4_000, report(B, 2, 7))])]
 #[case::other_counts_were_refused(vec![
-    (10, refused(call(A, 1, DutyOrder::UsageReport { window: 7, counts: counts(8) }))),
+    (10, refused(call(A, 1, PlatformOrder::UsageReport { window: 7, counts: counts(8) }))),
     (20, report(A, 1, 7)),
 ])]
 #[case::turns_after_the_lease(vec![
@@ -204,7 +208,7 @@
 }
 
 fn reported(at: u64, window: u64, counts: BTreeMap<String, u64>) -> (u64, Observation) {
-    (at, call(A, 1, DutyOrder::UsageReport { window, counts }))
+    (at, call(A, 1, PlatformOrder::UsageReport { window, counts }))
 }
 
 /// The figures of the windows that were due by the time at which `WINDOW` is.
--- a/crates/testbed/tests/support/observed_run.rs
+++ b/crates/testbed/tests/support/observed_run.rs
@@ -86,12 +86,12 @@
 
 pub fn job_read(results: Vec<ItemResult>) -> Observation {
     let next = results.len() as u64;
-    Observation::JobRead { job: JOB.to_owned(), total: 1, after: 0, next, results }
+    Observation::ResultsRead { job: JOB.to_owned(), total: 1, after: 0, next, results }
 }
 
-pub fn request_answered(id: &str, status: u16, signature: Option<&str>, body: u64) -> Observation {
+pub fn response_received(id: &str, status: u16, signature: Option<&str>, body: u64) -> Observation {
     let (echoed_id, signature) = (Some(id.to_owned()), signature.map(str::to_owned));
-    Observation::RequestAnswered { id: id.to_owned(), status, signature, echoed_id, body }
+    Observation::ResponseReceived { id: id.to_owned(), status, signature, echoed_id, body }
 }
 
 pub fn request_sent(id: &str, idempotent: bool) -> Observation {
@@ -115,12 +115,12 @@
     Observation::ConfigurationSent { change: version, version, base, document: configuration(version), valid }
 }
 
-pub fn configuration_answered(version: u64, status: u16) -> Observation {
-    Observation::ConfigurationAnswered { change: version, status: Some(status) }
+pub fn configuration_send_ended(version: u64, status: u16) -> Observation {
+    Observation::ConfigurationSendEnded { change: version, status: Some(status) }
 }
 
-pub fn job_answered(status: u16) -> Observation {
-    Observation::JobAnswered { job: JOB.to_owned(), status: Some(status) }
+pub fn job_send_ended(status: u16) -> Observation {
+    Observation::JobSendEnded { job: JOB.to_owned(), status: Some(status) }
 }
 
 pub fn server_started(server: &str, service: &str) -> Observation {
@@ -134,16 +134,16 @@
         (0, server_started("m1", "models")),
         (0, server_started("m2", "models")),
         (1_000, configuration_sent(1, 0, true)),
-        (1_010, configuration_answered(1, 200)),
+        (1_010, configuration_send_ended(1, 200)),
         (4_000, request_sent("plain-1", false)),
         (4_010, execution_started("a1", 100, "plain-1", "/plain/1", 5, 0)),
         (4_030, response_sent(100, "plain-1", 200, "stamp-p", 77)),
-        (4_040, request_answered("plain-1", 200, Some("stamp-p"), 77)),
+        (4_040, response_received("plain-1", 200, Some("stamp-p"), 77)),
         (4_050, request_sent("plain-2", false)),
-        (4_060, request_answered("plain-2", 503, None, 0)),
+        (4_060, response_received("plain-2", 503, None, 0)),
         (4_500, order_received("node-1", 1)),
         (5_000, job(JOB, vec![item()])),
-        (5_020, job_answered(202)),
+        (5_020, job_send_ended(202)),
         (5_100, execution_started("m1", 200, ITEM, "/lots/1", ITEM_BODY, 0)),
         (5_200, execution_started("m2", 201, ITEM, "/lots/1", ITEM_BODY, 3)),
     ];
--- a/crates/testbed/tests/support/recording.rs
+++ b/crates/testbed/tests/support/recording.rs
@@ -97,7 +97,7 @@
             flag(trace, *idempotent);
             add_credentials(trace, credentials);
         }
-        Observation::RequestAnswered { id, status, signature, echoed_id, body } => {
+        Observation::ResponseReceived { id, status, signature, echoed_id, body } => {
             trace.add_number(2);
             text(trace, id);
             trace.add_number(u64::from(*status));
@@ -109,7 +109,7 @@
             trace.add_number(3);
             text(trace, id);
         }
-        Observation::RequestUnanswered { id, connection_lost } => {
+        Observation::RequestFailed { id, connection_lost } => {
             trace.add_number(4);
             text(trace, id);
             flag(trace, *connection_lost);
@@ -145,7 +145,7 @@
             text(trace, server);
             text(trace, id);
         }
-        Observation::LateBodyReceived { id, body } => {
+        Observation::RemainingBodyReceived { id, body } => {
             trace.add_number(7);
             text(trace, id);
             trace.add_number(*body);
@@ -178,12 +178,12 @@
             trace.add_number(12);
             add_job(trace, job);
         }
-        Observation::JobAnswered { job, status } => {
+        Observation::JobSendEnded { job, status } => {
             trace.add_number(13);
             text(trace, job);
             number_or_none(trace, status.map(u64::from));
         }
-        Observation::JobRead { job, total, after, next, results } => {
+        Observation::ResultsRead { job, total, after, next, results } => {
             trace.add_number(14);
             text(trace, job);
             [total, after, next].into_iter().for_each(|number| trace.add_number(*number));
@@ -231,7 +231,7 @@
             document(trace, sent);
             flag(trace, *valid);
         }
-        Observation::ConfigurationAnswered { change, status } => {
+        Observation::ConfigurationSendEnded { change, status } => {
             trace.add_number(21);
             trace.add_number(*change);
             number_or_none(trace, status.map(u64::from));
@@ -375,7 +375,7 @@
         self.step(|service, _, out| answered = service.request_head(key, &head, out));
         let (request, _) = http::parse_request(bytes).unwrap().unwrap();
         self.step(|service, now, out| match answered {
-            true => service.late_body(&request, out),
+            true => service.remaining_body(&request, out),
             false => service.request(now, key, request, out),
         });
     }
--- a/crates/testbed/tests/support/sabotages.rs
+++ b/crates/testbed/tests/support/sabotages.rs
@@ -6,7 +6,7 @@
 use serde_json::json;
 
 use super::observed_run::{
-    EVENTS, ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, configuration, configuration_answered,
+    EVENTS, ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, configuration, configuration_send_ended,
     configuration_sent, execution_started, insert, job_read, order_received, result,
 };
 
@@ -22,7 +22,7 @@
 /// Changes the result in every reading.
 pub fn edit_result(observed: &mut ObservedRun, apply: impl Fn(&mut ItemResult)) {
     for (_, observation) in observed {
-        if let Observation::JobRead { results, .. } = observation {
+        if let Observation::ResultsRead { results, .. } = observation {
             results.iter_mut().for_each(&apply);
         }
     }
@@ -49,7 +49,7 @@
     insert(
         observed,
         6_000,
-        Observation::JobRead { job: JOB.to_owned(), total: 1, after: 0, next: 2, results },
+        Observation::ResultsRead { job: JOB.to_owned(), total: 1, after: 0, next: 2, results },
     );
 }
 
@@ -59,21 +59,21 @@
 
 pub fn no_signature(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
-        Observation::RequestAnswered { signature, .. } => signature.take().is_some(),
+        Observation::ResponseReceived { signature, .. } => signature.take().is_some(),
         _ => false,
     });
 }
 
 pub fn foreign_signature(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
-        Observation::RequestAnswered { signature, .. } => signature.replace("stamp-r".to_owned()).is_some(),
+        Observation::ResponseReceived { signature, .. } => signature.replace("stamp-r".to_owned()).is_some(),
         _ => false,
     });
 }
 
 pub fn other_body(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
-        Observation::RequestAnswered { body, .. } => std::mem::replace(body, 76) == 77,
+        Observation::ResponseReceived { body, .. } => std::mem::replace(body, 76) == 77,
         _ => false,
     });
 }
@@ -87,7 +87,7 @@
 
 pub fn answer_of_another(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
-        Observation::RequestAnswered { echoed_id, .. } => echoed_id.replace("plain-9".to_owned()).is_some(),
+        Observation::ResponseReceived { echoed_id, .. } => echoed_id.replace("plain-9".to_owned()).is_some(),
         _ => false,
     });
 }
@@ -110,7 +110,7 @@
 
 pub fn wrong_total(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
-        Observation::JobRead { total, .. } => std::mem::replace(total, 2) == 1,
+        Observation::ResultsRead { total, .. } => std::mem::replace(total, 2) == 1,
         _ => false,
     });
 }
@@ -235,7 +235,7 @@
 pub fn refused_job_runs(observed: &mut ObservedRun) {
     observed.retain(|(at, _)| *at < 5_500);
     edit_first(observed, |seen| match seen {
-        Observation::JobAnswered { status, .. } => status.replace(503).is_some(),
+        Observation::JobSendEnded { status, .. } => status.replace(503).is_some(),
         _ => false,
     });
 }
@@ -255,7 +255,7 @@
         1_100,
         Observation::ConfigurationSent { change: 3, version: 3, base: 1, document, valid: true },
     );
-    insert(observed, 1_200, configuration_answered(3, 200));
+    insert(observed, 1_200, configuration_send_ended(3, 200));
     observed.retain(|(_, seen)| !matches!(seen, Observation::FinalConfigurationRead { .. }));
 }
 
@@ -268,7 +268,7 @@
 
 pub fn two_on_one_base(observed: &mut ObservedRun) {
     insert(observed, 1_005, configuration_sent(2, 0, true));
-    insert(observed, 1_020, configuration_answered(2, 200));
+    insert(observed, 1_020, configuration_send_ended(2, 200));
     edit_first(observed, |seen| match seen {
         Observation::FinalConfigurationRead { document } => document.replace(configuration(2)).is_some(),
         _ => false,
@@ -277,14 +277,14 @@
 
 pub fn older_read_back(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(4, 1, true));
-    insert(observed, 6_010, configuration_answered(4, 200));
+    insert(observed, 6_010, configuration_send_ended(4, 200));
 }
 
 pub fn refused_read_back(observed: &mut ObservedRun) {
     // Another order on the same base gives the refusal its reason.
     insert(observed, 5_990, configuration_sent(5, 1, true));
     insert(observed, 6_000, configuration_sent(4, 1, true));
-    insert(observed, 6_010, configuration_answered(4, 412));
+    insert(observed, 6_010, configuration_send_ended(4, 412));
     edit_first(observed, |seen| match seen {
         Observation::FinalConfigurationRead { document } => document.replace(configuration(4)).is_some(),
         _ => false,
@@ -318,7 +318,7 @@
     insert(observed, 5_990, change_sent(9, 3, 1));
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, response_lost(2, 200));
-    insert(observed, 6_200, configuration_answered(2, 412));
+    insert(observed, 6_200, configuration_send_ended(2, 412));
     read_back(observed, 2);
 }
 
@@ -326,7 +326,7 @@
     insert(observed, 5_990, change_sent(9, 3, 1));
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, response_lost(2, 412));
-    insert(observed, 6_200, configuration_answered(2, 200));
+    insert(observed, 6_200, configuration_send_ended(2, 200));
     read_back(observed, 2);
 }
 
@@ -340,27 +340,27 @@
 
 pub fn two_under_one_number(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(3, 1, true));
-    insert(observed, 6_010, configuration_answered(3, 200));
+    insert(observed, 6_010, configuration_send_ended(3, 200));
     insert(observed, 6_020, change_sent(9, 3, 2));
-    insert(observed, 6_030, Observation::ConfigurationAnswered { change: 9, status: Some(200) });
+    insert(observed, 6_030, Observation::ConfigurationSendEnded { change: 9, status: Some(200) });
     read_back(observed, 3);
 }
 
 pub fn refused_without_reason(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
-    insert(observed, 6_010, configuration_answered(2, 412));
+    insert(observed, 6_010, configuration_send_ended(2, 412));
 }
 
 pub fn proper_order_not_known(observed: &mut ObservedRun) {
     // Another order on the same base, so that a refusal alone could have its reason.
     insert(observed, 5_990, change_sent(9, 3, 1));
     insert(observed, 6_000, configuration_sent(2, 1, true));
-    insert(observed, 6_010, configuration_answered(2, 404));
+    insert(observed, 6_010, configuration_send_ended(2, 404));
 }
 
 pub fn old_one_read(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
-    insert(observed, 6_010, configuration_answered(2, 200));
+    insert(observed, 6_010, configuration_send_ended(2, 200));
     insert(observed, 6_020, configuration_observed(6_011, 1));
     read_back(observed, 2);
 }
@@ -386,7 +386,7 @@
 }
 
 pub fn other_bytes_for_the_rest(observed: &mut ObservedRun) {
-    insert(observed, 4_055, Observation::LateBodyReceived { id: "plain-2".to_owned(), body: 6 });
+    insert(observed, 4_055, Observation::RemainingBodyReceived { id: "plain-2".to_owned(), body: 6 });
 }
 
 pub fn no_request_at_a_server(observed: &mut ObservedRun) {
@@ -431,16 +431,12 @@
             stopped,
             Observation::Disruption { description: "a stop".to_owned(), planned: true },
         );
-        insert(
-            observed,
-            at,
-            Observation::RequestUnanswered { id: "plain-2".to_owned(), connection_lost: true },
-        );
+        insert(observed, at, Observation::RequestFailed { id: "plain-2".to_owned(), connection_lost: true });
     }
 }
 
 pub fn connection_lost_by_a_stop(observed: &mut ObservedRun) {
-    observed.retain(|(_, seen)| !matches!(seen, Observation::RequestAnswered { id, .. } if id == "plain-2"));
+    observed.retain(|(_, seen)| !matches!(seen, Observation::ResponseReceived { id, .. } if id == "plain-2"));
     lost_connection(4_300, 4_040)(observed);
 }
 
--- a/crates/testbed/tests/support/world.rs
+++ b/crates/testbed/tests/support/world.rs
@@ -93,7 +93,7 @@
         for call in out.calls {
             let (request, _) = parse_request(&call.bytes).unwrap().unwrap();
             let outcome =
-                self.reference.call(self.now, &request).map_or(Outcome::TimedOut, Outcome::Answered);
+                self.reference.call(self.now, &request).map_or(Outcome::TimedOut, Outcome::Response);
             self.outcomes.push((self.now + CALL_MS, call.tag, outcome));
         }
         self.take_observations();
