--- a/crates/testbed/src/scenario/tenants.rs
+++ b/crates/testbed/src/scenario/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants of a scenario: their names, their keys, and how their clients identify themselves.
+//! The tenants of a scenario: their names, their API keys, and the credentials of their clients.
 
 use rand::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -6,19 +6,19 @@
 
 use crate::credentials::Credentials;
 
-/// Tenants beside that of the trainers.
+/// Number of tenants in addition to that of the trainers.
 const CLIENT_TENANTS: usize = 6;
-/// Client tenants that send much more than the others.
+/// Number of client tenants that send more requests than the others.
 const LARGE_TENANTS: usize = 2;
-/// Requests of a large tenant for each one of a small tenant.
+/// Number of requests of a large tenant per request of a small tenant.
 const LARGE_SHARE: usize = 5;
 const KEYS_PER_TENANT: usize = 3;
-/// Every second tenant has a priority of its own, before that of its routes.
+/// Priority of every second tenant, which takes precedence over that of its routes.
 const PRIORITY: u64 = 1;
-/// A key that is far longer than any that is held, in bytes.
+/// Length of an API key that is far longer than any valid key, in bytes.
 const LONG_KEY_BYTES: usize = 6_000;
 
-/// A tenant as the configuration states it.
+/// A tenant as it appears in the configuration.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(super) struct Tenant {
     pub name: String,
@@ -33,7 +33,7 @@
         Tenant { name, keys, priority: (number % 2 == 1).then_some(PRIORITY) }
     }
 
-    /// The tenant as an item of a configuration.
+    /// Returns the tenant as an entry of the configuration.
     pub fn entry(&self) -> Value {
         let mut entry = json!({"name": self.name, "api-keys": self.keys});
         if let Some(priority) = self.priority {
@@ -42,7 +42,7 @@
         entry
     }
 
-    /// The same tenant with other keys.
+    /// Returns the same tenant with other keys.
     pub fn with_keys(&self, keys: Vec<String>) -> Tenant {
         Tenant { keys, ..self.clone() }
     }
@@ -53,12 +53,12 @@
 pub(super) struct Tenants {
     /// The tenant of all trainers.
     pub trainers: Tenant,
-    /// Those of clients, large ones first.
+    /// Tenants of the clients, large ones first.
     pub clients: Vec<Tenant>,
 }
 
 impl Tenants {
-    /// Draws the tenants.
+    /// Draws the tenants from a seed.
     pub fn draw(seed: u64) -> Tenants {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ 0x7465_6e61);
         let trainers = Tenant::draw(0, &mut random);
@@ -66,12 +66,12 @@
         Tenants { trainers, clients }
     }
 
-    /// The list in the first configuration.
+    /// Returns the list of tenants for the first configuration.
     pub fn document(&self) -> Value {
         std::iter::once(&self.trainers).chain(&self.clients).map(Tenant::entry).collect()
     }
 
-    /// How clients identify themselves, as often as they do so.
+    /// Returns the credentials of clients. Each occurs as often as its tenant's relative number of requests.
     pub fn client_credentials(&self) -> Vec<Credentials> {
         let share = |number| if number < LARGE_TENANTS { LARGE_SHARE } else { 1 };
         let tenants = self.clients.iter().enumerate();
@@ -82,8 +82,8 @@
             .collect()
     }
 
-    /// What nobody should send: keys that don't exist, other schemes, several fields, names of tenants. A request is
-    /// executed only if one of its keys exists, and in the name of the tenant that holds it.
+    /// Returns improper credentials: unknown keys, other schemes, several fields, tenant names. A request may be executed
+    /// only if one of its keys exists, and in the name of the tenant that owns it.
     pub fn improper_credentials(&self) -> Vec<Credentials> {
         let (known, other) = (&self.clients[0].keys[0], &self.clients[1].name);
         let unknown = "Bearer unknown".to_owned();
--- a/crates/testbed/src/scenario/tests.rs
+++ b/crates/testbed/src/scenario/tests.rs
@@ -1,4 +1,4 @@
-//! Golden traces of what a scenario consists of: names, configurations, settings, and the steps of every fault.
+//! Golden traces of the inputs of a scenario: names, configurations, settings, and the steps of every fault.
 
 use std::path::{Path, PathBuf};
 
--- a/crates/testbed/src/scenario/traffic.rs
+++ b/crates/testbed/src/scenario/traffic.rs
@@ -1,4 +1,4 @@
-//! Everything that calls the system during a scenario, and what it counts.
+//! The callers of the system in a scenario, and their counters.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,13 +14,13 @@
 use crate::readiness_checks::ReadinessChecks;
 use crate::trainer::{SharedTrainerStats, Trainer};
 
-/// A trainer that runs.
+/// A running trainer.
 struct RunningTrainer {
     name: String,
     stats: SharedTrainerStats,
 }
 
-/// The callers of a scenario.
+/// All callers of a scenario.
 pub(super) struct Traffic {
     script: Script,
     operator: Rc<RefCell<OperatorStats>>,
@@ -30,7 +30,7 @@
 }
 
 impl Traffic {
-    /// Starts the readiness checks, and the operator with the first configuration.
+    /// Starts the readiness checks, and the operator, which sends the first configuration.
     pub fn start(host: &mut Host, workload: &Workload, seed: u64) -> Traffic {
         host.add_caller(Box::new(ReadinessChecks::default()));
         let script = Script::default();
@@ -71,7 +71,7 @@
         self.clients.push(stats);
     }
 
-    /// Adds operators that change the configuration all the time, if the faults need them.
+    /// Adds operators that change the configuration continuously, if one of the faults needs them.
     pub fn add_concurrent_operators(
         &mut self,
         host: &mut Host,
@@ -88,7 +88,7 @@
         self.concurrent_operators = Some(stats);
     }
 
-    /// The operator takes an action at a time.
+    /// Schedules an action of the operator at `at` milliseconds.
     pub fn add_action(&self, at: u64, action: Action) {
         self.script.borrow_mut().push_back(ScheduledAction { at_ms: at, action });
     }
@@ -98,17 +98,17 @@
         self.operator.borrow().ready_at.is_some()
     }
 
-    /// Whether the configuration was read back.
+    /// Whether the operator has read back the configuration.
     pub fn is_read_back(&self) -> bool {
         self.operator.borrow().read_back
     }
 
-    /// Whether everything was read back.
+    /// Whether the configuration and the results of all trainers were read back.
     pub fn is_over(&self) -> bool {
         self.is_read_back() && self.trainers.iter().all(|trainer| trainer.stats.borrow().is_done)
     }
 
-    /// Storage machines that are emptied.
+    /// Names of the storage machines whose retirement is complete.
     pub fn retired(&self) -> Vec<String> {
         self.operator.borrow().retired.clone()
     }
--- a/crates/testbed/src/scenario/wiring.rs
+++ b/crates/testbed/src/scenario/wiring.rs
@@ -1,4 +1,4 @@
-//! Makes a machine known to callers and to the fault proxy.
+//! Connects a machine to the callers and to the fault proxy.
 
 use std::io;
 use std::net::SocketAddrV4;
@@ -7,7 +7,7 @@
 use crate::host::Host;
 use crate::launch::{Machine, Ports, Topology};
 
-/// Lets a machine reach others, and be reached, through the fault proxy.
+/// Routes the connections to and from a machine through the fault proxy.
 pub(super) fn add_to_proxy(
     host: &mut Host,
     topology: &Topology,
@@ -20,7 +20,7 @@
     Ok(())
 }
 
-/// Clients may go to the gateway of a machine once that is ready.
+/// Adds the gateway of a machine to the directory, so that clients use it as soon as it is ready.
 pub(super) fn add_gateway(host: &mut Host, ports: Ports, machine: &Machine) {
     let address = |port| SocketAddrV4::new(machine.ip, port);
     host.directory.add_gateway(address(ports.frontend), address(ports.readiness), machine.zone);
--- a/crates/testbed/src/scenario/workload.rs
+++ b/crates/testbed/src/scenario/workload.rs
@@ -1,4 +1,4 @@
-//! Names, configuration, and settings of trainers and clients of a scenario.
+//! The names, the configuration, and the settings of trainers and clients in a scenario.
 
 use rand::{RngCore, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -10,25 +10,25 @@
 use crate::launch::ZONES;
 use crate::trainer::{BatchSettings, ItemSettings, ReviewTimes, StepSettings, TrainerSettings};
 
-/// Routes that concurrent operators change and nobody asks for.
+/// Number of routes that concurrent operators change and no client uses.
 const OTHER_ROUTES: usize = 12;
-/// More than the buffers between two processes hold.
+/// Size of a body that exceeds the socket buffers between two processes.
 const LONG_BODY_BYTES: usize = 6 << 20;
 
-/// When traffic and reviews happen, in milliseconds of the host's clock.
+/// Times of traffic and reviews, in milliseconds of the host's clock.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct TrafficTimes {
-    /// Traffic begins.
+    /// Start of the traffic.
     pub from: u64,
-    /// Traffic ends.
+    /// End of the traffic.
     pub until: u64,
-    /// Batch jobs are read again from here on.
+    /// Start of the reviews, in which trainers read their batch jobs again.
     pub review_from: u64,
-    /// The reviews are over.
+    /// End of the reviews.
     pub review_until: u64,
 }
 
-/// Names that are drawn for a scenario, and what is made of them.
+/// The names drawn for a scenario, from which configuration and settings are built.
 #[derive(Clone, Debug)]
 pub(super) struct Workload {
     pub host: String,
@@ -37,16 +37,16 @@
     pub models: [String; 2],
     pub plain_route: String,
     pub plain_prefix: String,
-    /// Requests of this route aren't idempotent.
+    /// Path prefix of the route whose requests are not idempotent.
     pub once_prefix: String,
     pub reward_prefix: String,
     pub rollout_prefixes: [String; 2],
-    /// None where the configuration has no tenants, and nobody sends a key.
+    /// The tenants; `None` if the configuration has no tenants and no client sends an API key.
     pub tenants: Option<Tenants>,
 }
 
 impl Workload {
-    /// Draws the names.
+    /// Draws the names from a seed.
     pub fn draw(seed: u64) -> Workload {
         let mut random = Pcg64Mcg::seed_from_u64(seed ^ 0x6e61_6d65);
         let mut word = |prefix: &str| format!("{prefix}{:05x}", random.next_u32() & 0xf_ffff);
@@ -64,7 +64,7 @@
         }
     }
 
-    /// The first configuration, without its version.
+    /// Returns the first configuration, without its version.
     pub fn configuration(&self) -> Value {
         let [long, short] = &self.rollout_prefixes;
         let mut once = self.plain_entry("r-once", &self.once_prefix, 1500, 150);
@@ -98,14 +98,14 @@
         document
     }
 
-    /// A route to the application servers.
+    /// Returns a route to the application servers.
     pub fn plain_entry(&self, name: &str, prefix: &str, timeout_ms: u64, target_ms: u64) -> Value {
         json!({"name": name, "hostname": self.host, "path-prefix": prefix, "route-type": "idempotent",
                "timeout-ms": timeout_ms, "target-latency-ms": target_ms, "priority": 2,
                "service": self.application_service, "max-attempts": 4})
     }
 
-    /// Routes whose times operators change while requests go on, and some that nobody asks for.
+    /// Returns the routes whose timeouts operators change: one with current requests, and [`OTHER_ROUTES`] without.
     pub fn changing_routes(&self) -> Vec<Value> {
         let requested = self.plain_entry(&self.plain_route, &self.plain_prefix, 1_300, 150);
         let others = (0..OTHER_ROUTES).map(|number| {
@@ -114,13 +114,13 @@
         std::iter::once(requested).chain(others).collect()
     }
 
-    /// A client of the first zone whose bodies are too long to be read at once.
+    /// Returns a client of the first zone that sends bodies too long for a single read.
     pub fn long_bodies(&self, times: TrafficTimes, seed: u64) -> ClientSettings {
         let [idempotent, _] = self.clients(ZONES[0], times, seed ^ 0x6c6f_6e67);
         ClientSettings { interval_ms: 400, body_bytes: LONG_BODY_BYTES, ..idempotent }
     }
 
-    /// Clients that go on to use their keys, whatever becomes of them.
+    /// Returns clients that keep using their API keys after a revocation.
     pub fn key_users(&self, times: TrafficTimes, seed: u64) -> [ClientSettings; 2] {
         let [idempotent, once] = self.clients(ZONES[0], times, seed ^ 0x6b65_7973);
         [
@@ -129,7 +129,7 @@
         ]
     }
 
-    /// Clients that send keys that don't exist, and what nobody should send.
+    /// Returns clients that send unknown API keys and other improper credentials.
     pub fn improper_clients(&self, times: TrafficTimes, seed: u64) -> [ClientSettings; 2] {
         let credentials = self.tenants.as_ref().map(Tenants::improper_credentials).unwrap_or_default();
         let clients = self.clients(ZONES[0], times, seed ^ 0x756e_6b6e);
@@ -151,7 +151,7 @@
         entry
     }
 
-    /// Two trainers: one that runs ahead of its versions, and one that waits for its newest version.
+    /// Returns two trainers: one that runs steps ahead of its versions, and one that waits for its latest version.
     pub fn trainers(&self, times: TrafficTimes, seed: u64) -> [TrainerSettings; 2] {
         [self.long_trainer(times, seed), self.short_trainer(times, seed)]
     }
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Clients of one zone: those whose requests are idempotent, and those whose are not.
+    /// Returns the clients of a zone: one with idempotent requests, and one with requests that are not idempotent.
     pub fn clients(&self, zone: &str, times: TrafficTimes, seed: u64) -> [ClientSettings; 2] {
         let idempotent = ClientSettings {
             zone: zone.to_owned(),
--- a/crates/testbed/src/server_frontend.rs
+++ b/crates/testbed/src/server_frontend.rs
@@ -1,4 +1,4 @@
-//! What every emulated server shows of itself: its id, its load, its health, its connections and its responses.
+//! The behaviour that all emulated servers share: identity, load report, health, connections and responses.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -7,33 +7,33 @@
 use crate::http::{self, Request};
 use crate::observation::Observation;
 
-/// Bits of an execution's number below the index of its server.
+/// Number of bits of an execution number below the index of its server.
 const EXECUTION_BITS: u32 = 40;
 
-/// Work of a server at one moment, as the field `Instance-Load` states it.
+/// Current load of a server, as the `Instance-Load` header states it.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: usize,
-    /// Requests that wait for a slot.
+    /// Number of queued requests.
     pub queued: usize,
-    /// Requests that may run at a time.
+    /// Maximum number of concurrent requests.
     pub slots: usize,
 }
 
 impl Load {
-    /// The value of `Instance-Load`.
+    /// Returns the value of the `Instance-Load` header.
     pub fn field(self) -> String {
         format!("{},{},{}", self.running, self.queued, self.slots)
     }
 }
 
-/// The part of an emulated server that its peers see whatever it runs.
+/// The part of an emulated server that does not depend on the kind of its requests.
 #[derive(Debug)]
 pub(crate) struct ServerFrontend {
     /// Id of the first incarnation.
     instance: String,
-    /// Number of the server among all; makes the numbers of its executions unique.
+    /// Number of the server among all servers, which makes its execution numbers unique.
     index: u64,
     incarnation: u64,
     executions: u64,
@@ -41,7 +41,7 @@
     health_path: String,
     draining: bool,
     open: BTreeSet<ConnectionKey>,
-    /// Every whole response is sent twice.
+    /// Whether every complete response is sent twice.
     pub duplicate_responses: bool,
 }
 
@@ -60,7 +60,7 @@
         }
     }
 
-    /// Id of the incarnation.
+    /// Returns the id of the current incarnation.
     pub fn instance(&self) -> String {
         match self.incarnation {
             0 => self.instance.clone(),
@@ -68,23 +68,23 @@
         }
     }
 
-    /// The server goes on as another incarnation.
+    /// Continues as a new incarnation.
     pub fn begin_incarnation(&mut self) {
         self.incarnation += 1;
     }
 
-    /// Health checks fail from now on.
+    /// Makes health checks fail from now on.
     pub fn drain(&mut self) {
         self.draining = true;
     }
 
-    /// A number that no other execution has, at whatever server.
+    /// Returns an execution number that is unique among all servers.
     pub fn next_execution(&mut self) -> u64 {
         self.executions += 1;
         (self.index << EXECUTION_BITS) | self.executions
     }
 
-    /// Takes a new connection in if there is room.
+    /// Accepts a new connection, or resets it if the server has too many.
     pub fn accept(&mut self, connection: ConnectionKey, out: &mut Effects) {
         if self.open.len() >= self.max_connections {
             out.reset(connection);
@@ -98,30 +98,30 @@
         self.open.contains(&connection)
     }
 
-    /// The peer has closed a connection.
+    /// Records that the peer has closed a connection.
     pub fn closed(&mut self, connection: ConnectionKey) {
         self.open.remove(&connection);
     }
 
-    /// Resets one connection.
+    /// Resets a connection.
     pub fn reset(&mut self, connection: ConnectionKey, out: &mut Effects) {
         out.reset(connection);
         self.open.remove(&connection);
     }
 
-    /// Resets every connection.
+    /// Resets all connections.
     pub fn reset_all(&mut self, out: &mut Effects) {
         for connection in std::mem::take(&mut self.open) {
             out.reset(connection);
         }
     }
 
-    /// Whether a request is meant for another server or incarnation.
+    /// Whether a request is addressed to another server or incarnation.
     pub fn is_misdirected(&self, request: &Request) -> bool {
         request.headers.get("Expected-Instance").is_some_and(|expected| expected != self.instance())
     }
 
-    /// Notes a request that shows an API key, or whatever else stands in `Authorization`.
+    /// Records a request that has an `Authorization` header, whatever its value.
     pub fn observe_authorization(&self, request: &Request, out: &mut Effects) {
         if request.headers.get("Authorization").is_some() {
             let id = request.headers.get("Attempt-Id").unwrap_or_default().to_owned();
@@ -139,7 +139,7 @@
         self.respond(connection, if self.draining { 503 } else { 200 }, load, &[], &[], out);
     }
 
-    /// Responds with the fields that every response has, and `extra` ones.
+    /// Responds with the standard headers and the headers `extra`.
     pub fn respond(
         &self,
         connection: ConnectionKey,
@@ -155,7 +155,7 @@
         self.send(connection, http::response(status, &fields, body), out);
     }
 
-    /// Rejects a request with the promise that it has not been executed.
+    /// Rejects a request and states that it was not executed.
     pub fn reject(
         &self,
         connection: ConnectionKey,
@@ -168,7 +168,7 @@
         self.respond(connection, status, load, &fields, &[], out);
     }
 
-    /// Sends a whole response, twice while that is the fault.
+    /// Sends a complete response, or sends it twice if the fault of duplicate responses is active.
     pub fn send(&self, connection: ConnectionKey, bytes: Vec<u8>, out: &mut Effects) {
         if self.duplicate_responses {
             out.send(connection, bytes.clone());
--- a/crates/testbed/src/trainer/calls.rs
+++ b/crates/testbed/src/trainer/calls.rs
@@ -1,4 +1,4 @@
-//! The calls that a trainer makes for its batch jobs: their bytes, their time, and which of them are under way.
+//! The calls that a trainer makes for its batch jobs: their bytes, timeouts, and which of them are in flight.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -9,30 +9,30 @@
 use crate::effects::{Call, CallTag, Effects};
 use crate::http;
 
-/// Longest wait for new results that a read asks for (long polling, RFC 6202), in milliseconds.
+/// Time for which a read waits for new results (long polling, RFC 6202), in milliseconds.
 const LONG_POLL_MS: u64 = 1_000;
-/// What the trainer waits beyond that for the response, in milliseconds.
+/// Additional time for the response to such a read, in milliseconds.
 const READ_SLACK_MS: u64 = 1_500;
 const SUBMIT_TIMEOUT_MS: u64 = 2_500;
 const CANCEL_TIMEOUT_MS: u64 = 1_500;
-/// Time after which a call without a conclusive response is made again.
+/// Time until a call without a conclusive response is retried, in milliseconds.
 pub(super) const RETRY_DELAY_MS: u64 = 150;
-/// Digits of a batch job's id that its path has.
+/// Number of digits of a batch job's id that appear in its path.
 const ID_DIGITS_IN_PATH: usize = 6;
 
-/// What a call is for.
+/// Purpose of a call.
 #[derive(Clone, Debug)]
 pub(super) enum Purpose {
     Submit,
-    /// Reads the results behind a position, and waits for some.
+    /// Reads the results after a position, and waits for new ones.
     Read {
         after: u64,
     },
-    /// Reads them again at the end.
+    /// Reads the results again at the end of the scenario.
     Review {
         after: u64,
     },
-    /// Asks for the body of an item.
+    /// Reads the request body of an item.
     ItemBody {
         item: String,
     },
@@ -40,7 +40,7 @@
 }
 
 impl Purpose {
-    /// Bytes of the call for `job`.
+    /// Returns the bytes of the call for `job`.
     pub(super) fn request(
         &self,
         settings: &TrainerSettings,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Time for the whole response, in milliseconds.
+    /// Maximum time until the complete response, in milliseconds.
     fn timeout_ms(&self) -> u64 {
         match self {
             Purpose::Submit => SUBMIT_TIMEOUT_MS,
@@ -85,7 +85,7 @@
     }
 }
 
-/// Index of a batch job among those of its trainer.
+/// Index of a batch job among the jobs of its trainer.
 pub(super) type JobIndex = usize;
 
 /// A call that a trainer made for a batch job.
@@ -97,7 +97,7 @@
     pub sent_at: u64,
 }
 
-/// The calls under way, and the tags by which their outcomes come back.
+/// The calls in flight, by the tags that identify their outcomes.
 #[derive(Debug)]
 pub(super) struct Calls {
     under_way: BTreeMap<CallTag, JobCall>,
@@ -109,14 +109,14 @@
         Calls { under_way: BTreeMap::new(), next_tag: CallTag(1) }
     }
 
-    /// A tag that no other call of the trainer has.
+    /// Returns a tag that no other call of the trainer has.
     pub(super) fn new_tag(&mut self) -> CallTag {
         let tag = self.next_tag;
         self.next_tag = tag.next();
         tag
     }
 
-    /// Begins a call for a batch job.
+    /// Starts a call for a batch job.
     pub(super) fn begin(&mut self, call: JobCall, address: SocketAddrV4, bytes: Vec<u8>, out: &mut Effects) {
         let tag = self.new_tag();
         let timeout_ms = call.purpose.timeout_ms();
@@ -131,7 +131,7 @@
         });
     }
 
-    /// A call is over.
+    /// Removes a call that has ended, and returns it.
     pub(super) fn end(&mut self, tag: CallTag) -> Option<JobCall> {
         self.under_way.remove(&tag)
     }
--- a/crates/testbed/src/trainer/group_progress.rs
+++ b/crates/testbed/src/trainer/group_progress.rs
@@ -1,26 +1,26 @@
-//! Which items of a batch job have no result yet, and whether enough groups are complete.
+//! Tracks which items of a batch job have no result yet, and whether enough groups are complete.
 
 use std::collections::BTreeMap;
 
 use super::groups::Group;
 use crate::observation::ItemResult;
 
-/// The groups of a batch job and how many of their items have results.
+/// The groups of a batch job, with the numbers of their items that have no result yet.
 #[derive(Debug)]
 pub(super) struct GroupProgress {
     groups: Vec<Group>,
-    /// How many groups were brought back from an earlier batch job; they stand first.
+    /// Number of groups carried over from an earlier batch job; they are the first ones.
     carried_over: usize,
-    /// Group of each item without a result.
+    /// Index of the group of each item without a result.
     outstanding: BTreeMap<String, usize>,
-    /// Items of each group without a result.
+    /// Number of items without a result, by group.
     outstanding_in_group: Vec<usize>,
-    /// When the last group that is waited for was complete.
+    /// Time at which all required groups were complete.
     complete_at: Option<u64>,
 }
 
 impl GroupProgress {
-    /// Groups without results; the first `carried_over` ones come from an earlier batch job.
+    /// Returns groups without results. The first `carried_over` ones come from an earlier batch job.
     pub fn new(groups: Vec<Group>, carried_over: usize) -> GroupProgress {
         let numbered = groups.iter().enumerate();
         let outstanding = numbered
@@ -30,8 +30,8 @@
         GroupProgress { groups, carried_over, outstanding, outstanding_in_group, complete_at: None }
     }
 
-    /// Takes in results that were read for the first time. The batch job is complete once all groups that were carried
-    /// over are, and `required_groups` in all.
+    /// Records results that were read for the first time. The batch job is complete as soon as all groups carried over are
+    /// complete, and at least `required_groups` groups in total.
     pub fn record(&mut self, now: u64, results: &[ItemResult], required_groups: usize) {
         for result in results {
             if let Some(group) = self.outstanding.remove(&result.item) {
@@ -48,12 +48,12 @@
         }
     }
 
-    /// When all that is waited for was complete.
+    /// Returns the time at which all required groups were complete.
     pub fn complete_at(&self) -> Option<u64> {
         self.complete_at
     }
 
-    /// Up to `most` groups that are not complete, to be brought back by a later batch job.
+    /// Returns up to `most` incomplete groups, which a later batch job takes over.
     pub fn groups_to_carry_over(&self, most: usize) -> Vec<Group> {
         let open = self.groups.iter().zip(&self.outstanding_in_group);
         let open = open.filter(|(_, outstanding)| **outstanding > 0);
@@ -64,7 +64,7 @@
         self.outstanding_in_group.iter().filter(|outstanding| **outstanding == 0).count()
     }
 
-    /// An item without a result.
+    /// Returns the id of an item without a result, if there is one.
     pub fn any_outstanding(&self) -> Option<&str> {
         self.outstanding.keys().next().map(String::as_str)
     }
--- a/crates/testbed/src/trainer/groups.rs
+++ b/crates/testbed/src/trainer/groups.rs
@@ -1,4 +1,4 @@
-//! Groups of items as a trainer draws them.
+//! Generation of groups of items.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -18,14 +18,14 @@
     pub entry: Value,
 }
 
-/// Items that share a prompt prefix.
+/// A group of items that share a prompt prefix.
 #[derive(Clone, Debug)]
 pub(super) struct Group {
     pub items: Vec<DrawnItem>,
 }
 
 impl Group {
-    /// Draws the group with the number `number` for the batch job with the id `job`.
+    /// Draws the group with the given number for the batch job with the id `job`.
     pub fn draw(settings: &TrainerSettings, job: &str, number: usize, random: &mut Pcg64Mcg) -> Group {
         let shared_prefix = format!("{:06x}", random.next_u32() & 0xff_ffff);
         let items = (0..settings.batch.group_size)
--- a/crates/testbed/src/trainer/job.rs
+++ b/crates/testbed/src/trainer/job.rs
@@ -1,4 +1,4 @@
-//! One batch job of a trainer: how it's sent and how much of it is read.
+//! One batch job of a trainer: the state of its submission and of its reads.
 
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
@@ -10,35 +10,35 @@
 use crate::credentials::Credentials;
 use crate::observation::JobSent;
 
-/// What is done with a batch job next.
+/// The phase of a batch job, which determines its next call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Phase {
-    /// It's submitted.
+    /// The batch job is submitted.
     Submitting,
-    /// Its results are read.
+    /// The results are read.
     Reading,
-    /// Its cancellation is asked for.
+    /// The cancellation is requested.
     Cancelling,
-    /// It's over; it's read again at the end.
+    /// The batch job is over, and is read again at the end of the scenario.
     Finished,
-    /// Refused to the end: nothing of it exists.
+    /// All submissions were rejected, so that nothing of the batch job exists.
     Rejected,
 }
 
-/// A batch job as its trainer knows it.
+/// The trainer's state of a batch job.
 #[derive(Debug)]
 pub(super) struct Job {
     pub sent: JobSent,
-    /// Body of the `POST`.
+    /// Body of the `POST` request.
     pub document: Vec<u8>,
     pub first_sent: u64,
     pub accepted: bool,
-    /// A send got no conclusive response: the system may have accepted it.
+    /// Whether a submission had no conclusive response, so that the system may have accepted it.
     pub unclear: bool,
     pub phase: Phase,
-    /// When the next call is due; `None` while one is under way.
+    /// Time at which the next call is due; `None` while a call is in flight.
     pub next_at: Option<u64>,
-    /// Position behind the results that are read.
+    /// Number of results that were read.
     pub position: u64,
     pub progress: GroupProgress,
     /// Position of the review at the end; `None` once it is done.
@@ -46,7 +46,7 @@
 }
 
 impl Job {
-    /// Draws a batch job for a step; the groups `carried_over` are brought back.
+    /// Draws a batch job for a step, which begins with the groups `carried_over`.
     pub fn draw(
         settings: &TrainerSettings,
         step: u64,
@@ -99,7 +99,7 @@
         &self.sent.job
     }
 
-    /// The run is over: what may exist is only read from now on.
+    /// Ends submissions and cancellations. From now on a batch job that may exist is only read.
     pub fn close(&mut self) {
         self.phase = match self.phase {
             Phase::Submitting if !self.unclear => Phase::Rejected,
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Nothing of the batch job exists.
+    /// Records that nothing of the batch job exists.
     pub fn reject(&mut self) {
         self.phase = Phase::Rejected;
         self.review = None;
--- a/crates/testbed/src/trainer/mod.rs
+++ b/crates/testbed/src/trainer/mod.rs
@@ -1,4 +1,4 @@
-//! A trainer: submits a batch job for each step, reads its results, cancels it, and names versions.
+//! A trainer: submits a batch job for each step, reads its results, cancels it, and announces new versions.
 
 mod calls;
 mod group_progress;
--- a/crates/testbed/src/trainer/responses.rs
+++ b/crates/testbed/src/trainer/responses.rs
@@ -1,4 +1,4 @@
-//! What follows for a batch job from the outcomes of its calls.
+//! Handles the outcomes of the calls for a batch job.
 
 use super::calls::RETRY_DELAY_MS;
 use super::job::{Job, Phase};
@@ -11,11 +11,11 @@
 use crate::observation::Observation;
 use crate::synthetic_text;
 
-/// Time between reads of a batch job, in milliseconds.
+/// Interval between reads of a batch job, in milliseconds.
 const READ_INTERVAL_MS: u64 = 500;
 
 impl Job {
-    /// The sending of the batch job has ended.
+    /// Handles the end of a submission.
     pub(super) fn submitted(
         &mut self,
         now: u64,
@@ -45,8 +45,8 @@
         self.next_at = Some(now + RETRY_DELAY_MS);
     }
 
-    /// A reading of the results behind the position `after` has ended. Returns whether all that is waited for is
-    /// there, so that the batch job is to be cancelled.
+    /// Handles the end of a read after position `after`. Returns whether all required groups are complete, so that the
+    /// batch job can be cancelled.
     pub(super) fn results_read(
         &mut self,
         now: u64,
@@ -77,7 +77,7 @@
         false
     }
 
-    /// A reading of the results behind the position `after` has ended, of those that are made again at the end.
+    /// Handles the end of a review's read after position `after`.
     pub(super) fn reviewed(
         &mut self,
         now: u64,
@@ -102,7 +102,7 @@
         }
     }
 
-    /// The request for the batch job's cancellation has ended.
+    /// Handles the end of a request to cancel the batch job.
     pub(super) fn cancelled(
         &mut self,
         now: u64,
@@ -120,7 +120,7 @@
                 self.next_at = Some(settings.review.from);
                 out.observations.push(Observation::JobCancelled { job: self.id().to_owned() });
             }
-            // It was never accepted.
+            // The batch job was never accepted.
             404 if !self.accepted => self.reject(),
             404 | 410 => {
                 out.observations.push(Observation::JobMissing { job: self.id().to_owned(), status });
@@ -130,7 +130,7 @@
         }
     }
 
-    /// The request for the body of an item has ended.
+    /// Handles the end of a request for the body of an item.
     pub(super) fn item_body_read(&self, item: String, outcome: &Outcome, out: &mut Effects) {
         let body = match outcome {
             Outcome::Response(answer) if answer.status == 200 => Some(synthetic_text::digest(&answer.body)),
--- a/crates/testbed/src/trainer/result_reading.rs
+++ b/crates/testbed/src/trainer/result_reading.rs
@@ -1,4 +1,4 @@
-//! Responses to reads of batch jobs.
+//! Parsing of the responses to reads of batch jobs.
 
 use serde_json::Value;
 
@@ -7,14 +7,14 @@
 
 /// A page of the results of a batch job.
 pub(super) struct ResultPage {
-    /// Items of the batch job.
+    /// Number of items in the batch job.
     total: u64,
-    /// Position behind the results.
+    /// Number of results up to the end of the page.
     pub next: u64,
     pub results: Vec<ItemResult>,
 }
 
-/// Adds what is observed of a reading of `job` behind the position `after`; the page, if one came.
+/// Records the observation of a read of `job` after position `after`. Returns the page if the read succeeded.
 pub(super) fn observe_reading(
     job: &str,
     after: u64,
@@ -40,7 +40,7 @@
 }
 
 impl ResultPage {
-    /// Reads the body of a response; `None` if it isn't as agreed.
+    /// Parses the body of a response; `None` if it does not have the expected form.
     fn parse(body: &[u8]) -> Option<ResultPage> {
         let value: Value = serde_json::from_slice(body).ok()?;
         let results =
--- a/crates/testbed/src/trainer/steps.rs
+++ b/crates/testbed/src/trainer/steps.rs
@@ -1,4 +1,4 @@
-//! The trainer's way through its steps.
+//! The trainer's loop over its steps.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -15,12 +15,12 @@
 use crate::http::Response;
 use crate::observation::Observation;
 
-/// One read in so many begins at an earlier position.
+/// On average, one of this many reads starts at an earlier position.
 const EARLIER_EVERY: u32 = 8;
-/// One read in so many is followed by a request for the body of an item.
+/// On average, one of this many reads is followed by a request for the body of an item.
 const BODY_EVERY: u32 = 6;
 
-/// A trainer.
+/// An emulated trainer.
 pub struct Trainer {
     settings: TrainerSettings,
     random: Pcg64Mcg,
@@ -29,15 +29,15 @@
     keys: TrainerKeys,
     next_step: u64,
     naming: VersionNaming,
-    /// Groups for the next batch job to bring back.
+    /// Groups that the next batch job takes over.
     carried_over: Vec<Group>,
-    /// No more steps are submitted.
+    /// Whether no more steps are submitted.
     closed: bool,
     stats: SharedTrainerStats,
 }
 
 impl Trainer {
-    /// A trainer, and the statistics that it keeps.
+    /// Returns a trainer with its counters.
     pub fn new(settings: TrainerSettings) -> (Trainer, SharedTrainerStats) {
         let naming = VersionNaming::new();
         let stats = SharedTrainerStats::default();
@@ -57,7 +57,8 @@
         (trainer, stats)
     }
 
-    /// When the next step may be submitted; `None` while its version isn't named or the run is over.
+    /// Returns when the next step may be submitted; `None` while its version is not acknowledged or after the end of the
+    /// traffic.
     fn next_step_at(&self) -> Option<u64> {
         let due = self.settings.steps.from + self.next_step * self.settings.steps.interval_ms;
         let needed = (self.next_step + 1).saturating_sub(self.settings.steps.steps_ahead).max(1);
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Makes the call of a batch job that is due.
+    /// Makes the next call of a batch job if it is due.
     fn advance_job(&mut self, now: u64, index: JobIndex, directory: &Directory, out: &mut Effects) {
         let job = &mut self.jobs[index];
         if job.next_at.is_none_or(|at| at > now) {
@@ -104,7 +105,7 @@
         }
     }
 
-    /// Makes a call at a gateway of the trainer's zone, if there is one.
+    /// Makes a call through a gateway that the directory picks for the trainer's zone.
     fn call(&mut self, now: u64, job: JobIndex, purpose: Purpose, directory: &Directory, out: &mut Effects) {
         let Some(address) = directory.pick_gateway(&self.settings.zone, &mut self.random) else { return };
         let credentials = self.keys.for_call(&purpose);
@@ -148,7 +149,7 @@
         self.call(now, index, Purpose::Review { after }, directory, out);
     }
 
-    /// The deadline has come without a 202: the step is lost, and the training goes on without it.
+    /// Abandons a step whose deadline passed without a 202; the training continues without it.
     fn give_up_submitting(&mut self, now: u64, index: JobIndex) {
         let job = &mut self.jobs[index];
         if job.unclear {
@@ -175,7 +176,7 @@
         }
     }
 
-    /// Takes the outcome of a call for a batch job.
+    /// Handles the outcome of a call for a batch job.
     fn job_call_ended(
         &mut self,
         now: u64,
@@ -201,7 +202,7 @@
         }
     }
 
-    /// A call whose key the system doesn't take is made again with another key of the tenant.
+    /// Records a denied call; its retry uses another key of the tenant.
     fn observe_denial(&mut self, call: &JobCall, outcome: &Outcome, out: &mut Effects) {
         let Outcome::Response(Response { status: status @ (401 | 403), .. }) = outcome else { return };
         self.keys.denied(&call.credentials);
@@ -250,7 +251,7 @@
     fn next_wake(&self) -> Option<u64> {
         let jobs = self.jobs.iter().filter(|job| job.review.is_some()).filter_map(|job| job.next_at);
         let naming = self.naming.next_at();
-        // Without a batch job to review, the end is noted at the time of the reviews.
+        // Without a batch job to review, the trainer wakes at the start of the reviews to record that it is done.
         let is_idle = !self.stats.borrow().is_done && self.jobs.iter().all(|job| job.review.is_none());
         let review = is_idle.then_some(self.settings.review.from);
         jobs.chain(naming).chain(self.next_step_at()).chain(review).min()
--- a/crates/testbed/src/trainer/version_naming.rs
+++ b/crates/testbed/src/trainer/version_naming.rs
@@ -1,4 +1,5 @@
-//! Naming of versions: one once the training of a step is over, sent until it is acknowledged.
+//! Announcement of versions: after the training of each step, a new version is announced until the system acknowledges
+//! it.
 
 use std::collections::VecDeque;
 
@@ -12,7 +13,7 @@
 use crate::effects::{CallTag, Effects, Notice, Outcome};
 use crate::observation::Observation;
 
-/// A version that is being named.
+/// A version that is being announced.
 #[derive(Debug)]
 struct Naming {
     version: u64,
@@ -20,33 +21,33 @@
     call: ControlCall,
 }
 
-/// The versions that a trainer names.
+/// The versions that a trainer announces.
 #[derive(Debug)]
 pub(super) struct VersionNaming {
-    /// When the training of ended steps is over, in their order.
+    /// Times at which the training of finished steps ends, in order.
     training: VecDeque<u64>,
     current: Option<Naming>,
-    /// Newest version that the system acknowledged.
+    /// Latest version that the system acknowledged.
     version: u64,
 }
 
 impl VersionNaming {
-    /// The first version is there from the start.
+    /// Returns the state at the start, in which version 1 exists.
     pub(super) fn new() -> VersionNaming {
         VersionNaming { training: VecDeque::new(), current: None, version: 1 }
     }
 
-    /// Newest version that the system acknowledged.
+    /// Returns the latest version that the system acknowledged.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// The training of one more step is over at `at`.
+    /// Schedules the announcement of another version at `at`, when the training of a step ends.
     pub(super) fn train_until(&mut self, at: u64) {
         self.training.push_back(at);
     }
 
-    /// Names the next version once the training of a step is over.
+    /// Announces the next version once the training of a step has ended.
     pub(super) fn advance(
         &mut self,
         now: u64,
@@ -79,12 +80,12 @@
         self.current = Some(Naming { version, tag: calls.new_tag(), call });
     }
 
-    /// Whether the call with this tag names a version.
+    /// Whether the call with this tag announces a version.
     pub(super) fn owns(&self, tag: CallTag) -> bool {
         self.current.as_ref().is_some_and(|naming| naming.tag == tag)
     }
 
-    /// Takes the outcome of a call that names a version.
+    /// Handles the outcome of a call that announces a version.
     pub(super) fn call_ended(&mut self, now: u64, outcome: Outcome, model: &str, out: &mut Effects) {
         let Some(Naming { version, call, .. }) = &mut self.current else { return };
         match call.attempt_ended(now, outcome) {
@@ -94,14 +95,14 @@
                 out.observations.push(Observation::VersionAcknowledged { model, version: *version });
                 self.current = None;
             }
-            // Anything but a 2xx is sent again.
+            // Every response other than a 2xx is retried.
             CallProgress::Response(_) if now < call.deadline() => call.postpone(now + RETRY_DELAY_MS),
             CallProgress::Response(_) | CallProgress::Expired => self.current = None,
             CallProgress::Retry | CallProgress::ResponseLost(_) => {}
         }
     }
 
-    /// When there is something to do next.
+    /// Returns the time of the next call or announcement.
     pub(super) fn next_at(&self) -> Option<u64> {
         match &self.current {
             Some(naming) => naming.call.next_at(),
