--- a/crates/testbed/src/application_server.rs
+++ b/crates/testbed/src/application_server.rs
@@ -15,7 +15,7 @@
 use crate::synthetic_text;
 
 /// Denominator of the fraction of failing requests.
-const SHARE_PARTS: u64 = 10_000;
+const FAILURE_DENOMINATOR: u64 = 10_000;
 
 /// Settings of an emulated application server.
 #[derive(Clone, Debug)]
@@ -33,9 +33,9 @@
     /// Range of the service time, in milliseconds.
     pub work_ms: RangeInclusive<u64>,
     /// Size of a response body, in bytes.
-    pub answer_bytes: usize,
+    pub response_bytes: usize,
     /// Number of requests out of 10,000 that fail. The same requests fail at every server.
-    pub failing_share: u64,
+    pub failures_per_10_000: u64,
     /// Seed of the service times.
     pub seed: u64,
 }
@@ -177,7 +177,7 @@
     fn finish(&self, now: u64, execution: &Execution, out: &mut Effects) {
         let id = &execution.queued.id;
         let id_digest = synthetic_text::digest(id.as_bytes());
-        let fails = id_digest % SHARE_PARTS < self.settings.failing_share;
+        let fails = id_digest % FAILURE_DENOMINATOR < self.settings.failures_per_10_000;
         let late = execution.queued.deadline.is_some_and(|deadline| deadline < now);
         let status = match (late, fails) {
             (true, _) => 504,
@@ -185,7 +185,7 @@
             _ => 200,
         };
         let body =
-            if status == 200 { Self::response_body(id, self.settings.answer_bytes) } else { Vec::new() };
+            if status == 200 { Self::response_body(id, self.settings.response_bytes) } else { Vec::new() };
         let signature = format!("{:08x}.{:x}.{status}", id_digest >> 32, execution.number);
         out.observations.push(Observation::ResponseSent {
             execution: execution.number,
--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -22,7 +22,7 @@
 /// Backoff before a retry if the response has no `Retry-After`, in milliseconds.
 const BACKOFF_MS: u64 = 50;
 /// A backoff takes at most the remaining time divided by this number.
-const BACKOFF_PART: u64 = 3;
+const MAX_BACKOFF_DIVISOR: u64 = 3;
 
 /// Settings of a group of clients. Times are in milliseconds.
 #[derive(Clone, Debug)]
@@ -230,7 +230,7 @@
             Some(request) if may_retry && request.retries < self.settings.retries => {
                 request.retries += 1;
                 let time_left = request.time_left(now, &self.settings);
-                request.retry_at = Some(now + backoff_ms.min(time_left / BACKOFF_PART));
+                request.retry_at = Some(now + backoff_ms.min(time_left / MAX_BACKOFF_DIVISOR));
             }
             _ => self.fail(tag),
         }
@@ -240,12 +240,12 @@
 /// Returns the observation of an attempt's end.
 fn observed(id: String, outcome: &Outcome) -> Observation {
     match outcome {
-        Outcome::Response(answer) => Observation::ResponseReceived {
+        Outcome::Response(response) => Observation::ResponseReceived {
             id,
-            status: answer.status,
-            signature: answer.headers.get("Server-Signature").map(str::to_owned),
-            echoed_id: answer.headers.get("Attempt-Id").map(str::to_owned),
-            body: synthetic_text::digest(&answer.body),
+            status: response.status,
+            signature: response.headers.get("Server-Signature").map(str::to_owned),
+            echoed_id: response.headers.get("Attempt-Id").map(str::to_owned),
+            body: synthetic_text::digest(&response.body),
         },
         Outcome::TrailingBytes(_) | Outcome::Malformed => Observation::MalformedResponseReceived { id },
         Outcome::Disconnected { .. } => Observation::RequestFailed { id, connection_lost: true },
@@ -282,12 +282,12 @@
         let Some(request) = self.pending.get(&tag) else { return };
         out.observations.push(observed(request.attempt_id.clone(), &outcome));
         match outcome {
-            Outcome::Response(answer) if answer.is_success() => self.succeed(now, tag),
-            Outcome::Response(answer) => {
-                let not_executed = NOT_EXECUTED_STATUSES.contains(&answer.status);
-                let is_final = FINAL_STATUSES.contains(&answer.status);
+            Outcome::Response(response) if response.is_success() => self.succeed(now, tag),
+            Outcome::Response(response) => {
+                let not_executed = NOT_EXECUTED_STATUSES.contains(&response.status);
+                let is_final = FINAL_STATUSES.contains(&response.status);
                 let retry_after_s =
-                    answer.headers.get("Retry-After").and_then(|value| value.parse::<f64>().ok());
+                    response.headers.get("Retry-After").and_then(|value| value.parse::<f64>().ok());
                 let backoff_ms = retry_after_s.map_or(BACKOFF_MS, |seconds| (seconds * 1_000.0) as u64);
                 let may_retry = not_executed || (self.settings.idempotent && !is_final);
                 self.retry_or_fail(now, tag, backoff_ms, may_retry);
--- a/crates/testbed/src/concurrent_operators.rs
+++ b/crates/testbed/src/concurrent_operators.rs
@@ -124,7 +124,7 @@
             let body = json!({"config-version": version, "upsert": upsert, "remove": {}});
             ControlRequest::json("PATCH", CONFIGURATION_PATH, &body)
         };
-        let call = ControlCall::new(request.on_top_of(base), now, now + CHANGE_TIME_MS)
+        let call = ControlCall::new(request.based_on(base), now, now + CHANGE_TIME_MS)
             .with_losses(self.draw_losses());
         out.observations.push(Observation::ConfigurationSent {
             change,
@@ -160,7 +160,7 @@
         (0..count).map(|_| loss()).collect()
     }
 
-    fn reading_ended(
+    fn read_ended(
         &mut self,
         now: u64,
         operator: usize,
@@ -169,8 +169,8 @@
         out: &mut Effects,
     ) {
         let document = match progress {
-            CallProgress::Response(answer) if answer.is_success() => {
-                serde_json::from_slice(&answer.body).ok()
+            CallProgress::Response(response) if response.is_success() => {
+                serde_json::from_slice(&response.body).ok()
             }
             _ => None,
         };
@@ -238,20 +238,20 @@
                 let sent_at = call.sent_at();
                 match call.attempt_ended(now, outcome) {
                     CallProgress::Retry | CallProgress::ResponseLost(_) => {}
-                    progress => self.reading_ended(now, operator, sent_at, progress, out),
+                    progress => self.read_ended(now, operator, sent_at, progress, out),
                 }
             }
             OperatorState::Changing { change, call, .. } => {
                 let change = *change;
                 match call.attempt_ended(now, outcome) {
                     CallProgress::Retry => {}
-                    CallProgress::ResponseLost(answer) => {
+                    CallProgress::ResponseLost(response) => {
                         self.stats.borrow_mut().lost_responses += 1;
-                        let status = answer.status;
+                        let status = response.status;
                         out.observations.push(Observation::ConfigurationResponseLost { change, status });
                     }
-                    CallProgress::Response(answer) => {
-                        self.change_ended(now, operator, change, Some(answer.status), out);
+                    CallProgress::Response(response) => {
+                        self.change_ended(now, operator, change, Some(response.status), out);
                     }
                     CallProgress::Expired => self.change_ended(now, operator, change, None, out),
                 }
--- a/crates/testbed/src/control_call.rs
+++ b/crates/testbed/src/control_call.rs
@@ -65,7 +65,7 @@
     }
 
     /// Makes the request conditional on the given version of the configuration (`If-Match`).
-    pub fn on_top_of(mut self, version: u64) -> ControlRequest {
+    pub fn based_on(mut self, version: u64) -> ControlRequest {
         self.fields.push(("If-Match", version.to_string()));
         self
     }
@@ -193,20 +193,20 @@
 
     /// Handles the outcome of the latest attempt.
     pub fn attempt_ended(&mut self, now: u64, outcome: Outcome) -> CallProgress {
-        if let Outcome::Response(answer) = outcome {
-            if answer.status == 307 && self.redirects < MAX_REDIRECTS {
+        if let Outcome::Response(response) = outcome {
+            if response.status == 307 && self.redirects < MAX_REDIRECTS {
                 self.redirects += 1;
-                self.redirect = answer.headers.get("Location").and_then(address_of);
+                self.redirect = response.headers.get("Location").and_then(address_of);
                 self.next_at = Some(now);
                 return CallProgress::Retry;
             }
             let loss = self.losses.pop_front();
             if loss == Some(ResponseLoss::Dropped) && now < self.deadline {
                 self.next_at = Some(now + RESEND_DELAY_MS);
-                return CallProgress::ResponseLost(answer);
+                return CallProgress::ResponseLost(response);
             }
-            if self.is_conclusive(answer.status) {
-                return CallProgress::Response(answer);
+            if self.is_conclusive(response.status) {
+                return CallProgress::Response(response);
             }
         } else if matches!(self.losses.pop_front(), Some(ResponseLoss::ConnectionClosedAfter { .. })) {
             self.next_at = Some(now + RESEND_DELAY_MS);
--- a/crates/testbed/src/effects.rs
+++ b/crates/testbed/src/effects.rs
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Notice {
     /// A trainer announces a version for the first time.
-    VersionNamed {
+    VersionAnnounced {
         /// The model.
         model: String,
         /// The new version.
--- a/crates/testbed/src/fault_proxy.rs
+++ b/crates/testbed/src/fault_proxy.rs
@@ -246,17 +246,17 @@
         if proxied.caller_end.ended && proxied.target_end.ended {
             return self.drop_connection(network, id);
         }
-        let forth = self.fault(proxied, Side::Caller);
-        let back = self.fault(proxied, Side::Target);
-        if [forth, back].contains(&Some(LinkFault::Reset)) {
+        let forward_fault = self.fault(proxied, Side::Caller);
+        let backward_fault = self.fault(proxied, Side::Target);
+        if [forward_fault, backward_fault].contains(&Some(LinkFault::Reset)) {
             return self.drop_connection(network, id);
         }
         if proxied.target_end.connection.is_none() && !proxied.target_end.ended {
-            let is_partitioned = [forth, back].contains(&Some(LinkFault::Partitioned));
+            let is_partitioned = [forward_fault, backward_fault].contains(&Some(LinkFault::Partitioned));
             self.connect_target(network, id, is_partitioned);
         }
-        let is_over = self.forward(network, now, id, Side::Caller, forth)
-            || self.forward(network, now, id, Side::Target, back);
+        let is_over = self.forward(network, now, id, Side::Caller, forward_fault)
+            || self.forward(network, now, id, Side::Target, backward_fault);
         if is_over {
             self.finish_connection(network, id);
         }
--- a/crates/testbed/src/host/inbound.rs
+++ b/crates/testbed/src/host/inbound.rs
@@ -11,7 +11,7 @@
     pub(super) fn accept(&mut self, now: u64, server: ServerIndex, id: ConnectionId) {
         let key = self.next_key;
         self.next_key = key.next();
-        self.roles.insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotShown });
+        self.roles.insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotReported });
         self.accepted.insert(key, id);
         let mut out = Effects::default();
         let source = self.network.peer_address(id).map(|peer| peer.ip());
@@ -29,18 +29,19 @@
             match http::parse_request(self.network.inbox(id)) {
                 Ok(Some((request, length))) => {
                     self.network.consume(id, length);
-                    self.roles.insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotShown });
+                    self.roles
+                        .insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotReported });
                     let mut out = Effects::default();
                     let service = self.servers[server.0].service();
                     match head {
                         HeadState::Responded => service.remaining_body(&request, &mut out),
-                        HeadState::NotShown | HeadState::Reported => {
+                        HeadState::NotReported | HeadState::Reported => {
                             service.request(now, key, request, &mut out);
                         }
                     }
                     self.apply(now, None, out);
                 }
-                Ok(None) => return self.show_head(now, id, server, key, head),
+                Ok(None) => return self.report_head(now, id, server, key, head),
                 Err(error) => {
                     log::warn!("host: a request to an emulator cannot be parsed: {error}");
                     let mut out = Effects::default();
@@ -55,7 +56,7 @@
     }
 
     /// Passes the head of a request to the server once, while the body is incomplete.
-    fn show_head(
+    fn report_head(
         &mut self,
         now: u64,
         id: ConnectionId,
@@ -64,7 +65,7 @@
         state: HeadState,
     ) {
         let Ok(Some(head)) = http::parse_request_head(self.network.inbox(id)) else { return };
-        if state == HeadState::NotShown {
+        if state == HeadState::NotReported {
             let mut out = Effects::default();
             let has_responded = self.servers[server.0].service().request_head(key, &head, &mut out);
             let head = if has_responded { HeadState::Responded } else { HeadState::Reported };
--- a/crates/testbed/src/host/mod.rs
+++ b/crates/testbed/src/host/mod.rs
@@ -36,7 +36,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum HeadState {
     /// The head was not passed to the server yet.
-    NotShown,
+    NotReported,
     /// The head was passed to the server, which waits for the body.
     Reported,
     /// The server responded to the head; the body arrives afterwards.
@@ -312,10 +312,10 @@
 
     fn deliver_notice(&mut self, now: u64, notice: Notice) {
         match notice {
-            Notice::VersionNamed { model, version } => {
+            Notice::VersionAnnounced { model, version } => {
                 for server in &mut self.servers {
                     if let EmulatedServer::Model(server) = server {
-                        server.name_version(&model, version);
+                        server.announce_version(&model, version);
                     }
                 }
             }
--- a/crates/testbed/src/host/outbound.rs
+++ b/crates/testbed/src/host/outbound.rs
@@ -12,13 +12,13 @@
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Whether the connection of a response can be reused for another request.
-fn may_be_kept(outcome: &Outcome) -> bool {
-    let Outcome::Response(answer) = outcome else { return false };
-    !answer.headers.get("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+fn is_reusable(outcome: &Outcome) -> bool {
+    let Outcome::Response(response) = outcome else { return false };
+    !response.headers.get("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
 /// Returns the outcome of a pipelined call whose connection ended with the previous call.
-fn outcome_behind(outcome: &Outcome) -> Outcome {
+fn following_outcome(outcome: &Outcome) -> Outcome {
     match outcome {
         Outcome::Refused | Outcome::Response(_) => Outcome::Refused,
         Outcome::TimedOut => Outcome::TimedOut,
@@ -59,8 +59,8 @@
         while self.read_pipelined_response(now, id) {}
         let bytes = self.network.inbox(id);
         let outcome = match http::parse_response(bytes, ended) {
-            Ok(Some((answer, length))) if length < bytes.len() => Outcome::TrailingBytes(answer),
-            Ok(Some((answer, _))) => Outcome::Response(answer),
+            Ok(Some((response, length))) if length < bytes.len() => Outcome::TrailingBytes(response),
+            Ok(Some((response, _))) => Outcome::Response(response),
             Ok(None) if ended => Outcome::Disconnected { partial: !bytes.is_empty() },
             Ok(None) => return,
             Err(_) => Outcome::Malformed,
@@ -77,11 +77,11 @@
         if call.following.is_empty() {
             return false;
         }
-        let Ok(Some((answer, length))) = http::parse_response(self.network.inbox(id), false) else {
+        let Ok(Some((response, length))) = http::parse_response(self.network.inbox(id), false) else {
             return false;
         };
-        let outcome = Outcome::Response(answer);
-        if !may_be_kept(&outcome) {
+        let outcome = Outcome::Response(response);
+        if !is_reusable(&outcome) {
             return false;
         }
         let Some(next) = call.following.pop_front() else { return false };
@@ -95,7 +95,7 @@
 
     pub(super) fn end_call(&mut self, now: u64, id: ConnectionId, outcome: Outcome, ended: bool) {
         let Some(ConnectionRole::Outbound { caller, call, .. }) = self.roles.remove(&id) else { return };
-        if call.keep_alive && !ended && may_be_kept(&outcome) {
+        if call.keep_alive && !ended && is_reusable(&outcome) {
             let received = self.network.inbox(id).len();
             self.network.consume(id, received);
             self.roles.insert(id, ConnectionRole::Idle { address: call.address });
@@ -103,10 +103,10 @@
         } else {
             self.network.abort(id);
         }
-        let outcome_behind = outcome_behind(&outcome);
+        let following_outcome = following_outcome(&outcome);
         self.call_ended(now, caller, call.tag, outcome);
         for behind in call.following {
-            self.call_ended(now, caller, behind.tag, outcome_behind.clone());
+            self.call_ended(now, caller, behind.tag, following_outcome.clone());
         }
     }
 
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -215,8 +215,8 @@
     head.push_str("\r\n");
     let mut bytes = head.into_bytes();
     let (first, second) = body.split_at(body.len() / 2);
-    for piece in [first, second].into_iter().filter(|piece| !piece.is_empty()) {
-        write_chunk(&mut bytes, piece);
+    for chunk in [first, second].into_iter().filter(|chunk| !chunk.is_empty()) {
+        write_chunk(&mut bytes, chunk);
     }
     write_chunk(&mut bytes, &[]);
     bytes
--- a/crates/testbed/src/invariants/job_record.rs
+++ b/crates/testbed/src/invariants/job_record.rs
@@ -198,11 +198,11 @@
 
 /// Checks that the score is the signature of a successful reward call, which reached a server after the text was complete.
 fn check_score(context: &mut CheckContext, server_log: &ServerLog, item: &ItemSent, result: &ItemResult) {
-    let bears_score = |response: &ResponseRecord| {
+    let has_score = |response: &ResponseRecord| {
         response.is_success() && Some(&response.signature) == result.score.as_ref()
     };
     let executions = server_log.executions(&item.reward.id);
-    let scored = executions.iter().find(|execution| execution.response.as_ref().is_some_and(bears_score));
+    let scored = executions.iter().find(|execution| execution.response.as_ref().is_some_and(has_score));
     let Some(reward_call) = scored else {
         let detail = "its score isn't the signature of a success of its reward call";
         return context.violate(Invariant::Mixed, &item.id, detail);
--- a/crates/testbed/src/invariants/starved_items.rs
+++ b/crates/testbed/src/invariants/starved_items.rs
@@ -66,7 +66,7 @@
             Observation::ExecutionStarted { id, .. } => self.begun(context.now, id),
             Observation::EventEmitted { id, .. } => self.active(context.now, id),
             Observation::ResponseSent { id, status, .. } => self.responded(context.now, id, *status),
-            Observation::VersionNamed { .. } => self.last_version_at = Some(context.now),
+            Observation::VersionAnnounced { .. } => self.last_version_at = Some(context.now),
             Observation::JobCancelSent { job } => self.check(context, job),
             _ => {}
         }
@@ -103,12 +103,14 @@
         if !self.cancelled.insert(job.to_owned()) || !ran_out_of_time {
             return;
         }
-        let is_long_ago = |at: Option<u64>, time_ms: u64| at.is_none_or(|at| at + time_ms <= now);
-        let is_free =
-            is_long_ago(self.last_version_at, LOADING_MS) && is_long_ago(self.last_begun_at, BUSY_MS);
-        let is_calm = now >= STARVED_MS && context.is_undisrupted_since(now - STARVED_MS);
+        let has_elapsed = |at: Option<u64>, time_ms: u64| at.is_none_or(|at| at + time_ms <= now);
+        let are_servers_available =
+            has_elapsed(self.last_version_at, LOADING_MS) && has_elapsed(self.last_begun_at, BUSY_MS);
+        let is_undisrupted = now >= STARVED_MS && context.is_undisrupted_since(now - STARVED_MS);
         let others_began = step.items.iter().any(|item| self.items[item].has_begun);
-        let Some(accepted_at) = step.accepted_at.filter(|_| is_free && is_calm && others_began) else {
+        let Some(accepted_at) =
+            step.accepted_at.filter(|_| are_servers_available && is_undisrupted && others_began)
+        else {
             return;
         };
         let is_starved = |item: &ItemActivity| {
--- a/crates/testbed/src/invariants/usage_accounts.rs
+++ b/crates/testbed/src/invariants/usage_accounts.rs
@@ -15,7 +15,7 @@
     /// Length of a usage window, in seconds.
     pub window_s: u64,
     /// Time after the end of a window until its report is due, in seconds.
-    pub late_s: u64,
+    pub report_deadline_s: u64,
     /// Allowed deviation of a count, as a fraction of the true count.
     pub tolerance: f64,
 }
@@ -28,7 +28,7 @@
     /// Windows without a report that was accepted in time.
     pub missing: u64,
     /// Windows whose report exceeded the tolerance for at least one tenant.
-    pub off: u64,
+    pub inaccurate: u64,
 }
 
 /// A request that a server started to run.
@@ -100,7 +100,9 @@
             let expected = truth.get(&window).unwrap_or(&empty);
             match self.reports.get(&window).filter(|report| report.at <= self.due_at(window)) {
                 None => figures.missing += 1,
-                Some(report) if !self.is_within_tolerance(expected, &report.counts) => figures.off += 1,
+                Some(report) if !self.is_within_tolerance(expected, &report.counts) => {
+                    figures.inaccurate += 1
+                }
                 Some(_) => {}
             }
         }
@@ -117,7 +119,7 @@
 
     /// Time at which the report of a window is due, on the observations' clock in milliseconds.
     fn due_at(&self, window: u64) -> u64 {
-        let due = (window + 1) * self.window_ms() + self.bounds.late_s * MS_PER_S;
+        let due = (window + 1) * self.window_ms() + self.bounds.report_deadline_s * MS_PER_S;
         due.saturating_sub(self.bounds.wall_ms_at_start)
     }
 
--- a/crates/testbed/src/launch/launcher.rs
+++ b/crates/testbed/src/launch/launcher.rs
@@ -13,7 +13,7 @@
 use crate::fault_proxy::MachineIndex;
 
 /// Environment variables that the processes inherit.
-const KEPT_VARIABLES: [&str; 3] = ["PATH", "HOME", "LANG"];
+const INHERITED_VARIABLES: [&str; 3] = ["PATH", "HOME", "LANG"];
 /// Environment variable that contains the path of a process's settings file.
 const SETTINGS_VARIABLE: &str = "ORCHIDVALVE_BOOT";
 /// Number of the next launch in this process, used in its directory's name.
@@ -123,13 +123,13 @@
     }
 
     /// Returns all processes of a machine.
-    fn of_machine(&self, machine: MachineIndex) -> Vec<ProcessId> {
+    fn processes_of_machine(&self, machine: MachineIndex) -> Vec<ProcessId> {
         self.ids().into_iter().filter(|id| self.machine_index(*id) == machine).collect()
     }
 
     /// Returns all processes on the machine of the given process.
     pub fn processes_of_same_machine(&self, id: ProcessId) -> Vec<ProcessId> {
-        self.of_machine(self.machine_index(id))
+        self.processes_of_machine(self.machine_index(id))
     }
 
     /// Returns the name of a process: the machine's name and the role.
@@ -186,7 +186,7 @@
         let errors = output.try_clone().map_err(file_error(&log))?;
         let mut command = Command::new(&self.program);
         command.arg(self.role(id).to_string()).current_dir(&self.directory).env_clear();
-        command.envs(KEPT_VARIABLES.iter().filter_map(|name| Some((name, std::env::var_os(name)?))));
+        command.envs(INHERITED_VARIABLES.iter().filter_map(|name| Some((name, std::env::var_os(name)?))));
         command.env(SETTINGS_VARIABLE, settings);
         command.stdin(Stdio::null()).stdout(output).stderr(errors);
         Ok(command)
@@ -232,7 +232,7 @@
 
     fn add_machine(&mut self, machine: MachineIndex) -> Vec<ProcessId> {
         self.add_processes(machine);
-        self.of_machine(machine)
+        self.processes_of_machine(machine)
     }
 
     /// Kills a process and waits for its exit. Does nothing if the process is not running.
--- a/crates/testbed/src/launch/spawner.rs
+++ b/crates/testbed/src/launch/spawner.rs
@@ -17,10 +17,10 @@
 impl Spawner {
     /// Starts the thread. The caller must not have blocked signals yet, since the thread inherits its signal mask.
     pub fn start() -> Spawner {
-        let (commands, wanted) = channel::<Command>();
+        let (commands, requested) = channel::<Command>();
         let (started, children) = channel();
         std::thread::spawn(move || {
-            for mut command in wanted {
+            for mut command in requested {
                 if started.send(command.spawn()).is_err() {
                     return;
                 }
--- a/crates/testbed/src/model_server/generations.rs
+++ b/crates/testbed/src/model_server/generations.rs
@@ -100,7 +100,7 @@
     }
 
     /// Returns the complete response with all events of the stream.
-    pub fn whole_response(&self, version: u64, load: &str) -> Vec<u8> {
+    pub fn complete_response(&self, version: u64, load: &str) -> Vec<u8> {
         let mut bytes = self.head(version, load);
         http::write_chunk(&mut bytes, &self.body);
         http::write_chunk(&mut bytes, &[]);
--- a/crates/testbed/src/model_server/server.rs
+++ b/crates/testbed/src/model_server/server.rs
@@ -84,8 +84,8 @@
     }
 
     /// Records that a trainer announced a version, so that orders for it are accepted.
-    pub fn name_version(&mut self, model: &str, version: u64) {
-        self.weights.name_version(model, version);
+    pub fn announce_version(&mut self, model: &str, version: u64) {
+        self.weights.announce_version(model, version);
     }
 
     /// Makes health checks fail from now on.
@@ -118,7 +118,7 @@
         self.active_faults = ActiveFaults::default();
         self.frontend.duplicate_responses = false;
         self.frontend.begin_incarnation();
-        self.weights.forget_orders();
+        self.weights.reset_orders();
     }
 
     fn load(&self) -> Load {
@@ -303,7 +303,7 @@
         let Some(version) = self.weights.version(&generation.model) else { return false };
         let is_complete = generation.emit_event(version, load, out);
         if is_complete && self.frontend.duplicate_responses {
-            out.send(generation.connection, generation.whole_response(version, load));
+            out.send(generation.connection, generation.complete_response(version, load));
         }
         !is_complete
     }
--- a/crates/testbed/src/model_server/weight_loading.rs
+++ b/crates/testbed/src/model_server/weight_loading.rs
@@ -20,7 +20,7 @@
             leader: order.leader.clone(),
             token: order.fencing_token,
         });
-        let status = self.weights.take(&order);
+        let status = self.weights.accept_order(&order);
         if status == 202 {
             self.begin_loading(now, &order, out);
         }
--- a/crates/testbed/src/model_server/weights.rs
+++ b/crates/testbed/src/model_server/weights.rs
@@ -76,7 +76,7 @@
     /// Served version by model.
     versions: BTreeMap<String, u64>,
     /// Latest version that a trainer announced, by model.
-    named: BTreeMap<String, u64>,
+    announced: BTreeMap<String, u64>,
     /// Number of orders accepted since the start.
     order_count: u64,
     highest_token: u64,
@@ -91,7 +91,7 @@
         let versions: BTreeMap<String, u64> =
             models.iter().map(|initial| (initial.model.clone(), initial.version)).collect();
         Weights {
-            named: versions.clone(),
+            announced: versions.clone(),
             versions,
             order_count: 0,
             highest_token: 0,
@@ -101,18 +101,18 @@
     }
 
     /// Accepts or rejects an order, and returns the status of the response.
-    pub fn take(&mut self, order: &WeightOrder) -> u16 {
+    pub fn accept_order(&mut self, order: &WeightOrder) -> u16 {
         let Some(&current) = self.versions.get(&order.model) else { return 400 };
-        let newest = self.named.get(&order.model).copied().unwrap_or(1);
-        if order.version == 0 || order.version > newest {
+        let latest = self.announced.get(&order.model).copied().unwrap_or(1);
+        if order.version == 0 || order.version > latest {
             return 400;
         }
         if self.fencing_enforced && order.fencing_token < self.highest_token {
             return 412;
         }
         self.highest_token = self.highest_token.max(order.fencing_token);
-        let other_count = order.expected_count.is_some_and(|expected| expected != self.order_count);
-        if self.loading.is_some() || other_count {
+        let is_count_unexpected = order.expected_count.is_some_and(|expected| expected != self.order_count);
+        if self.loading.is_some() || is_count_unexpected {
             return 409;
         }
         if current == order.version {
@@ -129,13 +129,13 @@
     }
 
     /// Records that a trainer announced a version, so that orders for it are accepted.
-    pub fn name_version(&mut self, model: &str, version: u64) {
-        let newest = self.named.entry(model.to_owned()).or_insert(1);
-        *newest = (*newest).max(version);
+    pub fn announce_version(&mut self, model: &str, version: u64) {
+        let latest = self.announced.entry(model.to_owned()).or_insert(1);
+        *latest = (*latest).max(version);
     }
 
     /// Resets the state of the orders and the load in progress, but keeps the weights.
-    pub fn forget_orders(&mut self) {
+    pub fn reset_orders(&mut self) {
         self.order_count = 0;
         self.highest_token = 0;
         self.loading = None;
--- a/crates/testbed/src/observation.rs
+++ b/crates/testbed/src/observation.rs
@@ -266,7 +266,7 @@
     },
 
     /// A trainer announces a new version of a model's weights.
-    VersionNamed {
+    VersionAnnounced {
         /// The model.
         model: String,
         /// The new version.
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -244,7 +244,7 @@
             document: change.document.clone(),
             valid: routes_name_known_services(&change.document),
         });
-        let call = ControlCall::new(request.on_top_of(self.version), now, deadline);
+        let call = ControlCall::new(request.based_on(self.version), now, deadline);
         self.call(Purpose::Change(change), call);
     }
 
@@ -257,13 +257,13 @@
         progress: CallProgress,
         out: &mut Effects,
     ) {
-        let answer = match progress {
-            CallProgress::Response(answer) => Some(answer),
+        let response = match progress {
+            CallProgress::Response(response) => Some(response),
             _ => None,
         };
-        let status = answer.as_ref().map(|answer| answer.status);
-        let is_success = answer.as_ref().is_some_and(Response::is_success);
-        let body = answer.and_then(|answer| serde_json::from_slice::<Value>(&answer.body).ok());
+        let status = response.as_ref().map(|response| response.status);
+        let is_success = response.as_ref().is_some_and(Response::is_success);
+        let body = response.and_then(|response| serde_json::from_slice::<Value>(&response.body).ok());
         match purpose {
             Purpose::Change(change) => self.change_completed(now, change, status, out),
             Purpose::ReadBack => {
@@ -321,12 +321,12 @@
 
     fn due_action(&self, now: u64) -> Option<Action> {
         let mut script = self.script.borrow_mut();
-        let is_due = self.is_free() && script.front().is_some_and(|next| next.at_ms <= now);
+        let is_due = self.can_start_action() && script.front().is_some_and(|next| next.at_ms <= now);
         is_due.then(|| script.pop_front()).flatten().map(|next| next.action)
     }
 
     /// Whether an action may start. Retirements continue concurrently with other actions.
-    fn is_free(&self) -> bool {
+    fn can_start_action(&self) -> bool {
         self.calls.values().all(|(purpose, _)| matches!(purpose, Purpose::RetirementState { .. }))
     }
 }
@@ -366,7 +366,7 @@
     }
 
     fn next_wake(&self) -> Option<u64> {
-        let action = self.script.borrow().front().filter(|_| self.is_free()).map(|next| next.at_ms);
+        let action = self.script.borrow().front().filter(|_| self.can_start_action()).map(|next| next.at_ms);
         self.calls.values().filter_map(|(_, call)| call.next_at()).chain(action).min()
     }
 }
--- a/crates/testbed/src/platform/fault.rs
+++ b/crates/testbed/src/platform/fault.rs
@@ -9,30 +9,30 @@
         delay_ms: u64,
     },
     /// Calls are accepted without a response, so that their senders cannot know the outcome.
-    Silent,
+    Unresponsive,
     /// Calls are rejected with status 429 and 503 alternately.
     Busy,
     /// Calls are accepted, and their connections are reset before a response.
     Reset,
     /// No call arrives, so that none is accepted or receives a response.
-    CutOff,
+    Partitioned,
 }
 
 /// How the stub handles a call under a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Handling {
     /// Accepts the call and responds at once.
-    Answer,
+    Respond,
     /// Accepts the call and responds after the given time in milliseconds.
-    AnswerLater(u64),
+    RespondLater(u64),
     /// Accepts the call without responding.
-    TakeSilently,
+    AcceptWithoutResponse,
     /// Rejects the call with the given status.
-    Refuse(u16),
+    Reject(u16),
     /// Accepts the call and resets its connection.
-    TakeAndReset,
+    AcceptAndReset,
     /// Drops the call.
-    Lose,
+    Drop,
 }
 
 /// The current fault.
@@ -40,26 +40,26 @@
 pub(super) struct FaultState {
     fault: Option<PlatformFault>,
     /// Number of calls rejected during the current fault.
-    refused: u64,
+    rejected: u64,
 }
 
 impl FaultState {
     pub fn set(&mut self, fault: Option<PlatformFault>) {
-        *self = FaultState { fault, refused: 0 };
+        *self = FaultState { fault, rejected: 0 };
     }
 
     /// Decides how to handle the next call.
     pub fn handling(&mut self) -> Handling {
         match self.fault {
-            None => Handling::Answer,
-            Some(PlatformFault::Slow { delay_ms }) => Handling::AnswerLater(delay_ms),
-            Some(PlatformFault::Silent) => Handling::TakeSilently,
+            None => Handling::Respond,
+            Some(PlatformFault::Slow { delay_ms }) => Handling::RespondLater(delay_ms),
+            Some(PlatformFault::Unresponsive) => Handling::AcceptWithoutResponse,
             Some(PlatformFault::Busy) => {
-                self.refused += 1;
-                Handling::Refuse(if self.refused % 2 == 1 { 429 } else { 503 })
+                self.rejected += 1;
+                Handling::Reject(if self.rejected % 2 == 1 { 429 } else { 503 })
             }
-            Some(PlatformFault::Reset) => Handling::TakeAndReset,
-            Some(PlatformFault::CutOff) => Handling::Lose,
+            Some(PlatformFault::Reset) => Handling::AcceptAndReset,
+            Some(PlatformFault::Partitioned) => Handling::Drop,
         }
     }
 }
--- a/crates/testbed/src/platform/mod.rs
+++ b/crates/testbed/src/platform/mod.rs
@@ -23,7 +23,7 @@
 pub use self::server_list::ListedServer;
 
 /// Status of an accepted call.
-const TAKEN: u16 = 200;
+const ACCEPTED: u16 = 200;
 /// Status of a call that does not conform to the API.
 const MALFORMED: u16 = 400;
 /// Status of a call to an unknown path.
@@ -37,7 +37,7 @@
     /// Delay of the server list, in milliseconds.
     pub lag_ms: u64,
     /// Maximum rate of calls to the server list from all nodes together, per second.
-    pub rate_per_s: f64,
+    pub list_calls_per_second: f64,
     /// Number of servers per page.
     pub page_size: usize,
     /// Maximum rate of platform calls for singleton roles from all nodes together, per second.
@@ -59,7 +59,7 @@
 
 /// A delayed response.
 #[derive(Debug)]
-struct DelayedAnswer {
+struct DelayedResponse {
     at: u64,
     connection: ConnectionKey,
     bytes: Vec<u8>,
@@ -69,14 +69,14 @@
 #[derive(Debug)]
 pub struct PlatformStub {
     list: ServerList,
-    list_rate: RateLimit,
+    list_call_rate: RateLimit,
     platform_call_rate: RateLimit,
     fault: FaultState,
-    delayed: Vec<DelayedAnswer>,
+    delayed: Vec<DelayedResponse>,
     /// Source addresses of the connections.
     sources: BTreeMap<ConnectionKey, IpAddr>,
     /// Number of list calls that received a page.
-    pub calls: u64,
+    pub list_calls: u64,
     /// Number of list calls that were rejected because of the rate limit or a fault, or had an unknown path.
     pub refused: u64,
     /// Counts of the platform calls for singleton roles.
@@ -88,12 +88,12 @@
     pub fn new(settings: PlatformSettings) -> PlatformStub {
         PlatformStub {
             list: ServerList::new(settings.lag_ms, settings.page_size),
-            list_rate: RateLimit::new(settings.rate_per_s),
+            list_call_rate: RateLimit::new(settings.list_calls_per_second),
             platform_call_rate: RateLimit::new(settings.platform_calls_per_second),
             fault: FaultState::default(),
             delayed: Vec::new(),
             sources: BTreeMap::new(),
-            calls: 0,
+            list_calls: 0,
             refused: 0,
             platform_calls: PlatformCallCounts::default(),
         }
@@ -139,52 +139,64 @@
     }
 
     /// Accepts or rejects a call, and returns the response.
-    fn take(&mut self, now: u64, connection: ConnectionKey, request: &Request, out: &mut Effects) -> Answer {
+    fn handle_call(
+        &mut self,
+        now: u64,
+        connection: ConnectionKey,
+        request: &Request,
+        out: &mut Effects,
+    ) -> PlatformResponse {
         match (request.method.as_str(), request.path()) {
-            ("GET", "/instances") if self.list_rate.admit(now) => self.answer_page(now, request),
-            ("GET", "/instances") => self.refuse_list(OVER_RATE),
+            ("GET", "/instances") if self.list_call_rate.admit(now) => self.respond_with_page(now, request),
+            ("GET", "/instances") => self.reject_list_call(OVER_RATE),
             ("POST", USAGE_REPORTS_PATH | SCALING_PATH) => {
-                Answer::empty(self.take_platform_call(now, connection, request, None, out))
+                PlatformResponse::empty(self.handle_platform_call(now, connection, request, None, out))
             }
-            _ => self.refuse_list(UNKNOWN_PATH),
+            _ => self.reject_list_call(UNKNOWN_PATH),
         }
     }
 
     /// Rejects a call because of a fault.
-    fn refuse(
+    fn reject(
         &mut self,
         now: u64,
         connection: ConnectionKey,
         request: &Request,
         status: u16,
         out: &mut Effects,
-    ) -> Answer {
+    ) -> PlatformResponse {
         if request.method == "POST" {
-            return Answer::empty(self.take_platform_call(now, connection, request, Some(status), out));
+            return PlatformResponse::empty(self.handle_platform_call(
+                now,
+                connection,
+                request,
+                Some(status),
+                out,
+            ));
         }
-        self.refuse_list(status)
+        self.reject_list_call(status)
     }
 
-    fn refuse_list(&mut self, status: u16) -> Answer {
+    fn reject_list_call(&mut self, status: u16) -> PlatformResponse {
         self.refused += 1;
-        Answer::empty(status)
+        PlatformResponse::empty(status)
     }
 
-    fn answer_page(&mut self, now: u64, request: &Request) -> Answer {
-        self.calls += 1;
+    fn respond_with_page(&mut self, now: u64, request: &Request) -> PlatformResponse {
+        self.list_calls += 1;
         let token = request.query("page-token").and_then(|token| token.strip_prefix("p-")?.parse().ok());
         let page = self.page(now, request.query("zone"), token.unwrap_or(0));
-        Answer { status: TAKEN, page: Some(page) }
+        PlatformResponse { status: ACCEPTED, page: Some(page) }
     }
 
     /// Handles a platform call for a singleton role and returns its status. The call is accepted unless it is malformed, a
     /// fault rejects it, or it exceeds the rate limit.
-    fn take_platform_call(
+    fn handle_platform_call(
         &mut self,
         now: u64,
         connection: ConnectionKey,
         request: &Request,
-        refusal: Option<u16>,
+        rejection: Option<u16>,
         out: &mut Effects,
     ) -> u16 {
         let call = match read_platform_call(request) {
@@ -195,20 +207,20 @@
                 return MALFORMED;
             }
         };
-        let status = match refusal {
+        let status = match rejection {
             Some(status) => status,
-            None if self.platform_call_rate.admit(now) => TAKEN,
+            None if self.platform_call_rate.admit(now) => ACCEPTED,
             None => OVER_RATE,
         };
         self.count(&call.order, status);
-        out.observations.push(Observation::PlatformCallReceived { call, accepted: status == TAKEN });
+        out.observations.push(Observation::PlatformCallReceived { call, accepted: status == ACCEPTED });
         status
     }
 
     fn count(&mut self, order: &PlatformOrder, status: u16) {
         let counts = &mut self.platform_calls;
         match order {
-            _ if status != TAKEN => counts.refused += 1,
+            _ if status != ACCEPTED => counts.refused += 1,
             PlatformOrder::UsageReport { .. } => counts.usage_reports += 1,
             PlatformOrder::Scaling { .. } => counts.scaling_orders += 1,
         }
@@ -221,14 +233,14 @@
 }
 
 /// A response of the platform.
-struct Answer {
+struct PlatformResponse {
     status: u16,
     page: Option<Value>,
 }
 
-impl Answer {
-    fn empty(status: u16) -> Answer {
-        Answer { status, page: None }
+impl PlatformResponse {
+    fn empty(status: u16) -> PlatformResponse {
+        PlatformResponse { status, page: None }
     }
 
     fn to_bytes(&self) -> Vec<u8> {
@@ -247,43 +259,43 @@
 
     fn request(&mut self, now: u64, connection: ConnectionKey, request: Request, out: &mut Effects) {
         match self.fault.handling() {
-            Handling::Answer => {
-                let answer = self.take(now, connection, &request, out);
-                out.send(connection, answer.to_bytes());
+            Handling::Respond => {
+                let response = self.handle_call(now, connection, &request, out);
+                out.send(connection, response.to_bytes());
             }
-            Handling::AnswerLater(delay_ms) => {
-                let bytes = self.take(now, connection, &request, out).to_bytes();
-                self.delayed.push(DelayedAnswer { at: now + delay_ms, connection, bytes });
+            Handling::RespondLater(delay_ms) => {
+                let bytes = self.handle_call(now, connection, &request, out).to_bytes();
+                self.delayed.push(DelayedResponse { at: now + delay_ms, connection, bytes });
             }
-            Handling::TakeSilently => {
-                self.take(now, connection, &request, out);
+            Handling::AcceptWithoutResponse => {
+                self.handle_call(now, connection, &request, out);
             }
-            Handling::Refuse(status) => {
-                let answer = self.refuse(now, connection, &request, status, out);
-                out.send(connection, answer.to_bytes());
+            Handling::Reject(status) => {
+                let response = self.reject(now, connection, &request, status, out);
+                out.send(connection, response.to_bytes());
             }
-            Handling::TakeAndReset => {
-                self.take(now, connection, &request, out);
+            Handling::AcceptAndReset => {
+                self.handle_call(now, connection, &request, out);
                 out.reset(connection);
                 self.sources.remove(&connection);
             }
-            Handling::Lose => {}
+            Handling::Drop => {}
         }
     }
 
     fn closed(&mut self, _now: u64, connection: ConnectionKey, _out: &mut Effects) {
         self.sources.remove(&connection);
-        self.delayed.retain(|answer| answer.connection != connection);
+        self.delayed.retain(|response| response.connection != connection);
     }
 
     fn wake(&mut self, now: u64, out: &mut Effects) {
-        let (due, later): (Vec<DelayedAnswer>, Vec<DelayedAnswer>) =
-            std::mem::take(&mut self.delayed).into_iter().partition(|answer| answer.at <= now);
+        let (due, later): (Vec<DelayedResponse>, Vec<DelayedResponse>) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|response| response.at <= now);
         self.delayed = later;
-        due.into_iter().for_each(|answer| out.send(answer.connection, answer.bytes));
+        due.into_iter().for_each(|response| out.send(response.connection, response.bytes));
     }
 
     fn next_wake(&self) -> Option<u64> {
-        self.delayed.iter().map(|answer| answer.at).min()
+        self.delayed.iter().map(|response| response.at).min()
     }
 }
--- a/crates/testbed/src/readiness_checks.rs
+++ b/crates/testbed/src/readiness_checks.rs
@@ -42,7 +42,7 @@
         directory: &mut Directory,
         _out: &mut Effects,
     ) {
-        let is_ready = matches!(outcome, Outcome::Response(answer) if answer.status == 200);
+        let is_ready = matches!(outcome, Outcome::Response(response) if response.status == 200);
         directory.record_readiness(tag.0 as usize, is_ready);
     }
 
--- a/crates/testbed/src/scenario/execution.rs
+++ b/crates/testbed/src/scenario/execution.rs
@@ -30,7 +30,7 @@
                 Step::Operator(Action::Patch { .. }) => log::info!("scenario: the operator sends a patch"),
                 _ => log::info!("scenario: {step:?}"),
             }
-            if step.concerns_machines() {
+            if step.affects_machines() {
                 if !step.is_planned() {
                     self.schedule.disrupted_until = self.end_of_disruption(now);
                 }
@@ -45,7 +45,7 @@
 
     /// Time of the last scheduled step that affects machines; `now` if there is none.
     fn end_of_disruption(&self, now: u64) -> u64 {
-        let later = self.schedule.steps.iter().filter(|scheduled| scheduled.step.concerns_machines());
+        let later = self.schedule.steps.iter().filter(|scheduled| scheduled.step.affects_machines());
         later.map(|scheduled| scheduled.at).chain([now]).max().unwrap_or(now)
     }
 
--- a/crates/testbed/src/scenario/fault_steps.rs
+++ b/crates/testbed/src/scenario/fault_steps.rs
@@ -46,27 +46,29 @@
 pub(super) fn steps(fault: Fault, targets: &FaultTargets<'_>, random: &mut Pcg64Mcg) -> Vec<ScheduledStep> {
     let FaultTargets { launcher, servers, .. } = *targets;
     match fault {
-        Fault::KillStore => down(targets.pick(Role::Store, random), false),
-        Fault::KillControl => down(targets.pick(Role::Control, random), false),
-        Fault::KillGateway => down(last_gateway(launcher), false),
-        Fault::WipeStore => down(targets.pick(Role::Store, random), true),
-        Fault::WipeControl => down(targets.pick(Role::Control, random), true),
-        Fault::KillAll => down(launcher.ids(), false),
-        Fault::PauseStore => paused(targets.pick(Role::Store, random)),
-        Fault::PauseControl => paused(targets.pick(Role::Control, random)),
+        Fault::KillStore => kill_and_restart(targets.pick(Role::Store, random), false),
+        Fault::KillControl => kill_and_restart(targets.pick(Role::Control, random), false),
+        Fault::KillGateway => kill_and_restart(last_gateway(launcher), false),
+        Fault::WipeStore => kill_and_restart(targets.pick(Role::Store, random), true),
+        Fault::WipeControl => kill_and_restart(targets.pick(Role::Control, random), true),
+        Fault::KillAll => kill_and_restart(launcher.ids(), false),
+        Fault::PauseStore => pause_and_resume(targets.pick(Role::Store, random)),
+        Fault::PauseControl => pause_and_resume(targets.pick(Role::Control, random)),
         Fault::TerminateGateway => vec![after(0, Step::Terminate(last_gateway(launcher)))],
         Fault::TerminateStore => vec![after(0, Step::Terminate(targets.pick(Role::Store, random)))],
         Fault::AddStore => vec![after(0, Step::AddStore)],
         Fault::RetireStore => targets.add_then_retire_store(random),
-        Fault::CrashServer => faulty_then_restarted(servers, ServerFault::Crash),
-        Fault::UnresponsiveServer => faulty_then_restarted(servers, ServerFault::Unresponsive),
-        Fault::SlowServer => slow_for_a_while(servers),
-        Fault::BreakStreams => on_all_models(servers, BROKEN_STREAM),
-        Fault::MalformedResponses => on_all_models(servers, ServerFault::MalformedResponse),
-        Fault::DrainServer => drained_then_removed(servers),
-        Fault::ChangeConfiguration => vec![after(0, Step::Operator(change(targets.workload)))],
-        Fault::RaceConfiguration => vec![after(0, Step::Operator(race(targets.workload)))],
-        Fault::InvalidConfiguration => vec![after(0, Step::Operator(invalid(targets.workload)))],
+        Fault::CrashServer => inject_then_restart(servers, ServerFault::Crash),
+        Fault::UnresponsiveServer => inject_then_restart(servers, ServerFault::Unresponsive),
+        Fault::SlowServer => slow_down_temporarily(servers),
+        Fault::BreakStreams => inject_on_all_models(servers, BROKEN_STREAM),
+        Fault::MalformedResponses => inject_on_all_models(servers, ServerFault::MalformedResponse),
+        Fault::DrainServer => drain_then_remove(servers),
+        Fault::ChangeConfiguration => vec![after(0, Step::Operator(configuration_change(targets.workload)))],
+        Fault::RaceConfiguration => vec![after(0, Step::Operator(configuration_race(targets.workload)))],
+        Fault::InvalidConfiguration => {
+            vec![after(0, Step::Operator(invalid_configuration(targets.workload)))]
+        }
         Fault::PartitionControl => targets.partition_control(Directions::BOTH, random),
         Fault::PartitionControlInbound => targets.partition_control(Directions::INBOUND, random),
         Fault::PartitionControlOutbound => targets.partition_control(Directions::OUTBOUND, random),
@@ -93,16 +95,16 @@
         Fault::RevokeLastKey => targets.workload.tenants.as_ref().map(revoke_last).unwrap_or_default(),
         Fault::UnknownKeys => Vec::new(),
         Fault::PlatformSlow => platform_fault(SLOW_PLATFORM),
-        Fault::PlatformSilent => platform_fault(PlatformFault::Silent),
+        Fault::PlatformUnresponsive => platform_fault(PlatformFault::Unresponsive),
         Fault::PlatformBusy => platform_fault(PlatformFault::Busy),
         Fault::PlatformReset => platform_fault(PlatformFault::Reset),
-        Fault::PlatformCutOff => platform_fault(PlatformFault::CutOff),
+        Fault::PlatformPartitioned => platform_fault(PlatformFault::Partitioned),
         Fault::KillLeader => vec![after(0, Step::Leader(LeaderFault::Kill, DOWN_MS))],
-        Fault::FreezeLeader => vec![after(0, Step::Leader(LeaderFault::Freeze, DOWN_MS))],
-        Fault::CutLeader => vec![after(0, Step::Leader(LeaderFault::Cut, targets.partition_ms))],
-        Fault::FreezeLeaderPlatformSilent => {
-            let mut steps = platform_fault(PlatformFault::Silent);
-            steps.insert(1, after(0, Step::Leader(LeaderFault::Freeze, DOWN_MS)));
+        Fault::PauseLeader => vec![after(0, Step::Leader(LeaderFault::Pause, DOWN_MS))],
+        Fault::PartitionLeader => vec![after(0, Step::Leader(LeaderFault::Partition, targets.partition_ms))],
+        Fault::PauseLeaderPlatformUnresponsive => {
+            let mut steps = platform_fault(PlatformFault::Unresponsive);
+            steps.insert(1, after(0, Step::Leader(LeaderFault::Pause, DOWN_MS)));
             steps
         }
     }
@@ -152,16 +154,16 @@
 }
 
 /// Kills processes and restarts them, with or without wiping their disks.
-fn down(ids: Vec<ProcessId>, wiped: bool) -> Vec<ScheduledStep> {
+fn kill_and_restart(ids: Vec<ProcessId>, wipe: bool) -> Vec<ScheduledStep> {
     let mut steps = vec![after(0, Step::Kill(ids.clone()))];
-    if wiped {
+    if wipe {
         steps.push(after(1, Step::Wipe(ids.clone())));
     }
     steps.push(after(DOWN_MS, Step::Start(ids)));
     steps
 }
 
-fn paused(ids: Vec<ProcessId>) -> Vec<ScheduledStep> {
+fn pause_and_resume(ids: Vec<ProcessId>) -> Vec<ScheduledStep> {
     vec![after(0, Step::Pause(ids.clone())), after(DOWN_MS, Step::Resume(ids))]
 }
 
@@ -178,7 +180,7 @@
     periods.flat_map(of_period).collect()
 }
 
-fn faulty_then_restarted(servers: &ServerIndices, fault: ServerFault) -> Vec<ScheduledStep> {
+fn inject_then_restart(servers: &ServerIndices, fault: ServerFault) -> Vec<ScheduledStep> {
     let server = servers.models[0];
     vec![
         after(0, Step::InjectServerFault(server, fault)),
@@ -186,7 +188,7 @@
     ]
 }
 
-fn slow_for_a_while(servers: &ServerIndices) -> Vec<ScheduledStep> {
+fn slow_down_temporarily(servers: &ServerIndices) -> Vec<ScheduledStep> {
     let server = servers.models[0];
     vec![
         after(0, Step::InjectServerFault(server, ServerFault::Slowdown(SLOWDOWN))),
@@ -194,26 +196,26 @@
     ]
 }
 
-fn drained_then_removed(servers: &ServerIndices) -> Vec<ScheduledStep> {
+fn drain_then_remove(servers: &ServerIndices) -> Vec<ScheduledStep> {
     let server = servers.models[0];
     vec![after(0, Step::DrainServer(server)), after(DRAIN_MS, Step::RemoveServer(server))]
 }
 
-fn on_all_models(servers: &ServerIndices, fault: ServerFault) -> Vec<ScheduledStep> {
+fn inject_on_all_models(servers: &ServerIndices, fault: ServerFault) -> Vec<ScheduledStep> {
     servers.models.iter().map(|server| after(0, Step::InjectServerFault(*server, fault))).collect()
 }
 
-fn change(workload: &Workload) -> Action {
-    let added = workload.plain_entry("r-added", "/added/", 1_400, 150);
-    let changed = workload.plain_entry(&workload.plain_route, &workload.plain_prefix, 1_400, 150);
+fn configuration_change(workload: &Workload) -> Action {
+    let added = workload.application_route("r-added", "/added/", 1_400, 150);
+    let changed = workload.application_route(&workload.plain_route, &workload.plain_prefix, 1_400, 150);
     Action::Patch { upsert: json!({"routes": [added, changed]}), remove: json!({}) }
 }
 
-fn invalid(workload: &Workload) -> Action {
+fn invalid_configuration(workload: &Workload) -> Action {
     Action::Invalid { route: workload.plain_route.clone() }
 }
 
-fn race(workload: &Workload) -> Action {
+fn configuration_race(workload: &Workload) -> Action {
     let (route, field) = (workload.plain_route.clone(), "timeout-ms".to_owned());
     Action::Race { route, field, first: json!(1_300), second: json!(1_250) }
 }
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -92,21 +92,21 @@
     /// The platform responds with a delay for a while.
     PlatformSlow,
     /// The platform accepts calls without responding for a while.
-    PlatformSilent,
+    PlatformUnresponsive,
     /// The platform rejects all calls for a while.
     PlatformBusy,
     /// The platform accepts calls and then resets their connections, for a while.
     PlatformReset,
     /// The platform receives no calls for a while.
-    PlatformCutOff,
+    PlatformPartitioned,
     /// Kills the machine that last acted as leader, and restarts it.
     KillLeader,
     /// Pauses the machine that last acted as leader for a while.
-    FreezeLeader,
+    PauseLeader,
     /// Partitions the machine that last acted as leader from all other machines; it can still reach the platform.
-    CutLeader,
+    PartitionLeader,
     /// Pauses the machine that last acted as leader while the platform does not respond.
-    FreezeLeaderPlatformSilent,
+    PauseLeaderPlatformUnresponsive,
 }
 
 /// All faults with their names on the command line.
@@ -150,14 +150,14 @@
     ("revoke-last-key", Fault::RevokeLastKey),
     ("unknown-keys", Fault::UnknownKeys),
     ("platform-slow", Fault::PlatformSlow),
-    ("platform-silent", Fault::PlatformSilent),
+    ("platform-silent", Fault::PlatformUnresponsive),
     ("platform-busy", Fault::PlatformBusy),
     ("platform-reset", Fault::PlatformReset),
-    ("platform-cut-off", Fault::PlatformCutOff),
+    ("platform-cut-off", Fault::PlatformPartitioned),
     ("kill-leader", Fault::KillLeader),
-    ("freeze-leader", Fault::FreezeLeader),
-    ("cut-leader", Fault::CutLeader),
-    ("freeze-leader-platform-silent", Fault::FreezeLeaderPlatformSilent),
+    ("freeze-leader", Fault::PauseLeader),
+    ("cut-leader", Fault::PartitionLeader),
+    ("freeze-leader-platform-silent", Fault::PauseLeaderPlatformUnresponsive),
 ];
 
 impl Fault {
@@ -185,7 +185,7 @@
     }
 
     /// Whether the machines have to connect to each other through the fault proxy.
-    pub(super) fn needs_proxy(self) -> bool {
+    pub(super) fn requires_proxy(self) -> bool {
         matches!(
             self,
             Fault::PartitionControl
@@ -193,7 +193,7 @@
                 | Fault::PartitionControlOutbound
                 | Fault::ResetControlLinks
                 | Fault::SlowControlLinks
-                | Fault::CutLeader
+                | Fault::PartitionLeader
         )
     }
 }
--- a/crates/testbed/src/scenario/key_faults.rs
+++ b/crates/testbed/src/scenario/key_faults.rs
@@ -9,7 +9,7 @@
 /// Interval between two changes of keys, in milliseconds.
 const CHANGE_MS: u64 = 500;
 /// Time until a change is surely active (twice `bounds.config-apply-ms`), in milliseconds.
-const IN_FORCE_MS: u64 = 4_000;
+const ACTIVATION_MS: u64 = 4_000;
 
 fn put(at: u64, tenants: &[Tenant]) -> ScheduledStep {
     let entries: Vec<Value> = tenants.iter().map(Tenant::entry).collect();
@@ -22,13 +22,13 @@
 pub(super) fn revoke_one_by_one(tenants: &Tenants) -> Vec<ScheduledStep> {
     let [first, second, third, ..] = tenants.clients.as_slice() else { return Vec::new() };
     let without_first_key = |tenant: &Tenant| tenant.with_keys(tenant.keys[1..].to_vec());
-    let heir = third.with_keys([&third.keys[..], &second.keys[..1]].concat());
+    let new_owner = third.with_keys([&third.keys[..], &second.keys[..1]].concat());
     vec![
         put(0, &[without_first_key(first)]),
         put(CHANGE_MS, &[without_first_key(second)]),
         put(2 * CHANGE_MS, &[without_first_key(&tenants.trainers)]),
-        put(IN_FORCE_MS, std::slice::from_ref(first)),
-        put(IN_FORCE_MS + CHANGE_MS, &[heir]),
+        put(ACTIVATION_MS, std::slice::from_ref(first)),
+        put(ACTIVATION_MS + CHANGE_MS, &[new_owner]),
     ]
 }
 
@@ -36,5 +36,8 @@
 pub(super) fn revoke_last(tenants: &Tenants) -> Vec<ScheduledStep> {
     let names: Vec<&str> = tenants.clients.iter().map(|tenant| tenant.name.as_str()).collect();
     let remove_all = Action::Patch { upsert: json!({}), remove: json!({"tenants": names}) };
-    vec![put(0, &[tenants.clients[0].with_keys(Vec::new())]), after(IN_FORCE_MS, Step::Operator(remove_all))]
+    vec![
+        put(0, &[tenants.clients[0].with_keys(Vec::new())]),
+        after(ACTIVATION_MS, Step::Operator(remove_all)),
+    ]
 }
--- a/crates/testbed/src/scenario/leader_faults.rs
+++ b/crates/testbed/src/scenario/leader_faults.rs
@@ -14,9 +14,9 @@
     /// The machine is killed and restarted.
     Kill,
     /// The machine is paused.
-    Freeze,
+    Pause,
     /// The machine is partitioned from all other machines.
-    Cut,
+    Partition,
 }
 
 impl ScenarioRun {
@@ -51,10 +51,10 @@
             LeaderFault::Kill => {
                 vec![after(0, Step::Kill(ids.clone())), after(duration_ms, Step::Start(ids))]
             }
-            LeaderFault::Freeze => {
+            LeaderFault::Pause => {
                 vec![after(0, Step::Pause(ids.clone())), after(duration_ms, Step::Resume(ids))]
             }
-            LeaderFault::Cut => {
+            LeaderFault::Partition => {
                 let fault = LinkFault::Partitioned;
                 fault_links(&self.launcher, processes, Directions::BOTH, fault, duration_ms)
             }
--- a/crates/testbed/src/scenario/mod.rs
+++ b/crates/testbed/src/scenario/mod.rs
@@ -27,7 +27,7 @@
 pub use error::ScenarioError;
 pub use faults::{Fault, UnknownFault};
 pub use report::{
-    EndedProcess, PlatformCalls, ProcessUsage, Report, SingletonRoleReport, TrainerReport, percentile,
+    EndedProcess, ListCallCounts, ProcessUsage, Report, SingletonRoleReport, TrainerReport, percentile,
 };
 pub use run::run;
 
--- a/crates/testbed/src/scenario/report.rs
+++ b/crates/testbed/src/scenario/report.rs
@@ -13,7 +13,7 @@
 use crate::trainer::TrainerStats;
 
 /// Maximum number of violations of one invariant that are printed.
-const MAX_LISTED_OF_EACH: usize = 15;
+const MAX_PRINTED_PER_INVARIANT: usize = 15;
 
 /// A process that exited unexpectedly or did not stop in time.
 #[derive(Clone, Debug)]
@@ -44,7 +44,7 @@
 
 /// Counts of the calls to the platform's server list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PlatformCalls {
+pub struct ListCallCounts {
     /// Number of calls that received a page.
     pub answered: u64,
     /// Number of calls that were rejected.
@@ -78,7 +78,7 @@
     /// Resource usage of the processes since their last start.
     pub usage: Vec<ProcessUsage>,
     /// Counts of the calls to the platform's server list.
-    pub platform_calls: PlatformCalls,
+    pub list_calls: ListCallCounts,
     /// Outcome of the singleton roles.
     pub singleton_roles: SingletonRoleReport,
     /// Directory in which settings, data and logs were kept; `None` if they were removed.
@@ -157,8 +157,8 @@
         let (reports, scaling) = (calls.usage_reports, calls.scaling_orders);
         write!(f, "duties: {reports} usage reports and {scaling} scaling orders taken, ")?;
         writeln!(f, "{} refused, {} malformed", calls.refused, calls.malformed)?;
-        let (due, missing, off) = (usage.due, usage.missing, usage.off);
-        writeln!(f, "  windows of usage: {due} due, {missing} missing, {off} off")
+        let (due, missing, inaccurate) = (usage.due, usage.missing, usage.inaccurate);
+        writeln!(f, "  windows of usage: {due} due, {missing} missing, {inaccurate} off")
     }
 
     fn write_violations(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -169,7 +169,7 @@
         }
         for (invariant, violations) in by_invariant {
             writeln!(f, "  {invariant}: {}, the first of them:", violations.len())?;
-            for violation in violations.into_iter().take(MAX_LISTED_OF_EACH) {
+            for violation in violations.into_iter().take(MAX_PRINTED_PER_INVARIANT) {
                 writeln!(f, "    {violation}")?;
             }
         }
@@ -192,7 +192,7 @@
         if let Some(concurrent_operators) = &self.concurrent_operators {
             self.write_concurrent_operators(f, concurrent_operators)?;
         }
-        let PlatformCalls { answered, refused } = self.platform_calls;
+        let ListCallCounts { answered, refused } = self.list_calls;
         writeln!(f, "platform: {answered} calls answered, {refused} refused")?;
         self.write_singleton_roles(f)?;
         if !operator.retired.is_empty() {
--- a/crates/testbed/src/scenario/run.rs
+++ b/crates/testbed/src/scenario/run.rs
@@ -7,7 +7,7 @@
 use super::error::ScenarioError;
 use super::fault_steps::{FaultTargets, steps};
 use super::faults::Fault;
-use super::report::{PlatformCalls, ProcessUsage, Report, SingletonRoleReport};
+use super::report::{ListCallCounts, ProcessUsage, Report, SingletonRoleReport};
 use super::servers::{ServerIndices, open_servers};
 use super::steps::ScheduledStep;
 use super::supervision::Supervision;
@@ -38,7 +38,7 @@
 /// Length of a usage window, deadline of its report, and tolerance of its counts. They must equal
 /// `bounds.usage-window-s`, `bounds.usage-late-s` and `bounds.usage-tolerance` in the settings of the processes.
 const USAGE_WINDOW_S: u64 = 2;
-const USAGE_LATE_S: u64 = 4;
+const USAGE_REPORT_DEADLINE_S: u64 = 4;
 const USAGE_TOLERANCE: f64 = 0.05;
 /// Start of the faults, as a percentage of the duration of the traffic.
 const FAULT_PERCENT: u64 = 40;
@@ -93,7 +93,7 @@
 pub fn run(options: &ScenarioOptions) -> Result<Report, ScenarioError> {
     let topology = Topology::new(options.control_nodes, options.gateways, options.store_nodes)?;
     let mut launcher = Launcher::new(topology, &options.program)?;
-    if options.faults.iter().any(|fault| fault.needs_proxy()) {
+    if options.faults.iter().any(|fault| fault.requires_proxy()) {
         launcher.use_proxy();
     }
     let mut run = ScenarioRun::new(launcher, options)?;
@@ -129,7 +129,7 @@
         let usage_bounds = UsageBounds {
             wall_ms_at_start: host.wall_ms_at_zero(),
             window_s: USAGE_WINDOW_S,
-            late_s: USAGE_LATE_S,
+            report_deadline_s: USAGE_REPORT_DEADLINE_S,
             tolerance: USAGE_TOLERANCE,
         };
         Ok(ScenarioRun {
@@ -204,11 +204,11 @@
         let operator_times = (times.from, operators_until);
         self.traffic.add_concurrent_operators(host, workload, &options.faults, operator_times, seed);
         if options.faults.contains(&Fault::DuplicateResponses) {
-            self.traffic.add_clients(host, workload.long_bodies(times, seed));
+            self.traffic.add_clients(host, workload.client_with_long_bodies(times, seed));
         }
         if options.faults.iter().any(|fault| fault.revokes_keys()) {
             let until = times.until.max(self.schedule.ends_at() + KEY_USE_AFTER_MS);
-            let users = workload.key_users(TrafficTimes { until, ..times }, seed);
+            let users = workload.clients_of_revoked_keys(TrafficTimes { until, ..times }, seed);
             users.into_iter().for_each(|settings| self.traffic.add_clients(host, settings));
         }
         if options.faults.contains(&Fault::UnknownKeys) && workload.tenants.is_some() {
@@ -245,10 +245,10 @@
         if !self.traffic.is_read_back() {
             self.checker.observe(self.host.now(), &Observation::FinalConfigurationRead { document: None });
         }
-        let platform_calls = self
+        let list_calls = self
             .host
             .platform()
-            .map(|platform| PlatformCalls { answered: platform.calls, refused: platform.refused });
+            .map(|platform| ListCallCounts { answered: platform.list_calls, refused: platform.refused });
         let (from, until) = self.traffic_times;
         let singleton_roles = SingletonRoleReport {
             calls: self.host.platform().map(|platform| platform.platform_calls).unwrap_or_default(),
@@ -262,7 +262,7 @@
             concurrent_operators: self.traffic.concurrent_operator_stats(),
             violations: self.checker.finish().to_vec(),
             ended: self.supervision.take_ended(),
-            platform_calls: platform_calls.unwrap_or_default(),
+            list_calls: list_calls.unwrap_or_default(),
             usage: self.usage(),
             directory: None,
         };
--- a/crates/testbed/src/scenario/servers.rs
+++ b/crates/testbed/src/scenario/servers.rs
@@ -45,7 +45,7 @@
 ) -> io::Result<ServerIndices> {
     let settings = PlatformSettings {
         lag_ms: PLATFORM_LAG_MS,
-        rate_per_s: PLATFORM_RATE_PER_S,
+        list_calls_per_second: PLATFORM_RATE_PER_S,
         page_size: PAGE_SIZE,
         platform_calls_per_second: PLATFORM_CALLS_PER_SECOND,
     };
@@ -130,8 +130,8 @@
         max_connections: 110,
         health_path: "/health".to_owned(),
         work_ms: 5..=60,
-        answer_bytes: 800,
-        failing_share: 50,
+        response_bytes: 800,
+        failures_per_10_000: 50,
         seed,
     }
 }
--- a/crates/testbed/src/scenario/steps.rs
+++ b/crates/testbed/src/scenario/steps.rs
@@ -78,7 +78,7 @@
     }
 
     /// Whether the step affects the system's own machines, which then need not reach each other.
-    pub fn concerns_machines(&self) -> bool {
+    pub fn affects_machines(&self) -> bool {
         !matches!(
             self,
             Step::SpendQuota(_)
--- a/crates/testbed/src/scenario/tenants.rs
+++ b/crates/testbed/src/scenario/tenants.rs
@@ -11,7 +11,7 @@
 /// Number of client tenants that send more requests than the others.
 const LARGE_TENANTS: usize = 2;
 /// Number of requests of a large tenant per request of a small tenant.
-const LARGE_SHARE: usize = 5;
+const LARGE_TENANT_WEIGHT: usize = 5;
 const KEYS_PER_TENANT: usize = 3;
 /// Priority of every second tenant, which takes precedence over that of its routes.
 const PRIORITY: u64 = 1;
@@ -73,7 +73,7 @@
 
     /// Returns the credentials of clients. Each occurs as often as its tenant's relative number of requests.
     pub fn client_credentials(&self) -> Vec<Credentials> {
-        let share = |number| if number < LARGE_TENANTS { LARGE_SHARE } else { 1 };
+        let share = |number| if number < LARGE_TENANTS { LARGE_TENANT_WEIGHT } else { 1 };
         let tenants = self.clients.iter().enumerate();
         tenants
             .flat_map(|(number, tenant)| std::iter::repeat_n(&tenant.keys, share(number)))
--- a/crates/testbed/src/scenario/tests.rs
+++ b/crates/testbed/src/scenario/tests.rs
@@ -78,8 +78,11 @@
         workload.changing_routes().iter().for_each(|route| trace.add(route.to_string().as_bytes()));
         workload.trainers(times, seed).iter().for_each(|settings| add_trainer(&mut trace, settings));
         workload.clients("north", times, seed).iter().for_each(|settings| add_clients(&mut trace, settings));
-        add_clients(&mut trace, &workload.long_bodies(times, seed));
-        workload.key_users(times, seed).iter().for_each(|settings| add_clients(&mut trace, settings));
+        add_clients(&mut trace, &workload.client_with_long_bodies(times, seed));
+        workload
+            .clients_of_revoked_keys(times, seed)
+            .iter()
+            .for_each(|settings| add_clients(&mut trace, settings));
         workload.improper_clients(times, seed).iter().for_each(|settings| add_clients(&mut trace, settings));
         hashes.push((format!("seed-{seed}"), trace.finish()));
     }
@@ -138,10 +141,10 @@
     match fault {
         None => trace.add_number(0),
         Some(PlatformFault::Slow { delay_ms }) => add_numbers(trace, &[1, delay_ms]),
-        Some(PlatformFault::Silent) => trace.add_number(2),
+        Some(PlatformFault::Unresponsive) => trace.add_number(2),
         Some(PlatformFault::Busy) => trace.add_number(3),
         Some(PlatformFault::Reset) => trace.add_number(4),
-        Some(PlatformFault::CutOff) => trace.add_number(5),
+        Some(PlatformFault::Partitioned) => trace.add_number(5),
     }
 }
 
@@ -176,8 +179,8 @@
         Step::Leader(fault, duration_ms) => {
             let number = match fault {
                 LeaderFault::Kill => 1,
-                LeaderFault::Freeze => 2,
-                LeaderFault::Cut => 3,
+                LeaderFault::Pause => 2,
+                LeaderFault::Partition => 3,
             };
             add_numbers(trace, &[21, number, *duration_ms]);
         }
@@ -186,7 +189,7 @@
             add_action(trace, action);
         }
     }
-    let facts = [u64::from(step.is_planned()), u64::from(step.concerns_machines()), step.lasts_ms()];
+    let facts = [u64::from(step.is_planned()), u64::from(step.affects_machines()), step.lasts_ms()];
     add_numbers(trace, &facts);
 }
 
@@ -217,7 +220,7 @@
                 add_step(&mut trace, &scheduled.step);
             }
         }
-        trace.add_number(u64::from(fault.needs_proxy()));
+        trace.add_number(u64::from(fault.requires_proxy()));
         if let Some(pace) = fault.operator_pace() {
             add_numbers(
                 &mut trace,
--- a/crates/testbed/src/scenario/workload.rs
+++ b/crates/testbed/src/scenario/workload.rs
@@ -38,7 +38,7 @@
     pub plain_route: String,
     pub plain_prefix: String,
     /// Path prefix of the route whose requests are not idempotent.
-    pub once_prefix: String,
+    pub non_idempotent_prefix: String,
     pub reward_prefix: String,
     pub rollout_prefixes: [String; 2],
     /// The tenants; `None` if the configuration has no tenants and no client sends an API key.
@@ -57,7 +57,7 @@
             models: [word("w"), word("v")],
             plain_route: word("r-"),
             plain_prefix: format!("/{}/", word("p")),
-            once_prefix: format!("/{}/", word("o")),
+            non_idempotent_prefix: format!("/{}/", word("o")),
             reward_prefix: format!("/{}/", word("q")),
             rollout_prefixes: [format!("/{}/", word("l")), format!("/{}/", word("k"))],
             tenants: Some(Tenants::draw(seed)),
@@ -67,19 +67,19 @@
     /// Returns the first configuration, without its version.
     pub fn configuration(&self) -> Value {
         let [long, short] = &self.rollout_prefixes;
-        let mut once = self.plain_entry("r-once", &self.once_prefix, 1500, 150);
+        let mut once = self.application_route("r-once", &self.non_idempotent_prefix, 1500, 150);
         once["route-type"] = json!("non_idempotent");
-        let mut reward = self.plain_entry("r-reward", &self.reward_prefix, 2000, 400);
+        let mut reward = self.application_route("r-reward", &self.reward_prefix, 2000, 400);
         if self.tenants.is_some() {
             reward["public"] = json!(true);
         }
         let mut document = json!({
             "routes": [
-                self.plain_entry(&self.plain_route, &self.plain_prefix, 1500, 150),
+                self.application_route(&self.plain_route, &self.plain_prefix, 1500, 150),
                 once,
                 reward,
-                self.rollout_entry("r-long", long, 12_000, false),
-                self.rollout_entry("r-short", short, 4_000, true),
+                self.rollout_route("r-long", long, 12_000, false),
+                self.rollout_route("r-short", short, 4_000, true),
             ],
             "services": [
                 {"name": self.model_service, "health-path": "/health", "max-connections": 170, "protocol": "h1",
@@ -99,7 +99,7 @@
     }
 
     /// Returns a route to the application servers.
-    pub fn plain_entry(&self, name: &str, prefix: &str, timeout_ms: u64, target_ms: u64) -> Value {
+    pub fn application_route(&self, name: &str, prefix: &str, timeout_ms: u64, target_ms: u64) -> Value {
         json!({"name": name, "hostname": self.host, "path-prefix": prefix, "route-type": "idempotent",
                "timeout-ms": timeout_ms, "target-latency-ms": target_ms, "priority": 2,
                "service": self.application_service, "max-attempts": 4})
@@ -107,21 +107,21 @@
 
     /// Returns the routes whose timeouts operators change: one with current requests, and [`OTHER_ROUTES`] without.
     pub fn changing_routes(&self) -> Vec<Value> {
-        let requested = self.plain_entry(&self.plain_route, &self.plain_prefix, 1_300, 150);
+        let requested = self.application_route(&self.plain_route, &self.plain_prefix, 1_300, 150);
         let others = (0..OTHER_ROUTES).map(|number| {
-            self.plain_entry(&format!("r-other-{number}"), &format!("/other-{number}/"), 1_000, 150)
+            self.application_route(&format!("r-other-{number}"), &format!("/other-{number}/"), 1_000, 150)
         });
         std::iter::once(requested).chain(others).collect()
     }
 
     /// Returns a client of the first zone that sends bodies too long for a single read.
-    pub fn long_bodies(&self, times: TrafficTimes, seed: u64) -> ClientSettings {
+    pub fn client_with_long_bodies(&self, times: TrafficTimes, seed: u64) -> ClientSettings {
         let [idempotent, _] = self.clients(ZONES[0], times, seed ^ 0x6c6f_6e67);
         ClientSettings { interval_ms: 400, body_bytes: LONG_BODY_BYTES, ..idempotent }
     }
 
     /// Returns clients that keep using their API keys after a revocation.
-    pub fn key_users(&self, times: TrafficTimes, seed: u64) -> [ClientSettings; 2] {
+    pub fn clients_of_revoked_keys(&self, times: TrafficTimes, seed: u64) -> [ClientSettings; 2] {
         let [idempotent, once] = self.clients(ZONES[0], times, seed ^ 0x6b65_7973);
         [
             ClientSettings { interval_ms: 100, retries: 0, pipelined: 3, ..idempotent },
@@ -140,7 +140,7 @@
         })
     }
 
-    fn rollout_entry(&self, name: &str, prefix: &str, run_ms: u64, single_version: bool) -> Value {
+    fn rollout_route(&self, name: &str, prefix: &str, run_ms: u64, single_version: bool) -> Value {
         let mut entry = json!({"name": name, "hostname": self.host, "path-prefix": prefix,
             "route-type": "rollout_control", "timeout-ms": 20_000, "target-latency-ms": 500,
             "target-run-ms": run_ms, "max-queue-s": 40, "priority": 0, "service": self.model_service,
@@ -246,7 +246,7 @@
             seed,
         };
         let once = ClientSettings {
-            path_prefix: self.once_prefix.clone(),
+            path_prefix: self.non_idempotent_prefix.clone(),
             idempotent: false,
             interval_ms: 300,
             keep_alive: false,
--- a/crates/testbed/src/synthetic_text.rs
+++ b/crates/testbed/src/synthetic_text.rs
@@ -32,7 +32,7 @@
 }
 
 /// Returns the complete text: the data of all events, joined by line feeds.
-pub fn whole_text(id: &str, events: u64) -> String {
+pub fn complete_text(id: &str, events: u64) -> String {
     (1..=events).map(|number| event_data(id, number)).collect::<Vec<_>>().join("\n")
 }
 
--- a/crates/testbed/src/trainer/mod.rs
+++ b/crates/testbed/src/trainer/mod.rs
@@ -10,7 +10,7 @@
 mod settings;
 mod stats;
 mod steps;
-mod version_naming;
+mod version_announcement;
 
 pub use settings::{BatchSettings, ItemSettings, ReviewTimes, StepSettings, TrainerSettings};
 pub use stats::{SharedTrainerStats, TrainerStats};
--- a/crates/testbed/src/trainer/responses.rs
+++ b/crates/testbed/src/trainer/responses.rs
@@ -24,7 +24,7 @@
         out: &mut Effects,
     ) {
         let status = match outcome {
-            Outcome::Response(answer) => Some(answer.status),
+            Outcome::Response(response) => Some(response.status),
             _ => None,
         };
         out.observations.push(Observation::JobSendEnded { job: self.id().to_owned(), status });
@@ -133,8 +133,10 @@
     /// Handles the end of a request for the body of an item.
     pub(super) fn item_body_read(&self, item: String, outcome: &Outcome, out: &mut Effects) {
         let body = match outcome {
-            Outcome::Response(answer) if answer.status == 200 => Some(synthetic_text::digest(&answer.body)),
-            Outcome::Response(answer) if answer.status == 404 => None,
+            Outcome::Response(response) if response.status == 200 => {
+                Some(synthetic_text::digest(&response.body))
+            }
+            Outcome::Response(response) if response.status == 404 => None,
             _ => return,
         };
         out.observations.push(Observation::ItemBody { job: self.id().to_owned(), item, body });
--- a/crates/testbed/src/trainer/result_reading.rs
+++ b/crates/testbed/src/trainer/result_reading.rs
@@ -22,15 +22,15 @@
     out: &mut Effects,
 ) -> Option<ResultPage> {
     let job = job.to_owned();
-    let Outcome::Response(answer) = outcome else { return None };
-    if matches!(answer.status, 404 | 410) {
-        out.observations.push(Observation::JobMissing { job, status: answer.status });
+    let Outcome::Response(response) = outcome else { return None };
+    if matches!(response.status, 404 | 410) {
+        out.observations.push(Observation::JobMissing { job, status: response.status });
         return None;
     }
-    if answer.status != 200 {
+    if response.status != 200 {
         return None;
     }
-    let Some(page) = ResultPage::parse(&answer.body) else {
+    let Some(page) = ResultPage::parse(&response.body) else {
         out.observations.push(Observation::MalformedResponseReceived { id: job });
         return None;
     };
--- a/crates/testbed/src/trainer/steps.rs
+++ b/crates/testbed/src/trainer/steps.rs
@@ -9,7 +9,7 @@
 use super::keys::TrainerKeys;
 use super::settings::TrainerSettings;
 use super::stats::SharedTrainerStats;
-use super::version_naming::VersionNaming;
+use super::version_announcement::VersionAnnouncements;
 use crate::directory::Directory;
 use crate::effects::{CallTag, Caller, Effects, Outcome};
 use crate::http::Response;
@@ -28,7 +28,7 @@
     calls: Calls,
     keys: TrainerKeys,
     next_step: u64,
-    naming: VersionNaming,
+    announcements: VersionAnnouncements,
     /// Groups that the next batch job takes over.
     carried_over: Vec<Group>,
     /// Whether no more steps are submitted.
@@ -39,9 +39,9 @@
 impl Trainer {
     /// Returns a trainer with its counters.
     pub fn new(settings: TrainerSettings) -> (Trainer, SharedTrainerStats) {
-        let naming = VersionNaming::new();
+        let announcements = VersionAnnouncements::new();
         let stats = SharedTrainerStats::default();
-        stats.borrow_mut().version = naming.version();
+        stats.borrow_mut().version = announcements.version();
         let trainer = Trainer {
             random: Pcg64Mcg::seed_from_u64(settings.seed),
             keys: TrainerKeys::new(settings.keys.clone()),
@@ -49,7 +49,7 @@
             jobs: Vec::new(),
             calls: Calls::new(),
             next_step: 0,
-            naming,
+            announcements,
             carried_over: Vec::new(),
             closed: false,
             stats: stats.clone(),
@@ -62,7 +62,8 @@
     fn next_step_at(&self) -> Option<u64> {
         let due = self.settings.steps.from + self.next_step * self.settings.steps.interval_ms;
         let needed = (self.next_step + 1).saturating_sub(self.settings.steps.steps_ahead).max(1);
-        (!self.closed && due < self.settings.steps.until && needed <= self.naming.version()).then_some(due)
+        (!self.closed && due < self.settings.steps.until && needed <= self.announcements.version())
+            .then_some(due)
     }
 
     fn begin_due_steps(&mut self, now: u64) {
@@ -92,7 +93,7 @@
         job.next_at = None;
         let is_overdue = now >= job.first_sent + self.settings.batch.deadline_ms;
         match job.phase {
-            Phase::Submitting if is_overdue => self.give_up_submitting(now, index),
+            Phase::Submitting if is_overdue => self.abandon_submission(now, index),
             Phase::Submitting => self.submit(now, index, directory, out),
             Phase::Reading if is_overdue => self.begin_cancel(now, index),
             Phase::Reading => self.read(now, index, directory, out),
@@ -150,13 +151,13 @@
     }
 
     /// Abandons a step whose deadline passed without a 202; the training continues without it.
-    fn give_up_submitting(&mut self, now: u64, index: JobIndex) {
+    fn abandon_submission(&mut self, now: u64, index: JobIndex) {
         let job = &mut self.jobs[index];
         if job.unclear {
             self.begin_cancel(now, index);
         } else {
             job.reject();
-            self.naming.train_until(now + self.settings.steps.train_ms);
+            self.announcements.train_until(now + self.settings.steps.train_ms);
         }
     }
 
@@ -167,7 +168,7 @@
         if self.settings.batch.carry_over && job.accepted {
             self.carried_over = job.progress.groups_to_carry_over(self.settings.batch.required_groups / 2);
         }
-        self.naming.train_until(now + self.settings.steps.train_ms);
+        self.announcements.train_until(now + self.settings.steps.train_ms);
         if let Some(at) = job.progress.complete_at() {
             let mut stats = self.stats.borrow_mut();
             stats.steps_done += 1;
@@ -221,7 +222,7 @@
 
 impl Caller for Trainer {
     fn wake(&mut self, now: u64, directory: &mut Directory, out: &mut Effects) {
-        self.naming.advance(now, &self.settings, &mut self.calls, directory, &mut self.random, out);
+        self.announcements.advance(now, &self.settings, &mut self.calls, directory, &mut self.random, out);
         self.begin_due_steps(now);
         for index in 0..self.jobs.len() {
             self.advance_job(now, index, directory, out);
@@ -238,9 +239,9 @@
         directory: &mut Directory,
         out: &mut Effects,
     ) {
-        if self.naming.owns(tag) {
-            self.naming.call_ended(now, outcome, &self.settings.model, out);
-            self.stats.borrow_mut().version = self.naming.version();
+        if self.announcements.owns(tag) {
+            self.announcements.call_ended(now, outcome, &self.settings.model, out);
+            self.stats.borrow_mut().version = self.announcements.version();
         } else if let Some(call) = self.calls.end(tag) {
             self.observe_denial(&call, &outcome, out);
             self.job_call_ended(now, call.job, call.purpose, &outcome, out);
@@ -250,10 +251,10 @@
 
     fn next_wake(&self) -> Option<u64> {
         let jobs = self.jobs.iter().filter(|job| job.review.is_some()).filter_map(|job| job.next_at);
-        let naming = self.naming.next_at();
+        let announcements = self.announcements.next_at();
         // Without a batch job to review, the trainer wakes at the start of the reviews to record that it is done.
         let is_idle = !self.stats.borrow().is_done && self.jobs.iter().all(|job| job.review.is_none());
         let review = is_idle.then_some(self.settings.review.from);
-        jobs.chain(naming).chain(self.next_step_at()).chain(review).min()
+        jobs.chain(announcements).chain(self.next_step_at()).chain(review).min()
     }
 }
--- a/crates/testbed/src/trainer/version_naming.rs
+++ b/crates/testbed/src/trainer/version_announcement.rs
@@ -15,7 +15,7 @@
 
 /// A version that is being announced.
 #[derive(Debug)]
-struct Naming {
+struct Announcement {
     version: u64,
     tag: CallTag,
     call: ControlCall,
@@ -23,18 +23,18 @@
 
 /// The versions that a trainer announces.
 #[derive(Debug)]
-pub(super) struct VersionNaming {
+pub(super) struct VersionAnnouncements {
     /// Times at which the training of finished steps ends, in order.
     training: VecDeque<u64>,
-    current: Option<Naming>,
+    current: Option<Announcement>,
     /// Latest version that the system acknowledged.
     version: u64,
 }
 
-impl VersionNaming {
+impl VersionAnnouncements {
     /// Returns the state at the start, in which version 1 exists.
-    pub(super) fn new() -> VersionNaming {
-        VersionNaming { training: VecDeque::new(), current: None, version: 1 }
+    pub(super) fn new() -> VersionAnnouncements {
+        VersionAnnouncements { training: VecDeque::new(), current: None, version: 1 }
     }
 
     /// Returns the latest version that the system acknowledged.
@@ -61,7 +61,7 @@
             self.training.pop_front();
             self.begin(now, settings, calls, out);
         }
-        if let Some(Naming { tag, call, .. }) = &mut self.current {
+        if let Some(Announcement { tag, call, .. }) = &mut self.current {
             out.calls.extend(call.attempt(now, *tag, directory, random));
         }
     }
@@ -75,21 +75,21 @@
         let body = json!({"model": model, "config-version": version});
         let request = ControlRequest::json("POST", "/v1/version-put", &body);
         let call = ControlCall::new(request, now, settings.steps.until);
-        out.observations.push(Observation::VersionNamed { model: model.clone(), version });
-        out.notices.push(Notice::VersionNamed { model, version });
-        self.current = Some(Naming { version, tag: calls.new_tag(), call });
+        out.observations.push(Observation::VersionAnnounced { model: model.clone(), version });
+        out.notices.push(Notice::VersionAnnounced { model, version });
+        self.current = Some(Announcement { version, tag: calls.new_tag(), call });
     }
 
     /// Whether the call with this tag announces a version.
     pub(super) fn owns(&self, tag: CallTag) -> bool {
-        self.current.as_ref().is_some_and(|naming| naming.tag == tag)
+        self.current.as_ref().is_some_and(|announcement| announcement.tag == tag)
     }
 
     /// Handles the outcome of a call that announces a version.
     pub(super) fn call_ended(&mut self, now: u64, outcome: Outcome, model: &str, out: &mut Effects) {
-        let Some(Naming { version, call, .. }) = &mut self.current else { return };
+        let Some(Announcement { version, call, .. }) = &mut self.current else { return };
         match call.attempt_ended(now, outcome) {
-            CallProgress::Response(answer) if answer.is_success() => {
+            CallProgress::Response(response) if response.is_success() => {
                 self.version = *version;
                 let model = model.to_owned();
                 out.observations.push(Observation::VersionAcknowledged { model, version: *version });
@@ -105,7 +105,7 @@
     /// Returns the time of the next call or announcement.
     pub(super) fn next_at(&self) -> Option<u64> {
         match &self.current {
-            Some(naming) => naming.call.next_at(),
+            Some(announcement) => announcement.call.next_at(),
             None => self.training.front().copied(),
         }
     }
--- a/crates/testbed/tests/application_server.rs
+++ b/crates/testbed/tests/application_server.rs
@@ -8,7 +8,7 @@
 use orchidvalve_testbed::server_fault::ServerFault;
 use support::ServiceHarness;
 
-fn harness(failing_share: u64) -> ServiceHarness<ApplicationServerEmulator> {
+fn harness(failures_per_10_000: u64) -> ServiceHarness<ApplicationServerEmulator> {
     let settings = ApplicationServerSettings {
         instance: "i-9".to_owned(),
         slots: 1,
@@ -16,8 +16,8 @@
         max_connections: 4,
         health_path: "/health".to_owned(),
         work_ms: 10..=20,
-        answer_bytes: 300,
-        failing_share,
+        response_bytes: 300,
+        failures_per_10_000,
         seed: 7,
     };
     ServiceHarness::new(ApplicationServerEmulator::new(3, settings))
--- a/crates/testbed/tests/fault_proxy.rs
+++ b/crates/testbed/tests/fault_proxy.rs
@@ -32,8 +32,8 @@
         max_connections: 200,
         health_path: "/health".to_owned(),
         work_ms: 1..=3,
-        answer_bytes: BODY_BYTES,
-        failing_share: 0,
+        response_bytes: BODY_BYTES,
+        failures_per_10_000: 0,
         seed: 1,
     };
     EmulatedServer::Application(ApplicationServerEmulator::new(1, settings))
--- a/crates/testbed/tests/golden_messages.rs
+++ b/crates/testbed/tests/golden_messages.rs
@@ -187,7 +187,7 @@
         for most_out in [0, 1, 7, 500, 12_345] {
             let events = synthetic_text::event_count(id, most_out, 53 * number as u64);
             trace.add_number(events);
-            let whole = synthetic_text::whole_text(id, events);
+            let whole = synthetic_text::complete_text(id, events);
             trace.add(whole.as_bytes());
             trace.add_number(synthetic_text::digest(whole.as_bytes()));
             for line in whole.split('\n') {
--- a/crates/testbed/tests/golden_servers.rs
+++ b/crates/testbed/tests/golden_servers.rs
@@ -126,7 +126,7 @@
             70..73 => server.step(|server, _, out| server.restart(out)),
             73..76 => {
                 let version = random.random_range(1..4);
-                server.step(|server, _, _| server.name_version("alpha", version));
+                server.step(|server, _, _| server.announce_version("alpha", version));
             }
             76 if random.random_bool(0.2) => server.step(|server, _, _| server.drain()),
             _ => close_or_pass(&mut server, &mut random),
@@ -151,8 +151,8 @@
         max_connections: 20,
         health_path: "/health".to_owned(),
         work_ms: 5..=60,
-        answer_bytes: 100 * seed as usize,
-        failing_share: 500 * seed,
+        response_bytes: 100 * seed as usize,
+        failures_per_10_000: 500 * seed,
         seed,
     };
     RecordedService::new(ApplicationServerEmulator::new(seed + 1, settings))
@@ -225,7 +225,7 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let settings = PlatformSettings {
         lag_ms: 100 * seed,
-        rate_per_s: 1.0 + seed as f64,
+        list_calls_per_second: 1.0 + seed as f64,
         page_size: 3 + seed as usize,
         platform_calls_per_second: 5.0,
     };
@@ -255,7 +255,7 @@
             }
             _ => platform.pass(random.random_range(0..900)),
         }
-        platform.trace.add_number(platform.service.calls);
+        platform.trace.add_number(platform.service.list_calls);
         platform.trace.add_number(platform.service.refused);
     }
     platform.trace.finish()
--- a/crates/testbed/tests/host.rs
+++ b/crates/testbed/tests/host.rs
@@ -31,8 +31,8 @@
         max_connections: 200,
         health_path: "/health".to_owned(),
         work_ms: 1..=3,
-        answer_bytes: 40_000,
-        failing_share: 0,
+        response_bytes: 40_000,
+        failures_per_10_000: 0,
         seed: 1,
     };
     EmulatedServer::Application(ApplicationServerEmulator::new(1, settings))
--- a/crates/testbed/tests/invariants.rs
+++ b/crates/testbed/tests/invariants.rs
@@ -258,7 +258,7 @@
 #[case::it_runs(56_000, execution_started("m2", 301, "idle", "/lots/1", ITEM_BODY, 0))]
 #[case::its_server_failed_it(50_000, response_sent(301, "idle", 500, "stamp", 9))]
 #[case::others_begin(58_000, execution_started("m2", 301, "done", "/lots/1", ITEM_BODY, 0))]
-#[case::weights_are_loaded(55_000, Observation::VersionNamed { model: "m".to_owned(), version: 3 })]
+#[case::weights_are_loaded(55_000, Observation::VersionAnnounced { model: "m".to_owned(), version: 3 })]
 #[case::a_machine_is_down(53_000, Observation::Disruption { description: "down".to_owned(), planned: false })]
 fn an_item_that_had_to_wait_is_not_lost(#[case] at: u64, #[case] observation: Observation) {
     let mut observed = run_with_an_idle_item();
--- a/crates/testbed/tests/model_server.rs
+++ b/crates/testbed/tests/model_server.rs
@@ -31,7 +31,7 @@
         fencing_enforced: false,
     };
     let mut harness = ServiceHarness::new(ModelServerEmulator::new(1, settings));
-    harness.service.name_version("alpha", 3);
+    harness.service.announce_version("alpha", 3);
     harness
 }
 
@@ -68,7 +68,7 @@
     let key = harness.send(&item("a1", &[]));
     harness.pass(1_000);
     let answer = harness.answer(key).unwrap();
-    assert_eq!(joined(&answer), synthetic_text::whole_text("a1", events("a1")));
+    assert_eq!(joined(&answer), synthetic_text::complete_text("a1", events("a1")));
     assert_eq!(answer.headers.get("Attempt-Id"), Some("a1"));
     assert_eq!(answer.headers.get("Weight-Versions"), Some("1"));
     assert!(answer.headers.get("Server-Signature").is_some());
@@ -83,8 +83,8 @@
     harness.pass(1_000);
     let answer = harness.answer(key).unwrap();
     assert!(answer.body.starts_with(b"id: 5\n"));
-    let whole = synthetic_text::whole_text("a1", 4) + "\n" + &joined(&answer);
-    assert_eq!(whole, synthetic_text::whole_text("a1", events("a1")));
+    let whole = synthetic_text::complete_text("a1", 4) + "\n" + &joined(&answer);
+    assert_eq!(whole, synthetic_text::complete_text("a1", events("a1")));
 }
 
 #[rstest]
@@ -205,7 +205,7 @@
         fencing_enforced: enforced,
     };
     let mut harness = ServiceHarness::new(ModelServerEmulator::new(1, settings));
-    harness.service.name_version("alpha", 3);
+    harness.service.announce_version("alpha", 3);
     assert_eq!(harness.ask(&order(|body| body["config-version"] = json!(1))).status, 200);
     assert_eq!(harness.ask(&order(|body| body["fence-token"] = json!(4))).status, status);
 }
@@ -217,7 +217,7 @@
     harness.ask(&method("wait"));
     harness.pass(2_000);
     let answer = harness.answer(key).unwrap();
-    assert_eq!(joined(&answer), synthetic_text::whole_text("a1", events("a1")));
+    assert_eq!(joined(&answer), synthetic_text::complete_text("a1", events("a1")));
     assert!(!String::from_utf8_lossy(&answer.body).contains("weight-versions"));
     assert_eq!(harness.service.version("alpha"), Some(2));
 }
@@ -245,7 +245,7 @@
     harness.pass(2_000);
     let answer = harness.answer(key).unwrap();
     let body = String::from_utf8_lossy(&answer.body).into_owned();
-    assert_eq!(joined(&answer), synthetic_text::whole_text("a1", events("a1")));
+    assert_eq!(joined(&answer), synthetic_text::complete_text("a1", events("a1")));
     assert_eq!(answer.headers.get("Weight-Versions"), Some("1"));
     assert_eq!(body.matches("\n\nweight-versions: 2\nid: ").count(), 1, "first line of the event: {body}");
     let versions: Vec<u64> = harness
--- a/crates/testbed/tests/platform.rs
+++ b/crates/testbed/tests/platform.rs
@@ -22,7 +22,8 @@
 }
 
 fn harness(lag_ms: u64, page_size: usize) -> ServiceHarness<PlatformStub> {
-    let settings = PlatformSettings { lag_ms, rate_per_s: 4.0, page_size, platform_calls_per_second: 2.0 };
+    let settings =
+        PlatformSettings { lag_ms, list_calls_per_second: 4.0, page_size, platform_calls_per_second: 2.0 };
     let mut harness = ServiceHarness::new(PlatformStub::new(settings));
     for (instance, zone) in [("i-1", "north"), ("i-2", "south"), ("i-3", "north")] {
         harness.service.add(0, entry(instance, zone));
--- a/crates/testbed/tests/platform_calls.rs
+++ b/crates/testbed/tests/platform_calls.rs
@@ -16,8 +16,12 @@
 const SCALING: &str = r#"{"service":"apps","zone":"north","desired-count":4}"#;
 
 fn harness() -> ServiceHarness<PlatformStub> {
-    let settings =
-        PlatformSettings { lag_ms: 0, rate_per_s: 4.0, page_size: 10, platform_calls_per_second: 2.0 };
+    let settings = PlatformSettings {
+        lag_ms: 0,
+        list_calls_per_second: 4.0,
+        page_size: 10,
+        platform_calls_per_second: 2.0,
+    };
     ServiceHarness::new(PlatformStub::new(settings))
 }
 
@@ -125,9 +129,9 @@
 }
 
 #[rstest]
-#[case::silent(PlatformFault::Silent, 1, 0)]
+#[case::silent(PlatformFault::Unresponsive, 1, 0)]
 #[case::reset(PlatformFault::Reset, 1, 1)]
-#[case::cut_off(PlatformFault::CutOff, 0, 0)]
+#[case::cut_off(PlatformFault::Partitioned, 0, 0)]
 fn calls_without_an_answer(#[case] fault: PlatformFault, #[case] taken: usize, #[case] resets: usize) {
     let mut harness = harness();
     harness.service.set_fault(Some(fault));
--- a/crates/testbed/tests/platform_invariants.rs
+++ b/crates/testbed/tests/platform_invariants.rs
@@ -189,7 +189,7 @@
 
 /// Windows of 2 s that are due 4 s later, a tenth of tolerance; the observations' clock starts inside window 50.
 const USAGE_BOUNDS: UsageBounds =
-    UsageBounds { wall_ms_at_start: 101_000, window_s: 2, late_s: 4, tolerance: 0.1 };
+    UsageBounds { wall_ms_at_start: 101_000, window_s: 2, report_deadline_s: 4, tolerance: 0.1 };
 /// The first whole window of the traffic: from 1,000 to 3,000 ms of the observations' clock, due at 7,000.
 const WINDOW: u64 = 51;
 const DUE_MS: u64 = 7_000;
@@ -284,11 +284,11 @@
 fn windows_of_usage_are_compared_with_what_servers_began(
     #[case] also: Observed,
     #[case] missing: u64,
-    #[case] off: u64,
+    #[case] inaccurate: u64,
 ) {
     let mut observed = ten_requests();
     observed.extend(also);
-    assert_eq!(figures(&observed), UsageFigures { due: 1, missing, off });
+    assert_eq!(figures(&observed), UsageFigures { due: 1, missing, inaccurate });
 }
 
 #[rstest]
--- a/crates/testbed/tests/support/observed_run.rs
+++ b/crates/testbed/tests/support/observed_run.rs
@@ -3,7 +3,7 @@
 
 use orchidvalve_testbed::credentials::Credentials;
 use orchidvalve_testbed::observation::{ItemResult, ItemSent, JobSent, Observation, RewardSent};
-use orchidvalve_testbed::synthetic_text::whole_text;
+use orchidvalve_testbed::synthetic_text::complete_text;
 use serde_json::{Value, json};
 
 pub type ObservedRun = Vec<(u64, Observation)>;
@@ -78,7 +78,7 @@
     ItemResult {
         item: ITEM.to_owned(),
         state: "completed".to_owned(),
-        message: whole_text(ITEM, EVENTS),
+        message: complete_text(ITEM, EVENTS),
         versions: vec![2, 3],
         score: Some("stamp-r".to_owned()),
     }
--- a/crates/testbed/tests/support/recording.rs
+++ b/crates/testbed/tests/support/recording.rs
@@ -250,7 +250,7 @@
             trace.add_number(24);
             text_or_none(trace, read.as_ref().map(Value::to_string).as_deref());
         }
-        Observation::VersionNamed { model, version } => {
+        Observation::VersionAnnounced { model, version } => {
             trace.add_number(25);
             text(trace, model);
             trace.add_number(*version);
@@ -285,7 +285,7 @@
 
 fn add_notice(trace: &mut Trace, notice: &Notice) {
     match notice {
-        Notice::VersionNamed { model, version } => {
+        Notice::VersionAnnounced { model, version } => {
             trace.add_number(1);
             text(trace, model);
             trace.add_number(*version);
--- a/crates/testbed/tests/support/reference.rs
+++ b/crates/testbed/tests/support/reference.rs
@@ -114,7 +114,7 @@
     ModelServerEmulator::new(index, settings)
 }
 
-fn application_server(index: u64, failing_share: u64) -> ApplicationServerEmulator {
+fn application_server(index: u64, failures_per_10_000: u64) -> ApplicationServerEmulator {
     let settings = ApplicationServerSettings {
         instance: format!("a{index}"),
         slots: SLOTS,
@@ -122,21 +122,21 @@
         max_connections: 500,
         health_path: "/health".to_owned(),
         work_ms: 2..=20,
-        answer_bytes: 100,
-        failing_share,
+        response_bytes: 100,
+        failures_per_10_000,
         seed: 5,
     };
     ApplicationServerEmulator::new(index, settings)
 }
 
 impl Reference {
-    /// A system with its servers: `event_ms` is the time from one event to the next, `failing_share` the share of
+    /// A system with its servers: `event_ms` is the time from one event to the next, `failures_per_10_000` the share of
     /// reward calls, in ten-thousandths, that fail.
-    pub fn new(sabotage: Sabotage, event_ms: u64, failing_share: u64) -> Reference {
+    pub fn new(sabotage: Sabotage, event_ms: u64, failures_per_10_000: u64) -> Reference {
         let (jobs, tasks, waiting, versions, observations) = Default::default();
         Reference {
             models: (1..=3).map(|index| model_server(index, event_ms)).collect(),
-            applications: (11..=12).map(|index| application_server(index, failing_share)).collect(),
+            applications: (11..=12).map(|index| application_server(index, failures_per_10_000)).collect(),
             jobs,
             tasks,
             waiting,
--- a/crates/testbed/tests/support/sabotages.rs
+++ b/crates/testbed/tests/support/sabotages.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use orchidvalve_testbed::observation::{ItemResult, Observation};
-use orchidvalve_testbed::synthetic_text::whole_text;
+use orchidvalve_testbed::synthetic_text::complete_text;
 use serde_json::json;
 
 use super::observed_run::{
@@ -97,11 +97,11 @@
 }
 
 pub fn short_text(observed: &mut ObservedRun) {
-    edit_result(observed, |result| result.message = whole_text(ITEM, EVENTS - 1));
+    edit_result(observed, |result| result.message = complete_text(ITEM, EVENTS - 1));
 }
 
 pub fn foreign_text(observed: &mut ObservedRun) {
-    edit_result(observed, |result| result.message = whole_text("item-2", EVENTS));
+    edit_result(observed, |result| result.message = complete_text("item-2", EVENTS));
 }
 
 pub fn changed_text(observed: &mut ObservedRun) {
--- a/crates/testbed/tests/support/world.rs
+++ b/crates/testbed/tests/support/world.rs
@@ -83,8 +83,8 @@
     fn take(&mut self, out: Effects) {
         add_effects(&mut self.trace, self.now, &out);
         for notice in out.notices {
-            if let Notice::VersionNamed { model, version } = notice {
-                self.reference.models.iter_mut().for_each(|server| server.name_version(&model, version));
+            if let Notice::VersionAnnounced { model, version } = notice {
+                self.reference.models.iter_mut().for_each(|server| server.announce_version(&model, version));
             }
         }
         for seen in out.observations {
