--- a/crates/testbed/tests/application_server.rs
+++ b/crates/testbed/tests/application_server.rs
@@ -1,4 +1,4 @@
-//! A plain application server by itself.
+//! The emulated application server.
 
 mod support;
 
@@ -30,16 +30,16 @@
 }
 
 #[test]
-fn a_response_bears_signature_and_id() {
+fn a_response_has_signature_and_attempt_id() {
     let mut harness = harness(0);
     let key = harness.send(&post("a1", &[]));
-    assert!(harness.answer(key).is_none(), "work takes time");
+    assert!(harness.response(key).is_none(), "the work takes time");
     harness.pass(20);
-    let answer = harness.answer(key).unwrap();
-    assert_eq!(answer.status, 200);
-    assert_eq!(answer.headers.get("Attempt-Id"), Some("a1"));
-    assert_eq!(answer.body, ApplicationServerEmulator::response_body("a1", 300));
-    let stamp = answer.headers.get("Server-Signature").unwrap();
+    let response = harness.response(key).unwrap();
+    assert_eq!(response.status, 200);
+    assert_eq!(response.headers.get("Attempt-Id"), Some("a1"));
+    assert_eq!(response.body, ApplicationServerEmulator::response_body("a1", 300));
+    let stamp = response.headers.get("Server-Signature").unwrap();
     let seen = harness.observations.iter().any(
         |seen| matches!(seen, Observation::ResponseSent { signature, status: 200, .. } if signature == stamp),
     );
@@ -47,23 +47,23 @@
 }
 
 #[test]
-fn equal_seeds_work_equally_long() {
+fn equal_seeds_give_equal_service_times() {
     let times = |mut harness: ServiceHarness<ApplicationServerEmulator>| {
         let key = harness.send(&post("a1", &[]));
         (0..20).find(|_| {
             harness.pass(1);
-            harness.answer(key).is_some()
+            harness.response(key).is_some()
         })
     };
     assert_eq!(times(harness(0)), times(harness(0)));
 }
 
 #[test]
-fn a_share_of_the_requests_fails() {
+fn the_configured_fraction_of_requests_fails() {
     let mut all = harness(10_000);
     let key = all.send(&post("a1", &[]));
     all.pass(20);
-    assert_eq!(all.answer(key).unwrap().status, 500);
+    assert_eq!(all.response(key).unwrap().status, 500);
 }
 
 #[test]
@@ -71,38 +71,38 @@
     let mut harness = harness(0);
     harness.send(&post("a1", &[]));
     harness.send(&post("a2", &[]));
-    let answer = harness.ask(&post("a3", &[]));
-    assert_eq!((answer.status, answer.headers.get("Not-Executed")), (503, Some("1")));
+    let response = harness.request(&post("a3", &[]));
+    assert_eq!((response.status, response.headers.get("Not-Executed")), (503, Some("1")));
 }
 
 #[test]
-fn deadlines_end_work() {
+fn requests_end_at_their_deadline() {
     let mut harness = harness(0);
     let key = harness.send(&post("a1", &[("Deadline-Ms", "3")]));
     let queued = harness.send(&post("a2", &[("Deadline-Ms", "4")]));
     harness.pass(50);
-    assert_eq!(harness.answer(key).unwrap().status, 504);
-    assert_eq!(harness.answer(queued).unwrap().headers.get("Not-Executed"), Some("1"));
+    assert_eq!(harness.response(key).unwrap().status, 504);
+    assert_eq!(harness.response(queued).unwrap().headers.get("Not-Executed"), Some("1"));
 }
 
 #[test]
-fn another_instance_is_not_answered_for() {
-    let answer = harness(0).ask(&post("a1", &[("Expected-Instance", "i-8")]));
-    assert_eq!((answer.status, answer.headers.get("Not-Executed")), (421, Some("1")));
+fn a_request_for_another_instance_is_rejected() {
+    let response = harness(0).request(&post("a1", &[("Expected-Instance", "i-8")]));
+    assert_eq!((response.status, response.headers.get("Not-Executed")), (421, Some("1")));
 }
 
 #[test]
-fn after_a_restart_it_is_another_incarnation() {
+fn a_restart_begins_a_new_incarnation() {
     let mut harness = harness(0);
     let key = harness.send(&post("a1", &[]));
     harness.step(|server, _, out| server.restart(out));
     assert_eq!(harness.resets, [key]);
-    let health = harness.ask(&http::request("GET", "/health", "host", &[], b""));
+    let health = harness.request(&http::request("GET", "/health", "host", &[], b""));
     assert_eq!((health.status, health.headers.get("Instance-Id")), (200, Some("i-9-1")));
 }
 
 #[test]
-fn a_response_comes_twice_until_the_faults_are_cleared() {
+fn a_response_is_sent_twice_until_the_faults_are_cleared() {
     let mut harness = harness(0);
     harness.step(|server, _, out| server.inject(ServerFault::DuplicateResponses, out));
     let key = harness.send(&post("a1", &[]));
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn a_request_that_begins_is_shown_with_the_tenant_that_it_names() {
+fn a_started_request_is_observed_with_its_tenant() {
     let mut harness = harness(0);
     harness.send(&post("a1", &[("Tenant", "acme")]));
     harness.pass(20);
--- a/crates/testbed/tests/command_line.rs
+++ b/crates/testbed/tests/command_line.rs
@@ -1,4 +1,4 @@
-//! The published names on the command line: the flags of `demo`, and the names of the faults.
+//! The public names on the command line: the flags of `demo`, and the names of the faults.
 
 use std::process::{Command, Output};
 
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn the_flags_of_demo_bear_their_published_names() {
+fn demo_has_the_public_flags() {
     let help = run(&["demo", "--help"]);
     let text = String::from_utf8(help.stdout).unwrap();
     assert!(help.status.success());
@@ -81,12 +81,12 @@
 }
 
 #[test]
-fn an_unknown_fault_is_refused_with_all_published_names() {
+fn an_unknown_fault_is_rejected_with_all_public_names() {
     let refused = run(&["demo", "--program", "program", "--trouble", "no-such-fault"]);
     let text = String::from_utf8(refused.stderr).unwrap();
     assert!(!refused.status.success());
     let (_, names) = text.split_once("choose one of ").unwrap();
-    // The text is wrapped to the width of a terminal.
+    // The error message is wrapped to the width of a terminal.
     let names: String = names.split_whitespace().collect();
     assert_eq!(names, FAULTS.join(","));
 }
--- a/crates/testbed/tests/concurrent_operators.rs
+++ b/crates/testbed/tests/concurrent_operators.rs
@@ -1,4 +1,4 @@
-//! Operators that race, against scripted answers.
+//! Concurrent operators with scripted responses.
 
 use std::cell::RefCell;
 use std::collections::{BTreeSet, VecDeque};
@@ -76,17 +76,17 @@
         self.take(out);
     }
 
-    fn answer(&mut self, call: &Call, status: u16, body: &Value) {
+    fn respond(&mut self, call: &Call, status: u16, body: &Value) {
         let body = body.to_string().into_bytes();
         self.end(call, Outcome::Response(Response { status, headers: Headers::default(), body }));
     }
 
-    /// Answers the readings that are under way, and returns the changes that follow.
-    fn answer_readings(&mut self) -> Vec<(Call, Request)> {
+    /// Responds to the reads in flight, and returns the changes that follow.
+    fn respond_to_reads(&mut self) -> Vec<(Call, Request)> {
         for _ in 0..self.calls.len() {
             let (call, request) = self.next();
             assert_eq!(request.method, "GET");
-            self.answer(&call, 200, &current());
+            self.respond(&call, 200, &current());
         }
         let count = self.calls.len();
         (0..count).map(|_| self.next()).collect()
@@ -94,9 +94,9 @@
 }
 
 #[test]
-fn concurrent_operators_change_one_base_under_versions_that_collide_and_with_different_bodies() {
+fn concurrent_changes_have_one_base_colliding_versions_and_different_bodies() {
     let mut harness = Harness::new(8, 0);
-    let changes = harness.answer_readings();
+    let changes = harness.respond_to_reads();
     assert_eq!(changes.len(), 8);
     assert!(changes.iter().all(|(_, request)| request.headers.get("If-Match") == Some("5")));
     let sent: Vec<(u64, u64, Value)> = harness
@@ -113,45 +113,45 @@
     let meet = |(change, version, document): &(u64, u64, Value)| {
         sent.iter().any(|other| other.0 != *change && other.1 == *version && other.2 != *document)
     };
-    assert!(sent.iter().all(meet), "two numbers for eight operators");
+    assert!(sent.iter().all(meet), "eight operators choose among two versions");
     let alike = |(change, _, document): &(u64, u64, Value)| {
         sent.iter().any(|other| other.0 != *change && other.2["routes"] == document["routes"])
     };
-    assert!(!sent.iter().any(alike), "no two bodies are alike");
+    assert!(!sent.iter().any(alike), "no two changes have the same routes");
 }
 
 #[test]
-fn bodies_stay_different_over_hundreds_of_orders() {
-    const ORDERS: usize = 250;
+fn bodies_stay_different_over_hundreds_of_changes() {
+    const CHANGES: usize = 250;
     let mut harness = Harness::new(1, 0);
     let mut bodies = BTreeSet::new();
-    for number in 1..=ORDERS {
-        let (call, request) = harness.answer_readings().remove(0);
+    for number in 1..=CHANGES {
+        let (call, request) = harness.respond_to_reads().remove(0);
         let body: Value = serde_json::from_slice(&request.body).unwrap();
         let routes = if body["upsert"].is_null() { &body["routes"] } else { &body["upsert"]["routes"] };
         bodies.insert(routes.to_string());
         assert_eq!(bodies.len(), number);
-        harness.answer(&call, 412, &Value::Null);
+        harness.respond(&call, 412, &Value::Null);
         harness.pass(100);
     }
 }
 
 #[test]
-fn what_was_read_is_noted_with_the_time_of_the_send() {
+fn a_read_version_is_observed_with_the_time_of_the_request() {
     let mut harness = Harness::new(1, 0);
     let (call, _) = harness.next();
     harness.now += 40;
-    harness.answer(&call, 200, &current());
+    harness.respond(&call, 200, &current());
     assert_eq!(harness.observations[0], Observation::ConfigurationObserved { requested_at: 10, version: 5 });
 }
 
 #[test]
-fn an_order_whose_answer_is_lost_is_sent_again_as_it_was_to_another_node() {
+fn a_change_with_a_lost_response_is_retried_unchanged_at_another_node() {
     let mut harness = Harness::new(1, 100);
-    let (call, request) = harness.answer_readings().remove(0);
+    let (call, request) = harness.respond_to_reads().remove(0);
     let is_dropped = call.timeout_ms >= 1_000;
     if is_dropped {
-        harness.answer(&call, 200, &Value::Null);
+        harness.respond(&call, 200, &Value::Null);
         assert!(matches!(
             harness.observations.last(),
             Some(Observation::ConfigurationResponseLost { status: 200, .. })
@@ -168,11 +168,11 @@
 }
 
 #[test]
-fn answers_are_lost_a_few_times_only_and_then_count() {
+fn a_limited_number_of_responses_is_lost_per_change() {
     let mut harness = Harness::new(1, 100);
-    let (mut call, _) = harness.answer_readings().remove(0);
+    let (mut call, _) = harness.respond_to_reads().remove(0);
     for _ in 0..2 {
-        harness.answer(&call, 200, &Value::Null);
+        harness.respond(&call, 200, &Value::Null);
         harness.pass(20);
         match harness.calls.pop_front() {
             Some(next) => call = next,
@@ -180,7 +180,7 @@
         }
     }
     if harness.stats.borrow().acknowledged == 0 {
-        harness.answer(&call, 200, &Value::Null);
+        harness.respond(&call, 200, &Value::Null);
     }
     assert_eq!(harness.stats.borrow().acknowledged, 1);
     let answered = harness
@@ -191,21 +191,21 @@
 }
 
 #[test]
-fn a_refused_operator_rests_and_reads_anew() {
+fn an_operator_pauses_and_reads_again_after_a_rejection() {
     let mut harness = Harness::new(1, 0);
-    let (call, _) = harness.answer_readings().remove(0);
-    harness.answer(&call, 412, &Value::Null);
+    let (call, _) = harness.respond_to_reads().remove(0);
+    harness.respond(&call, 412, &Value::Null);
     assert_eq!((harness.stats.borrow().refused, harness.calls.len()), (1, 0));
     harness.pass(100);
     assert_eq!(harness.next().1.method, "GET");
 }
 
 #[test]
-fn no_order_begins_after_the_end() {
+fn no_change_starts_after_the_end() {
     let mut harness = Harness::new(1, 0);
-    let (call, _) = harness.answer_readings().remove(0);
+    let (call, _) = harness.respond_to_reads().remove(0);
     harness.now = UNTIL;
-    harness.answer(&call, 200, &Value::Null);
+    harness.respond(&call, 200, &Value::Null);
     harness.pass(10_000);
     assert!(harness.calls.is_empty());
     assert_eq!(harness.operators.next_wake(), None);
--- a/crates/testbed/tests/fault_proxy.rs
+++ b/crates/testbed/tests/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! The proxy between two machines: what each fault of a link does to a call.
+//! The proxy between two machines: the effect of each link fault on a call.
 
 #[path = "support/one_call.rs"]
 mod one_call;
@@ -15,9 +15,9 @@
 use orchidvalve_testbed::observation::Observation;
 
 const LOOPBACK: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
-/// Longest time that a test may take, in milliseconds.
+/// Maximum duration of a test, in milliseconds.
 const LIMIT_MS: u64 = 20_000;
-/// Long enough for a call that isn't hindered.
+/// Sufficient time for a call without faults, in milliseconds.
 const A_WHILE_MS: u64 = 300;
 const CALLER: MachineIndex = MachineIndex(0);
 const TARGET: MachineIndex = MachineIndex(1);
@@ -58,7 +58,7 @@
         self.host.set_link(from, to, fault);
     }
 
-    /// Begins a call of the server through the proxy.
+    /// Starts a call to the server through the proxy.
     fn call(&mut self) -> Ended {
         let fields = [("Attempt-Id", "x-1")];
         let bytes = http::request("POST", "/p/1", "h.example", &fields, &[b'b'; 500]);
@@ -77,7 +77,7 @@
         self.host.turn(until).unwrap();
     }
 
-    /// Lets things happen for a while.
+    /// Runs the host for the given time, in milliseconds.
     fn pass(&mut self, ms: u64) {
         let until = self.host.now() + ms;
         while self.host.now() < until {
@@ -89,8 +89,8 @@
         one_call::wait(&mut self.host, ended, LIMIT_MS)
     }
 
-    /// Whether the server began to work on the request.
-    fn ran(&mut self) -> bool {
+    /// Whether the server started to execute the request.
+    fn has_executed(&mut self) -> bool {
         self.host
             .take_observations()
             .iter()
@@ -98,68 +98,68 @@
     }
 }
 
-fn is_whole(outcome: &Outcome) -> bool {
-    matches!(outcome, Outcome::Response(answer) if answer.status == 200 && answer.body.len() == BODY_BYTES)
+fn is_complete(outcome: &Outcome) -> bool {
+    matches!(outcome, Outcome::Response(response) if response.status == 200 && response.body.len() == BODY_BYTES)
 }
 
 #[test]
-fn an_open_link_passes_request_and_answer() {
+fn a_link_without_faults_forwards_request_and_response() {
     let mut proxied = ProxiedServer::new();
     let ended = proxied.call();
-    assert!(is_whole(&proxied.wait(&ended)));
+    assert!(is_complete(&proxied.wait(&ended)));
 }
 
 #[test]
-fn a_partitioned_link_carries_nothing_until_the_partition_is_over_and_then_everything() {
+fn a_partitioned_link_delivers_everything_after_the_partition() {
     let mut proxied = ProxiedServer::new();
     proxied.link(CALLER, TARGET, Some(LinkFault::Partitioned));
     let ended = proxied.call();
     proxied.pass(A_WHILE_MS);
-    assert!(!proxied.ran() && ended.borrow().is_none());
+    assert!(!proxied.has_executed() && ended.borrow().is_none());
     proxied.link(CALLER, TARGET, None);
-    assert!(is_whole(&proxied.wait(&ended)));
-    assert!(proxied.ran());
+    assert!(is_complete(&proxied.wait(&ended)));
+    assert!(proxied.has_executed());
 }
 
 #[test]
-fn a_partitioned_way_back_lets_the_request_be_executed_and_holds_the_response() {
+fn a_partition_of_the_return_link_delays_only_the_response() {
     let mut proxied = ProxiedServer::new();
     let ended = proxied.call();
-    while !proxied.ran() {
+    while !proxied.has_executed() {
         proxied.turn(LIMIT_MS);
     }
     proxied.link(TARGET, CALLER, Some(LinkFault::Partitioned));
     proxied.pass(A_WHILE_MS);
     assert!(ended.borrow().is_none());
     proxied.link(TARGET, CALLER, None);
-    assert!(is_whole(&proxied.wait(&ended)));
+    assert!(is_complete(&proxied.wait(&ended)));
 }
 
 #[test]
-fn a_connection_that_begins_while_one_way_is_partitioned_carries_nothing() {
+fn a_connection_opened_during_a_one_way_partition_transfers_nothing() {
     let mut proxied = ProxiedServer::new();
     proxied.link(TARGET, CALLER, Some(LinkFault::Partitioned));
     let ended = proxied.call();
     proxied.pass(A_WHILE_MS);
-    assert!(!proxied.ran() && ended.borrow().is_none());
+    assert!(!proxied.has_executed() && ended.borrow().is_none());
     proxied.link(TARGET, CALLER, None);
-    assert!(is_whole(&proxied.wait(&ended)));
+    assert!(is_complete(&proxied.wait(&ended)));
 }
 
 #[test]
-fn a_fault_of_another_pair_does_nothing() {
+fn a_fault_of_another_link_has_no_effect() {
     let mut proxied = ProxiedServer::new();
     proxied.link(OTHER, TARGET, Some(LinkFault::Partitioned));
     proxied.link(CALLER, OTHER, Some(LinkFault::Reset));
     let ended = proxied.call();
-    assert!(is_whole(&proxied.wait(&ended)));
+    assert!(is_complete(&proxied.wait(&ended)));
 }
 
 #[test]
-fn a_reset_ends_connections_and_new_ones() {
+fn a_reset_ends_existing_and_new_connections() {
     let mut proxied = ProxiedServer::new();
     let ended = proxied.call();
-    while !proxied.ran() {
+    while !proxied.has_executed() {
         proxied.turn(LIMIT_MS);
     }
     proxied.link(TARGET, CALLER, Some(LinkFault::Partitioned));
@@ -170,24 +170,24 @@
     assert!(matches!(proxied.wait(&ended), Outcome::Disconnected { partial: false } | Outcome::Refused));
     proxied.link(TARGET, CALLER, None);
     let ended = proxied.call();
-    assert!(is_whole(&proxied.wait(&ended)));
+    assert!(is_complete(&proxied.wait(&ended)));
 }
 
 #[test]
-fn a_slow_link_delays_by_its_delay_and_by_its_bandwidth() {
+fn a_slow_link_applies_delay_and_bandwidth() {
     const DELAY_MS: u64 = 100;
     const BYTES_PER_S: u64 = 200_000;
     let mut proxied = ProxiedServer::new();
     proxied.link(TARGET, CALLER, Some(LinkFault::Slow { delay_ms: DELAY_MS, bytes_per_s: BYTES_PER_S }));
     let begun = proxied.host.now();
     let ended = proxied.call();
-    assert!(is_whole(&proxied.wait(&ended)));
+    assert!(is_complete(&proxied.wait(&ended)));
     let least = DELAY_MS + BODY_BYTES as u64 * 1_000 / BYTES_PER_S;
     assert!(proxied.host.now() >= begun + least);
 }
 
 #[test]
-fn a_connection_of_an_unknown_machine_is_ended() {
+fn a_connection_from_an_unknown_machine_is_closed() {
     let mut proxied = ProxiedServer::new();
     let other = Ipv4Addr::new(127, 0, 0, 9);
     let mut host = Host::new().unwrap();
@@ -197,5 +197,5 @@
     proxied.host = host;
     let ended = proxied.call();
     assert!(matches!(proxied.wait(&ended), Outcome::Disconnected { partial: false } | Outcome::Refused));
-    assert!(!proxied.ran());
+    assert!(!proxied.has_executed());
 }
--- a/crates/testbed/tests/golden_callers.rs
+++ b/crates/testbed/tests/golden_callers.rs
@@ -1,5 +1,5 @@
-//! Golden traces of everything that calls the system: clients, readiness checks, the operator and operators at the
-//! same time, against answers that are drawn by fixed seeds.
+//! Golden traces of everything that calls the system: clients, readiness checks, the operator, and concurrent operators,
+//! with seeded random outcomes of their calls.
 
 mod support {
     pub mod recording;
@@ -53,7 +53,7 @@
     Response { status, headers: Headers(headers), body }
 }
 
-/// An end of a call without a clear answer, sometimes.
+/// Sometimes returns an outcome without a conclusive response.
 fn failure(random: &mut Pcg64Mcg) -> Option<Outcome> {
     match random.random_range(0..100) {
         0..4 => Some(Outcome::Refused),
@@ -94,8 +94,8 @@
     };
     let (mut clients, stats) = Clients::new(settings);
     let mut directory = directory();
-    for door in 0..seed as usize % 5 {
-        directory.record_readiness(door, true);
+    for gateway in 0..seed as usize % 5 {
+        directory.record_readiness(gateway, true);
     }
     let trace = play_caller(&mut clients, &mut directory, &mut random, UNTIL, |call, random| {
         let (request, _) = parse_request(&call.bytes).unwrap().unwrap();
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn clients_do_as_recorded() {
+fn clients_match_the_golden_traces() {
     check("clients.txt", play_clients);
 }
 
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn readiness_checks_do_as_recorded() {
+fn readiness_checks_match_the_golden_traces() {
     check("readiness_checks.txt", play_readiness_checks);
 }
 
@@ -138,13 +138,13 @@
     json!({"routes": [route("r"), route("q")], "services": [{"name": "s"}], "limits": {}})
 }
 
-/// A node that serves control: it takes changes on top of its version, and tells of it.
-struct Control {
+/// A control node that accepts changes based on its version and serves the current configuration.
+struct ControlNodeStub {
     current: Value,
 }
 
-impl Control {
-    fn answer(&mut self, call: &Call, random: &mut Pcg64Mcg) -> Outcome {
+impl ControlNodeStub {
+    fn respond(&mut self, call: &Call, random: &mut Pcg64Mcg) -> Outcome {
         if let Some(outcome) = failure(random) {
             return outcome;
         }
@@ -213,9 +213,9 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let script: Script = Rc::new(RefCell::new(script(&mut random)));
     let (mut operator, stats) = Operator::new(script, seed);
-    let mut control = Control { current: json!({}) };
+    let mut control = ControlNodeStub { current: json!({}) };
     let trace = play_caller(&mut operator, &mut directory(), &mut random, UNTIL, |call, random| {
-        control.answer(call, random)
+        control.respond(call, random)
     });
     let stats = stats.borrow();
     let sums = [
@@ -231,11 +231,11 @@
 }
 
 #[test]
-fn the_operator_does_as_recorded() {
+fn the_operator_matches_the_golden_traces() {
     check("operator.txt", play_operator);
 }
 
-fn play_operators_at_the_same_time(seed: u64) -> u64 {
+fn play_concurrent_operators(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut current = first_configuration();
     current["config-version"] = json!(4);
@@ -244,10 +244,10 @@
         OperatorPace { operators: 8, pause_ms: 20 + 50 * seed, response_loss_percent: 10 * seed as u32 };
     let settings = ConcurrentOperatorSettings { pace, routes, from: 10, until: 12_000, seed };
     let (mut concurrent_operators, stats) = ConcurrentOperators::new(settings);
-    let mut control = Control { current };
+    let mut control = ControlNodeStub { current };
     let trace =
         play_caller(&mut concurrent_operators, &mut directory(), &mut random, UNTIL, |call, random| {
-            control.answer(call, random)
+            control.respond(call, random)
         });
     let stats = stats.borrow();
     let sums =
@@ -256,6 +256,6 @@
 }
 
 #[test]
-fn operators_at_the_same_time_do_as_recorded() {
-    check("operators_at_the_same_time.txt", play_operators_at_the_same_time);
+fn concurrent_operators_match_the_golden_traces() {
+    check("operators_at_the_same_time.txt", play_concurrent_operators);
 }
--- a/crates/testbed/tests/golden_invariants.rs
+++ b/crates/testbed/tests/golden_invariants.rs
@@ -1,5 +1,5 @@
-//! Golden verdicts of the checker: rules, subjects and times of what was broken on orderly days to which observations
-//! were added, and of which some were dropped, doubled, moved or changed, by fixed seeds.
+//! Golden results of the invariant checker: invariants, subjects and times of the violations in correct runs to which
+//! seeded random observations were added, and in which others were dropped, duplicated, moved or changed.
 
 mod support {
     pub mod observed_run;
@@ -15,14 +15,14 @@
 use serde_json::json;
 use support::observed_run::{
     ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration, configuration_send_ended,
-    event_emitted, execution_started, insert, job_read, order_received, orderly_run, request_sent,
+    correct_run, event_emitted, execution_started, insert, job_read, order_received, request_sent,
     response_received, response_sent, result, server_started,
 };
 
 const SEEDS: u64 = 40;
 const CHANGES: usize = 3;
-/// Days of one seed.
-const DAYS: usize = 25;
+/// Number of runs per seed.
+const RUNS_PER_SEED: usize = 25;
 const IDS: [&str; 6] = ["plain-1", "plain-2", "plain-3", ITEM, REWARD, "unknown"];
 const STATUSES: [u16; 10] = [200, 202, 400, 404, 409, 412, 421, 429, 500, 503];
 
@@ -30,7 +30,7 @@
     values[random.random_range(0..values.len())]
 }
 
-fn of_a_request(random: &mut Pcg64Mcg) -> Observation {
+fn request_observation(random: &mut Pcg64Mcg) -> Observation {
     let id = one_of(random, &IDS);
     let stamp = one_of(random, &[None, Some("stamp-p"), Some("stamp-r")]);
     let target = one_of(random, &["/plain/1", "/plain/9", "/lots/1", "/other?x"]);
@@ -53,7 +53,7 @@
     }
 }
 
-fn of_a_job(random: &mut Pcg64Mcg) -> Observation {
+fn job_observation(random: &mut Pcg64Mcg) -> Observation {
     let (job, item) = (JOB.to_owned(), ITEM.to_owned());
     match random.random_range(0..8) {
         0 => Observation::JobSendEnded { job, status: Some(one_of(random, &STATUSES)) },
@@ -78,7 +78,7 @@
     }
 }
 
-fn of_a_configuration(random: &mut Pcg64Mcg) -> Observation {
+fn configuration_observation(random: &mut Pcg64Mcg) -> Observation {
     let number = random.random_range(1..5);
     let status = one_of(random, &STATUSES);
     match random.random_range(0..6) {
@@ -113,7 +113,7 @@
     }
 }
 
-fn of_a_machine(random: &mut Pcg64Mcg) -> Observation {
+fn machine_observation(random: &mut Pcg64Mcg) -> Observation {
     match random.random_range(0..7) {
         0 => server_started(one_of(random, &["a1", "m1", "x1"]), one_of(random, &["apps", "models"])),
         1 => order_received(one_of(random, &["node-1", "node-2", "node-3"]), random.random_range(1..4)),
@@ -126,33 +126,33 @@
 }
 
 fn change(observed: &mut ObservedRun, random: &mut Pcg64Mcg) {
-    let place = random.random_range(0..observed.len());
+    let position = random.random_range(0..observed.len());
     match random.random_range(0..9) {
         0 => {
-            observed.remove(place);
+            observed.remove(position);
         }
         1 => {
-            let (at, observation) = observed[place].clone();
+            let (at, observation) = observed[position].clone();
             insert(observed, at + random.random_range(0..3_000), observation);
         }
         2 => {
-            let (at, observation) = observed.remove(place);
+            let (at, observation) = observed.remove(position);
             let earlier = at.saturating_sub(random.random_range(0..1_500));
             insert(observed, earlier, observation);
         }
         kind => {
             let observation = match kind {
-                3 | 4 => of_a_request(random),
-                5 => of_a_job(random),
-                6 | 7 => of_a_configuration(random),
-                _ => of_a_machine(random),
+                3 | 4 => request_observation(random),
+                5 => job_observation(random),
+                6 | 7 => configuration_observation(random),
+                _ => machine_observation(random),
             };
             insert(observed, random.random_range(0..12_000), observation);
         }
     }
 }
 
-/// The hash of what was broken, and how much that was.
+/// Adds all violations of a run to the trace. Returns their number.
 fn check(observed: &ObservedRun, trace: &mut Trace) -> usize {
     let mut checker = InvariantChecker::new(InvariantBounds::default());
     for (at, observation) in observed {
@@ -168,14 +168,14 @@
 }
 
 #[test]
-fn the_auditor_judges_as_recorded() {
+fn the_invariant_checker_reports_the_recorded_violations() {
     let mut total = 0;
     let mut hashes = Vec::new();
     for seed in 0..SEEDS {
         let mut random = Pcg64Mcg::seed_from_u64(seed);
         let mut trace = Trace::new();
-        for _ in 0..DAYS {
-            let mut observed = orderly_run();
+        for _ in 0..RUNS_PER_SEED {
+            let mut observed = correct_run();
             for _ in 0..random.random_range(1..=CHANGES) {
                 change(&mut observed, &mut random);
             }
@@ -183,6 +183,6 @@
         }
         hashes.push((format!("seed-{seed}"), trace.finish()));
     }
-    assert!(total > SEEDS as usize * DAYS / 3, "the days break rules: {total}");
+    assert!(total > SEEDS as usize * RUNS_PER_SEED / 3, "the runs violate invariants: {total}");
     check_hashes(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/audit.txt"), &hashes);
 }
--- a/crates/testbed/tests/golden_messages.rs
+++ b/crates/testbed/tests/golden_messages.rs
@@ -1,5 +1,4 @@
-//! Golden samples of the HTTP messages that are written, golden traces of those that are read, and of the settings
-//! files of processes.
+//! Golden samples of formatted HTTP messages, and golden traces of parsed messages and of the settings files of processes.
 
 mod support {
     pub mod recording;
@@ -24,7 +23,7 @@
     [("Attempt-Id", Cow::from("a1")), ("Instance-Load", Cow::from("1,2,3"))]
 }
 
-fn written() -> Vec<(String, Vec<u8>)> {
+fn formatted_messages() -> Vec<(String, Vec<u8>)> {
     let request_fields = [("Attempt-Id", "a1"), ("Deadline-Ms", "250")];
     let mut chunks = http::chunked_head(200, &fields());
     http::write_chunk(&mut chunks, b"first, and more than sixteen bytes");
@@ -51,8 +50,8 @@
 }
 
 #[test]
-fn messages_are_written_as_recorded() {
-    check_samples(&golden("messages_written.txt"), &written());
+fn formatted_messages_match_the_golden_samples() {
+    check_samples(&golden("messages_written.txt"), &formatted_messages());
 }
 
 fn add_headers(trace: &mut Trace, headers: &Headers) {
@@ -63,8 +62,8 @@
     }
 }
 
-/// What is read of some bytes as a request and as an answer.
-fn add_read(trace: &mut Trace, bytes: &[u8]) {
+/// Adds the results of parsing bytes as a request and as a response.
+fn add_parsed(trace: &mut Trace, bytes: &[u8]) {
     match http::parse_request(bytes) {
         Ok(Some((request, length))) => {
             trace.add(request.method.as_bytes());
@@ -88,12 +87,12 @@
     }
     for ended in [false, true] {
         match http::parse_response(bytes, ended) {
-            Ok(Some((answer, length))) => {
-                trace.add_number(u64::from(answer.status));
-                add_headers(trace, &answer.headers);
-                trace.add(&answer.body);
+            Ok(Some((response, length))) => {
+                trace.add_number(u64::from(response.status));
+                add_headers(trace, &response.headers);
+                trace.add(&response.body);
                 trace.add_number(length as u64);
-                trace.add_number(u64::from(answer.is_success()));
+                trace.add_number(u64::from(response.is_success()));
             }
             Ok(None) => trace.add_number(1),
             Err(_) => trace.add_number(2),
@@ -101,7 +100,7 @@
     }
 }
 
-/// Messages that other programs may write.
+/// Messages that other programs may send.
 const FOREIGN: [(&str, &[u8]); 12] = [
     ("answer-without-length", b"HTTP/1.1 200 OK\r\nX: \t padded \r\n\r\nthe body"),
     ("answer-without-content", b"HTTP/1.1 204 No Content\r\n\r\nHTTP/1.1 200"),
@@ -127,18 +126,18 @@
 ];
 
 #[test]
-fn messages_are_read_as_recorded() {
+fn parsed_messages_match_the_golden_traces() {
     let mut hashes = Vec::new();
     let foreign = FOREIGN.iter().map(|(name, bytes)| ((*name).to_owned(), bytes.to_vec()));
-    for (number, (name, bytes)) in written().into_iter().chain(foreign).enumerate() {
+    for (number, (name, bytes)) in formatted_messages().into_iter().chain(foreign).enumerate() {
         let mut trace = Trace::new();
-        (0..=bytes.len()).for_each(|end| add_read(&mut trace, &bytes[..end]));
+        (0..=bytes.len()).for_each(|end| add_parsed(&mut trace, &bytes[..end]));
         let mut random = Pcg64Mcg::seed_from_u64(number as u64);
         for _ in 0..100 {
             let mut changed = bytes.clone();
-            let place = random.random_range(0..changed.len());
-            changed[place] = random.random_range(0..=255);
-            add_read(&mut trace, &changed);
+            let position = random.random_range(0..changed.len());
+            changed[position] = random.random_range(0..=255);
+            add_parsed(&mut trace, &changed);
         }
         hashes.push((name, trace.finish()));
     }
@@ -160,7 +159,7 @@
 }
 
 #[test]
-fn settings_files_are_written_as_recorded() {
+fn settings_files_match_the_golden_traces() {
     let mut topology = topology();
     let mut hashes = Vec::new();
     for proxied in [false, true] {
@@ -181,7 +180,7 @@
 }
 
 #[test]
-fn texts_of_events_are_made_as_recorded() {
+fn synthetic_texts_match_the_golden_traces() {
     let mut trace = Trace::new();
     for (number, id) in ["", "a", "i-9", "0123456789abcdef"].into_iter().enumerate() {
         for most_out in [0, 1, 7, 500, 12_345] {
--- a/crates/testbed/tests/golden_servers.rs
+++ b/crates/testbed/tests/golden_servers.rs
@@ -1,5 +1,5 @@
-//! Golden traces of everything that is served to the system: model servers, application servers and the platform's
-//! list, each under requests, faults and waits that are drawn by fixed seeds.
+//! Golden traces of all emulated servers: model servers, application servers and the platform's list, under seeded random
+//! requests, faults and pauses.
 
 mod support {
     pub mod recording;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Closes a connection, or lets time pass.
+/// Closes a connection, or advances the clock.
 fn close_or_pass<S: Service>(server: &mut RecordedService<S>, random: &mut Pcg64Mcg) {
     if random.random_bool(0.2) && server.connections > 0 {
         let key = ConnectionKey(random.random_range(1..=server.connections));
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn model_servers_do_as_recorded() {
+fn model_servers_match_the_golden_traces() {
     check("model_servers.txt", play_model_server);
 }
 
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn application_servers_do_as_recorded() {
+fn application_servers_match_the_golden_traces() {
     check("application_servers.txt", play_application_server);
 }
 
@@ -262,6 +262,6 @@
 }
 
 #[test]
-fn pages_of_the_platform_are_as_recorded() {
+fn platform_pages_match_the_golden_traces() {
     check("platform.txt", play_platform);
 }
--- a/crates/testbed/tests/golden_trainer.rs
+++ b/crates/testbed/tests/golden_trainer.rs
@@ -1,5 +1,5 @@
-//! Golden traces of the trainer's calls, of what the servers behind the smallest system saw, and of the rules that
-//! the checker found broken, for orderly and sabotaged systems.
+//! Golden traces of the trainer's calls, of the observations of the servers, and of the violations that the invariant
+//! checker reports, for a correct system and for systems with a defect.
 
 mod support {
     pub mod recording;
@@ -11,23 +11,23 @@
 
 use orchidvalve_golden::{Trace, check_hashes};
 use orchidvalve_testbed::trainer::{ReviewTimes, TrainerSettings};
-use support::reference::{Reference, Sabotage};
+use support::reference::{Defect, Reference};
 use support::world::{Played, play, settings};
 
-const SABOTAGES: [(&str, Sabotage); 13] = [
-    ("none", Sabotage::None),
-    ("list-twice", Sabotage::ListTwice),
-    ("forget-results", Sabotage::ForgetResults),
-    ("forget-jobs", Sabotage::ForgetJobs),
-    ("skip-event", Sabotage::SkipEvent),
-    ("repeat-event", Sabotage::RepeatEvent),
-    ("drop-versions", Sabotage::DropVersions),
-    ("ignore-least-version", Sabotage::IgnoreMinVersion),
-    ("early-reward", Sabotage::EarlyReward),
-    ("change-body", Sabotage::ChangeBody),
-    ("ignore-end", Sabotage::IgnoreEnd),
-    ("run-refused", Sabotage::RunRefused),
-    ("share-token", Sabotage::ShareToken),
+const DEFECTS: [(&str, Defect); 13] = [
+    ("none", Defect::None),
+    ("list-twice", Defect::ListTwice),
+    ("forget-results", Defect::ForgetResults),
+    ("forget-jobs", Defect::ForgetJobs),
+    ("skip-event", Defect::SkipEvent),
+    ("repeat-event", Defect::RepeatEvent),
+    ("drop-versions", Defect::DropVersions),
+    ("ignore-least-version", Defect::IgnoreMinVersion),
+    ("early-reward", Defect::EarlyReward),
+    ("change-body", Defect::ChangeBody),
+    ("ignore-end", Defect::IgnoreEnd),
+    ("run-refused", Defect::RunRefused),
+    ("share-token", Defect::ShareToken),
 ];
 
 fn hash(played: &Played) -> u64 {
@@ -57,7 +57,7 @@
     trace.finish()
 }
 
-/// Steps that overlap, so that versions change during runs and much is still to be run at the end of a step.
+/// Returns settings with overlapping steps, so that versions change during runs and items are left at the end of a step.
 fn busy(seed: u64) -> TrainerSettings {
     let mut settings = short();
     settings.steps.interval_ms = 1_000;
@@ -75,16 +75,16 @@
 }
 
 #[test]
-fn trainers_and_the_invariant_checker_do_as_recorded() {
+fn trainers_and_the_invariant_checker_match_the_golden_traces() {
     let mut hashes = Vec::new();
-    for (name, sabotage) in SABOTAGES {
-        let mut reference = Reference::new(sabotage, 60, 100);
+    for (name, defect) in DEFECTS {
+        let mut reference = Reference::new(defect, 60, 100);
         reference.method = "retain";
-        reference.refusals = if sabotage == Sabotage::RunRefused { 20 } else { 2 };
+        reference.refusals = if defect == Defect::RunRefused { 20 } else { 2 };
         hashes.push((format!("busy-{name}"), hash(&play(busy(hashes.len() as u64), reference))));
     }
     for (number, method) in ["wait", "truncate", "retain"].into_iter().enumerate() {
-        let mut reference = Reference::new(Sabotage::None, 5, 1_500);
+        let mut reference = Reference::new(Defect::None, 5, 1_500);
         reference.method = method;
         let version_lag = number as u64 + 1;
         let mut settings = short();
--- a/crates/testbed/tests/host.rs
+++ b/crates/testbed/tests/host.rs
@@ -1,4 +1,4 @@
-//! Emulators against each other over sockets.
+//! Emulators that communicate with each other over sockets.
 
 #[path = "support/one_call.rs"]
 mod one_call;
@@ -19,7 +19,7 @@
 use orchidvalve_testbed::synthetic_text;
 use rstest::rstest;
 
-/// Longest time that a test may take, in milliseconds.
+/// Maximum duration of a test, in milliseconds.
 const LIMIT_MS: u64 = 20_000;
 const LOOPBACK: SocketAddrV4 = SocketAddrV4::new(Ipv4Addr::LOCALHOST, 0);
 
@@ -56,7 +56,7 @@
     EmulatedServer::Model(ModelServerEmulator::new(2, settings))
 }
 
-/// Plays one call to its end.
+/// Makes one call and returns its outcome.
 fn call(host: &mut Host, address: SocketAddrV4, bytes: Vec<u8>, timeout_ms: u64) -> Outcome {
     let call =
         Call { tag: CallTag(1), address, bytes, timeout_ms, keep_alive: false, following: VecDeque::new() };
@@ -114,11 +114,13 @@
 }
 
 #[test]
-fn a_stream_comes_whole_over_a_socket() {
+fn a_stream_arrives_completely_over_a_socket() {
     let mut host = Host::new().unwrap();
     let (_, address) = host.open(model(), LOOPBACK).unwrap();
-    let Outcome::Response(answer) = call(&mut host, address, item(), LIMIT_MS) else { panic!("no answer") };
-    let body = String::from_utf8(answer.body).unwrap();
+    let Outcome::Response(response) = call(&mut host, address, item(), LIMIT_MS) else {
+        panic!("no response")
+    };
+    let body = String::from_utf8(response.body).unwrap();
     assert_eq!(body.matches("data: ").count() as u64, synthetic_text::event_count("i1", 300, 10));
     let seen = host.take_observations();
     assert!(matches!(
@@ -128,7 +130,7 @@
 }
 
 #[test]
-fn faults_show_on_the_socket() {
+fn faults_are_visible_on_the_socket() {
     let mut host = Host::new().unwrap();
     let (index, address) = host.open(model(), LOOPBACK).unwrap();
     let mut after = |fault: ServerFault, timeout_ms: u64| {
@@ -153,12 +155,12 @@
     assert!(matches!(after(ServerFault::Slowdown(2), LIMIT_MS), Outcome::Response(_)));
 }
 
-/// Reads from a socket until what came holds `text`, while the host turns.
+/// Runs the host and reads from a socket until the received bytes contain `text`.
 fn read_until(host: &mut Host, socket: &mut TcpStream, received: &mut Vec<u8>, text: &[u8]) {
     let limit = host.now() + LIMIT_MS;
     let mut buffer = [0; 4_096];
     while !received.windows(text.len()).any(|window| window == text) {
-        assert!(host.now() < limit, "an answer comes");
+        assert!(host.now() < limit, "a response arrives in time");
         host.turn(host.now() + 5).unwrap();
         match socket.read(&mut buffer) {
             Ok(length) => received.extend_from_slice(&buffer[..length]),
@@ -168,7 +170,7 @@
 }
 
 #[test]
-fn a_server_that_answers_early_reads_the_rest_and_then_the_next_request() {
+fn a_server_that_responds_early_reads_the_remaining_body_and_the_next_request() {
     let mut host = Host::new().unwrap();
     let (index, address) = host.open(application(), LOOPBACK).unwrap();
     host.with_server(index, |emulated, _, out| {
@@ -197,7 +199,7 @@
 }
 
 #[test]
-fn other_bytes_where_a_request_is_due_are_seen() {
+fn malformed_requests_are_observed() {
     let mut host = Host::new().unwrap();
     let (_, address) = host.open(application(), LOOPBACK).unwrap();
     let mut socket = TcpStream::connect(address).unwrap();
@@ -208,13 +210,13 @@
         .iter()
         .any(|seen| matches!(seen.observation, Observation::MalformedRequestReceived { .. }))
     {
-        assert!(host.now() < limit, "it is seen");
+        assert!(host.now() < limit, "the bytes are observed in time");
         host.turn(limit).unwrap();
     }
 }
 
 #[test]
-fn an_address_without_a_listener_refuses() {
+fn an_address_without_a_listener_refuses_connections() {
     let mut host = Host::new().unwrap();
     let free = std::net::TcpListener::bind(LOOPBACK).unwrap().local_addr().unwrap();
     let std::net::SocketAddr::V4(address) = free else { panic!("an IPv4 address") };
--- a/crates/testbed/tests/invariants.rs
+++ b/crates/testbed/tests/invariants.rs
@@ -1,8 +1,8 @@
-//! Each invariant of the checker: an orderly run violates none, and a run with one sabotaged observation violates one.
+//! The invariant checker reports no violation for a correct run, and one for each run with a planted violation.
 
 mod support {
     pub mod observed_run;
-    pub mod sabotages;
+    pub mod planted_violations;
 }
 
 use orchidvalve_testbed::invariants::{Invariant, InvariantBounds, InvariantChecker};
@@ -10,9 +10,9 @@
 use rstest::rstest;
 use support::observed_run::{
     EVENTS, ITEM, ITEM_BODY, JOB, ObservedRun, REWARD, REWARD_BODY, configuration_send_ended,
-    configuration_sent, event_emitted, execution_started, insert, item, orderly_run, response_sent,
+    configuration_sent, correct_run, event_emitted, execution_started, insert, item, response_sent,
 };
-use support::sabotages::*;
+use support::planted_violations::*;
 
 fn violations(observed: &ObservedRun) -> Vec<(Invariant, String, u64)> {
     let mut checker = InvariantChecker::new(InvariantBounds::default());
@@ -27,26 +27,26 @@
 }
 
 #[test]
-fn an_orderly_run_violates_no_invariant() {
-    assert_eq!(violations(&orderly_run()), []);
+fn a_correct_run_violates_no_invariant() {
+    assert_eq!(violations(&correct_run()), []);
 }
 
 #[rstest]
 #[case::connection_lost_by_a_stop(connection_lost_by_a_stop, Invariant::Lost, "plain-2", 4_300)]
-#[case::drained_server_works(drained_server_works, Invariant::Drain, ITEM, 5_200)]
+#[case::execution_at_a_drained_server(execution_at_a_drained_server, Invariant::Drain, ITEM, 5_200)]
 #[case::lost_job(lost_job, Invariant::Lost, JOB, 7_000)]
 #[case::lost_position(lost_position, Invariant::Lost, JOB, 7_000)]
 #[case::unreadable_job(unreadable_job, Invariant::Lost, JOB, 9_500)]
-#[case::request_runs_again(request_runs_again, Invariant::Twice, "plain-1", 4_020)]
+#[case::request_executed_again(request_executed_again, Invariant::Twice, "plain-1", 4_020)]
 #[case::item_listed_twice(item_listed_twice, Invariant::Twice, ITEM, 6_000)]
 #[case::position_changes(position_changes, Invariant::Twice, JOB, 8_050)]
 #[case::no_signature(no_signature, Invariant::Mixed, "plain-1", 4_040)]
 #[case::foreign_signature(foreign_signature, Invariant::Mixed, "plain-1", 4_040)]
 #[case::other_body(other_body, Invariant::Mixed, "plain-1", 4_040)]
-#[case::failure_as_success(failure_as_success, Invariant::Mixed, "plain-1", 4_040)]
-#[case::answer_of_another(answer_of_another, Invariant::Mixed, "plain-1", 4_040)]
-#[case::garbled_answer(garbled_answer, Invariant::Mixed, "plain-1", 4_045)]
-#[case::short_text(short_text, Invariant::Mixed, ITEM, 5_500)]
+#[case::failure_reported_as_success(failure_reported_as_success, Invariant::Mixed, "plain-1", 4_040)]
+#[case::response_of_another_request(response_of_another_request, Invariant::Mixed, "plain-1", 4_040)]
+#[case::malformed_response(malformed_response, Invariant::Mixed, "plain-1", 4_045)]
+#[case::truncated_text(truncated_text, Invariant::Mixed, ITEM, 5_500)]
 #[case::foreign_text(foreign_text, Invariant::Mixed, ITEM, 5_500)]
 #[case::changed_text(changed_text, Invariant::Mixed, ITEM, 5_500)]
 #[case::wrong_total(wrong_total, Invariant::Mixed, JOB, 5_500)]
@@ -57,8 +57,8 @@
 #[case::early_reward(early_reward, Invariant::Mixed, ITEM, 5_500)]
 #[case::other_item_body(other_item_body, Invariant::Mixed, ITEM, 8_200)]
 #[case::missing_event(missing_event, Invariant::Order, ITEM, 5_500)]
-#[case::doubled_event(doubled_event, Invariant::Order, ITEM, 5_500)]
-#[case::unasked_continuation(unasked_continuation, Invariant::Order, ITEM, 5_500)]
+#[case::duplicated_event(duplicated_event, Invariant::Order, ITEM, 5_500)]
+#[case::unrequested_continuation(unrequested_continuation, Invariant::Order, ITEM, 5_500)]
 #[case::missing_version(missing_version, Invariant::Version, ITEM, 5_500)]
 #[case::additional_version(additional_version, Invariant::Version, ITEM, 5_500)]
 #[case::old_version(old_version, Invariant::Version, ITEM, 5_500)]
@@ -66,41 +66,51 @@
 #[case::unknown_request(unknown_request, Invariant::Unasked, "plain-9", 4_200)]
 #[case::other_path(other_path, Invariant::Unasked, "plain-1", 4_010)]
 #[case::other_method(other_method, Invariant::Unasked, "plain-1", 4_010)]
-#[case::other_item_bytes(other_item_bytes, Invariant::Unasked, ITEM, 5_100)]
-#[case::runs_after_the_end(runs_after_the_end, Invariant::Unasked, ITEM, 11_200)]
-#[case::runs_after_refusal(runs_after_refusal, Invariant::Refused, "plain-2", 4_100)]
-#[case::refused_after_running(refused_after_running, Invariant::Refused, "plain-2", 4_060)]
-#[case::refused_job_runs(refused_job_runs, Invariant::Refused, ITEM, 5_420)]
+#[case::changed_item_body(changed_item_body, Invariant::Unasked, ITEM, 5_100)]
+#[case::executed_after_cancellation(executed_after_cancellation, Invariant::Unasked, ITEM, 11_200)]
+#[case::executed_after_rejection(executed_after_rejection, Invariant::Refused, "plain-2", 4_100)]
+#[case::rejected_after_execution(rejected_after_execution, Invariant::Refused, "plain-2", 4_060)]
+#[case::rejected_job_executed(rejected_job_executed, Invariant::Refused, ITEM, 5_420)]
 #[case::foreign_service(foreign_service, Invariant::Route, "plain-1", 4_010)]
 #[case::moved_route(moved_route, Invariant::Config, "plain-1", 4_010)]
 #[case::invalid_acknowledged(invalid_acknowledged, Invariant::Config, "1", 1_010)]
-#[case::two_on_one_base(two_on_one_base, Invariant::Config, "2", 1_020)]
+#[case::two_changes_with_the_same_base(two_changes_with_the_same_base, Invariant::Config, "2", 1_020)]
 #[case::older_read_back(older_read_back, Invariant::Config, "1", 9_100)]
-#[case::refused_read_back(refused_read_back, Invariant::Config, "4", 9_100)]
+#[case::rejected_change_read_back(rejected_change_read_back, Invariant::Config, "4", 9_100)]
 #[case::changed_read_back(changed_read_back, Invariant::Config, "1", 9_100)]
 #[case::nothing_read_back(nothing_read_back, Invariant::Config, "read-back", 9_100)]
-#[case::accepted_then_refused(accepted_then_refused, Invariant::Config, "2", 6_200)]
-#[case::refused_then_accepted(refused_then_accepted, Invariant::Config, "2", 6_200)]
-#[case::lost_answers_on_one_base(lost_answers_on_one_base, Invariant::Config, "3", 6_020)]
-#[case::two_under_one_number(two_under_one_number, Invariant::Config, "3", 6_030)]
-#[case::refused_without_reason(refused_without_reason, Invariant::Config, "2", 6_010)]
-#[case::proper_order_not_known(proper_order_not_known, Invariant::Config, "2", 6_010)]
-#[case::old_one_read(old_one_read, Invariant::Config, "1", 6_020)]
-#[case::lost_one_read_back_as_another(lost_one_read_back_as_another, Invariant::Config, "2", 9_100)]
+#[case::accepted_then_rejected(accepted_then_rejected, Invariant::Config, "2", 6_200)]
+#[case::rejected_then_accepted(rejected_then_accepted, Invariant::Config, "2", 6_200)]
+#[case::lost_responses_with_the_same_base(lost_responses_with_the_same_base, Invariant::Config, "3", 6_020)]
+#[case::two_changes_with_the_same_version(two_changes_with_the_same_version, Invariant::Config, "3", 6_030)]
+#[case::rejected_without_reason(rejected_without_reason, Invariant::Config, "2", 6_010)]
+#[case::valid_change_gets_404(valid_change_gets_404, Invariant::Config, "2", 6_010)]
+#[case::outdated_version_read(outdated_version_read, Invariant::Config, "1", 6_020)]
+#[case::other_content_read_back_after_lost_response(
+    other_content_read_back_after_lost_response,
+    Invariant::Config,
+    "2",
+    9_100
+)]
 #[case::never_acknowledged(never_acknowledged, Invariant::Acks, "2", 8_100)]
-#[case::other_bytes_for_the_rest(other_bytes_for_the_rest, Invariant::Unasked, "plain-2", 4_055)]
-#[case::no_request_at_a_server(no_request_at_a_server, Invariant::Unasked, "server", 4_055)]
+#[case::remaining_body_with_other_bytes(
+    remaining_body_with_other_bytes,
+    Invariant::Unasked,
+    "plain-2",
+    4_055
+)]
+#[case::malformed_request_at_a_server(malformed_request_at_a_server, Invariant::Unasked, "server", 4_055)]
 #[case::shared_token(shared_token, Invariant::One, "m1", 8_900)]
 #[case::lower_token(lower_token, Invariant::One, "m1", 9_050)]
-#[case::holders_take_turns(holders_take_turns, Invariant::One, "m1", 9_020)]
-fn a_sabotaged_run_is_caught(
-    #[case] sabotage: fn(&mut ObservedRun),
+#[case::leaders_alternate_within_a_lease(leaders_alternate_within_a_lease, Invariant::One, "m1", 9_020)]
+fn a_planted_violation_is_reported(
+    #[case] plant_violation: fn(&mut ObservedRun),
     #[case] invariant: Invariant,
     #[case] subject: &str,
     #[case] at: u64,
 ) {
-    let mut observed = orderly_run();
-    sabotage(&mut observed);
+    let mut observed = correct_run();
+    plant_violation(&mut observed);
     let violations = violations(&observed);
     assert_eq!(violations.first(), Some(&(invariant, subject.to_owned(), at)), "all: {violations:?}");
 }
@@ -108,9 +118,11 @@
 #[rstest]
 #[case::job(lost_job)]
 #[case::position(lost_position)]
-fn invariants_with_a_time_bound_rest_after_a_disruption(#[case] sabotage: fn(&mut ObservedRun)) {
-    let mut observed = orderly_run();
-    sabotage(&mut observed);
+fn invariants_with_a_time_bound_are_suspended_after_a_disruption(
+    #[case] plant_violation: fn(&mut ObservedRun),
+) {
+    let mut observed = correct_run();
+    plant_violation(&mut observed);
     insert(
         &mut observed,
         6_500,
@@ -119,7 +131,7 @@
     assert_eq!(violations(&observed), []);
 }
 
-fn a_resend_that_is_accepted_again(observed: &mut ObservedRun) {
+fn a_retry_that_is_accepted_again(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, response_lost(2, 200));
     insert(observed, 6_200, configuration_send_ended(2, 200));
@@ -127,7 +139,7 @@
     read_back(observed, 2);
 }
 
-fn a_race_with_a_loser(observed: &mut ObservedRun) {
+fn a_race_with_one_rejection(observed: &mut ObservedRun) {
     insert(observed, 6_000, change_sent(8, 2, 1));
     insert(observed, 6_001, change_sent(9, 2, 1));
     insert(observed, 6_010, Observation::ConfigurationSendEnded { change: 8, status: Some(412) });
@@ -135,55 +147,55 @@
     read_back(observed, 2);
 }
 
-/// A reading that was asked for before the acknowledgement may hold either.
-fn a_reading_beside_a_change(observed: &mut ObservedRun) {
+/// A read that was requested before the acknowledgement may return either version.
+fn a_read_concurrent_with_a_change(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, configuration_send_ended(2, 200));
     insert(observed, 6_020, configuration_observed(6_010, 1));
     read_back(observed, 2);
 }
 
-/// The time for an acknowledgement begins when the core is stable again.
+/// The time for an acknowledgement starts when the control plane is stable again.
 fn a_slow_acknowledgement_after_a_disturbance(observed: &mut ObservedRun) {
     insert(observed, 4_020, configuration_sent(2, 1, true));
     insert(observed, 4_500, Observation::ControlPlaneDisturbed);
 }
 
-/// Another order took the place of the one that got no clear answer.
-fn no_clear_answer_for_the_loser(observed: &mut ObservedRun) {
+/// Another change superseded the one without a conclusive response.
+fn no_conclusive_response_for_a_superseded_change(observed: &mut ObservedRun) {
     insert(observed, 4_020, configuration_sent(2, 1, true));
     insert(observed, 4_021, configuration_sent(3, 1, true));
     insert(observed, 4_030, configuration_send_ended(3, 200));
     read_back(observed, 3);
 }
 
-fn the_rest_of_a_body(observed: &mut ObservedRun) {
+fn the_remaining_body(observed: &mut ObservedRun) {
     insert(observed, 4_055, Observation::RemainingBodyReceived { id: "plain-2".to_owned(), body: 5 });
 }
 
 #[rstest]
-#[case::resend(a_resend_that_is_accepted_again)]
-#[case::race(a_race_with_a_loser)]
-#[case::reading(a_reading_beside_a_change)]
+#[case::retry(a_retry_that_is_accepted_again)]
+#[case::race(a_race_with_one_rejection)]
+#[case::read(a_read_concurrent_with_a_change)]
 #[case::disturbance(a_slow_acknowledgement_after_a_disturbance)]
-#[case::loser(no_clear_answer_for_the_loser)]
-#[case::rest(the_rest_of_a_body)]
-fn what_looks_like_a_fault_but_is_none_is_let_through(#[case] also: fn(&mut ObservedRun)) {
-    let mut observed = orderly_run();
+#[case::superseded(no_conclusive_response_for_a_superseded_change)]
+#[case::remaining_body(the_remaining_body)]
+fn allowed_observations_violate_no_invariant(#[case] also: fn(&mut ObservedRun)) {
+    let mut observed = correct_run();
     also(&mut observed);
     assert_eq!(violations(&observed), []);
 }
 
 #[rstest]
-#[case::late_bytes(4_060, 4_040, false)]
+#[case::loss_before_the_request_was_read(4_060, 4_040, false)]
 #[case::long_after_the_stop(14_000, 4_040, false)]
 #[case::unplanned_disruption(4_300, 4_040, true)]
-fn a_lost_connection_without_blame_violates_no_invariant(
+fn an_excusable_connection_loss_violates_no_invariant(
     #[case] at: u64,
     #[case] stopped: u64,
     #[case] unplanned: bool,
 ) {
-    let mut observed = orderly_run();
+    let mut observed = correct_run();
     observed.retain(|(_, seen)| !matches!(seen, Observation::ResponseReceived { id, .. } if id == "plain-2"));
     lost_connection(at, stopped)(&mut observed);
     if unplanned {
@@ -198,7 +210,7 @@
 
 #[test]
 fn an_item_may_expire_once_its_attempts_failed() {
-    let mut observed = orderly_run();
+    let mut observed = correct_run();
     early_expiry(&mut observed);
     for run in 300..303 {
         insert(&mut observed, 5_350, execution_started("a1", run, REWARD, "/plain/9", REWARD_BODY, 0));
@@ -208,8 +220,8 @@
 }
 
 #[test]
-fn the_second_of_two_runs_may_be_the_one_that_counts() {
-    let mut observed = orderly_run();
+fn the_second_of_two_executions_may_generate_the_result() {
+    let mut observed = correct_run();
     insert(&mut observed, 5_310, execution_started("m1", 205, ITEM, "/lots/1", ITEM_BODY, 0));
     for event in 1..=EVENTS {
         insert(&mut observed, 5_320, event_emitted(205, event, 3));
@@ -228,9 +240,10 @@
     Observation::JobCancelSent { job: job.to_owned() }
 }
 
-/// A step of which one item is finished; the other one has been at no server when the trainer gives up at 60 s.
+/// Returns a run with a step of which one item is finished, while the other one is at no server when the trainer abandons
+/// the step at 60 s.
 fn run_with_an_idle_item() -> ObservedRun {
-    let mut observed = orderly_run();
+    let mut observed = correct_run();
     let job = |status| Observation::JobSendEnded { job: STEP.to_owned(), status };
     observed.extend([
         (40_000, support::observed_run::job(STEP, vec![named("done"), named("idle")])),
@@ -249,25 +262,25 @@
 }
 
 #[test]
-fn an_item_at_no_server_when_its_step_runs_out_of_time_is_lost() {
+fn an_item_at_no_server_at_the_deadline_of_its_step_is_lost() {
     assert_eq!(starved(&mut run_with_an_idle_item()), ["idle"]);
 }
 
 #[rstest]
-#[case::the_trainer_has_what_it_wants(58_000, cancel_sent(STEP))]
-#[case::it_runs(56_000, execution_started("m2", 301, "idle", "/lots/1", ITEM_BODY, 0))]
-#[case::its_server_failed_it(50_000, response_sent(301, "idle", 500, "stamp", 9))]
-#[case::others_begin(58_000, execution_started("m2", 301, "done", "/lots/1", ITEM_BODY, 0))]
-#[case::weights_are_loaded(55_000, Observation::VersionAnnounced { model: "m".to_owned(), version: 3 })]
+#[case::the_trainer_has_enough_results(58_000, cancel_sent(STEP))]
+#[case::the_item_is_running(56_000, execution_started("m2", 301, "idle", "/lots/1", ITEM_BODY, 0))]
+#[case::a_server_failed_the_item(50_000, response_sent(301, "idle", 500, "stamp", 9))]
+#[case::other_items_start(58_000, execution_started("m2", 301, "done", "/lots/1", ITEM_BODY, 0))]
+#[case::weights_are_loading(55_000, Observation::VersionAnnounced { model: "m".to_owned(), version: 3 })]
 #[case::a_machine_is_down(53_000, Observation::Disruption { description: "down".to_owned(), planned: false })]
-fn an_item_that_had_to_wait_is_not_lost(#[case] at: u64, #[case] observation: Observation) {
+fn an_item_with_a_reason_to_wait_is_not_lost(#[case] at: u64, #[case] observation: Observation) {
     let mut observed = run_with_an_idle_item();
     observed.push((at, observation));
     assert_eq!(starved(&mut observed), [""; 0]);
 }
 
 #[test]
-fn a_step_of_which_nothing_began_is_not_blamed_on_one_item() {
+fn a_step_without_any_execution_reports_no_starved_item() {
     let mut observed = run_with_an_idle_item();
     observed.retain(|(at, _)| !(40_100..=40_900).contains(at));
     assert_eq!(starved(&mut observed), [""; 0]);
--- a/crates/testbed/tests/launch.rs
+++ b/crates/testbed/tests/launch.rs
@@ -1,5 +1,5 @@
-//! Processes that are started, signalled, started again and ended. A shell stands for the program: it runs the
-//! script that is named like the role.
+//! Processes that are started, signalled, restarted and killed. A shell replaces the program: it runs the script that is
+//! named like the role.
 
 use std::fs;
 use std::net::SocketAddrV4;
@@ -10,7 +10,7 @@
 use orchidvalve_testbed::launch::{LaunchError, Launcher, ProcessId, Role, Topology, settings_text};
 
 const LIMIT: Duration = Duration::from_secs(20);
-/// Writes its settings' path, then waits; SIGTERM ends it with status 7.
+/// Prints the path of its settings and then waits. SIGTERM ends it with status 7.
 const SCRIPT: &str =
     "trap 'echo stopping; exit 7' TERM\necho \"boot $ORCHIDVALVE_BOOT\"\nwhile :; do read line; done\n";
 
@@ -18,14 +18,14 @@
     let launcher =
         Launcher::new(Topology::new(controls, doors, stores).unwrap(), Path::new("/bin/sh")).unwrap();
     for role in ["control", "door", "store"] {
-        // The shell waits on a pipe that nobody writes to.
+        // The shell reads from a pipe that nobody writes to.
         let script = "mkfifo fifo.$$\nexec 0<>fifo.$$\n".to_owned() + SCRIPT;
         fs::write(launcher.directory().join(role), script).unwrap();
     }
     launcher
 }
 
-/// Looks until `found` holds, for a limited time.
+/// Polls until `found` returns true, for a limited time.
 fn until(what: &str, mut found: impl FnMut() -> bool) {
     let begin = Instant::now();
     while !found() {
@@ -38,14 +38,14 @@
     until(text, || launcher.log_tail(id).contains(text));
 }
 
-/// Waits until every process that runs has come up: one that is killed while it makes its pipe leaves that behind.
+/// Waits until all running processes are up. A process that is killed while it creates its pipe leaves the pipe behind.
 fn wait_until_up(launcher: &Launcher) {
     for id in launcher.ids().into_iter().filter(|id| launcher.is_running(*id)) {
         wait_for_log(launcher, id, "boot");
     }
 }
 
-/// How often a process has come up.
+/// Returns how often a process has come up.
 fn boots(launcher: &Launcher, id: ProcessId) -> usize {
     launcher.log_tail(id).matches("boot ").count()
 }
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn every_process_gets_its_settings() {
+fn every_process_receives_its_settings() {
     let mut launcher = launcher(1, 2, 1);
     launcher.start_all().unwrap();
     let names: Vec<String> = launcher.ids().into_iter().map(|id| launcher.name(id)).collect();
@@ -78,13 +78,13 @@
 }
 
 #[test]
-fn a_process_stops_at_sigterm_and_starts_again() {
+fn a_process_stops_on_sigterm_and_can_be_restarted() {
     let mut launcher = launcher(1, 1, 0);
     launcher.start_all().unwrap();
     let id = launcher.with_role(Role::Gateway)[0];
     wait_for_log(&launcher, id, "boot");
     launcher.terminate(id).unwrap();
-    // The shell heeds the signal between two readings.
+    // The shell handles the signal between two reads.
     assert_eq!(wait_for_end(&mut launcher, id).code(), Some(7));
     assert!(matches!(launcher.terminate(id), Err(LaunchError::NotRunning(_))));
     launcher.start(id).unwrap();
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_frozen_process_stops_only_once_it_is_thawed() {
+fn a_paused_process_stops_only_after_it_is_resumed() {
     let mut launcher = launcher(1, 1, 0);
     launcher.start_all().unwrap();
     let id = launcher.with_role(Role::Control)[0];
@@ -108,14 +108,14 @@
 }
 
 #[test]
-fn a_disk_stays_over_a_kill_and_goes_with_a_wipe() {
+fn a_disk_survives_a_kill_and_is_emptied_by_a_wipe() {
     let mut launcher = launcher(0, 0, 1);
     launcher.start_all().unwrap();
     let id = launcher.with_role(Role::Store)[0];
     wait_for_log(&launcher, id, "boot");
     let file = launcher.directory().join("storage-north-yard-1-store.data/ring");
     fs::write(&file, "bytes").unwrap();
-    assert!(launcher.wipe(id).is_err(), "it runs");
+    assert!(launcher.wipe(id).is_err(), "the process is running");
     launcher.kill(id).unwrap();
     assert!(file.exists());
     launcher.wipe(id).unwrap();
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn machines_are_added_and_all_end_with_the_launch() {
+fn machines_can_be_added_and_are_removed_with_the_launch() {
     let mut launcher = launcher(0, 0, 1);
     launcher.start_all().unwrap();
     for id in launcher.add_store() {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_machine_that_is_removed_is_replaced_at_another_address() {
+fn a_removed_machine_is_replaced_at_another_address() {
     let mut launcher = launcher(3, 3, 0);
     launcher.start_all().unwrap();
     let lost = launcher.with_role(Role::Control)[0];
@@ -164,11 +164,11 @@
     let name = &launcher.machine(launcher.with_role(Role::Control)[3]).name;
     let settings = fs::read_to_string(launcher.directory().join(format!("{name}-control.conf"))).unwrap();
     assert!(settings.contains("bootstrap=false\n"));
-    assert!(!settings.contains(&format!("{address}")), "not among the seeds");
+    assert!(!settings.contains(&format!("{address}")), "the removed node is not a seed node");
 }
 
 #[test]
-fn a_missing_program_is_named() {
+fn the_error_names_a_missing_program() {
     let topology = Topology::new(1, 1, 0).unwrap();
     let mut launcher = Launcher::new(topology, Path::new("/no/such/program")).unwrap();
     let error = launcher.start_all().unwrap_err().to_string();
@@ -176,7 +176,7 @@
 }
 
 #[test]
-fn settings_have_the_form_of_the_deployment() {
+fn settings_match_the_format_of_the_deployment() {
     let topology = Topology::new(3, 4, 3).unwrap();
     let (control, store) = (&topology.machines[0], &topology.machines[4]);
     let lines = |text: String| text.lines().map(str::to_owned).collect::<Vec<String>>();
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn behind_a_proxy_machines_listen_elsewhere_than_they_announce() {
+fn machines_behind_a_proxy_do_not_listen_at_their_announced_address() {
     let mut topology = Topology::new(1, 1, 1).unwrap();
     topology.proxied = true;
     let [edge, storage] = &topology.machines[..] else { panic!("two machines") };
--- a/crates/testbed/tests/operator.rs
+++ b/crates/testbed/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator against scripted answers.
+//! The operator with scripted responses.
 
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -68,8 +68,8 @@
         self.take(out);
     }
 
-    /// Answers the next call.
-    fn answer(&mut self, status: u16, headers: &[(&str, &str)], body: &Value) -> Request {
+    /// Responds to the next call.
+    fn respond(&mut self, status: u16, headers: &[(&str, &str)], body: &Value) -> Request {
         let (call, request) = self.next();
         let headers = headers.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect();
         let body = body.to_string().into_bytes();
@@ -87,10 +87,10 @@
     serde_json::from_slice(&request.body).unwrap()
 }
 
-/// A harness whose first configuration is taken.
+/// Returns a harness whose first configuration was accepted, and the version of that configuration.
 fn begun() -> (Harness, u64) {
     let mut harness = Harness::new(vec![Action::PutFirst(document())]);
-    let request = harness.answer(200, &[], &Value::Null);
+    let request = harness.respond(200, &[], &Value::Null);
     assert_eq!((request.method.as_str(), request.headers.get("If-Match")), ("PUT", Some("0")));
     let version = body(&request)["config-version"].as_u64().unwrap();
     assert_eq!(harness.stats.borrow().ready_at, Some(10));
@@ -98,11 +98,11 @@
 }
 
 #[rstest]
-#[case::silence(Outcome::TimedOut)]
-#[case::refusal(Outcome::Refused)]
-#[case::cut(Outcome::Disconnected { partial: true })]
-#[case::unready(Outcome::Response(Response { status: 503, headers: Headers::default(), body: Vec::new() }))]
-#[case::busy(Outcome::Response(Response { status: 429, headers: Headers::default(), body: Vec::new() }))]
+#[case::timeout(Outcome::TimedOut)]
+#[case::refused(Outcome::Refused)]
+#[case::disconnected(Outcome::Disconnected { partial: true })]
+#[case::unavailable(Outcome::Response(Response { status: 503, headers: Headers::default(), body: Vec::new() }))]
+#[case::too_many_requests(Outcome::Response(Response { status: 429, headers: Headers::default(), body: Vec::new() }))]
 fn the_first_configuration_is_sent_unchanged_until_it_is_accepted(#[case] outcome: Outcome) {
     let mut harness = Harness::new(vec![Action::PutFirst(document())]);
     let (call, first) = harness.next();
@@ -110,32 +110,32 @@
     harness.end(&call, outcome);
     assert!(harness.calls.is_empty(), "there is a pause");
     harness.pass(1_000);
-    assert_ne!(harness.calls[0].address, first_node, "another node is asked first");
-    let again = harness.answer(200, &[], &Value::Null);
+    assert_ne!(harness.calls[0].address, first_node, "the retry goes to another node");
+    let again = harness.respond(200, &[], &Value::Null);
     assert_eq!((again.method, again.body), (first.method, first.body));
     assert!(harness.stats.borrow().ready_at.is_some());
 }
 
 #[test]
-fn redirections_are_followed_twice() {
+fn two_redirects_are_followed() {
     let mut harness = Harness::new(vec![Action::PutFirst(document())]);
     for last in [7, 8] {
         let location = format!("http://{}/v1/configuration", address(last));
-        harness.answer(307, &[("Location", &location)], &Value::Null);
+        harness.respond(307, &[("Location", &location)], &Value::Null);
         assert_eq!(harness.calls[0].address, address(last));
     }
     let location = format!("http://{}/v1/configuration", address(9));
-    harness.answer(307, &[("Location", &location)], &Value::Null);
-    assert!(harness.calls.is_empty(), "the third is a failure");
+    harness.respond(307, &[("Location", &location)], &Value::Null);
+    assert!(harness.calls.is_empty(), "the third redirect is a failure");
 }
 
 #[test]
-fn a_change_names_its_base_and_its_items() {
+fn a_change_contains_its_base_and_its_items() {
     let (mut harness, version) = begun();
     let route =
         json!({"name": "r", "hostname": "h", "path-prefix": "/r/", "service": "s", "timeout-ms": 800});
     harness.add(Action::Patch { upsert: json!({"routes": [route]}), remove: json!({}) });
-    let request = harness.answer(200, &[], &Value::Null);
+    let request = harness.respond(200, &[], &Value::Null);
     assert_eq!(request.method, "PATCH");
     assert_eq!(request.headers.get("If-Match"), Some(version.to_string().as_str()));
     assert_eq!(body(&request)["upsert"]["routes"][0], route);
@@ -143,18 +143,18 @@
     let Some(Observation::ConfigurationSent { document, valid: true, .. }) =
         harness.observations.iter().rfind(|seen| matches!(seen, Observation::ConfigurationSent { .. }))
     else {
-        panic!("the change is seen");
+        panic!("the change is observed");
     };
     assert_eq!(document["routes"], json!([route]));
 }
 
 #[test]
-fn a_race_sends_two_versions_on_one_base() {
+fn a_race_sends_two_versions_with_the_same_base() {
     let (mut harness, version) = begun();
     let (route, field) = ("r".to_owned(), "timeout-ms".to_owned());
     harness.add(Action::Race { route, field, first: json!(700), second: json!(600) });
-    let first = harness.answer(200, &[], &Value::Null);
-    let second = harness.answer(412, &[], &Value::Null);
+    let first = harness.respond(200, &[], &Value::Null);
+    let second = harness.respond(412, &[], &Value::Null);
     assert_eq!(first.headers.get("If-Match"), second.headers.get("If-Match"));
     assert_ne!(body(&first)["config-version"], body(&second)["config-version"]);
     assert_eq!(body(&second)["routes"][0]["timeout-ms"], 600);
@@ -164,10 +164,10 @@
 }
 
 #[test]
-fn an_invalid_configuration_is_marked_and_ends_with_its_refusal() {
+fn an_invalid_configuration_is_marked_and_not_retried_after_a_rejection() {
     let (mut harness, _) = begun();
     harness.add(Action::Invalid { route: "r".to_owned() });
-    harness.answer(400, &[], &Value::Null);
+    harness.respond(400, &[], &Value::Null);
     assert!(harness.calls.is_empty());
     let sent = harness
         .observations
@@ -177,38 +177,38 @@
 }
 
 #[test]
-fn any_other_refusal_counts_at_the_third_try() {
+fn another_client_error_is_conclusive_at_the_third_attempt() {
     let (mut harness, _) = begun();
     harness.add(Action::Invalid { route: "r".to_owned() });
     for _ in 0..3 {
         harness.pass(1_000);
-        harness.answer(403, &[], &Value::Null);
+        harness.respond(403, &[], &Value::Null);
     }
     assert_eq!(harness.stats.borrow().refused, 1);
 }
 
 #[test]
-fn a_machine_is_retired_and_asked_about_until_it_is_empty() {
+fn a_retirement_is_polled_until_it_is_completed() {
     let (mut harness, _) = begun();
     harness.add(Action::Retire { node: "storage-1".to_owned(), duration_s: 8 });
-    let request = harness.answer(200, &[], &Value::Null);
+    let request = harness.respond(200, &[], &Value::Null);
     assert_eq!((request.method.as_str(), request.target.as_str()), ("POST", "/v1/retire/storage-1"));
     assert_eq!(body(&request), json!({"duration-s": 8}));
-    harness.answer(200, &[], &json!({"state": "in_progress"}));
+    harness.respond(200, &[], &json!({"state": "in_progress"}));
     harness.pass(500);
-    let request = harness.answer(200, &[], &json!({"state": "completed"}));
+    let request = harness.respond(200, &[], &json!({"state": "completed"}));
     assert_eq!(request.method, "GET");
     assert_eq!(harness.stats.borrow().retired, ["storage-1"]);
 }
 
 #[test]
-fn what_is_read_after_a_refusal_is_noted() {
+fn the_version_read_after_a_rejection_is_observed() {
     let (mut harness, _) = begun();
     let route = json!({"name": "r"});
     harness.add(Action::Patch { upsert: json!({"routes": [route]}), remove: json!({}) });
-    harness.answer(412, &[], &Value::Null);
+    harness.respond(412, &[], &Value::Null);
     harness.pass(0);
-    harness.answer(200, &[], &json!({"config-version": 9}));
+    harness.respond(200, &[], &json!({"config-version": 9}));
     assert_eq!(
         harness.observations.last(),
         Some(&Observation::ConfigurationObserved { requested_at: 10, version: 9 })
@@ -220,7 +220,7 @@
     let (mut harness, _) = begun();
     harness.add(Action::ReadBack);
     let current = json!({"config-version": 5});
-    harness.answer(200, &[], &current);
+    harness.respond(200, &[], &current);
     assert!(harness.stats.borrow().read_back);
     assert_eq!(
         harness.observations.last(),
--- a/crates/testbed/tests/pipelining.rs
+++ b/crates/testbed/tests/pipelining.rs
@@ -1,4 +1,4 @@
-//! Calls that are sent one right behind the other on one connection.
+//! Pipelined calls on one connection.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -16,7 +16,7 @@
 
 type Ended = Rc<RefCell<Vec<(u64, Outcome)>>>;
 
-/// Makes one call, and keeps the outcomes of all calls.
+/// Makes one call with its pipelined calls, and keeps the outcomes of all.
 struct Recorder {
     call: Option<Call>,
     ended: Ended,
@@ -50,14 +50,14 @@
     http::response(200, &[("Connection", "close".into())], body.as_bytes())
 }
 
-/// Takes the connection and everything that three calls send on it.
+/// Accepts the connection and receives the requests of three calls on it.
 fn take_requests(host: &mut Host, listener: &TcpListener) -> TcpStream {
     listener.set_nonblocking(true).unwrap();
     let limit = host.now() + LIMIT_MS;
     let mut peer = None;
     let (mut received, mut buffer) = (Vec::new(), [0; 1_024]);
     while !received.windows(6).any(|window| window == b"GET /3") {
-        assert!(host.now() < limit, "all requests come before any response");
+        assert!(host.now() < limit, "all requests arrive before any response");
         host.turn(host.now() + 5).unwrap();
         if peer.is_none() {
             peer = listener.accept().ok().map(|(socket, _)| socket);
@@ -70,11 +70,11 @@
 }
 
 #[rstest]
-#[case::all_answered(&[response("a"), response("b"), response("c")], &["a", "b", "c"])]
-#[case::closed_in_order(&[response("a"), last_response("b")], &["a", "b", "refused"])]
-#[case::cut_off(&[response("a")], &["a", "lost", "lost"])]
-#[case::garbled(&[response("a"), b"\x00\x01\r\n\r\n".to_vec()], &["a", "malformed", "lost"])]
-fn calls_on_one_connection_end_in_their_order(#[case] responses: &[Vec<u8>], #[case] expected: &[&str]) {
+#[case::all_responses(&[response("a"), response("b"), response("c")], &["a", "b", "c"])]
+#[case::closed_after_a_response(&[response("a"), last_response("b")], &["a", "b", "refused"])]
+#[case::connection_lost(&[response("a")], &["a", "lost", "lost"])]
+#[case::malformed_response(&[response("a"), b"\x00\x01\r\n\r\n".to_vec()], &["a", "malformed", "lost"])]
+fn pipelined_calls_end_in_their_order(#[case] responses: &[Vec<u8>], #[case] expected: &[&str]) {
     let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
     let SocketAddr::V4(address) = listener.local_addr().unwrap() else { unreachable!("it's IPv4") };
     let mut host = Host::new().unwrap();
@@ -97,7 +97,7 @@
 
 fn name(outcome: &Outcome) -> String {
     match outcome {
-        Outcome::Response(answer) => String::from_utf8_lossy(&answer.body).into_owned(),
+        Outcome::Response(response) => String::from_utf8_lossy(&response.body).into_owned(),
         Outcome::Refused => "refused".to_owned(),
         Outcome::Disconnected { .. } => "lost".to_owned(),
         Outcome::Malformed => "malformed".to_owned(),
--- a/crates/testbed/tests/platform.rs
+++ b/crates/testbed/tests/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's list by itself.
+//! The platform's server list.
 
 mod support;
 
@@ -32,9 +32,9 @@
 }
 
 fn get(harness: &mut ServiceHarness<PlatformStub>, target: &str) -> Value {
-    let answer = harness.ask(&http::request("GET", target, "host", &[], b""));
-    assert_eq!(answer.status, 200);
-    serde_json::from_slice(&answer.body).unwrap()
+    let response = harness.request(&http::request("GET", target, "host", &[], b""));
+    assert_eq!(response.status, 200);
+    serde_json::from_slice(&response.body).unwrap()
 }
 
 fn instances(page: &Value) -> Vec<&str> {
@@ -45,7 +45,7 @@
 #[case("/instances", &["i-1", "i-2", "i-3"])]
 #[case("/instances?zone=north", &["i-1", "i-3"])]
 #[case("/instances?zone=west", &[])]
-fn zones_are_filtered(#[case] target: &str, #[case] expected: &[&str]) {
+fn the_list_is_filtered_by_zone(#[case] target: &str, #[case] expected: &[&str]) {
     let mut harness = harness(0, 10);
     let page = get(&mut harness, target);
     assert_eq!(instances(&page), expected);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn pages_follow_one_another() {
+fn the_list_is_paginated() {
     let mut harness = harness(0, 2);
     let first = get(&mut harness, "/instances");
     assert_eq!((instances(&first), first["next-token"].as_str()), (vec!["i-1", "i-2"], Some("p-2")));
@@ -65,14 +65,14 @@
 fn calls_over_the_rate_get_429() {
     let mut harness = harness(0, 10);
     let request = http::request("GET", "/instances", "host", &[], b"");
-    let statuses: Vec<u16> = (0..5).map(|_| harness.ask(&request).status).collect();
+    let statuses: Vec<u16> = (0..5).map(|_| harness.request(&request).status).collect();
     assert_eq!(statuses, [200, 200, 200, 200, 429]);
     harness.pass(250);
-    assert_eq!([harness.ask(&request).status, harness.ask(&request).status], [200, 429]);
+    assert_eq!([harness.request(&request).status, harness.request(&request).status], [200, 429]);
 }
 
 #[test]
-fn changes_show_after_the_lag() {
+fn changes_are_visible_after_the_lag() {
     let mut harness = harness(500, 10);
     let now = harness.now;
     harness.service.mark_draining(now, "i-1");
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn another_incarnation_takes_the_place() {
+fn a_new_incarnation_replaces_the_old_one() {
     let mut harness = harness(0, 10);
     let now = harness.now;
     harness.service.rename(now, "i-2", "i-2-1");
@@ -97,6 +97,6 @@
 }
 
 #[test]
-fn other_paths_are_unknown() {
-    assert_eq!(harness(0, 10).ask(&http::request("GET", "/other", "host", &[], b"")).status, 404);
+fn unknown_paths_get_404() {
+    assert_eq!(harness(0, 10).request(&http::request("GET", "/other", "host", &[], b"")).status, 404);
 }
--- a/crates/testbed/tests/platform_calls.rs
+++ b/crates/testbed/tests/platform_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform that are the duty of one node at a time, and faults of its interface.
+//! Platform calls of singleton roles, and faults of the platform's API.
 
 mod support;
 
@@ -29,7 +29,7 @@
     http::request("POST", path, "platform", fields, body.as_bytes())
 }
 
-fn of_leader(path: &str, body: &str) -> Vec<u8> {
+fn leader_call(path: &str, body: &str) -> Vec<u8> {
     call(path, &[("Duty-Holder", "edge-1"), ("Fence-Token", "12")], body)
 }
 
@@ -42,14 +42,14 @@
 }
 
 fn statuses(harness: &ServiceHarness<PlatformStub>, keys: &[ConnectionKey]) -> Vec<Option<u16>> {
-    keys.iter().map(|key| harness.answer(*key).map(|answer| answer.status)).collect()
+    keys.iter().map(|key| harness.response(*key).map(|response| response.status)).collect()
 }
 
 #[test]
-fn calls_are_taken_and_recorded_with_holder_token_and_source() {
+fn accepted_calls_are_recorded_with_leader_token_and_source() {
     let mut harness = harness();
     let key = harness.connect();
-    let (request, _) = http::parse_request(&of_leader("/usage-reports", REPORT)).unwrap().unwrap();
+    let (request, _) = http::parse_request(&leader_call("/usage-reports", REPORT)).unwrap().unwrap();
     harness.service.connected_from(key, IpAddr::V4(Ipv4Addr::new(127, 9, 3, 1)));
     harness.step(|platform, now, out| platform.request(now, key, request, out));
     assert_eq!(statuses(&harness, &[key]), [Some(200)]);
@@ -64,21 +64,21 @@
 }
 
 #[test]
-fn orders_of_servers_are_recorded() {
+fn scaling_orders_are_recorded() {
     let mut harness = harness();
-    assert_eq!(harness.ask(&of_leader("/scaling", SCALING)).status, 200);
+    assert_eq!(harness.request(&leader_call("/scaling", SCALING)).status, 200);
     let (service, zone) = ("apps".to_owned(), "north".to_owned());
     assert_eq!(received(&harness)[0].0.order, PlatformOrder::Scaling { service, zone, desired_count: 4 });
     assert_eq!(harness.service.platform_calls.scaling_orders, 1);
 }
 
 #[rstest]
-#[case::no_holder("/usage-reports", &[("Fence-Token", "12")], REPORT)]
-#[case::empty_holder("/usage-reports", &[("Duty-Holder", ""), ("Fence-Token", "12")], REPORT)]
+#[case::no_leader("/usage-reports", &[("Fence-Token", "12")], REPORT)]
+#[case::empty_leader("/usage-reports", &[("Duty-Holder", ""), ("Fence-Token", "12")], REPORT)]
 #[case::no_token("/usage-reports", &[("Duty-Holder", "edge-1")], REPORT)]
-#[case::token_is_no_number("/scaling", &[("Duty-Holder", "edge-1"), ("Fence-Token", "-3")], SCALING)]
-#[case::no_json("/scaling", &[("Duty-Holder", "edge-1"), ("Fence-Token", "1")], "desired")]
-#[case::body_of_the_other("/scaling", &[("Duty-Holder", "edge-1"), ("Fence-Token", "1")], REPORT)]
+#[case::token_is_not_a_number("/scaling", &[("Duty-Holder", "edge-1"), ("Fence-Token", "-3")], SCALING)]
+#[case::invalid_json("/scaling", &[("Duty-Holder", "edge-1"), ("Fence-Token", "1")], "desired")]
+#[case::body_of_another_path("/scaling", &[("Duty-Holder", "edge-1"), ("Fence-Token", "1")], REPORT)]
 #[case::negative_count(
     "/usage-reports",
     &[("Duty-Holder", "edge-1"), ("Fence-Token", "1")],
@@ -86,30 +86,30 @@
 )]
 fn malformed_calls_get_400(#[case] path: &str, #[case] fields: &[(&str, &str)], #[case] body: &str) {
     let mut harness = harness();
-    assert_eq!(harness.ask(&call(path, fields, body)).status, 400);
+    assert_eq!(harness.request(&call(path, fields, body)).status, 400);
     assert_eq!(received(&harness), []);
     assert_eq!(harness.service.platform_calls.malformed, 1);
 }
 
 #[test]
-fn calls_over_the_rate_get_429_whoever_made_them() {
+fn calls_of_all_nodes_share_the_rate_limit() {
     let mut harness = harness();
     let other = call("/scaling", &[("Duty-Holder", "edge-2"), ("Fence-Token", "13")], SCALING);
-    let calls = [of_leader("/usage-reports", REPORT), other.clone(), other];
-    let seen: Vec<u16> = calls.iter().map(|bytes| harness.ask(bytes).status).collect();
+    let calls = [leader_call("/usage-reports", REPORT), other.clone(), other];
+    let seen: Vec<u16> = calls.iter().map(|bytes| harness.request(bytes).status).collect();
     assert_eq!(seen, [200, 200, 429]);
-    assert_eq!(harness.ask(&http::request("GET", "/instances", "host", &[], b"")).status, 200);
+    assert_eq!(harness.request(&http::request("GET", "/instances", "host", &[], b"")).status, 200);
     harness.pass(500);
-    assert_eq!(harness.ask(&calls[0]).status, 200);
+    assert_eq!(harness.request(&calls[0]).status, 200);
     let accepted: Vec<bool> = received(&harness).into_iter().map(|(_, accepted)| accepted).collect();
     assert_eq!(accepted, [true, true, false, true]);
 }
 
 #[test]
-fn a_slow_platform_takes_at_once_and_answers_late() {
+fn a_slow_platform_accepts_at_once_and_responds_later() {
     let mut harness = harness();
     harness.service.set_fault(Some(PlatformFault::Slow { delay_ms: DELAY_MS }));
-    let report = harness.send(&of_leader("/usage-reports", REPORT));
+    let report = harness.send(&leader_call("/usage-reports", REPORT));
     let list = harness.send(&http::request("GET", "/instances", "host", &[], b""));
     assert_eq!(received(&harness).len(), 1);
     harness.pass(DELAY_MS - 1);
@@ -119,38 +119,38 @@
 }
 
 #[test]
-fn a_late_answer_to_a_closed_connection_is_dropped() {
+fn a_delayed_response_to_a_closed_connection_is_dropped() {
     let mut harness = harness();
     harness.service.set_fault(Some(PlatformFault::Slow { delay_ms: DELAY_MS }));
-    let key = harness.send(&of_leader("/usage-reports", REPORT));
+    let key = harness.send(&leader_call("/usage-reports", REPORT));
     harness.close(key);
     harness.pass(2 * DELAY_MS);
     assert_eq!(statuses(&harness, &[key]), [None]);
 }
 
 #[rstest]
-#[case::silent(PlatformFault::Unresponsive, 1, 0)]
+#[case::unresponsive(PlatformFault::Unresponsive, 1, 0)]
 #[case::reset(PlatformFault::Reset, 1, 1)]
-#[case::cut_off(PlatformFault::Partitioned, 0, 0)]
-fn calls_without_an_answer(#[case] fault: PlatformFault, #[case] taken: usize, #[case] resets: usize) {
+#[case::partitioned(PlatformFault::Partitioned, 0, 0)]
+fn calls_receive_no_response(#[case] fault: PlatformFault, #[case] taken: usize, #[case] resets: usize) {
     let mut harness = harness();
     harness.service.set_fault(Some(fault));
-    let report = harness.send(&of_leader("/usage-reports", REPORT));
+    let report = harness.send(&leader_call("/usage-reports", REPORT));
     harness.pass(10_000);
     assert_eq!(statuses(&harness, &[report]), [None]);
     assert_eq!(received(&harness).into_iter().filter(|(_, accepted)| *accepted).count(), taken);
     assert_eq!(harness.resets.len(), resets);
     harness.service.set_fault(None);
-    assert_eq!(harness.ask(&of_leader("/usage-reports", REPORT)).status, 200);
+    assert_eq!(harness.request(&leader_call("/usage-reports", REPORT)).status, 200);
 }
 
 #[test]
-fn a_busy_platform_refuses_with_429_and_503_in_turn() {
+fn a_busy_platform_rejects_with_429_and_503_alternately() {
     let mut harness = harness();
     harness.service.set_fault(Some(PlatformFault::Busy));
     let list = http::request("GET", "/instances", "host", &[], b"");
-    let calls = [of_leader("/scaling", SCALING), of_leader("/usage-reports", REPORT), list];
-    let seen: Vec<u16> = calls.iter().map(|bytes| harness.ask(bytes).status).collect();
+    let calls = [leader_call("/scaling", SCALING), leader_call("/usage-reports", REPORT), list];
+    let seen: Vec<u16> = calls.iter().map(|bytes| harness.request(bytes).status).collect();
     assert_eq!(seen, [429, 503, 429]);
     assert!(received(&harness).iter().all(|(_, accepted)| !accepted));
     assert_eq!(harness.service.platform_calls.refused, 2);
--- a/crates/testbed/tests/platform_invariants.rs
+++ b/crates/testbed/tests/platform_invariants.rs
@@ -1,4 +1,4 @@
-//! The invariant ONE for calls of the platform and for orders to servers, and the figures of reports of usage.
+//! The invariant ONE for platform calls and for orders to servers, and the figures of usage reports.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 const A: &str = "edge-1";
 const B: &str = "edge-2";
 const LEASE_MS: u64 = 3_000;
-const THAW_SLACK_MS: u64 = 300;
+const RESUME_SLACK_MS: u64 = 300;
 
 fn counts(of_acme: u64) -> BTreeMap<String, u64> {
     [("acme".to_owned(), of_acme)].into()
@@ -27,12 +27,12 @@
     Observation::PlatformCallReceived { call, accepted: true }
 }
 
-/// Each machine has an address of its own.
+/// Each machine has its own address.
 fn call(leader: &str, token: u64, order: PlatformOrder) -> Observation {
     call_from(leader, &format!("address of {leader}"), token, order)
 }
 
-/// A report of a window whose counts depend on its number only.
+/// Returns a report whose counts depend only on the number of the window.
 fn report(leader: &str, token: u64, window: u64) -> Observation {
     call(leader, token, PlatformOrder::UsageReport { window, counts: counts(window) })
 }
@@ -55,7 +55,7 @@
     }
 }
 
-fn thawed(machine: &str) -> Observation {
+fn resumed(machine: &str) -> Observation {
     Observation::MachinesResumed { machines: vec![machine.to_owned()] }
 }
 
@@ -77,14 +77,14 @@
     vec![(10, report(A, 1, 7)), (20, call(A, 1, PlatformOrder::UsageReport { window: 7, counts: counts(8) }))],
     "window-7", 20
 )]
-#[case::a_tenant_is_missing(
+#[case::missing_tenant(
     vec![
         (10, report(A, 1, 7)),
         (20, call(A, 1, PlatformOrder::UsageReport { window: 7, counts: BTreeMap::new() })),
     ],
     "window-7", 20
 )]
-#[case::different_counts_of_two_holders_long_after(
+#[case::different_counts_of_two_leaders(
     vec![
         (10, report(A, 1, 7)),
         (90_000, call(B, 2, PlatformOrder::UsageReport { window: 7, counts: counts(8) })),
@@ -99,8 +99,8 @@
     ],
     "window-7", 30
 )]
-#[case::same_token_of_two_names(vec![(10, report(A, 1, 7)), (9_000, report(B, 1, 8))], "usage", 9_000)]
-#[case::same_token_of_two_machines_of_one_name(
+#[case::same_token_with_two_names(vec![(10, report(A, 1, 7)), (9_000, report(B, 1, 8))], "usage", 9_000)]
+#[case::same_token_from_two_machines_with_one_name(
     vec![
         (10, call_from(A, "127.0.0.1", 1, PlatformOrder::UsageReport { window: 7, counts: counts(7) })),
         (9_000, call_from(A, "127.0.0.2", 1, PlatformOrder::UsageReport { window: 8, counts: counts(8) })),
@@ -112,53 +112,53 @@
     "scaling/apps/north", 9_000
 )]
 #[case::lower_token(vec![(10, report(A, 2, 7)), (9_000, report(B, 1, 8))], "usage", 9_000)]
-#[case::lower_token_of_the_same_holder(vec![(10, report(A, 2, 7)), (9_000, report(A, 1, 8))], "usage", 9_000)]
-#[case::lower_token_in_a_refused_call(
+#[case::lower_token_of_the_same_leader(vec![(10, report(A, 2, 7)), (9_000, report(A, 1, 8))], "usage", 9_000)]
+#[case::lower_token_in_a_rejected_call(
     vec![(10, report(A, 2, 7)), (9_000, refused(report(B, 1, 8)))],
     "usage", 9_000
 )]
-#[case::turns_within_the_lease(
+#[case::alternation_within_the_lease(
     vec![(10, report(A, 1, 7)), (20, report(B, 2, 8)), (9 + LEASE_MS, report(A, 3, 9))],
     "usage", 9 + LEASE_MS
 )]
-#[case::turns_of_three(
+#[case::alternation_of_three_leaders(
     vec![(10, report(A, 1, 7)), (20, report(B, 2, 8)), (30, report("edge-3", 3, 9)), (40, report(A, 4, 10))],
     "usage", 40
 )]
-#[case::turns_long_after_a_thaw(
+#[case::alternation_long_after_a_resume(
     vec![
-        (0, thawed(A)),
-        (10 + THAW_SLACK_MS, report(A, 1, 7)),
+        (0, resumed(A)),
+        (10 + RESUME_SLACK_MS, report(A, 1, 7)),
         (400, report(B, 2, 8)),
         (500, report(A, 3, 9)),
     ],
     "usage", 500
 )]
-#[case::the_other_was_thawed(
-    vec![(10, report(A, 2, 7)), (20, thawed(A)), (30, report(B, 1, 8))],
+#[case::another_machine_was_resumed(
+    vec![(10, report(A, 2, 7)), (20, resumed(A)), (30, report(B, 1, 8))],
     "usage", 30
 )]
 #[case::long_after_a_disruption(
     vec![(10, platform(true)), (20, platform(false)), (400, report(A, 2, 7)), (410, report(B, 1, 8))],
     "usage", 410
 )]
-#[case::orders_of_one_token(vec![(10, order(A, 1)), (9_000, order(B, 1))], "m1", 9_000)]
+#[case::orders_with_the_same_token(vec![(10, order(A, 1)), (9_000, order(B, 1))], "m1", 9_000)]
 #[case::orders_in_a_disruption_of_the_platform(
     vec![(10, platform(true)), (20, order(A, 2)), (30, order(B, 1))],
     "m1", 30
 )]
-fn planted_violations_are_found(#[case] observed: Observed, #[case] subject: &str, #[case] at: u64) {
+fn planted_violations_are_reported(#[case] observed: Observed, #[case] subject: &str, #[case] at: u64) {
     assert_eq!(violations(&observed), [(Invariant::One, subject.to_owned(), at)]);
 }
 
 #[rstest]
 #[case::growing_tokens(vec![(10, report(A, 1, 7)), (20, report(A, 2, 8)), (30, report(B, 3, 9))])]
 #[case::an_exact_repeat(vec![(10, report(A, 1, 7)), (20, report(A, 1, 7)), (4_000, report(B, 2, 7))])]
-#[case::other_counts_were_refused(vec![
+#[case::other_counts_were_rejected(vec![
     (10, refused(call(A, 1, PlatformOrder::UsageReport { window: 7, counts: counts(8) }))),
     (20, report(A, 1, 7)),
 ])]
-#[case::turns_after_the_lease(vec![
+#[case::alternation_after_the_lease(vec![
     (10, report(A, 1, 7)),
     (20, report(B, 2, 8)),
     (10 + LEASE_MS, report(A, 3, 9)),
@@ -169,28 +169,29 @@
     (30, scaling(A, 3, "north")),
     (40, report(B, 2, 7)),
 ])]
-#[case::just_thawed(vec![
+#[case::just_resumed(vec![
     (10, report(A, 1, 7)),
     (20, report(B, 2, 8)),
-    (100, thawed(A)),
-    (100 + THAW_SLACK_MS, report(A, 1, 9)),
+    (100, resumed(A)),
+    (100 + RESUME_SLACK_MS, report(A, 1, 9)),
 ])]
 #[case::in_a_disruption(vec![(10, report(A, 2, 7)), (20, platform(true)), (9_000, report(B, 1, 8))])]
 #[case::just_after_a_disruption(vec![
     (10, report(A, 2, 7)),
     (20, platform(true)),
     (30, platform(false)),
-    (30 + THAW_SLACK_MS, report(B, 1, 8)),
+    (30 + RESUME_SLACK_MS, report(B, 1, 8)),
 ])]
-#[case::orders_of_a_thawed_leader(vec![(10, order(A, 2)), (20, order(B, 3)), (30, thawed(A)), (40, order(A, 2))])]
-fn what_is_allowed_violates_nothing(#[case] observed: Observed) {
+#[case::orders_of_a_resumed_leader(vec![(10, order(A, 2)), (20, order(B, 3)), (30, resumed(A)), (40, order(A, 2))])]
+fn allowed_calls_and_orders_violate_no_invariant(#[case] observed: Observed) {
     assert_eq!(violations(&observed), []);
 }
 
-/// Windows of 2 s that are due 4 s later, a tenth of tolerance; the observations' clock starts inside window 50.
+/// Windows of 2 s with reports due 4 s after their end, and a tolerance of 10%. The observations' clock starts within
+/// window 50.
 const USAGE_BOUNDS: UsageBounds =
     UsageBounds { wall_ms_at_start: 101_000, window_s: 2, report_deadline_s: 4, tolerance: 0.1 };
-/// The first whole window of the traffic: from 1,000 to 3,000 ms of the observations' clock, due at 7,000.
+/// The first complete window of the traffic: from 1,000 to 3,000 ms of the observations' clock, due at 7,000 ms.
 const WINDOW: u64 = 51;
 const DUE_MS: u64 = 7_000;
 
@@ -202,7 +203,7 @@
     Observation::EventEmitted { execution: 1, id: id.to_owned(), event, version: 1 }
 }
 
-/// Ten requests that begin in the window.
+/// Ten requests that start within the window.
 fn ten_requests() -> Observed {
     (0..10).map(|number| (1_500, started(&format!("r-{number}"), false))).collect()
 }
@@ -211,7 +212,7 @@
     (at, call(A, 1, PlatformOrder::UsageReport { window, counts }))
 }
 
-/// The figures of the windows that were due by the time at which `WINDOW` is.
+/// Returns the figures of the windows whose reports are due when that of `WINDOW` is.
 fn figures(observed: &Observed) -> UsageFigures {
     let mut accounts = UsageAccounts::new(USAGE_BOUNDS);
     for (at, observation) in observed {
@@ -239,20 +240,20 @@
 #[rstest]
 #[case::exact(vec![reported(3_100, WINDOW, counts(10))], 0, 0)]
 #[case::within_tolerance(vec![reported(3_100, WINDOW, counts(9))], 0, 0)]
-#[case::off(vec![reported(3_100, WINDOW, counts(8))], 0, 1)]
+#[case::outside_tolerance(vec![reported(3_100, WINDOW, counts(8))], 0, 1)]
 #[case::too_many(vec![reported(3_100, WINDOW, counts(12))], 0, 1)]
 #[case::a_tenant_without_requests(
     vec![reported(3_100, WINDOW, [("acme".to_owned(), 10), ("other".to_owned(), 1)].into())], 0, 1
 )]
-#[case::at_the_last_moment(vec![reported(DUE_MS, WINDOW, counts(10))], 0, 0)]
-#[case::too_late(vec![reported(DUE_MS + 1, WINDOW, counts(10))], 1, 0)]
-#[case::nothing(vec![], 1, 0)]
+#[case::at_the_deadline(vec![reported(DUE_MS, WINDOW, counts(10))], 0, 0)]
+#[case::after_the_deadline(vec![reported(DUE_MS + 1, WINDOW, counts(10))], 1, 0)]
+#[case::no_report(vec![], 1, 0)]
 #[case::another_window(vec![reported(3_100, WINDOW + 1, counts(10))], 1, 0)]
 #[case::refused(vec![(3_100, refused(reported(3_100, WINDOW, counts(10)).1))], 1, 0)]
-#[case::a_request_that_runs_twice(
+#[case::a_request_executed_twice(
     vec![(1_600, started("r-1", false)), reported(3_100, WINDOW, counts(10))], 0, 0
 )]
-#[case::of_the_next_window(
+#[case::requests_of_the_next_window(
     vec![(3_000, started("s-1", false)), (3_000, started("s-2", false)), reported(3_100, WINDOW, counts(10))], 0, 0
 )]
 #[case::items_and_reward_calls(
@@ -278,10 +279,10 @@
     ],
     0, 0
 )]
-#[case::a_stream_without_events_never_begins(
+#[case::a_stream_without_events_does_not_count(
     vec![(1_500, started("s-1", true)), (1_500, started("s-2", true)), reported(3_100, WINDOW, counts(10))], 0, 0
 )]
-fn windows_of_usage_are_compared_with_what_servers_began(
+fn usage_reports_are_compared_with_started_requests(
     #[case] also: Observed,
     #[case] missing: u64,
     #[case] inaccurate: u64,
@@ -294,8 +295,8 @@
 #[rstest]
 #[case::an_order(order(A, 1), Some(A))]
 #[case::a_call(report(B, 1, 7), Some(B))]
-#[case::a_refused_call(refused(report(B, 1, 7)), Some(B))]
-#[case::another_observation(thawed(A), None)]
-fn orders_and_calls_show_the_leader(#[case] observation: Observation, #[case] leader: Option<&str>) {
+#[case::a_rejected_call(refused(report(B, 1, 7)), Some(B))]
+#[case::another_observation(resumed(A), None)]
+fn orders_and_calls_identify_the_leader(#[case] observation: Observation, #[case] leader: Option<&str>) {
     assert_eq!(observation.leader(), leader);
 }
--- a/crates/testbed/tests/support/mod.rs
+++ b/crates/testbed/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Help for tests that talk to an emulator without sockets.
+//! A harness for tests of emulated servers without sockets.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::BTreeMap;
@@ -7,11 +7,11 @@
 use orchidvalve_testbed::http::{self, Response};
 use orchidvalve_testbed::observation::Observation;
 
-/// A service with its connections and a clock that only moves when told to.
+/// A service with its connections, and a clock that the test advances.
 pub struct ServiceHarness<S> {
     pub service: S,
     pub now: u64,
-    /// Bytes that came on each connection.
+    /// Bytes received on each connection.
     pub received: BTreeMap<ConnectionKey, Vec<u8>>,
     pub resets: Vec<ConnectionKey>,
     pub observations: Vec<Observation>,
@@ -68,7 +68,7 @@
         self.step(|service, now, out| service.closed(now, key, out));
     }
 
-    /// Lets time pass, with every wake that the service pending for.
+    /// Advances the clock, and wakes the service whenever it is due.
     pub fn pass(&mut self, ms: u64) {
         let end = self.now + ms;
         while let Some(at) = self.service.next_wake().filter(|at| *at <= end) {
@@ -78,16 +78,16 @@
         self.now = end;
     }
 
-    /// The whole answer on a connection, if it has come.
-    pub fn answer(&self, key: ConnectionKey) -> Option<Response> {
+    /// Returns the complete response on a connection; `None` if it has not arrived.
+    pub fn response(&self, key: ConnectionKey) -> Option<Response> {
         let bytes = self.received.get(&key)?;
-        http::parse_response(bytes, false).unwrap().map(|(answer, _)| answer)
+        http::parse_response(bytes, false).unwrap().map(|(response, _)| response)
     }
 
-    /// Sends a request and returns its answer, which must come at once.
-    pub fn ask(&mut self, bytes: &[u8]) -> Response {
+    /// Sends a request and returns its response, which must arrive at once.
+    pub fn request(&mut self, bytes: &[u8]) -> Response {
         let key = self.send(bytes);
-        self.answer(key).unwrap()
+        self.response(key).unwrap()
     }
 
     pub fn text(&self, key: ConnectionKey) -> String {
--- a/crates/testbed/tests/support/one_call.rs
+++ b/crates/testbed/tests/support/one_call.rs
@@ -1,4 +1,4 @@
-//! A caller that sends a single call over sockets.
+//! A caller that makes a single call over sockets.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::cell::RefCell;
@@ -8,10 +8,10 @@
 use orchidvalve_testbed::effects::{Call, CallTag, Caller, Effects, Outcome};
 use orchidvalve_testbed::host::Host;
 
-/// Where the outcome of a call is found once it has ended.
+/// The outcome of a call; `None` until it has ended.
 pub type Ended = Rc<RefCell<Option<Outcome>>>;
 
-/// Sends one call and keeps its outcome.
+/// Makes one call and keeps its outcome.
 struct OneCall {
     call: Option<Call>,
     ended: Ended,
@@ -31,14 +31,14 @@
     }
 }
 
-/// Begins a call.
+/// Starts a call.
 pub fn begin(host: &mut Host, call: Call) -> Ended {
     let ended = Ended::default();
     host.add_caller(Box::new(OneCall { call: Some(call), ended: ended.clone() }));
     ended
 }
 
-/// Lets the host work until a call has ended, for `limit_ms` at most.
+/// Runs the host until a call has ended, for at most `limit_ms` milliseconds.
 pub fn wait(host: &mut Host, ended: &Ended, limit_ms: u64) -> Outcome {
     let limit = host.now() + limit_ms;
     loop {
--- a/crates/testbed/tests/support/sabotages.rs
+++ b/crates/testbed/tests/support/planted_violations.rs
@@ -1,4 +1,4 @@
-//! Sabotages of an orderly run, each of which violates one invariant.
+//! Changes to a correct run, each of which violates one invariant.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use orchidvalve_testbed::observation::{ItemResult, Observation};
@@ -10,7 +10,7 @@
     configuration_sent, execution_started, insert, job_read, order_received, result,
 };
 
-/// Changes the first observation for which `change` returns true.
+/// Edits the first observation for which `edit` returns true.
 pub fn edit_first(observed: &mut ObservedRun, edit: impl FnMut(&mut Observation) -> bool) {
     let mut edit = edit;
     assert!(
@@ -19,7 +19,7 @@
     );
 }
 
-/// Changes the result in every reading.
+/// Edits the result in every page that was read.
 pub fn edit_result(observed: &mut ObservedRun, apply: impl Fn(&mut ItemResult)) {
     for (_, observation) in observed {
         if let Observation::ResultsRead { results, .. } = observation {
@@ -40,7 +40,7 @@
     insert(observed, 9_500, Observation::JobUnreadable { job: JOB.to_owned() });
 }
 
-pub fn request_runs_again(observed: &mut ObservedRun) {
+pub fn request_executed_again(observed: &mut ObservedRun) {
     insert(observed, 4_020, execution_started("a1", 102, "plain-1", "/plain/1", 5, 0));
 }
 
@@ -78,25 +78,25 @@
     });
 }
 
-pub fn failure_as_success(observed: &mut ObservedRun) {
+pub fn failure_reported_as_success(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
         Observation::ResponseSent { status, .. } => std::mem::replace(status, 500) == 200,
         _ => false,
     });
 }
 
-pub fn answer_of_another(observed: &mut ObservedRun) {
+pub fn response_of_another_request(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
         Observation::ResponseReceived { echoed_id, .. } => echoed_id.replace("plain-9".to_owned()).is_some(),
         _ => false,
     });
 }
 
-pub fn garbled_answer(observed: &mut ObservedRun) {
+pub fn malformed_response(observed: &mut ObservedRun) {
     insert(observed, 4_045, Observation::MalformedResponseReceived { id: "plain-1".to_owned() });
 }
 
-pub fn short_text(observed: &mut ObservedRun) {
+pub fn truncated_text(observed: &mut ObservedRun) {
     edit_result(observed, |result| result.message = complete_text(ITEM, EVENTS - 1));
 }
 
@@ -132,10 +132,10 @@
 }
 
 pub fn early_reward(observed: &mut ObservedRun) {
-    let place = observed
+    let position = observed
         .iter()
         .position(|(_, seen)| matches!(seen, Observation::ExecutionStarted { id, .. } if id == REWARD));
-    let (_, reward) = observed.remove(place.unwrap());
+    let (_, reward) = observed.remove(position.unwrap());
     insert(observed, 5_304, reward);
 }
 
@@ -153,14 +153,14 @@
     });
 }
 
-pub fn doubled_event(observed: &mut ObservedRun) {
+pub fn duplicated_event(observed: &mut ObservedRun) {
     edit_result(observed, |result| {
         let lines: Vec<&str> = result.message.split('\n').collect();
         result.message = [&lines[..3], &lines[2..]].concat().join("\n");
     });
 }
 
-pub fn unasked_continuation(observed: &mut ObservedRun) {
+pub fn unrequested_continuation(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
         Observation::ExecutionStarted { after_event, .. } => std::mem::replace(after_event, 2) == 3,
         _ => false,
@@ -211,7 +211,7 @@
     });
 }
 
-pub fn other_item_bytes(observed: &mut ObservedRun) {
+pub fn changed_item_body(observed: &mut ObservedRun) {
     edit_first(observed, |seen| match seen {
         Observation::ExecutionStarted { body, id, .. } if id == ITEM => {
             std::mem::replace(body, 1) == ITEM_BODY
@@ -220,19 +220,19 @@
     });
 }
 
-pub fn runs_after_the_end(observed: &mut ObservedRun) {
+pub fn executed_after_cancellation(observed: &mut ObservedRun) {
     insert(observed, 11_200, execution_started("m1", 204, ITEM, "/lots/1", ITEM_BODY, 0));
 }
 
-pub fn runs_after_refusal(observed: &mut ObservedRun) {
+pub fn executed_after_rejection(observed: &mut ObservedRun) {
     insert(observed, 4_100, execution_started("a1", 104, "plain-2", "/plain/1", 5, 0));
 }
 
-pub fn refused_after_running(observed: &mut ObservedRun) {
+pub fn rejected_after_execution(observed: &mut ObservedRun) {
     insert(observed, 4_055, execution_started("a1", 105, "plain-2", "/plain/1", 5, 0));
 }
 
-pub fn refused_job_runs(observed: &mut ObservedRun) {
+pub fn rejected_job_executed(observed: &mut ObservedRun) {
     observed.retain(|(at, _)| *at < 5_500);
     edit_first(observed, |seen| match seen {
         Observation::JobSendEnded { status, .. } => status.replace(503).is_some(),
@@ -266,7 +266,7 @@
     });
 }
 
-pub fn two_on_one_base(observed: &mut ObservedRun) {
+pub fn two_changes_with_the_same_base(observed: &mut ObservedRun) {
     insert(observed, 1_005, configuration_sent(2, 0, true));
     insert(observed, 1_020, configuration_send_ended(2, 200));
     edit_first(observed, |seen| match seen {
@@ -280,8 +280,8 @@
     insert(observed, 6_010, configuration_send_ended(4, 200));
 }
 
-pub fn refused_read_back(observed: &mut ObservedRun) {
-    // Another order on the same base gives the refusal its reason.
+pub fn rejected_change_read_back(observed: &mut ObservedRun) {
+    // Another change with the same base gives the rejection its reason.
     insert(observed, 5_990, configuration_sent(5, 1, true));
     insert(observed, 6_000, configuration_sent(4, 1, true));
     insert(observed, 6_010, configuration_send_ended(4, 412));
@@ -291,7 +291,7 @@
     });
 }
 
-/// Orders of a number that others bear, too.
+/// Returns a change whose number differs from its version, so that several changes can have the same version.
 pub fn change_sent(change: u64, version: u64, base: u64) -> Observation {
     Observation::ConfigurationSent { change, version, base, document: configuration(version), valid: true }
 }
@@ -313,8 +313,8 @@
     });
 }
 
-pub fn accepted_then_refused(observed: &mut ObservedRun) {
-    // Another order on the same base, so that a refusal alone could have its reason.
+pub fn accepted_then_rejected(observed: &mut ObservedRun) {
+    // Another change with the same base, so that a rejection alone could be justified.
     insert(observed, 5_990, change_sent(9, 3, 1));
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, response_lost(2, 200));
@@ -322,7 +322,7 @@
     read_back(observed, 2);
 }
 
-pub fn refused_then_accepted(observed: &mut ObservedRun) {
+pub fn rejected_then_accepted(observed: &mut ObservedRun) {
     insert(observed, 5_990, change_sent(9, 3, 1));
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, response_lost(2, 412));
@@ -330,7 +330,7 @@
     read_back(observed, 2);
 }
 
-pub fn lost_answers_on_one_base(observed: &mut ObservedRun) {
+pub fn lost_responses_with_the_same_base(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_001, configuration_sent(3, 1, true));
     insert(observed, 6_010, response_lost(2, 200));
@@ -338,7 +338,7 @@
     read_back(observed, 3);
 }
 
-pub fn two_under_one_number(observed: &mut ObservedRun) {
+pub fn two_changes_with_the_same_version(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(3, 1, true));
     insert(observed, 6_010, configuration_send_ended(3, 200));
     insert(observed, 6_020, change_sent(9, 3, 2));
@@ -346,26 +346,26 @@
     read_back(observed, 3);
 }
 
-pub fn refused_without_reason(observed: &mut ObservedRun) {
+pub fn rejected_without_reason(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, configuration_send_ended(2, 412));
 }
 
-pub fn proper_order_not_known(observed: &mut ObservedRun) {
-    // Another order on the same base, so that a refusal alone could have its reason.
+pub fn valid_change_gets_404(observed: &mut ObservedRun) {
+    // Another change with the same base, so that a rejection alone could be justified.
     insert(observed, 5_990, change_sent(9, 3, 1));
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, configuration_send_ended(2, 404));
 }
 
-pub fn old_one_read(observed: &mut ObservedRun) {
+pub fn outdated_version_read(observed: &mut ObservedRun) {
     insert(observed, 6_000, configuration_sent(2, 1, true));
     insert(observed, 6_010, configuration_send_ended(2, 200));
     insert(observed, 6_020, configuration_observed(6_011, 1));
     read_back(observed, 2);
 }
 
-pub fn lost_one_read_back_as_another(observed: &mut ObservedRun) {
+pub fn other_content_read_back_after_lost_response(observed: &mut ObservedRun) {
     insert(observed, 6_000, change_sent(8, 2, 1));
     let mut document = configuration(2);
     document["routes"][0]["timeout-ms"] = json!(7);
@@ -378,18 +378,17 @@
     read_back(observed, 2);
 }
 
-/// A valid change gets no conclusive response for longer than a stable control plane may take, also where it's sent
-/// again.
+/// A valid change gets no conclusive response within the time bound of a stable control plane, although it is retried.
 pub fn never_acknowledged(observed: &mut ObservedRun) {
     insert(observed, 4_020, configuration_sent(2, 1, true));
     insert(observed, 7_000, response_lost(2, 503));
 }
 
-pub fn other_bytes_for_the_rest(observed: &mut ObservedRun) {
+pub fn remaining_body_with_other_bytes(observed: &mut ObservedRun) {
     insert(observed, 4_055, Observation::RemainingBodyReceived { id: "plain-2".to_owned(), body: 6 });
 }
 
-pub fn no_request_at_a_server(observed: &mut ObservedRun) {
+pub fn malformed_request_at_a_server(observed: &mut ObservedRun) {
     insert(observed, 4_055, Observation::MalformedRequestReceived { reason: "token".to_owned() });
 }
 
@@ -418,7 +417,7 @@
     insert(observed, 9_050, order_received("node-1", 1));
 }
 
-pub fn holders_take_turns(observed: &mut ObservedRun) {
+pub fn leaders_alternate_within_a_lease(observed: &mut ObservedRun) {
     insert(observed, 9_010, order_received("node-2", 3));
     insert(observed, 9_020, order_received("node-1", 4));
 }
@@ -440,6 +439,6 @@
     lost_connection(4_300, 4_040)(observed);
 }
 
-pub fn drained_server_works(observed: &mut ObservedRun) {
+pub fn execution_at_a_drained_server(observed: &mut ObservedRun) {
     insert(observed, 100, Observation::ServerDraining { server: "m2".to_owned() });
 }
--- a/crates/testbed/tests/support/recording.rs
+++ b/crates/testbed/tests/support/recording.rs
@@ -1,4 +1,4 @@
-//! Hashes of what emulators do: bytes on connections, calls and observations, field by field, each with its time.
+//! Hashes of the actions of emulators: outputs, calls and observations, field by field, each with its time.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::SocketAddrV4;
@@ -15,7 +15,7 @@
 use rand_pcg::Pcg64Mcg;
 use serde_json::Value;
 
-/// Adds a text.
+/// Adds a text to the trace.
 fn text(trace: &mut Trace, text: &str) {
     trace.add(text.as_bytes());
 }
@@ -79,13 +79,13 @@
         .for_each(|(name, value)| [name, value].into_iter().for_each(|part| text(trace, part)));
 }
 
-/// Adds an observation: a number that stands for its kind, and its fields.
+/// Adds an observation: a number for its kind, and its fields.
 pub fn add_observation(trace: &mut Trace, observation: &Observation) {
     add_request_observation(trace, observation);
-    add_of_servers(trace, observation);
-    add_of_jobs(trace, observation);
-    add_of_configurations(trace, observation);
-    add_of_machines(trace, observation);
+    add_servers_observation(trace, observation);
+    add_jobs_observation(trace, observation);
+    add_configurations_observation(trace, observation);
+    add_machines_observation(trace, observation);
 }
 
 fn add_request_observation(trace: &mut Trace, observation: &Observation) {
@@ -118,7 +118,7 @@
     }
 }
 
-fn add_of_servers(trace: &mut Trace, observation: &Observation) {
+fn add_servers_observation(trace: &mut Trace, observation: &Observation) {
     match observation {
         Observation::ServerStarted { server, service } => {
             trace.add_number(5);
@@ -172,7 +172,7 @@
     }
 }
 
-fn add_of_jobs(trace: &mut Trace, observation: &Observation) {
+fn add_jobs_observation(trace: &mut Trace, observation: &Observation) {
     match observation {
         Observation::JobSent(job) => {
             trace.add_number(12);
@@ -223,7 +223,7 @@
     }
 }
 
-fn add_of_configurations(trace: &mut Trace, observation: &Observation) {
+fn add_configurations_observation(trace: &mut Trace, observation: &Observation) {
     match observation {
         Observation::ConfigurationSent { change, version, base, document: sent, valid } => {
             trace.add_number(20);
@@ -264,7 +264,7 @@
     }
 }
 
-fn add_of_machines(trace: &mut Trace, observation: &Observation) {
+fn add_machines_observation(trace: &mut Trace, observation: &Observation) {
     match observation {
         Observation::GatewayStopping { gateway } => {
             trace.add_number(27);
@@ -325,7 +325,7 @@
     flag(trace, call.keep_alive);
 }
 
-/// Adds everything that was done in one turn.
+/// Adds all actions of one turn.
 pub fn add_effects(trace: &mut Trace, now: u64, out: &Effects) {
     trace.add_number(now);
     out.outputs.iter().for_each(|output| add_output(trace, output));
@@ -334,12 +334,12 @@
     out.observations.iter().for_each(|seen| add_observation(trace, seen));
 }
 
-/// A service with connections and a clock that only moves when told to; everything that it does is hashed.
+/// A service with connections and a clock that the test advances. All its actions are added to a trace.
 pub struct RecordedService<S> {
     pub service: S,
     pub now: u64,
     pub trace: Trace,
-    /// Connections so far; the keys are 1 to this.
+    /// Number of connections so far; their keys start at 1.
     pub connections: u64,
 }
 
@@ -368,7 +368,7 @@
         self.step(|service, now, out| service.request(now, key, request, out));
     }
 
-    /// Shows a request whose head is in, and later the whole of it as the service wants it.
+    /// Passes the head of a request to the service, and then the complete request according to the service's response.
     pub fn send_in_parts(&mut self, key: ConnectionKey, bytes: &[u8]) {
         let head = http::parse_request_head(bytes).unwrap().unwrap();
         let mut answered = false;
@@ -384,7 +384,7 @@
         self.step(|service, now, out| service.closed(now, key, out));
     }
 
-    /// Lets time pass, with every wake that the service pending for.
+    /// Advances the clock, and wakes the service whenever it is due.
     pub fn pass(&mut self, ms: u64) {
         let end = self.now + ms;
         while let Some(at) = self.service.next_wake().filter(|at| *at <= end) {
@@ -395,8 +395,8 @@
     }
 }
 
-/// Plays a caller from `now` to `until` against answers that `answer` draws, each with the time that it takes, and
-/// returns the hash of all that the caller does.
+/// Runs a caller until `until`. Its calls end with the outcomes that `answer` draws, after random times. Returns the hash
+/// of all actions of the caller.
 pub fn play_caller(
     caller: &mut dyn Caller,
     directory: &mut Directory,
--- a/crates/testbed/tests/support/reference.rs
+++ b/crates/testbed/tests/support/reference.rs
@@ -1,5 +1,5 @@
-//! The smallest system that a trainer can work with: one node, no copies, virtual time. It takes batch jobs,
-//! runs their items on model servers, calls for rewards and lists results.
+//! A minimal correct system for a trainer: one node without replication, in virtual time. It accepts batch jobs, runs
+//! their items on model servers, makes the reward calls, and lists the results. Defects can be injected.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,33 +15,33 @@
 
 const SLOTS: usize = 8;
 
-/// What the system does wrong.
+/// A defect of the system.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sabotage {
+pub enum Defect {
     None,
     /// A result is listed a second time.
     ListTwice,
-    /// Results that were read once are gone.
+    /// Results that were read once are lost.
     ForgetResults,
-    /// Batch jobs that were accepted are gone.
+    /// Accepted batch jobs are lost.
     ForgetJobs,
-    /// A broken stream goes on one event too late.
+    /// A broken stream is resumed one event too late.
     SkipEvent,
-    /// A broken stream goes on without its first part being dropped.
+    /// A broken stream is restarted from the beginning, and its first events are kept.
     RepeatEvent,
-    /// Only the first version is named.
+    /// Only the first version of an item is reported.
     DropVersions,
-    /// Old versions are used.
+    /// Items are run under versions that are too old.
     IgnoreMinVersion,
-    /// The reward call goes out before the text is whole.
+    /// The reward call is made before the text is complete.
     EarlyReward,
-    /// Bodies are changed.
+    /// The bodies of items are changed.
     ChangeBody,
-    /// What is ended goes on running.
+    /// Cancelled batch jobs keep running.
     IgnoreEnd,
-    /// Batch jobs run though they're refused.
+    /// Rejected batch jobs are run.
     RunRefused,
-    /// Two holders use one token.
+    /// Two leaders use the same fencing token.
     ShareToken,
 }
 
@@ -50,7 +50,7 @@
     request: Value,
     text: Vec<String>,
     versions: BTreeSet<u64>,
-    /// Attempts that failed.
+    /// Number of failed attempts.
     failures: u64,
     done: bool,
 }
@@ -61,7 +61,7 @@
     model: String,
     items: Vec<Item>,
     results: Vec<Value>,
-    /// The system answers as though it didn't know it.
+    /// Whether the system responds as if the batch job did not exist.
     forgotten: bool,
 }
 
@@ -79,7 +79,7 @@
     bytes: Vec<u8>,
 }
 
-/// The system with the servers behind it.
+/// The minimal system with the servers that it uses.
 pub struct Reference {
     pub models: Vec<ModelServerEmulator>,
     applications: Vec<ApplicationServerEmulator>,
@@ -88,10 +88,10 @@
     waiting: VecDeque<(String, usize, Stage)>,
     next_key: ConnectionKey,
     versions: BTreeMap<String, u64>,
-    sabotage: Sabotage,
-    /// How runs end when the weights change.
+    defect: Defect,
+    /// Method of the orders to load weights.
     pub method: &'static str,
-    /// Sends of batch jobs that are refused first.
+    /// Number of submissions that are rejected first.
     pub refusals: u64,
     pub observations: Vec<Observation>,
 }
@@ -130,9 +130,9 @@
 }
 
 impl Reference {
-    /// A system with its servers: `event_ms` is the time from one event to the next, `failures_per_10_000` the share of
-    /// reward calls, in ten-thousandths, that fail.
-    pub fn new(sabotage: Sabotage, event_ms: u64, failures_per_10_000: u64) -> Reference {
+    /// Returns a system with its servers. `event_ms` is the interval between events, and `failures_per_10_000` the number of
+    /// reward calls out of 10,000 that fail.
+    pub fn new(defect: Defect, event_ms: u64, failures_per_10_000: u64) -> Reference {
         let (jobs, tasks, waiting, versions, observations) = Default::default();
         Reference {
             models: (1..=3).map(|index| model_server(index, event_ms)).collect(),
@@ -142,20 +142,20 @@
             waiting,
             next_key: ConnectionKey(1),
             versions,
-            sabotage,
+            defect,
             method: "wait",
             refusals: 0,
             observations,
         }
     }
 
-    /// Names of the servers with their services.
+    /// Returns the ids of the servers with their services.
     pub fn servers(&self) -> Vec<(String, String)> {
         let models = self.models.iter().map(|server| (server.instance(), "models".to_owned()));
         models.chain(self.applications.iter().map(|server| (server.instance(), "apps".to_owned()))).collect()
     }
 
-    /// Answers a call; `None` keeps silent.
+    /// Responds to a call.
     pub fn call(&mut self, now: u64, request: &Request) -> Option<Response> {
         let parts: Vec<&str> = request.path().split('/').skip(1).collect();
         let (status, body) = match (request.method.as_str(), parts.as_slice()) {
@@ -178,11 +178,11 @@
         (200, Vec::new())
     }
 
-    /// Orders every server that isn't at the newest version to it.
+    /// Orders every server that is not at the latest version to load it.
     fn order_versions(&mut self, now: u64) {
         for (model, version) in self.versions.clone() {
-            // A server that isn't ordered stays at its old version.
-            let left_out = usize::from(self.sabotage == Sabotage::IgnoreMinVersion);
+            // A server that receives no order keeps its old version.
+            let left_out = usize::from(self.defect == Defect::IgnoreMinVersion);
             for server in left_out..self.models.len() {
                 if self.models[server].version(&model).is_some_and(|held| held < version) {
                     self.order(now, server, &model, version);
@@ -192,8 +192,8 @@
     }
 
     fn order(&mut self, now: u64, server: usize, model: &str, version: u64) {
-        let holder = match self.sabotage {
-            Sabotage::ShareToken if version % 2 == 1 => "node-2",
+        let holder = match self.defect {
+            Defect::ShareToken if version % 2 == 1 => "node-2",
             _ => "node-1",
         };
         let body = json!({"operation": "config-version", "model": model, "config-version": version,
@@ -207,7 +207,7 @@
         let id = request.headers.get("Attempt-Id").unwrap().to_owned();
         let refused = self.refusals > 0;
         self.refusals = self.refusals.saturating_sub(1);
-        if refused && self.sabotage != Sabotage::RunRefused {
+        if refused && self.defect != Defect::RunRefused {
             return (503, Vec::new());
         }
         if !self.jobs.contains_key(&id) {
@@ -248,10 +248,10 @@
         let after: usize = request.query("after-seq").unwrap().parse().unwrap();
         let results = job.results.get(after..).unwrap_or_default().to_vec();
         let body = json!({"total": job.items.len(), "next-token": after + results.len(), "results": results});
-        if self.sabotage == Sabotage::ForgetResults && !results.is_empty() {
+        if self.defect == Defect::ForgetResults && !results.is_empty() {
             job.results.clear();
         }
-        if self.sabotage == Sabotage::ForgetJobs && job.results.len() > 3 {
+        if self.defect == Defect::ForgetJobs && job.results.len() > 3 {
             job.forgotten = true;
         }
         (200, body.to_string().into_bytes())
@@ -261,7 +261,7 @@
         if self.jobs.get(id).is_none_or(|job| job.forgotten) {
             return (404, Vec::new());
         }
-        if self.sabotage == Sabotage::IgnoreEnd {
+        if self.defect == Defect::IgnoreEnd {
             return (200, Vec::new());
         }
         self.waiting.retain(|(job, ..)| job != id);
@@ -283,7 +283,7 @@
             self.jobs.get(id).and_then(|job| job.items.iter().find(|item| item.id == wanted && !item.done));
         let Some(item) = item else { return (404, Vec::new()) };
         let mut body = STANDARD.decode(item.request["body"].as_str().unwrap()).unwrap();
-        if self.sabotage == Sabotage::ChangeBody {
+        if self.defect == Defect::ChangeBody {
             body[0] ^= 1;
         }
         (200, body)
@@ -309,7 +309,7 @@
         self.apply(now, out);
     }
 
-    /// Sends what waits to servers that have room.
+    /// Starts pending tasks on servers with free slots.
     fn dispatch(&mut self, now: u64) {
         let room = SLOTS * (self.models.len() + self.applications.len());
         for _ in 0..self.waiting.len() {
@@ -333,7 +333,7 @@
         };
         let fits = |server: &usize| {
             let version = self.models[*server].version(&job.model).unwrap_or(0);
-            version >= job.min_version || self.sabotage == Sabotage::IgnoreMinVersion
+            version >= job.min_version || self.defect == Defect::IgnoreMinVersion
         };
         let count = if is_model { self.models.len() } else { self.applications.len() };
         (0..count)
@@ -361,8 +361,8 @@
         let mut fields: Vec<(&str, &str)> = vec![("Attempt-Id", &item.id)];
         let headers = item.request["headers"].as_object().unwrap();
         fields.extend(headers.iter().map(|(name, value)| (name.as_str(), value.as_str().unwrap())));
-        let after = (item.text.len() + usize::from(self.sabotage == Sabotage::SkipEvent)).to_string();
-        if !item.text.is_empty() && self.sabotage != Sabotage::RepeatEvent {
+        let after = (item.text.len() + usize::from(self.defect == Defect::SkipEvent)).to_string();
+        if !item.text.is_empty() && self.defect != Defect::RepeatEvent {
             fields.push(("Last-Event-Id", &after));
         }
         let body = STANDARD.decode(item.request["body"].as_str().unwrap()).unwrap();
@@ -394,15 +394,15 @@
     fn received(&mut self, now: u64, key: ConnectionKey, bytes: &[u8]) {
         let Some(task) = self.tasks.get_mut(&key) else { return };
         task.bytes.extend_from_slice(bytes);
-        let Some((answer, _)) = http::parse_response(&task.bytes, false).unwrap() else {
+        let Some((response, _)) = http::parse_response(&task.bytes, false).unwrap() else {
             return self.maybe_early_reward(now, key);
         };
         let Some(task) = self.tasks.remove(&key) else { return };
         let is_model = matches!(task.stage, Stage::Text);
         match task.stage {
-            Stage::Text if answer.status == 200 => self.text_came(&task, &answer),
-            Stage::Reward if answer.status == 200 => self.reward_came(&task, &answer),
-            stage => self.failed(task.job, task.item, stage, answer.status),
+            Stage::Text if response.status == 200 => self.text_received(&task, &response),
+            Stage::Reward if response.status == 200 => self.reward_received(&task, &response),
+            stage => self.failed(task.job, task.item, stage, response.status),
         }
         let mut out = Effects::default();
         self.service(task.server, is_model).closed(now, key, &mut out);
@@ -410,7 +410,7 @@
     }
 
     fn maybe_early_reward(&mut self, now: u64, key: ConnectionKey) {
-        let Some(task) = self.tasks.get(&key).filter(|_| self.sabotage == Sabotage::EarlyReward) else {
+        let Some(task) = self.tasks.get(&key).filter(|_| self.defect == Defect::EarlyReward) else {
             return;
         };
         if matches!(task.stage, Stage::Text)
@@ -431,33 +431,33 @@
         }
     }
 
-    /// Takes over the events of a stream.
-    fn note_events(&mut self, task: &Task, answer: &Response) {
+    /// Records the events of a stream.
+    fn record_events(&mut self, task: &Task, response: &Response) {
         let item = &mut self.jobs.get_mut(&task.job).unwrap().items[task.item];
-        let mut version = answer.headers.number("Weight-Versions").unwrap();
-        let body = String::from_utf8(answer.body.clone()).unwrap();
+        let mut version = response.headers.number("Weight-Versions").unwrap();
+        let body = String::from_utf8(response.body.clone()).unwrap();
         for line in body.lines() {
             if let Some(changed) = line.strip_prefix("weight-versions: ") {
                 version = changed.parse().unwrap();
             } else if let Some(data) = line.strip_prefix("data: ") {
                 item.text.push(data.to_owned());
-                if self.sabotage != Sabotage::DropVersions || item.versions.is_empty() {
+                if self.defect != Defect::DropVersions || item.versions.is_empty() {
                     item.versions.insert(version);
                 }
             }
         }
     }
 
-    fn text_came(&mut self, task: &Task, answer: &Response) {
-        self.note_events(task, answer);
-        if self.sabotage != Sabotage::EarlyReward {
+    fn text_received(&mut self, task: &Task, response: &Response) {
+        self.record_events(task, response);
+        if self.defect != Defect::EarlyReward {
             self.waiting.push_back((task.job.clone(), task.item, Stage::Reward));
         }
     }
 
-    fn reward_came(&mut self, task: &Task, answer: &Response) {
+    fn reward_received(&mut self, task: &Task, response: &Response) {
         let item = &self.jobs[&task.job].items[task.item];
-        let score = answer.headers.get("Server-Signature").unwrap();
+        let score = response.headers.get("Server-Signature").unwrap();
         let result = json!({"state": "completed", "message": item.text.join("\n"),
                             "weight-versions": item.versions, "score": score});
         self.list(&task.job, task.item, result);
@@ -469,19 +469,19 @@
         item.done = true;
         result["instance-id"] = json!(item.id);
         job.results.push(result.clone());
-        if self.sabotage == Sabotage::ListTwice && job.results.len() == 2 {
+        if self.defect == Defect::ListTwice && job.results.len() == 2 {
             job.results.push(result);
         }
     }
 
-    /// The events that came before a reset are kept; the rest is asked for again.
+    /// Keeps the events received before a reset, and requests the rest.
     fn was_reset(&mut self, key: ConnectionKey) {
         let Some(mut task) = self.tasks.remove(&key) else { return };
         task.bytes.extend_from_slice(b"0\r\n\r\n");
         if matches!(task.stage, Stage::Text)
-            && let Ok(Some((answer, _))) = http::parse_response(&task.bytes, false)
+            && let Ok(Some((response, _))) = http::parse_response(&task.bytes, false)
         {
-            self.note_events(&task, &answer);
+            self.record_events(&task, &response);
         }
         self.waiting.push_back((task.job, task.item, task.stage));
     }
--- a/crates/testbed/tests/support/world.rs
+++ b/crates/testbed/tests/support/world.rs
@@ -1,4 +1,4 @@
-//! A trainer and the checker around the smallest system, in virtual time.
+//! A simulation of a trainer, the minimal system and the invariant checker in virtual time.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -19,7 +19,7 @@
 
 const RUN_MS: u64 = 20_000;
 const STEP_LIMIT: usize = 200_000;
-/// Time of a call there and back.
+/// Round-trip time of a call, in milliseconds.
 const CALL_MS: u64 = 2;
 
 pub fn settings() -> TrainerSettings {
@@ -63,19 +63,19 @@
     checker: InvariantChecker,
     directory: Directory,
     now: u64,
-    /// Outcomes on their way to the trainer.
+    /// Outcomes that have not reached the trainer yet.
     outcomes: Vec<(u64, CallTag, Outcome)>,
     trace: Trace,
     observations: Vec<(u64, Observation)>,
 }
 
-/// What came of a run.
+/// Result of a run.
 pub struct Played {
     pub stats: TrainerStats,
     pub violations: Vec<Violation>,
-    /// Hash of all that the trainer and the servers did.
+    /// Hash of all actions of the trainer and the servers.
     pub hash: u64,
-    /// What the checker was told, with the times.
+    /// All observations with their times.
     pub observations: Vec<(u64, Observation)>,
 }
 
@@ -111,7 +111,7 @@
         self.observations.push((self.now, seen));
     }
 
-    /// One moment: everything that is due.
+    /// Handles everything that is due at the current time.
     fn step(&mut self) {
         self.reference.wake(self.now);
         self.take_observations();
@@ -137,7 +137,7 @@
     }
 }
 
-/// Plays a run in which a stream breaks every half second.
+/// Runs a simulation in which a stream breaks every half second.
 pub fn play(settings: TrainerSettings, mut reference: Reference) -> Played {
     let checker = InvariantChecker::new(InvariantBounds::default());
     let servers = reference.servers();
@@ -169,6 +169,6 @@
     }
     let violations = world.checker.finish().to_vec();
     let stats = stats.borrow().clone();
-    assert!(stats.is_done, "the day ends");
+    assert!(stats.is_done, "the run ends");
     Played { stats, violations, hash: world.trace.finish(), observations: world.observations }
 }
--- a/crates/testbed/tests/trainer.rs
+++ b/crates/testbed/tests/trainer.rs
@@ -1,5 +1,5 @@
-//! A trainer, servers and the checker around the smallest system, in virtual time: an orderly system breaks no
-//! invariant, and every sabotage of it is caught.
+//! A trainer, servers and the invariant checker around a minimal system, in virtual time: a correct system violates no
+//! invariant, and the violations of a system with a defect are reported.
 
 mod support {
     pub mod recording;
@@ -10,14 +10,14 @@
 use orchidvalve_testbed::invariants::{Invariant, Violation};
 use orchidvalve_testbed::trainer::{TrainerSettings, TrainerStats};
 use rstest::rstest;
-use support::reference::{Reference, Sabotage};
+use support::reference::{Defect, Reference};
 use support::world::{self, settings};
 
-/// Time from one event to the next, and that of a system with more work than it can do.
+/// Interval between events, normally and in a system with more work than it can handle, in milliseconds.
 const EVENT_MS: u64 = 5;
 const BUSY_EVENT_MS: u64 = 60;
 
-/// Plays a run in which a stream breaks every half second; the trainer's stats and the invariants that were violated.
+/// Runs a simulation in which a stream breaks every half second. Returns the trainer's counters and the violations.
 fn play(settings: TrainerSettings, reference: Reference) -> (TrainerStats, Vec<Invariant>) {
     let played = world::play(settings, reference);
     let invariants = played.violations.iter().map(|broken: &Violation| broken.invariant).collect();
@@ -27,12 +27,12 @@
 #[rstest]
 #[case::ahead(2, 3)]
 #[case::one_ahead(1, 2)]
-#[case::newest_only(0, 1)]
-fn an_orderly_system_violates_no_invariant(#[case] steps_ahead: u64, #[case] version_lag: u64) {
+#[case::latest_only(0, 1)]
+fn a_correct_system_violates_no_invariant(#[case] steps_ahead: u64, #[case] version_lag: u64) {
     let mut settings = settings();
     settings.steps.steps_ahead = steps_ahead;
     settings.batch.version_lag = version_lag;
-    let (stats, invariants) = play(settings, Reference::new(Sabotage::None, EVENT_MS, 100));
+    let (stats, invariants) = play(settings, Reference::new(Defect::None, EVENT_MS, 100));
     assert_eq!(invariants, []);
     assert!(stats.steps_done >= 5 && stats.completed >= 160, "{stats:?}");
     assert_eq!(stats.steps_done, stats.steps_submitted);
@@ -41,15 +41,15 @@
 }
 
 #[test]
-fn reward_calls_that_fail_let_items_expire() {
-    let (stats, invariants) = play(settings(), Reference::new(Sabotage::None, EVENT_MS, 2_000));
+fn failing_reward_calls_make_items_expire() {
+    let (stats, invariants) = play(settings(), Reference::new(Defect::None, EVENT_MS, 2_000));
     assert_eq!(invariants, []);
     assert!(stats.expired > 0);
 }
 
 #[test]
-fn a_refused_batch_job_is_sent_again() {
-    let mut reference = Reference::new(Sabotage::None, EVENT_MS, 0);
+fn a_rejected_batch_job_is_submitted_again() {
+    let mut reference = Reference::new(Defect::None, EVENT_MS, 0);
     reference.refusals = 3;
     let (stats, invariants) = play(settings(), reference);
     assert_eq!((invariants, stats.refusals), (Vec::new(), 3));
@@ -57,15 +57,15 @@
 }
 
 #[test]
-fn a_step_that_is_refused_to_its_deadline_does_not_stop_the_next() {
-    let mut reference = Reference::new(Sabotage::None, EVENT_MS, 0);
+fn a_step_rejected_until_its_deadline_does_not_stop_the_next() {
+    let mut reference = Reference::new(Defect::None, EVENT_MS, 0);
     reference.refusals = 150;
     let (stats, invariants) = play(settings(), reference);
     assert_eq!(invariants, []);
     assert!(stats.steps_done > 0 && stats.steps_done < stats.steps_submitted, "{stats:?}");
 }
 
-/// Steps that overlap, so that versions change during runs and much is still to be run at the end of a step.
+/// Returns settings with overlapping steps, so that versions change during runs and items are left at the end of a step.
 fn busy() -> TrainerSettings {
     let mut settings = settings();
     settings.steps.interval_ms = 1_000;
@@ -73,50 +73,50 @@
     settings
 }
 
-fn busy_reference(sabotage: Sabotage) -> Reference {
-    let mut reference = Reference::new(sabotage, BUSY_EVENT_MS, 0);
+fn busy_reference(defect: Defect) -> Reference {
+    let mut reference = Reference::new(defect, BUSY_EVENT_MS, 0);
     reference.method = "retain";
     reference
 }
 
 #[test]
-fn an_orderly_system_violates_no_invariant_when_versions_change_during_generations() {
-    let (stats, invariants) = play(busy(), busy_reference(Sabotage::None));
+fn a_correct_system_violates_no_invariant_when_versions_change_during_generations() {
+    let (stats, invariants) = play(busy(), busy_reference(Defect::None));
     assert_eq!(invariants, []);
     assert!(stats.steps_done >= 10, "{stats:?}");
 }
 
 #[rstest]
-#[case::orderly(Sabotage::None, &[])]
-#[case::dropped_versions(Sabotage::DropVersions, &[Invariant::Version])]
-fn groups_that_were_not_whole_may_come_back(#[case] sabotage: Sabotage, #[case] expected: &[Invariant]) {
+#[case::correct(Defect::None, &[])]
+#[case::dropped_versions(Defect::DropVersions, &[Invariant::Version])]
+fn incomplete_groups_may_be_carried_over(#[case] defect: Defect, #[case] expected: &[Invariant]) {
     let mut settings = busy();
     settings.batch.carry_over = true;
-    let (stats, mut invariants) = play(settings, busy_reference(sabotage));
+    let (stats, mut invariants) = play(settings, busy_reference(defect));
     invariants.dedup();
     assert_eq!(invariants, expected);
     assert!(stats.steps_done >= 5, "{stats:?}");
 }
 
 #[rstest]
-#[case(Sabotage::ListTwice, Invariant::Twice)]
-#[case(Sabotage::ForgetResults, Invariant::Lost)]
-#[case(Sabotage::ForgetJobs, Invariant::Lost)]
-#[case(Sabotage::SkipEvent, Invariant::Order)]
-#[case(Sabotage::RepeatEvent, Invariant::Order)]
-#[case(Sabotage::DropVersions, Invariant::Version)]
-#[case(Sabotage::IgnoreMinVersion, Invariant::Version)]
-#[case(Sabotage::EarlyReward, Invariant::Mixed)]
-#[case(Sabotage::ChangeBody, Invariant::Mixed)]
-#[case(Sabotage::ShareToken, Invariant::One)]
-fn a_sabotaged_system_is_caught(#[case] sabotage: Sabotage, #[case] invariant: Invariant) {
-    let (_, invariants) = play(busy(), busy_reference(sabotage));
+#[case(Defect::ListTwice, Invariant::Twice)]
+#[case(Defect::ForgetResults, Invariant::Lost)]
+#[case(Defect::ForgetJobs, Invariant::Lost)]
+#[case(Defect::SkipEvent, Invariant::Order)]
+#[case(Defect::RepeatEvent, Invariant::Order)]
+#[case(Defect::DropVersions, Invariant::Version)]
+#[case(Defect::IgnoreMinVersion, Invariant::Version)]
+#[case(Defect::EarlyReward, Invariant::Mixed)]
+#[case(Defect::ChangeBody, Invariant::Mixed)]
+#[case(Defect::ShareToken, Invariant::One)]
+fn the_violation_of_a_defect_is_reported(#[case] defect: Defect, #[case] invariant: Invariant) {
+    let (_, invariants) = play(busy(), busy_reference(defect));
     assert!(invariants.contains(&invariant), "{invariants:?}");
 }
 
 #[test]
-fn a_system_that_goes_on_after_the_end_is_caught() {
-    let slow = Reference::new(Sabotage::IgnoreEnd, 5 * BUSY_EVENT_MS, 0);
+fn execution_after_a_cancellation_is_reported() {
+    let slow = Reference::new(Defect::IgnoreEnd, 5 * BUSY_EVENT_MS, 0);
     let (_, invariants) = play(busy(), slow);
     assert!(
         !invariants.is_empty() && invariants.iter().all(|invariant| *invariant == Invariant::Unasked),
@@ -125,8 +125,8 @@
 }
 
 #[test]
-fn a_refused_batch_job_that_runs_is_caught() {
-    let mut reference = Reference::new(Sabotage::RunRefused, EVENT_MS, 0);
+fn execution_of_a_rejected_batch_job_is_reported() {
+    let mut reference = Reference::new(Defect::RunRefused, EVENT_MS, 0);
     reference.refusals = 10_000;
     let (_, invariants) = play(settings(), reference);
     assert!(
