--- a/crates/testbed/src/host/inbound.rs
+++ b/crates/testbed/src/host/inbound.rs
@@ -1,4 +1,4 @@
-//! Connections that servers accepted: requests are read, and what the servers write is sent.
+//! Connections that servers accepted: reads requests, and sends the bytes that servers write.
 
 use orchidvalve_net::ConnectionId;
 
@@ -11,7 +11,7 @@
     pub(super) fn accept(&mut self, now: u64, server: ServerIndex, id: ConnectionId) {
         let key = self.next_key;
         self.next_key = key.next();
-        self.roles.insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotShown });
+        self.roles.insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotReported });
         self.accepted.insert(key, id);
         let mut out = Effects::default();
         let source = self.network.peer_address(id).map(|peer| peer.ip());
@@ -23,26 +23,27 @@
         self.apply(now, None, out);
     }
 
-    /// Hands every whole request that has come to the server.
+    /// Passes all complete requests to the server.
     pub(super) fn read_requests(&mut self, now: u64, id: ConnectionId) {
         while let Some(&ConnectionRole::Inbound { server, key, head }) = self.roles.get(&id) {
             match http::parse_request(self.network.inbox(id)) {
                 Ok(Some((request, length))) => {
                     self.network.consume(id, length);
-                    self.roles.insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotShown });
+                    self.roles
+                        .insert(id, ConnectionRole::Inbound { server, key, head: HeadState::NotReported });
                     let mut out = Effects::default();
                     let service = self.servers[server.0].service();
                     match head {
-                        HeadState::Answered => service.late_body(&request, &mut out),
-                        HeadState::NotShown | HeadState::Shown => {
+                        HeadState::Responded => service.remaining_body(&request, &mut out),
+                        HeadState::NotReported | HeadState::Reported => {
                             service.request(now, key, request, &mut out);
                         }
                     }
                     self.apply(now, None, out);
                 }
-                Ok(None) => return self.show_head(now, id, server, key, head),
+                Ok(None) => return self.report_head(now, id, server, key, head),
                 Err(error) => {
-                    log::warn!("host: a request to an emulator can't be read: {error}");
+                    log::warn!("host: a request to an emulator cannot be parsed: {error}");
                     let mut out = Effects::default();
                     out.observations
                         .push(Observation::MalformedRequestReceived { reason: error.to_string() });
@@ -54,8 +55,8 @@
         }
     }
 
-    /// Shows a request whose head is in and whose body isn't to its server, once.
-    fn show_head(
+    /// Passes the head of a request to the server once, while the body is incomplete.
+    fn report_head(
         &mut self,
         now: u64,
         id: ConnectionId,
@@ -64,16 +65,16 @@
         state: HeadState,
     ) {
         let Ok(Some(head)) = http::parse_request_head(self.network.inbox(id)) else { return };
-        if state == HeadState::NotShown {
+        if state == HeadState::NotReported {
             let mut out = Effects::default();
-            let is_answered = self.servers[server.0].service().request_head(key, &head, &mut out);
-            let head = if is_answered { HeadState::Answered } else { HeadState::Shown };
+            let has_responded = self.servers[server.0].service().request_head(key, &head, &mut out);
+            let head = if has_responded { HeadState::Responded } else { HeadState::Reported };
             self.roles.insert(id, ConnectionRole::Inbound { server, key, head });
             self.apply(now, None, out);
         }
     }
 
-    /// The peer has closed a connection.
+    /// Handles a connection that the peer has closed.
     pub(super) fn close_inbound(
         &mut self,
         now: u64,
--- a/crates/testbed/src/host/outbound.rs
+++ b/crates/testbed/src/host/outbound.rs
@@ -1,4 +1,4 @@
-//! Calls of emulators to the system: connections are opened or used again, responses are read, and calls expire.
+//! Calls of emulators to the system: opens or reuses connections, reads responses, and expires calls.
 
 use std::time::Duration;
 
@@ -8,19 +8,19 @@
 use crate::effects::{Call, CallTag, Effects, Outcome};
 use crate::http;
 
-/// How long bytes of ours may stay unacknowledged by the peer (TCP_USER_TIMEOUT, RFC 5482).
+/// Maximum time for which sent data may stay unacknowledged by the peer (TCP_USER_TIMEOUT, RFC 5482).
 const USER_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Whether another request may follow on the connection of a response.
-fn may_be_kept(outcome: &Outcome) -> bool {
-    let Outcome::Answered(answer) = outcome else { return false };
-    !answer.headers.get("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
+/// Whether the connection of a response can be reused for another request.
+fn is_reusable(outcome: &Outcome) -> bool {
+    let Outcome::Response(response) = outcome else { return false };
+    !response.headers.get("Connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
 }
 
-/// How a pipelined call ends whose connection ended with the call before it.
-fn outcome_behind(outcome: &Outcome) -> Outcome {
+/// Returns the outcome of a pipelined call whose connection ended with the previous call.
+fn following_outcome(outcome: &Outcome) -> Outcome {
     match outcome {
-        Outcome::Refused | Outcome::Answered(_) => Outcome::Refused,
+        Outcome::Refused | Outcome::Response(_) => Outcome::Refused,
         Outcome::TimedOut => Outcome::TimedOut,
         Outcome::Disconnected { .. } | Outcome::Malformed | Outcome::TrailingBytes(_) => {
             Outcome::Disconnected { partial: false }
@@ -59,8 +59,8 @@
         while self.read_pipelined_response(now, id) {}
         let bytes = self.network.inbox(id);
         let outcome = match http::parse_response(bytes, ended) {
-            Ok(Some((answer, length))) if length < bytes.len() => Outcome::TrailingBytes(answer),
-            Ok(Some((answer, _))) => Outcome::Answered(answer),
+            Ok(Some((response, length))) if length < bytes.len() => Outcome::TrailingBytes(response),
+            Ok(Some((response, _))) => Outcome::Response(response),
             Ok(None) if ended => Outcome::Disconnected { partial: !bytes.is_empty() },
             Ok(None) => return,
             Err(_) => Outcome::Malformed,
@@ -68,8 +68,8 @@
         self.end_call(now, id, outcome, ended);
     }
 
-    /// Reads the response to a call behind which others were sent; false if it isn't there, or is none, or the last one
-    /// on its connection.
+    /// Reads the response to a call that is followed by pipelined calls. Returns `false` if the response is incomplete or
+    /// invalid, or is the last one on its connection.
     fn read_pipelined_response(&mut self, now: u64, id: ConnectionId) -> bool {
         let Some(ConnectionRole::Outbound { caller, call, .. }) = self.roles.get_mut(&id) else {
             return false;
@@ -77,11 +77,11 @@
         if call.following.is_empty() {
             return false;
         }
-        let Ok(Some((answer, length))) = http::parse_response(self.network.inbox(id), false) else {
+        let Ok(Some((response, length))) = http::parse_response(self.network.inbox(id), false) else {
             return false;
         };
-        let outcome = Outcome::Answered(answer);
-        if !may_be_kept(&outcome) {
+        let outcome = Outcome::Response(response);
+        if !is_reusable(&outcome) {
             return false;
         }
         let Some(next) = call.following.pop_front() else { return false };
@@ -95,7 +95,7 @@
 
     pub(super) fn end_call(&mut self, now: u64, id: ConnectionId, outcome: Outcome, ended: bool) {
         let Some(ConnectionRole::Outbound { caller, call, .. }) = self.roles.remove(&id) else { return };
-        if call.keep_alive && !ended && may_be_kept(&outcome) {
+        if call.keep_alive && !ended && is_reusable(&outcome) {
             let received = self.network.inbox(id).len();
             self.network.consume(id, received);
             self.roles.insert(id, ConnectionRole::Idle { address: call.address });
@@ -103,10 +103,10 @@
         } else {
             self.network.abort(id);
         }
-        let outcome_behind = outcome_behind(&outcome);
+        let following_outcome = following_outcome(&outcome);
         self.call_ended(now, caller, call.tag, outcome);
         for behind in call.following {
-            self.call_ended(now, caller, behind.tag, outcome_behind.clone());
+            self.call_ended(now, caller, behind.tag, following_outcome.clone());
         }
     }
 
@@ -125,7 +125,7 @@
         self.apply(now, Some(caller), out);
     }
 
-    /// Ends the calls whose time is over.
+    /// Ends the calls whose deadline has passed.
     pub(super) fn expire_calls(&mut self) {
         let now = self.now();
         let overdue = |(id, role): (&ConnectionId, &ConnectionRole)| match role {
--- a/crates/testbed/src/platform/fault.rs
+++ b/crates/testbed/src/platform/fault.rs
@@ -1,65 +1,65 @@
-//! Faults of the platform's interface.
+//! Faults of the platform's API.
 
-/// What is wrong with the platform's interface: with the list as well as with the calls that are a duty.
+/// A fault of the platform's API. It affects the server list and the platform calls of singleton roles.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PlatformFault {
-    /// Calls are taken at once and answered this much later, in milliseconds.
+    /// Calls are accepted at once, and the responses are delayed.
     Slow {
-        /// How much later.
+        /// Delay of the responses, in milliseconds.
         delay_ms: u64,
     },
-    /// Calls are taken and never answered: their senders can't know whether they were.
-    Silent,
-    /// Calls are refused, with 429 and 503 in turn.
+    /// Calls are accepted without a response, so that their senders cannot know the outcome.
+    Unresponsive,
+    /// Calls are rejected with status 429 and 503 alternately.
     Busy,
-    /// Calls are taken and their connections reset before an answer.
+    /// Calls are accepted, and their connections are reset before a response.
     Reset,
-    /// Nothing that is sent arrives: calls are neither taken nor answered.
-    CutOff,
+    /// No call arrives, so that none is accepted or receives a response.
+    Partitioned,
 }
 
-/// What becomes of one call under a fault.
+/// How the stub handles a call under a fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Handling {
-    /// It's taken and answered at once.
-    Answer,
-    /// It's taken and answered later, after this time in milliseconds.
-    AnswerLater(u64),
-    /// It's taken and not answered.
-    TakeSilently,
-    /// It's refused with this status.
-    Refuse(u16),
-    /// It's taken, and its connection reset.
-    TakeAndReset,
-    /// It never arrives.
-    Lose,
+    /// Accepts the call and responds at once.
+    Respond,
+    /// Accepts the call and responds after the given time in milliseconds.
+    RespondLater(u64),
+    /// Accepts the call without responding.
+    AcceptWithoutResponse,
+    /// Rejects the call with the given status.
+    Reject(u16),
+    /// Accepts the call and resets its connection.
+    AcceptAndReset,
+    /// Drops the call.
+    Drop,
 }
 
-/// The fault of the moment.
+/// The current fault.
 #[derive(Debug, Default)]
 pub(super) struct FaultState {
     fault: Option<PlatformFault>,
-    /// Calls that were refused in the present fault.
-    refused: u64,
+    /// Number of calls rejected during the current fault.
+    rejected: u64,
 }
 
 impl FaultState {
     pub fn set(&mut self, fault: Option<PlatformFault>) {
-        *self = FaultState { fault, refused: 0 };
+        *self = FaultState { fault, rejected: 0 };
     }
 
-    /// What becomes of the next call.
+    /// Decides how to handle the next call.
     pub fn handling(&mut self) -> Handling {
         match self.fault {
-            None => Handling::Answer,
-            Some(PlatformFault::Slow { delay_ms }) => Handling::AnswerLater(delay_ms),
-            Some(PlatformFault::Silent) => Handling::TakeSilently,
+            None => Handling::Respond,
+            Some(PlatformFault::Slow { delay_ms }) => Handling::RespondLater(delay_ms),
+            Some(PlatformFault::Unresponsive) => Handling::AcceptWithoutResponse,
             Some(PlatformFault::Busy) => {
-                self.refused += 1;
-                Handling::Refuse(if self.refused % 2 == 1 { 429 } else { 503 })
+                self.rejected += 1;
+                Handling::Reject(if self.rejected % 2 == 1 { 429 } else { 503 })
             }
-            Some(PlatformFault::Reset) => Handling::TakeAndReset,
-            Some(PlatformFault::CutOff) => Handling::Lose,
+            Some(PlatformFault::Reset) => Handling::AcceptAndReset,
+            Some(PlatformFault::Partitioned) => Handling::Drop,
         }
     }
 }
--- a/crates/testbed/src/platform/mod.rs
+++ b/crates/testbed/src/platform/mod.rs
@@ -1,8 +1,7 @@
-//! Stub of the platform: its list of servers, and the calls that are the duty of one node at a time, with rate limits
-//! and faults.
+//! Stub of the platform: its server list, and the platform calls of singleton roles, with rate limits and faults.
 
-mod duty_calls;
 mod fault;
+mod platform_calls;
 mod rate_limit;
 mod server_list;
 
@@ -12,55 +11,55 @@
 
 use serde_json::Value;
 
-use self::duty_calls::{SCALING_PATH, USAGE_REPORTS_PATH, read_duty_call};
 use self::fault::{FaultState, Handling};
+use self::platform_calls::{SCALING_PATH, USAGE_REPORTS_PATH, read_platform_call};
 use self::rate_limit::RateLimit;
 use self::server_list::ServerList;
 use crate::effects::{ConnectionKey, Effects, Service};
 use crate::http::{self, Request};
-use crate::observation::{DutyCall, DutyOrder, Observation};
+use crate::observation::{Observation, PlatformCall, PlatformOrder};
 
 pub use self::fault::PlatformFault;
 pub use self::server_list::ListedServer;
 
-/// Status of a call that is taken.
-const TAKEN: u16 = 200;
-/// Status of a call that isn't as the interface describes it.
+/// Status of an accepted call.
+const ACCEPTED: u16 = 200;
+/// Status of a call that does not conform to the API.
 const MALFORMED: u16 = 400;
-/// Status of a call of a path that isn't there.
+/// Status of a call to an unknown path.
 const UNKNOWN_PATH: u16 = 404;
-/// Status of a call over the rate.
+/// Status of a call that exceeds the rate limit.
 const OVER_RATE: u16 = 429;
 
-/// How the platform serves its list and takes calls.
+/// Settings of the platform stub.
 #[derive(Clone, Debug)]
 pub struct PlatformSettings {
-    /// How far the list lags, in milliseconds.
+    /// Delay of the server list, in milliseconds.
     pub lag_ms: u64,
-    /// Calls of the list a second from all nodes together.
-    pub rate_per_s: f64,
-    /// Servers on one page.
+    /// Maximum rate of calls to the server list from all nodes together, per second.
+    pub list_calls_per_second: f64,
+    /// Number of servers per page.
     pub page_size: usize,
-    /// Calls that are a duty a second from all nodes together.
-    pub duty_per_s: f64,
+    /// Maximum rate of platform calls for singleton roles from all nodes together, per second.
+    pub platform_calls_per_second: f64,
 }
 
-/// Counts of the calls that are a duty.
+/// Counts of the platform calls for singleton roles.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct DutyCallCounts {
-    /// Reports of usage that were taken.
+pub struct PlatformCallCounts {
+    /// Number of accepted usage reports.
     pub usage_reports: u64,
-    /// Orders of how many servers there are that were taken.
+    /// Number of accepted scaling orders.
     pub scaling_orders: u64,
-    /// Calls over the rate, and those refused because of a fault.
+    /// Number of calls that were rejected because of the rate limit or a fault.
     pub refused: u64,
-    /// Calls that weren't as the interface describes them.
+    /// Number of calls that do not conform to the API.
     pub malformed: u64,
 }
 
-/// An answer that is sent later.
+/// A delayed response.
 #[derive(Debug)]
-struct DelayedAnswer {
+struct DelayedResponse {
     at: u64,
     connection: ConnectionKey,
     bytes: Vec<u8>,
@@ -70,57 +69,57 @@
 #[derive(Debug)]
 pub struct PlatformStub {
     list: ServerList,
-    list_rate: RateLimit,
-    duty_rate: RateLimit,
+    list_call_rate: RateLimit,
+    platform_call_rate: RateLimit,
     fault: FaultState,
-    delayed: Vec<DelayedAnswer>,
-    /// Where connections come from.
+    delayed: Vec<DelayedResponse>,
+    /// Source addresses of the connections.
     sources: BTreeMap<ConnectionKey, IpAddr>,
-    /// Calls that got a page.
-    pub calls: u64,
-    /// Calls of the list that were refused, over the rate or because of a fault, and those of an unknown path.
+    /// Number of list calls that received a page.
+    pub list_calls: u64,
+    /// Number of list calls that were rejected because of the rate limit or a fault, or had an unknown path.
     pub refused: u64,
-    /// Calls that are a duty.
-    pub duty_calls: DutyCallCounts,
+    /// Counts of the platform calls for singleton roles.
+    pub platform_calls: PlatformCallCounts,
 }
 
 impl PlatformStub {
-    /// A platform without servers.
+    /// Returns a platform without servers.
     pub fn new(settings: PlatformSettings) -> PlatformStub {
         PlatformStub {
             list: ServerList::new(settings.lag_ms, settings.page_size),
-            list_rate: RateLimit::new(settings.rate_per_s),
-            duty_rate: RateLimit::new(settings.duty_per_s),
+            list_call_rate: RateLimit::new(settings.list_calls_per_second),
+            platform_call_rate: RateLimit::new(settings.platform_calls_per_second),
             fault: FaultState::default(),
             delayed: Vec::new(),
             sources: BTreeMap::new(),
-            calls: 0,
+            list_calls: 0,
             refused: 0,
-            duty_calls: DutyCallCounts::default(),
+            platform_calls: PlatformCallCounts::default(),
         }
     }
 
-    /// Adds a server.
+    /// Adds a server to the list.
     pub fn add(&mut self, now: u64, server: ListedServer) {
         self.list.add(now, server);
     }
 
-    /// Marks a server as about to end.
+    /// Marks a server as draining.
     pub fn mark_draining(&mut self, now: u64, instance: &str) {
         self.list.change(now, instance, |server| server.draining = true);
     }
 
-    /// Takes a server off the list.
+    /// Removes a server from the list.
     pub fn remove(&mut self, now: u64, instance: &str) {
         self.list.remove(now, instance);
     }
 
-    /// Takes in that a server was started again as another incarnation.
+    /// Records that a server was restarted as another incarnation.
     pub fn rename(&mut self, now: u64, instance: &str, next: &str) {
         self.list.change(now, instance, |server| server.instance = next.to_owned());
     }
 
-    /// Takes in the version that a server has.
+    /// Records the version of a model that a server serves.
     pub fn set_version(&mut self, now: u64, instance: &str, model: &str, version: u64) {
         self.list.change(now, instance, |server| {
             for held in server.models.iter_mut().filter(|held| held.model == model) {
@@ -129,106 +128,119 @@
         });
     }
 
-    /// One page of the list as JSON.
+    /// Returns one page of the list as JSON.
     pub fn page(&mut self, now: u64, zone: Option<&str>, from: usize) -> Value {
         self.list.page(now, zone, from)
     }
 
-    /// Puts a fault on the interface, or ends it.
+    /// Sets or ends a fault of the API.
     pub fn set_fault(&mut self, fault: Option<PlatformFault>) {
         self.fault.set(fault);
     }
 
-    /// Deals with a call that has arrived: the answer, if it were given now.
-    fn take(&mut self, now: u64, connection: ConnectionKey, request: &Request, out: &mut Effects) -> Answer {
+    /// Accepts or rejects a call, and returns the response.
+    fn handle_call(
+        &mut self,
+        now: u64,
+        connection: ConnectionKey,
+        request: &Request,
+        out: &mut Effects,
+    ) -> PlatformResponse {
         match (request.method.as_str(), request.path()) {
-            ("GET", "/instances") if self.list_rate.admit(now) => self.answer_page(now, request),
-            ("GET", "/instances") => self.refuse_list(OVER_RATE),
+            ("GET", "/instances") if self.list_call_rate.admit(now) => self.respond_with_page(now, request),
+            ("GET", "/instances") => self.reject_list_call(OVER_RATE),
             ("POST", USAGE_REPORTS_PATH | SCALING_PATH) => {
-                Answer::empty(self.take_duty_call(now, connection, request, None, out))
+                PlatformResponse::empty(self.handle_platform_call(now, connection, request, None, out))
             }
-            _ => self.refuse_list(UNKNOWN_PATH),
+            _ => self.reject_list_call(UNKNOWN_PATH),
         }
     }
 
-    /// Refuses a call because of a fault.
-    fn refuse(
+    /// Rejects a call because of a fault.
+    fn reject(
         &mut self,
         now: u64,
         connection: ConnectionKey,
         request: &Request,
         status: u16,
         out: &mut Effects,
-    ) -> Answer {
+    ) -> PlatformResponse {
         if request.method == "POST" {
-            return Answer::empty(self.take_duty_call(now, connection, request, Some(status), out));
+            return PlatformResponse::empty(self.handle_platform_call(
+                now,
+                connection,
+                request,
+                Some(status),
+                out,
+            ));
         }
-        self.refuse_list(status)
+        self.reject_list_call(status)
     }
 
-    fn refuse_list(&mut self, status: u16) -> Answer {
+    fn reject_list_call(&mut self, status: u16) -> PlatformResponse {
         self.refused += 1;
-        Answer::empty(status)
+        PlatformResponse::empty(status)
     }
 
-    fn answer_page(&mut self, now: u64, request: &Request) -> Answer {
-        self.calls += 1;
+    fn respond_with_page(&mut self, now: u64, request: &Request) -> PlatformResponse {
+        self.list_calls += 1;
         let token = request.query("page-token").and_then(|token| token.strip_prefix("p-")?.parse().ok());
         let page = self.page(now, request.query("zone"), token.unwrap_or(0));
-        Answer { status: TAKEN, page: Some(page) }
+        PlatformResponse { status: ACCEPTED, page: Some(page) }
     }
 
-    /// Takes a call that is a duty, unless it's to be refused, is malformed or over the rate. Returns its status.
-    fn take_duty_call(
+    /// Handles a platform call for a singleton role and returns its status. The call is accepted unless it is malformed, a
+    /// fault rejects it, or it exceeds the rate limit.
+    fn handle_platform_call(
         &mut self,
         now: u64,
         connection: ConnectionKey,
         request: &Request,
-        refusal: Option<u16>,
+        rejection: Option<u16>,
         out: &mut Effects,
     ) -> u16 {
-        let call = match read_duty_call(request) {
-            Ok(call) => DutyCall { source: self.source(connection), ..call },
+        let call = match read_platform_call(request) {
+            Ok(call) => PlatformCall { source: self.source(connection), ..call },
             Err(error) => {
                 log::warn!("platform: a call of {} is malformed: {error}", request.path());
-                self.duty_calls.malformed += 1;
+                self.platform_calls.malformed += 1;
                 return MALFORMED;
             }
         };
-        let status = match refusal {
+        let status = match rejection {
             Some(status) => status,
-            None if self.duty_rate.admit(now) => TAKEN,
+            None if self.platform_call_rate.admit(now) => ACCEPTED,
             None => OVER_RATE,
         };
         self.count(&call.order, status);
-        out.observations.push(Observation::DutyCallReceived { call, accepted: status == TAKEN });
+        out.observations.push(Observation::PlatformCallReceived { call, accepted: status == ACCEPTED });
         status
     }
 
-    fn count(&mut self, order: &DutyOrder, status: u16) {
-        let counts = &mut self.duty_calls;
+    fn count(&mut self, order: &PlatformOrder, status: u16) {
+        let counts = &mut self.platform_calls;
         match order {
-            _ if status != TAKEN => counts.refused += 1,
-            DutyOrder::UsageReport { .. } => counts.usage_reports += 1,
-            DutyOrder::Scaling { .. } => counts.scaling_orders += 1,
+            _ if status != ACCEPTED => counts.refused += 1,
+            PlatformOrder::UsageReport { .. } => counts.usage_reports += 1,
+            PlatformOrder::Scaling { .. } => counts.scaling_orders += 1,
         }
     }
 
-    /// Address of the machine that a connection comes from; empty if it isn't known.
+    /// Returns the source address of a connection; empty if it is unknown.
     fn source(&self, connection: ConnectionKey) -> String {
         self.sources.get(&connection).map(ToString::to_string).unwrap_or_default()
     }
 }
 
-/// An answer of the platform.
-struct Answer {
+/// A response of the platform.
+struct PlatformResponse {
     status: u16,
     page: Option<Value>,
 }
 
-impl Answer {
-    fn empty(status: u16) -> Answer {
-        Answer { status, page: None }
+impl PlatformResponse {
+    fn empty(status: u16) -> PlatformResponse {
+        PlatformResponse { status, page: None }
     }
 
     fn to_bytes(&self) -> Vec<u8> {
@@ -247,43 +259,43 @@
 
     fn request(&mut self, now: u64, connection: ConnectionKey, request: Request, out: &mut Effects) {
         match self.fault.handling() {
-            Handling::Answer => {
-                let answer = self.take(now, connection, &request, out);
-                out.send(connection, answer.to_bytes());
+            Handling::Respond => {
+                let response = self.handle_call(now, connection, &request, out);
+                out.send(connection, response.to_bytes());
             }
-            Handling::AnswerLater(delay_ms) => {
-                let bytes = self.take(now, connection, &request, out).to_bytes();
-                self.delayed.push(DelayedAnswer { at: now + delay_ms, connection, bytes });
+            Handling::RespondLater(delay_ms) => {
+                let bytes = self.handle_call(now, connection, &request, out).to_bytes();
+                self.delayed.push(DelayedResponse { at: now + delay_ms, connection, bytes });
             }
-            Handling::TakeSilently => {
-                self.take(now, connection, &request, out);
+            Handling::AcceptWithoutResponse => {
+                self.handle_call(now, connection, &request, out);
             }
-            Handling::Refuse(status) => {
-                let answer = self.refuse(now, connection, &request, status, out);
-                out.send(connection, answer.to_bytes());
+            Handling::Reject(status) => {
+                let response = self.reject(now, connection, &request, status, out);
+                out.send(connection, response.to_bytes());
             }
-            Handling::TakeAndReset => {
-                self.take(now, connection, &request, out);
+            Handling::AcceptAndReset => {
+                self.handle_call(now, connection, &request, out);
                 out.reset(connection);
                 self.sources.remove(&connection);
             }
-            Handling::Lose => {}
+            Handling::Drop => {}
         }
     }
 
     fn closed(&mut self, _now: u64, connection: ConnectionKey, _out: &mut Effects) {
         self.sources.remove(&connection);
-        self.delayed.retain(|answer| answer.connection != connection);
+        self.delayed.retain(|response| response.connection != connection);
     }
 
     fn wake(&mut self, now: u64, out: &mut Effects) {
-        let (due, later): (Vec<DelayedAnswer>, Vec<DelayedAnswer>) =
-            std::mem::take(&mut self.delayed).into_iter().partition(|answer| answer.at <= now);
+        let (due, later): (Vec<DelayedResponse>, Vec<DelayedResponse>) =
+            std::mem::take(&mut self.delayed).into_iter().partition(|response| response.at <= now);
         self.delayed = later;
-        due.into_iter().for_each(|answer| out.send(answer.connection, answer.bytes));
+        due.into_iter().for_each(|response| out.send(response.connection, response.bytes));
     }
 
     fn next_wake(&self) -> Option<u64> {
-        self.delayed.iter().map(|answer| answer.at).min()
+        self.delayed.iter().map(|response| response.at).min()
     }
 }
--- a/crates/testbed/src/readiness_checks.rs
+++ b/crates/testbed/src/readiness_checks.rs
@@ -9,7 +9,7 @@
 const CHECK_INTERVAL_MS: u64 = 1_000;
 const CHECK_TIMEOUT_MS: u64 = 900;
 
-/// Asks every gateway each second whether it is ready.
+/// Checks the readiness of every gateway once per second.
 #[derive(Debug, Default)]
 pub struct ReadinessChecks {
     next_at: u64,
@@ -42,7 +42,7 @@
         directory: &mut Directory,
         _out: &mut Effects,
     ) {
-        let is_ready = matches!(outcome, Outcome::Answered(answer) if answer.status == 200);
+        let is_ready = matches!(outcome, Outcome::Response(response) if response.status == 200);
         directory.record_readiness(tag.0 as usize, is_ready);
     }
 
--- a/crates/testbed/src/scenario/report.rs
+++ b/crates/testbed/src/scenario/report.rs
@@ -1,4 +1,4 @@
-//! What came of a scenario.
+//! The outcome of a scenario.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -9,83 +9,83 @@
 use crate::invariants::{Invariant, UsageFigures, Violation};
 use crate::launch::Usage;
 use crate::operator::OperatorStats;
-use crate::platform::DutyCallCounts;
+use crate::platform::PlatformCallCounts;
 use crate::trainer::TrainerStats;
 
-/// Violations of one invariant that are listed at most.
-const MAX_LISTED_OF_EACH: usize = 15;
+/// Maximum number of violations of one invariant that are printed.
+const MAX_PRINTED_PER_INVARIANT: usize = 15;
 
-/// A process that ended by itself, or didn't stop in time.
+/// A process that exited unexpectedly or did not stop in time.
 #[derive(Clone, Debug)]
 pub struct EndedProcess {
-    /// Machine name and role.
+    /// Name of the machine, and the role of the process.
     pub process: String,
-    /// How it ended, and the end of its log.
+    /// How the process ended, with the end of its log.
     pub log: String,
 }
 
-/// What came of one trainer.
+/// The outcome of one trainer.
 #[derive(Clone, Debug)]
 pub struct TrainerReport {
     /// Name of the trainer.
     pub name: String,
-    /// What it counted.
+    /// Counters of the trainer.
     pub stats: TrainerStats,
 }
 
-/// What one process used since it last started.
+/// Resource usage of a process since its last start.
 #[derive(Clone, Debug)]
 pub struct ProcessUsage {
-    /// Machine name and role.
+    /// Name of the machine, and the role of the process.
     pub process: String,
-    /// Processor time and memory.
+    /// CPU time and memory.
     pub usage: Usage,
 }
 
-/// Calls of the platform's list.
+/// Counts of the calls to the platform's server list.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PlatformCalls {
-    /// Calls that got a page.
+pub struct ListCallCounts {
+    /// Number of calls that received a page.
     pub answered: u64,
-    /// Calls that were refused.
+    /// Number of calls that were rejected.
     pub refused: u64,
 }
 
-/// What came of the duties of one node at a time.
+/// The outcome of the singleton roles.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct DutyReport {
-    /// Calls of the platform by what became of them.
-    pub calls: DutyCallCounts,
-    /// Windows of usage by what became of their reports.
+pub struct SingletonRoleReport {
+    /// Counts of the platform calls of singleton roles by outcome.
+    pub calls: PlatformCallCounts,
+    /// Numbers of usage windows by the outcome of their reports.
     pub usage: UsageFigures,
 }
 
-/// Outcome of a scenario.
+/// The outcome of a scenario.
 #[derive(Clone, Debug, Default)]
 pub struct Report {
-    /// Of each group of clients.
+    /// Counters of each group of clients.
     pub clients: Vec<ClientStats>,
-    /// Of each trainer.
+    /// Outcome of each trainer.
     pub trainers: Vec<TrainerReport>,
-    /// Of the operator.
+    /// Counters of the operator.
     pub operator: OperatorStats,
-    /// Of the operators that change the configuration at the same time, if there were any.
+    /// Counters of the operators that change the configuration concurrently; `None` if there were none.
     pub concurrent_operators: Option<ConcurrentOperatorStats>,
     /// Violations of the invariants.
     pub violations: Vec<Violation>,
-    /// Processes that ended by themselves, or didn't stop in time.
+    /// Processes that exited unexpectedly or did not stop in time.
     pub ended: Vec<EndedProcess>,
-    /// What processes used since they last started.
+    /// Resource usage of the processes since their last start.
     pub usage: Vec<ProcessUsage>,
-    /// Calls of the platform's list.
-    pub platform_calls: PlatformCalls,
-    /// Of the duties of one node at a time.
-    pub duties: DutyReport,
-    /// Where settings, data and logs were left.
+    /// Counts of the calls to the platform's server list.
+    pub list_calls: ListCallCounts,
+    /// Outcome of the singleton roles.
+    pub singleton_roles: SingletonRoleReport,
+    /// Directory in which settings, data and logs were kept; `None` if they were removed.
     pub directory: Option<PathBuf>,
 }
 
-/// A percentile of some times; 0 for none.
+/// Returns a percentile of durations; 0 if there are none.
 pub fn percentile(times: &[u64], percent: usize) -> u64 {
     let mut sorted = times.to_vec();
     sorted.sort_unstable();
@@ -99,7 +99,8 @@
 }
 
 impl Report {
-    /// Whether no invariant was violated, no process ended by itself, and something was served of each kind.
+    /// Whether no invariant was violated, no process exited unexpectedly, at least one client request was served, every
+    /// trainer finished a step, and concurrent operators (if any) got a change acknowledged.
     pub fn is_good(&self) -> bool {
         let served: u64 = self.clients.iter().map(|stats| stats.served).sum();
         let steps_done = self.trainers.iter().all(|trainer| trainer.stats.steps_done > 0);
@@ -151,13 +152,13 @@
         write_percentiles(f, &stats.ack_ms)
     }
 
-    fn write_duties(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let DutyReport { calls, usage } = self.duties;
+    fn write_singleton_roles(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        let SingletonRoleReport { calls, usage } = self.singleton_roles;
         let (reports, scaling) = (calls.usage_reports, calls.scaling_orders);
         write!(f, "duties: {reports} usage reports and {scaling} scaling orders taken, ")?;
         writeln!(f, "{} refused, {} malformed", calls.refused, calls.malformed)?;
-        let (due, missing, off) = (usage.due, usage.missing, usage.off);
-        writeln!(f, "  windows of usage: {due} due, {missing} missing, {off} off")
+        let (due, missing, inaccurate) = (usage.due, usage.missing, usage.inaccurate);
+        writeln!(f, "  windows of usage: {due} due, {missing} missing, {inaccurate} off")
     }
 
     fn write_violations(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -168,7 +169,7 @@
         }
         for (invariant, violations) in by_invariant {
             writeln!(f, "  {invariant}: {}, the first of them:", violations.len())?;
-            for violation in violations.into_iter().take(MAX_LISTED_OF_EACH) {
+            for violation in violations.into_iter().take(MAX_PRINTED_PER_INVARIANT) {
                 writeln!(f, "    {violation}")?;
             }
         }
@@ -191,9 +192,9 @@
         if let Some(concurrent_operators) = &self.concurrent_operators {
             self.write_concurrent_operators(f, concurrent_operators)?;
         }
-        let PlatformCalls { answered, refused } = self.platform_calls;
+        let ListCallCounts { answered, refused } = self.list_calls;
         writeln!(f, "platform: {answered} calls answered, {refused} refused")?;
-        self.write_duties(f)?;
+        self.write_singleton_roles(f)?;
         if !operator.retired.is_empty() {
             writeln!(f, "emptied and taken away: {}", operator.retired.join(", "))?;
         }
--- a/crates/testbed/src/trainer/mod.rs
+++ b/crates/testbed/src/trainer/mod.rs
@@ -1,4 +1,4 @@
-//! A trainer: submits a batch job for each step, reads its results, cancels it, and names versions.
+//! A trainer: submits a batch job for each step, reads its results, cancels it, and announces new versions.
 
 mod calls;
 mod group_progress;
@@ -10,7 +10,7 @@
 mod settings;
 mod stats;
 mod steps;
-mod version_naming;
+mod version_announcement;
 
 pub use settings::{BatchSettings, ItemSettings, ReviewTimes, StepSettings, TrainerSettings};
 pub use stats::{SharedTrainerStats, TrainerStats};
--- a/crates/testbed/src/trainer/steps.rs
+++ b/crates/testbed/src/trainer/steps.rs
@@ -1,4 +1,4 @@
-//! The trainer's way through its steps.
+//! The trainer's loop over its steps.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -9,18 +9,18 @@
 use super::keys::TrainerKeys;
 use super::settings::TrainerSettings;
 use super::stats::SharedTrainerStats;
-use super::version_naming::VersionNaming;
+use super::version_announcement::VersionAnnouncements;
 use crate::directory::Directory;
 use crate::effects::{CallTag, Caller, Effects, Outcome};
 use crate::http::Response;
 use crate::observation::Observation;
 
-/// One read in so many begins at an earlier position.
+/// On average, one of this many reads starts at an earlier position.
 const EARLIER_EVERY: u32 = 8;
-/// One read in so many is followed by a request for the body of an item.
+/// On average, one of this many reads is followed by a request for the body of an item.
 const BODY_EVERY: u32 = 6;
 
-/// A trainer.
+/// An emulated trainer.
 pub struct Trainer {
     settings: TrainerSettings,
     random: Pcg64Mcg,
@@ -28,20 +28,20 @@
     calls: Calls,
     keys: TrainerKeys,
     next_step: u64,
-    naming: VersionNaming,
-    /// Groups for the next batch job to bring back.
+    announcements: VersionAnnouncements,
+    /// Groups that the next batch job takes over.
     carried_over: Vec<Group>,
-    /// No more steps are submitted.
+    /// Whether no more steps are submitted.
     closed: bool,
     stats: SharedTrainerStats,
 }
 
 impl Trainer {
-    /// A trainer, and the statistics that it keeps.
+    /// Returns a trainer with its counters.
     pub fn new(settings: TrainerSettings) -> (Trainer, SharedTrainerStats) {
-        let naming = VersionNaming::new();
+        let announcements = VersionAnnouncements::new();
         let stats = SharedTrainerStats::default();
-        stats.borrow_mut().version = naming.version();
+        stats.borrow_mut().version = announcements.version();
         let trainer = Trainer {
             random: Pcg64Mcg::seed_from_u64(settings.seed),
             keys: TrainerKeys::new(settings.keys.clone()),
@@ -49,7 +49,7 @@
             jobs: Vec::new(),
             calls: Calls::new(),
             next_step: 0,
-            naming,
+            announcements,
             carried_over: Vec::new(),
             closed: false,
             stats: stats.clone(),
@@ -57,11 +57,13 @@
         (trainer, stats)
     }
 
-    /// When the next step may be submitted; `None` while its version isn't named or the run is over.
+    /// Returns when the next step may be submitted; `None` while its version is not acknowledged or after the end of the
+    /// traffic.
     fn next_step_at(&self) -> Option<u64> {
         let due = self.settings.steps.from + self.next_step * self.settings.steps.interval_ms;
         let needed = (self.next_step + 1).saturating_sub(self.settings.steps.steps_ahead).max(1);
-        (!self.closed && due < self.settings.steps.until && needed <= self.naming.version()).then_some(due)
+        (!self.closed && due < self.settings.steps.until && needed <= self.announcements.version())
+            .then_some(due)
     }
 
     fn begin_due_steps(&mut self, now: u64) {
@@ -75,7 +77,7 @@
         }
     }
 
-    /// Makes the call of a batch job that is due.
+    /// Makes the next call of a batch job if it is due.
     fn advance_job(&mut self, now: u64, index: JobIndex, directory: &Directory, out: &mut Effects) {
         let job = &mut self.jobs[index];
         if job.next_at.is_none_or(|at| at > now) {
@@ -91,7 +93,7 @@
         job.next_at = None;
         let is_overdue = now >= job.first_sent + self.settings.batch.deadline_ms;
         match job.phase {
-            Phase::Submitting if is_overdue => self.give_up_submitting(now, index),
+            Phase::Submitting if is_overdue => self.abandon_submission(now, index),
             Phase::Submitting => self.submit(now, index, directory, out),
             Phase::Reading if is_overdue => self.begin_cancel(now, index),
             Phase::Reading => self.read(now, index, directory, out),
@@ -104,7 +106,7 @@
         }
     }
 
-    /// Makes a call at a gateway of the trainer's zone, if there is one.
+    /// Makes a call through a gateway that the directory picks for the trainer's zone.
     fn call(&mut self, now: u64, job: JobIndex, purpose: Purpose, directory: &Directory, out: &mut Effects) {
         let Some(address) = directory.pick_gateway(&self.settings.zone, &mut self.random) else { return };
         let credentials = self.keys.for_call(&purpose);
@@ -148,14 +150,14 @@
         self.call(now, index, Purpose::Review { after }, directory, out);
     }
 
-    /// The deadline has come without a 202: the step is lost, and the training goes on without it.
-    fn give_up_submitting(&mut self, now: u64, index: JobIndex) {
+    /// Abandons a step whose deadline passed without a 202; the training continues without it.
+    fn abandon_submission(&mut self, now: u64, index: JobIndex) {
         let job = &mut self.jobs[index];
         if job.unclear {
             self.begin_cancel(now, index);
         } else {
             job.reject();
-            self.naming.train_until(now + self.settings.steps.train_ms);
+            self.announcements.train_until(now + self.settings.steps.train_ms);
         }
     }
 
@@ -166,7 +168,7 @@
         if self.settings.batch.carry_over && job.accepted {
             self.carried_over = job.progress.groups_to_carry_over(self.settings.batch.required_groups / 2);
         }
-        self.naming.train_until(now + self.settings.steps.train_ms);
+        self.announcements.train_until(now + self.settings.steps.train_ms);
         if let Some(at) = job.progress.complete_at() {
             let mut stats = self.stats.borrow_mut();
             stats.steps_done += 1;
@@ -175,7 +177,7 @@
         }
     }
 
-    /// Takes the outcome of a call for a batch job.
+    /// Handles the outcome of a call for a batch job.
     fn job_call_ended(
         &mut self,
         now: u64,
@@ -201,9 +203,9 @@
         }
     }
 
-    /// A call whose key the system doesn't take is made again with another key of the tenant.
+    /// Records a denied call; its retry uses another key of the tenant.
     fn observe_denial(&mut self, call: &JobCall, outcome: &Outcome, out: &mut Effects) {
-        let Outcome::Answered(Response { status: status @ (401 | 403), .. }) = outcome else { return };
+        let Outcome::Response(Response { status: status @ (401 | 403), .. }) = outcome else { return };
         self.keys.denied(&call.credentials);
         out.observations.push(Observation::JobCallDenied {
             job: self.jobs[call.job].id().to_owned(),
@@ -220,7 +222,7 @@
 
 impl Caller for Trainer {
     fn wake(&mut self, now: u64, directory: &mut Directory, out: &mut Effects) {
-        self.naming.advance(now, &self.settings, &mut self.calls, directory, &mut self.random, out);
+        self.announcements.advance(now, &self.settings, &mut self.calls, directory, &mut self.random, out);
         self.begin_due_steps(now);
         for index in 0..self.jobs.len() {
             self.advance_job(now, index, directory, out);
@@ -237,9 +239,9 @@
         directory: &mut Directory,
         out: &mut Effects,
     ) {
-        if self.naming.owns(tag) {
-            self.naming.call_ended(now, outcome, &self.settings.model, out);
-            self.stats.borrow_mut().version = self.naming.version();
+        if self.announcements.owns(tag) {
+            self.announcements.call_ended(now, outcome, &self.settings.model, out);
+            self.stats.borrow_mut().version = self.announcements.version();
         } else if let Some(call) = self.calls.end(tag) {
             self.observe_denial(&call, &outcome, out);
             self.job_call_ended(now, call.job, call.purpose, &outcome, out);
@@ -249,10 +251,10 @@
 
     fn next_wake(&self) -> Option<u64> {
         let jobs = self.jobs.iter().filter(|job| job.review.is_some()).filter_map(|job| job.next_at);
-        let naming = self.naming.next_at();
-        // Without a batch job to review, the end is noted at the time of the reviews.
+        let announcements = self.announcements.next_at();
+        // Without a batch job to review, the trainer wakes at the start of the reviews to record that it is done.
         let is_idle = !self.stats.borrow().is_done && self.jobs.iter().all(|job| job.review.is_none());
         let review = is_idle.then_some(self.settings.review.from);
-        jobs.chain(naming).chain(self.next_step_at()).chain(review).min()
+        jobs.chain(announcements).chain(self.next_step_at()).chain(review).min()
     }
 }
--- a/crates/testbed/src/trainer/version_naming.rs
+++ b/crates/testbed/src/trainer/version_announcement.rs
@@ -1,4 +1,5 @@
-//! Naming of versions: one once the training of a step is over, sent until it is acknowledged.
+//! Announcement of versions: after the training of each step, a new version is announced until the system acknowledges
+//! it.
 
 use std::collections::VecDeque;
 
@@ -12,41 +13,41 @@
 use crate::effects::{CallTag, Effects, Notice, Outcome};
 use crate::observation::Observation;
 
-/// A version that is being named.
+/// A version that is being announced.
 #[derive(Debug)]
-struct Naming {
+struct Announcement {
     version: u64,
     tag: CallTag,
     call: ControlCall,
 }
 
-/// The versions that a trainer names.
+/// The versions that a trainer announces.
 #[derive(Debug)]
-pub(super) struct VersionNaming {
-    /// When the training of ended steps is over, in their order.
+pub(super) struct VersionAnnouncements {
+    /// Times at which the training of finished steps ends, in order.
     training: VecDeque<u64>,
-    current: Option<Naming>,
-    /// Newest version that the system acknowledged.
+    current: Option<Announcement>,
+    /// Latest version that the system acknowledged.
     version: u64,
 }
 
-impl VersionNaming {
-    /// The first version is there from the start.
-    pub(super) fn new() -> VersionNaming {
-        VersionNaming { training: VecDeque::new(), current: None, version: 1 }
+impl VersionAnnouncements {
+    /// Returns the state at the start, in which version 1 exists.
+    pub(super) fn new() -> VersionAnnouncements {
+        VersionAnnouncements { training: VecDeque::new(), current: None, version: 1 }
     }
 
-    /// Newest version that the system acknowledged.
+    /// Returns the latest version that the system acknowledged.
     pub(super) fn version(&self) -> u64 {
         self.version
     }
 
-    /// The training of one more step is over at `at`.
+    /// Schedules the announcement of another version at `at`, when the training of a step ends.
     pub(super) fn train_until(&mut self, at: u64) {
         self.training.push_back(at);
     }
 
-    /// Names the next version once the training of a step is over.
+    /// Announces the next version once the training of a step has ended.
     pub(super) fn advance(
         &mut self,
         now: u64,
@@ -60,7 +61,7 @@
             self.training.pop_front();
             self.begin(now, settings, calls, out);
         }
-        if let Some(Naming { tag, call, .. }) = &mut self.current {
+        if let Some(Announcement { tag, call, .. }) = &mut self.current {
             out.calls.extend(call.attempt(now, *tag, directory, random));
         }
     }
@@ -74,37 +75,37 @@
         let body = json!({"model": model, "config-version": version});
         let request = ControlRequest::json("POST", "/v1/version-put", &body);
         let call = ControlCall::new(request, now, settings.steps.until);
-        out.observations.push(Observation::VersionNamed { model: model.clone(), version });
-        out.notices.push(Notice::VersionNamed { model, version });
-        self.current = Some(Naming { version, tag: calls.new_tag(), call });
+        out.observations.push(Observation::VersionAnnounced { model: model.clone(), version });
+        out.notices.push(Notice::VersionAnnounced { model, version });
+        self.current = Some(Announcement { version, tag: calls.new_tag(), call });
     }
 
-    /// Whether the call with this tag names a version.
+    /// Whether the call with this tag announces a version.
     pub(super) fn owns(&self, tag: CallTag) -> bool {
-        self.current.as_ref().is_some_and(|naming| naming.tag == tag)
+        self.current.as_ref().is_some_and(|announcement| announcement.tag == tag)
     }
 
-    /// Takes the outcome of a call that names a version.
+    /// Handles the outcome of a call that announces a version.
     pub(super) fn call_ended(&mut self, now: u64, outcome: Outcome, model: &str, out: &mut Effects) {
-        let Some(Naming { version, call, .. }) = &mut self.current else { return };
+        let Some(Announcement { version, call, .. }) = &mut self.current else { return };
         match call.attempt_ended(now, outcome) {
-            CallProgress::Response(answer) if answer.is_success() => {
+            CallProgress::Response(response) if response.is_success() => {
                 self.version = *version;
                 let model = model.to_owned();
                 out.observations.push(Observation::VersionAcknowledged { model, version: *version });
                 self.current = None;
             }
-            // Anything but a 2xx is sent again.
+            // Every response other than a 2xx is retried.
             CallProgress::Response(_) if now < call.deadline() => call.postpone(now + RETRY_DELAY_MS),
             CallProgress::Response(_) | CallProgress::Expired => self.current = None,
             CallProgress::Retry | CallProgress::ResponseLost(_) => {}
         }
     }
 
-    /// When there is something to do next.
+    /// Returns the time of the next call or announcement.
     pub(super) fn next_at(&self) -> Option<u64> {
         match &self.current {
-            Some(naming) => naming.call.next_at(),
+            Some(announcement) => announcement.call.next_at(),
             None => self.training.front().copied(),
         }
     }
--- a/crates/testbed/tests/golden_servers.rs
+++ b/crates/testbed/tests/golden_servers.rs
@@ -1,5 +1,5 @@
-//! Golden traces of everything that is served to the system: model servers, application servers and the platform's
-//! list, each under requests, faults and waits that are drawn by fixed seeds.
+//! Golden traces of all emulated servers: model servers, application servers and the platform's list, under seeded random
+//! requests, faults and pauses.
 
 mod support {
     pub mod recording;
@@ -44,7 +44,7 @@
     }
 }
 
-/// Closes a connection, or lets time pass.
+/// Closes a connection, or advances the clock.
 fn close_or_pass<S: Service>(server: &mut RecordedService<S>, random: &mut Pcg64Mcg) {
     if random.random_bool(0.2) && server.connections > 0 {
         let key = ConnectionKey(random.random_range(1..=server.connections));
@@ -126,7 +126,7 @@
             70..73 => server.step(|server, _, out| server.restart(out)),
             73..76 => {
                 let version = random.random_range(1..4);
-                server.step(|server, _, _| server.name_version("alpha", version));
+                server.step(|server, _, _| server.announce_version("alpha", version));
             }
             76 if random.random_bool(0.2) => server.step(|server, _, _| server.drain()),
             _ => close_or_pass(&mut server, &mut random),
@@ -139,7 +139,7 @@
 }
 
 #[test]
-fn model_servers_do_as_recorded() {
+fn model_servers_match_the_golden_traces() {
     check("model_servers.txt", play_model_server);
 }
 
@@ -151,8 +151,8 @@
         max_connections: 20,
         health_path: "/health".to_owned(),
         work_ms: 5..=60,
-        answer_bytes: 100 * seed as usize,
-        failing_share: 500 * seed,
+        response_bytes: 100 * seed as usize,
+        failures_per_10_000: 500 * seed,
         seed,
     };
     RecordedService::new(ApplicationServerEmulator::new(seed + 1, settings))
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn application_servers_do_as_recorded() {
+fn application_servers_match_the_golden_traces() {
     check("application_servers.txt", play_application_server);
 }
 
@@ -225,9 +225,9 @@
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let settings = PlatformSettings {
         lag_ms: 100 * seed,
-        rate_per_s: 1.0 + seed as f64,
+        list_calls_per_second: 1.0 + seed as f64,
         page_size: 3 + seed as usize,
-        duty_per_s: 5.0,
+        platform_calls_per_second: 5.0,
     };
     let mut platform = RecordedService::new(PlatformStub::new(settings));
     for step in 0..STEPS {
@@ -255,13 +255,13 @@
             }
             _ => platform.pass(random.random_range(0..900)),
         }
-        platform.trace.add_number(platform.service.calls);
+        platform.trace.add_number(platform.service.list_calls);
         platform.trace.add_number(platform.service.refused);
     }
     platform.trace.finish()
 }
 
 #[test]
-fn pages_of_the_platform_are_as_recorded() {
+fn platform_pages_match_the_golden_traces() {
     check("platform.txt", play_platform);
 }
