--- a/crates/frontnode/benches/coldstart.rs
+++ b/crates/frontnode/benches/coldstart.rs
@@ -1,6 +1,6 @@
-//! What discovery, and a store that has just started, see of many front nodes that start at once, with the start that
-//! waits its turn and without. `cargo bench -p orchidvalve-frontnode --bench coldstart -- DIR`: processes on loopback,
-//! a table to standard output and a chart of it in DIR.
+//! The load on discovery and on a newly started store when many front nodes start at the same time, with and without the
+//! cold start. `cargo bench -p orchidvalve-frontnode --bench coldstart -- DIR` runs processes on loopback, prints a table
+//! to standard output and writes a chart of it to DIR.
 
 #[path = "../tests/node_group/mod.rs"]
 mod node_group;
@@ -13,15 +13,15 @@
 use plotters::prelude::*;
 
 const SECONDS: u64 = 6;
-/// Asks a second at discovery that the start is told of.
+/// The configured rate of requests to discovery per second.
 const RATE: f64 = 2.0;
 
 struct Played {
-    /// Whole lists asked for: in all, and most within a second.
+    /// Requests for complete lists: in total, and the maximum within a second.
     asks: (usize, usize),
-    /// Until every node had a list.
+    /// The time until every node had a list, in seconds.
     all_serve: Duration,
-    /// Shard requests and health checks at the cold store in each second.
+    /// Shard requests and health checks at the newly started store in each second.
     at_cold: Vec<usize>,
     answered: (usize, usize),
 }
@@ -43,7 +43,7 @@
         for node in 0..nodes {
             let (f, answered) = (&f, &answered);
             scope.spawn(move || {
-                // One query each two seconds from each node, begun at different moments.
+                // Each node sends one query every two seconds; the nodes start at different moments.
                 let offset = Duration::from_millis(2000 * node as u64 / nodes as u64);
                 let mut n = 0;
                 while began.elapsed() < Duration::from_secs(SECONDS) {
--- a/crates/frontnode/benches/doors.rs
+++ b/crates/frontnode/benches/doors.rs
@@ -1,5 +1,5 @@
-//! Both client protocols in front of both store protocols, measured in turns within one run: queries for each second of the node's
-//! processor time, latencies, memory. `cargo bench -p orchidvalve-frontnode --bench doors`, with `-- ROUNDS` for more.
+//! Both client protocols in front of both store protocols, measured in turns within one run: queries per second of the
+//! node's processor time, latencies, memory. `cargo bench -p orchidvalve-frontnode --bench doors`, with `-- ROUNDS` for more.
 
 #[path = "../tests/search_node/mod.rs"]
 mod search_node;
@@ -10,7 +10,7 @@
 use search_node::{FRAMES, OS};
 
 fn main() {
-    // Cargo hands over flags of its own.
+    // Cargo adds its own flags.
     let rounds = std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(5);
     let mut all = [
         Figures::new("own door, frames", true, FRAMES, ""),
--- a/crates/frontnode/benches/fleet.rs
+++ b/crates/frontnode/benches/fleet.rs
@@ -1,6 +1,7 @@
-//! What a store that has just started gets from many front nodes of little traffic each, with the fleet and without:
-//! the floor of the cold rule is one part a window from every node alone, and `cold_floor` from all of them together
-//! in a fleet. `cargo bench -p orchidvalve-frontnode --bench fleet`: processes on loopback, a table to standard output.
+//! The load on a newly started store from many front nodes with little traffic each, with and without the fleet. The floor
+//! of the slow start is one shard request per window from each node alone, and `cold_floor` from all nodes together in a
+//! fleet. `cargo bench -p orchidvalve-frontnode --bench fleet` runs processes on loopback and prints a table to standard
+//! output.
 
 #[path = "../tests/node_group/mod.rs"]
 mod node_group;
@@ -11,7 +12,8 @@
 
 const SECONDS: u64 = 6;
 
-/// Shard requests at the store in slow start in each second, shard requests at all stores, and queries answered with 200 of all.
+/// Returns the shard requests at the store in slow start in each second, those at all stores, and the numbers of queries
+/// answered with 200 and of all queries.
 fn play(nodes: usize, fleet: bool) -> (Vec<usize>, usize, (usize, usize)) {
     let mut options = FleetOptions::of(nodes);
     (options.fleet, options.started_ms, options.cold_ms) = (fleet, vec![(0, 0)], 20_000);
@@ -28,7 +30,7 @@
         for node in 0..nodes {
             let (f, answered) = (&f, &answered);
             scope.spawn(move || {
-                // One query each two seconds from each node, begun at different moments.
+                // Each node sends one query every two seconds; the nodes start at different moments.
                 let offset = Duration::from_millis(2000 * node as u64 / nodes as u64);
                 let mut n = 0;
                 while began.elapsed() < Duration::from_secs(SECONDS) {
--- a/crates/frontnode/benches/maintenance.rs
+++ b/crates/frontnode/benches/maintenance.rs
@@ -1,7 +1,7 @@
-//! A maintenance weekend in seconds: half of six servers, both holders of one shard among them, are patched by three crews
-//! that start at one moment; once by an order that the front nodes agree on, once each crew on its own.
-//! `cargo bench -p orchidvalve-frontnode --bench maintenance -- DIR`: five nodes as processes, a table to standard output
-//! and a chart of the service in DIR.
+//! A maintenance weekend in seconds: three crews that start at the same time patch half of six servers, including both
+//! replicas of one shard; once in the order that the front nodes agree on, and once each crew on its own.
+//! `cargo bench -p orchidvalve-frontnode --bench maintenance -- DIR` runs five nodes as processes, prints a table to
+//! standard output and writes a chart of the served queries to DIR.
 
 #[path = "../tests/node_group/mod.rs"]
 mod node_group;
@@ -18,21 +18,21 @@
 
 const NODES: usize = 5;
 const MEMBERS: usize = 3;
-/// What the crews patch: both holders of shard 0, and one of shard 1.
+/// The servers that the crews patch: both replicas of shard 0 and one of shard 1.
 const PATCHED: [usize; 3] = [0, SLICES, 1];
-/// From discovery's word that a server drains until it is switched off, and how long it is off.
+/// The time from a server's draining in discovery until it is switched off, and the time that it is off.
 const DRAINS: Duration = Duration::from_millis(600);
 const OFF: Duration = Duration::from_millis(1500);
 const BIN: Duration = Duration::from_millis(500);
 const LINES: &str = "tick_ms = 20\nfollow_ms = 50\ndrain_ms = 600\nlook_lasts_ms = 3000\nzone_share = 1.0\n";
 
 struct Played {
-    /// Queries answered with 200, and all, in each half second.
+    /// The numbers of queries answered with 200 and of all queries, in each half second.
     bins: Vec<(usize, usize)>,
-    /// Servers off at one time at most, and whether both holders of one shard were.
+    /// The maximum number of servers off at the same time, and whether both replicas of one shard were off.
     most_off: usize,
     both_off: bool,
-    /// Parts that came to servers while they were off.
+    /// Shard requests received by servers while they were off.
     parts_at_off: usize,
     took: Duration,
 }
@@ -54,7 +54,7 @@
     if agreed {
         f.until("a leader", |f| (0..MEMBERS).any(|n| f.gauge(n, "maintenance_leads") == 1));
     }
-    // What discovery says of each server.
+    // The servers as discovery publishes them.
     let members = Mutex::new(f.members(&[]));
     let tell = |store: usize, key: &str, value: Value| {
         let mut members = members.lock().unwrap();
--- a/crates/frontnode/benches/play/mod.rs
+++ b/crates/frontnode/benches/play/mod.rs
@@ -1,4 +1,4 @@
-//! Clients that ask one thing after the other, and what came of it.
+//! Clients that send one request after the other, and their measured results.
 #![allow(dead_code)]
 
 use std::io::{Read, Write};
@@ -15,18 +15,18 @@
 pub struct Figures {
     pub name: &'static str,
     pub harness: Harness,
-    /// The request that each client sends, but for the id of the own door's.
+    /// The request that each client sends; requests of the own protocol also get an id.
     own: bool,
     body: String,
     pub latencies: Histogram<u64>,
     pub done: u64,
     pub seconds: f64,
     pub processor: f64,
-    /// Of each turn.
+    /// The values of each turn.
     pub rates: Vec<f64>,
 }
 
-/// Seconds of processor time that a process has used: fields 14 and 15 of its stat, a hundred a second on Linux.
+/// Returns the processor time that a process has used, in seconds: fields 14 and 15 of its stat, 100 per second on Linux.
 fn processor(harness: &Harness) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", harness.child.id())).unwrap();
     let after = stat.rsplit_once(") ").unwrap().1;
@@ -105,7 +105,7 @@
         self.rates.push(done as f64 / used);
     }
 
-    /// One after the other until the end: microseconds of each.
+    /// Sends requests one after the other until `end`. Returns the duration of each in microseconds.
     fn client(&self, n: usize, turn: usize, end: Instant) -> Vec<u64> {
         let mut stream = TcpStream::connect(self.harness.node).unwrap();
         stream.set_nodelay(true).unwrap();
--- a/crates/frontnode/src/client_protocol/search.rs
+++ b/crates/frontnode/src/client_protocol/search.rs
@@ -92,11 +92,11 @@
         if self.config.tenants.is_empty() {
             return Ok(0);
         }
-        let wrong = |what: String| SearchError::argument("Tenant", what);
+        let invalid = |what: String| SearchError::argument("Tenant", what);
         let name =
-            self.message.header("Tenant").ok_or_else(|| wrong("missing, or there twice".to_owned()))?;
+            self.message.header("Tenant").ok_or_else(|| invalid("missing, or there twice".to_owned()))?;
         let tenant = self.config.tenants.iter().position(|t| t == name);
-        tenant.ok_or_else(|| wrong(format!("unknown tenant '{name}'")))
+        tenant.ok_or_else(|| invalid(format!("unknown tenant '{name}'")))
     }
 
     fn is_retry(&self) -> bool {
@@ -126,9 +126,9 @@
             self.route(&segments, &SearchCall { message, parameters, since, config }).transpose()
         })?;
         // An error response also carries the client's own id, if that is valid.
-        let refuse = |fault: SearchError| {
+        let refuse = |error: SearchError| {
             let call = SearchCall { message, parameters: Vec::new(), since, config };
-            Interpretation::Answered(refusal(&fault, &call.opaque_id_header().unwrap_or_default()))
+            Interpretation::Answered(error_reply(&error, &call.opaque_id_header().unwrap_or_default()))
         };
         Some(interpretation.unwrap_or_else(refuse))
     }
@@ -144,8 +144,8 @@
     pairs.map(read).collect()
 }
 
-fn refusal(fault: &SearchError, opaque_id_header: &str) -> Reply {
-    let mut reply = Reply::json(fault.status, fault.body().to_string());
+fn error_reply(error: &SearchError, opaque_id_header: &str) -> Reply {
+    let mut reply = Reply::json(error.status, error.body().to_string());
     reply.headers.push_str(opaque_id_header);
     reply
 }
@@ -269,10 +269,10 @@
             let plain = |b: u8| b.is_ascii_graphic() && b != b',';
             (1..=MAX_ID_BYTES).contains(&id.len()) && id.bytes().all(plain)
         });
-        let wrong = || format!("should be 1 to {MAX_ID_BYTES} plain characters without spaces and commas");
-        let id = id.ok_or_else(|| SearchError::argument("_id", wrong()))?;
+        let invalid = || format!("should be 1 to {MAX_ID_BYTES} plain characters without spaces and commas");
+        let id = id.ok_or_else(|| SearchError::argument("_id", invalid()))?;
         let routing = call.parameter("routing")?;
-        let home = index.document_shard(&id, routing)?;
+        let shard = index.document_shard(&id, routing)?;
         let create = CreateRequest::read(&call.message.body, &index.name, &id, routing, &index.mapping)?;
         let timeout = call.time("timeout")?;
         Ok(QueryRequest {
@@ -285,7 +285,7 @@
             min_weight: 0.0,
             idempotency_key: Some(id.clone().into()),
             payload: create.canonical().into(),
-            shards: vec![ShardWeight { shard: home, weight: 1.0 }],
+            shards: vec![ShardWeight { shard, weight: 1.0 }],
             reply_format: Box::new(CreateFormat {
                 index: index.name.clone(),
                 id,
@@ -312,7 +312,7 @@
         }
         let queries = lines.chunks(2).map(|pair| {
             let query = self.msearch_line(index, pair[0], pair[1], call);
-            query.map_err(|fault| refusal(&fault, ""))
+            query.map_err(|error| error_reply(&error, ""))
         });
         Ok(Interpretation::Queries { queries: queries.collect(), combine: combine_msearch })
     }
--- a/crates/frontnode/src/clients.rs
+++ b/crates/frontnode/src/clients.rs
@@ -182,9 +182,9 @@
     /// may have arrived unread. So are connections whose requests were read here but not yet handled, which may take
     /// until the end of the next round.
     fn evict(&mut self, context: &mut Context) -> bool {
-        let (now, soon) = (context.now, self.timeouts.linger / 10);
-        let is_mute =
-            |client: &Client| client.is_idle() && !client.has_sent_request && client.last_used + soon <= now;
+        let (now, grace) = (context.now, self.timeouts.linger / 10);
+        let has_sent_nothing =
+            |client: &Client| client.is_idle() && !client.has_sent_request && client.last_used + grace <= now;
         let is_evictable = |client: &Client| {
             client.pending.is_none()
                 && client.stream.is_flushed()
@@ -193,7 +193,7 @@
         };
         loop {
             let evictable = self.clients.iter().filter(|(_, client)| is_evictable(client));
-            let rank = |client: &Client| (!is_mute(client), !client.is_idle(), client.last_used);
+            let rank = |client: &Client| (!has_sent_nothing(client), !client.is_idle(), client.last_used);
             let Some((key, _)) = evictable.min_by_key(|(_, client)| rank(client)) else { return false };
             let client = &mut self.clients[key];
             let was_idle = client.is_idle();
--- a/crates/frontnode/src/clients/tests.rs
+++ b/crates/frontnode/src/clients/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections give way to newcomers, round by round.
+//! Eviction of client connections in favour of new ones, round by round.
 
 use std::io::Write;
 use std::time::Duration;
@@ -13,7 +13,7 @@
 const MS: Nanos = 1_000_000;
 const TOO_LONG: Duration = Duration::from_secs(20);
 
-/// The clients of a node, without the node.
+/// The client connections of a node without the rest of the node.
 struct Fixture {
     events: EventLoop<'static, ReadyEvents>,
     ready: ReadyEvents,
@@ -68,7 +68,7 @@
         TcpStream::connect(self.clients.address().unwrap()).unwrap()
     }
 
-    /// Waits until the source is ready.
+    /// Dispatches events until the source is ready.
     fn wait_for(&mut self, source: EventSource) {
         while !self.ready.ready.iter().any(|event| event.source == source) {
             let before = self.ready.ready.len();
@@ -78,7 +78,7 @@
         self.ready.ready.clear();
     }
 
-    /// The part of a round in which newcomers are accepted.
+    /// Accepts new connections, as in the given round.
     fn accept(&mut self, round: i64) {
         self.context.now = round * 10 * MS;
         self.clients.accept(&mut self.context);
@@ -101,13 +101,13 @@
     let _newcomer = fixture.connect();
     fixture.wait_for(EventSource::Listener);
     fixture.accept(2);
-    assert_eq!(fixture.keys(), keys, "its request has come");
+    assert_eq!(fixture.keys(), keys, "its request has arrived");
     assert!(fixture.context.ready_again.contains(&EventSource::Client(keys[0])));
     // In the next round the listener's event is handled before the client's.
     fixture.accept(3);
-    assert_eq!(fixture.keys(), keys, "its request is not looked at yet");
+    assert_eq!(fixture.keys(), keys, "its request is not handled yet");
     assert_eq!(fixture.context.metrics.clients_evicted, 0);
-    // Once it was looked at and is not whole, the client gives way as any other.
+    // Its request was handled and is incomplete, so the client is evicted like any other.
     fixture.clients.clients[keys[0]].has_unseen_request = false;
     fixture.accept(4);
     assert_ne!(fixture.keys(), keys);
--- a/crates/frontnode/src/cold_start.rs
+++ b/crates/frontnode/src/cold_start.rs
@@ -29,7 +29,7 @@
 const MAX_ENDPOINTS: usize = 1 << 14;
 
 /// The maximum number of unverified steps of a replica that an earlier run had ejected.
-const MAX_DOUBT: u32 = 4;
+const MAX_UNVERIFIED_STEPS: u32 = 4;
 
 const SECTION: SectionName = SectionName("coldstart");
 
@@ -184,12 +184,12 @@
     /// A request to discovery failed or was not answered in time.
     Missed,
     /// The configuration names another discovery agent.
-    Moved(SocketAddr),
+    AddressChanged(SocketAddr),
 }
 
 /// How much verification a replica of an older list still needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Doubt {
+pub struct PendingVerification {
     /// The number of unverified steps; 0 if the replica is verified.
     pub steps: u32,
     /// The time from which its health may be checked.
@@ -211,7 +211,7 @@
 
 /// What is requested from peers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum WantedFromPeers {
+pub enum PeerListRequest {
     /// Nothing.
     Nothing,
     /// An endpoint list.
@@ -222,11 +222,11 @@
 }
 
 /// An endpoint of an older list.
-pub struct DoubtedEndpoint {
+pub struct UnverifiedEndpoint {
     /// The endpoint.
     pub endpoint: Endpoint,
     /// The verification that it still needs.
-    pub doubt: Doubt,
+    pub verification: PendingVerification,
 }
 
 /// The decisions of a round of the cold start.
@@ -235,18 +235,18 @@
     /// The actions of the node, in order.
     pub actions: Vec<Action>,
     /// The request to peers, if it changed.
-    pub wanted: Option<WantedFromPeers>,
+    pub peer_request: Option<PeerListRequest>,
 }
 
 impl ActionSink for Decisions {
-    fn adopt(&mut self, offer: &Offer, doubt: u32) {
-        self.actions.push(Action::Adopt(*offer, doubt));
+    fn adopt(&mut self, offer: &Offer, unverified_steps: u32) {
+        self.actions.push(Action::Adopt(*offer, unverified_steps));
     }
     fn request_from_peers(&mut self, wanted: Option<Option<(i64, Nanos)>>) {
         let age = |(revision, seen)| ListAge { revision, seen };
-        self.wanted = Some(match wanted {
-            None => WantedFromPeers::Nothing,
-            Some(newer_than) => WantedFromPeers::List { newer_than: newer_than.map(age) },
+        self.peer_request = Some(match wanted {
+            None => PeerListRequest::Nothing,
+            Some(newer_than) => PeerListRequest::List { newer_than: newer_than.map(age) },
         });
     }
     fn fetch(&mut self, full_list: bool) {
@@ -279,7 +279,7 @@
     lists: BTreeMap<Source, Vec<Endpoint>>,
     offers: Vec<Offer>,
     /// The unverified steps of replicas that an earlier run had ejected.
-    doubts: BTreeMap<String, u32>,
+    unverified_steps: BTreeMap<String, u32>,
     timer: Option<DeadlineKey>,
     started: Nanos,
 }
@@ -301,7 +301,7 @@
             topic: settings.topic(discovery),
             lists: BTreeMap::new(),
             offers: Vec::new(),
-            doubts: BTreeMap::new(),
+            unverified_steps: BTreeMap::new(),
             timer: None,
             started: now,
         };
@@ -320,12 +320,12 @@
             }
             let ejected =
                 recovered.ejections.into_iter().filter(|(_, stored)| stored.ejected_since.is_some());
-            cold_start.doubts =
-                ejected.map(|(id, stored)| (id, stored.relapses.clamp(1, MAX_DOUBT))).collect();
+            cold_start.unverified_steps =
+                ejected.map(|(id, stored)| (id, stored.relapses.clamp(1, MAX_UNVERIFIED_STEPS))).collect();
         }
         log!(
-            "cold start: {} lists found, {recent_starts} starts lately before this one; discovery is asked {} a second by \
-             {} nodes",
+            "cold start: {} lists found, {recent_starts} recent starts before this one; discovery is queried {} times per \
+             second by {} nodes",
             cold_start.offers.len(),
             settings.policy.fetches_a_second,
             settings.policy.expected
@@ -355,9 +355,9 @@
     }
 
     /// Returns the request to peers: the topic and the age that their list must be newer than. `None` requests nothing.
-    pub fn wanted(&self, wanted: WantedFromPeers) -> Option<ListWanted> {
-        match wanted {
-            WantedFromPeers::List { newer_than } if self.settings.share_lists => {
+    pub fn peer_request(&self, request: PeerListRequest) -> Option<ListWanted> {
+        match request {
+            PeerListRequest::List { newer_than } if self.settings.share_lists => {
                 Some(ListWanted { topic: self.topic, newer_than })
             }
             _ => None,
@@ -382,7 +382,7 @@
                         inbox.offer(Offer { source, revision, seen: now, members: 0, comparable: true });
                     }
                     DiscoveryEvent::Missed => inbox.fetch_failed(),
-                    DiscoveryEvent::Moved(discovery) => {
+                    DiscoveryEvent::AddressChanged(discovery) => {
                         topic = self.settings.topic(discovery);
                         inbox.discovery_changed();
                     }
@@ -436,10 +436,10 @@
     }
 
     /// Returns the endpoints of an adopted list, each with the verification that it still needs.
-    pub fn endpoints(&self, offer: &Offer, doubt: u32, now: Nanos) -> Vec<DoubtedEndpoint> {
+    pub fn endpoints(&self, offer: &Offer, unverified_steps: u32, now: Nanos) -> Vec<UnverifiedEndpoint> {
         let endpoints = self.lists.get(&offer.source).cloned().unwrap_or_default();
-        let with_doubt = |endpoint: Endpoint| {
-            let steps = doubt.max(self.doubts.get(&endpoint.id).copied().unwrap_or(0));
+        let with_verification = |endpoint: Endpoint| {
+            let steps = unverified_steps.max(self.unverified_steps.get(&endpoint.id).copied().unwrap_or(0));
             let number = stable_hash(&endpoint.id);
             let (steps, check_from) = probe_schedule::initial_verification(
                 &self.settings.policy,
@@ -448,9 +448,9 @@
                 steps,
                 now,
             );
-            DoubtedEndpoint { endpoint, doubt: Doubt { steps, check_from } }
+            UnverifiedEndpoint { endpoint, verification: PendingVerification { steps, check_from } }
         };
-        endpoints.into_iter().map(with_doubt).collect()
+        endpoints.into_iter().map(with_verification).collect()
     }
 
     /// Returns the list that this node offers to peers: the current list, as kept by discovery.
@@ -468,7 +468,7 @@
 }
 
 /// Returns the name of a list's source in the trace.
-pub fn list_from(source: Source) -> MembershipSource {
+pub fn trace_source(source: Source) -> MembershipSource {
     match source {
         Source::Configured => MembershipSource::Configuration,
         Source::Disk => MembershipSource::Disk,
--- a/crates/frontnode/src/connection_pool.rs
+++ b/crates/frontnode/src/connection_pool.rs
@@ -41,7 +41,7 @@
     /// Connections that are open.
     pub open: usize,
     /// Replicas that accept new attempts.
-    pub serving_stores: usize,
+    pub serving_replicas: usize,
     /// Connections that all other replicas are still entitled to.
     pub reserved: usize,
 }
@@ -49,7 +49,7 @@
 impl Capacity {
     /// Returns a replica's fair share of the connections, at least one.
     pub fn fair_share(&self) -> usize {
-        (self.max_connections / self.serving_stores.max(1)).max(1)
+        (self.max_connections / self.serving_replicas.max(1)).max(1)
     }
 }
 
@@ -111,9 +111,9 @@
     connections: BTreeMap<K, State<T>>,
     queue: VecDeque<T>,
     releases: u64,
-    /// The close budget at the time `close_saved_at`.
-    close_saved: Nanos,
-    close_saved_at: Nanos,
+    /// The close budget at the time `close_allowance_at`.
+    close_allowance: Nanos,
+    close_allowance_at: Nanos,
 }
 
 impl<K: Copy + Ord, T: Copy + Eq> ConnectionPool<K, T> {
@@ -124,8 +124,8 @@
             connections: BTreeMap::new(),
             queue: VecDeque::new(),
             releases: 0,
-            close_saved: settings.close_budget,
-            close_saved_at: Nanos::MIN / 2,
+            close_allowance: settings.close_budget,
+            close_allowance_at: Nanos::MIN / 2,
         }
     }
 
@@ -154,7 +154,7 @@
         self.connections.values().filter(connecting).count()
     }
 
-    fn newest_idle(&self) -> Option<K> {
+    fn latest_idle(&self) -> Option<K> {
         let idle = self.connections.iter().filter_map(|(&key, state)| match state {
             State::Idle { released } => Some((*released, key)),
             _ => None,
@@ -175,7 +175,7 @@
     pub fn place(&mut self, request: T) -> Placement<K> {
         // Queued shard requests come first, even if a connection has just been released.
         if self.queue.is_empty()
-            && let Some(key) = self.newest_idle()
+            && let Some(key) = self.latest_idle()
         {
             self.connections.insert(key, State::Busy(request));
             return Placement::On(key);
@@ -188,7 +188,7 @@
     }
 
     /// Returns whether another connection should be opened: each one being opened serves one queued shard request.
-    pub fn wants_connection(&self, capacity: Capacity) -> bool {
+    pub fn needs_connection(&self, capacity: Capacity) -> bool {
         self.connecting() < self.queue.len() && self.may_open(capacity, self.settings.max_connections)
     }
 
@@ -266,12 +266,12 @@
 
     /// Takes the cost of one close from the close budget. Returns false if the budget is too small.
     fn spend_close(&mut self, now: Nanos) -> bool {
-        let elapsed = now.saturating_sub(self.close_saved_at).max(0);
-        self.close_saved = self.close_saved.saturating_add(elapsed).min(self.settings.close_budget);
-        self.close_saved_at = now;
-        let enough = self.close_saved >= self.settings.close_cost;
+        let elapsed = now.saturating_sub(self.close_allowance_at).max(0);
+        self.close_allowance = self.close_allowance.saturating_add(elapsed).min(self.settings.close_budget);
+        self.close_allowance_at = now;
+        let enough = self.close_allowance >= self.settings.close_cost;
         if enough {
-            self.close_saved -= self.settings.close_cost;
+            self.close_allowance -= self.settings.close_cost;
         }
         enough
     }
@@ -286,7 +286,7 @@
     /// Places a health check. It does not queue behind shard requests: it uses an idle connection, or one above the
     /// limit of the pool, because it has to examine a pool that is full of unanswered shard requests.
     pub fn place_health_check(&mut self, capacity: Capacity) -> HealthCheckPlacement<K> {
-        if let Some(key) = self.newest_idle() {
+        if let Some(key) = self.latest_idle() {
             self.connections.insert(key, State::HealthCheck);
             return HealthCheckPlacement::On(key);
         }
--- a/crates/frontnode/src/discovery.rs
+++ b/crates/frontnode/src/discovery.rs
@@ -10,7 +10,7 @@
 use orchidvalve::state::AggregatorState;
 use orchidvalve_search::routes::{Routes, StoreProtocol};
 
-use crate::cold_start::{DiscoveryEvent, Doubt};
+use crate::cold_start::{DiscoveryEvent, PendingVerification};
 use crate::config::NodeConfig;
 use crate::context::Context;
 use crate::deadlines::DeadlineKey;
@@ -36,7 +36,7 @@
 /// A change counts as published whether or not a watch is open, and the grace period for drains runs from then on. A
 /// failed call is therefore retried immediately. If that fails too, the backoff is the grace period divided by this
 /// number, doubled up to `MAX_BACKOFF_DOUBLINGS` times.
-const GRACE_PART: Nanos = 32;
+const BACKOFF_GRACE_DIVISOR: Nanos = 32;
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Why a call to discovery returned no list.
@@ -68,7 +68,7 @@
     /// Read from the configuration. It is trusted like discovery's list if there is no cold start.
     Configuration,
     /// An older list, with the number of unverified steps of each replica.
-    Doubted(Vec<Doubt>),
+    Unverified(Vec<PendingVerification>),
 }
 
 impl ListOrigin {
@@ -77,9 +77,9 @@
         match self {
             ListOrigin::Discovery => EndpointTrust::Verified,
             ListOrigin::Configuration => EndpointTrust::Unchanged,
-            ListOrigin::Doubted(doubts) => match doubts.get(position) {
-                Some(Doubt { steps: 0, .. }) => EndpointTrust::Verified,
-                Some(&doubt) => EndpointTrust::Doubted(doubt),
+            ListOrigin::Unverified(verifications) => match verifications.get(position) {
+                Some(PendingVerification { steps: 0, .. }) => EndpointTrust::Verified,
+                Some(&verification) => EndpointTrust::Unverified(verification),
                 None => EndpointTrust::Unchanged,
             },
         }
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy)]
 enum EndpointTrust {
     Verified,
-    Doubted(Doubt),
+    Unverified(PendingVerification),
     /// The trust of the replica stays as it was.
     Unchanged,
 }
@@ -160,7 +160,7 @@
             timer: None,
             misses: 0,
             connect_timeout: config.connect_timeout,
-            backoff: (config.drain_grace / GRACE_PART).max(config.tick),
+            backoff: (config.drain_grace / BACKOFF_GRACE_DIVISOR).max(config.tick),
             paced: config.cold_start.is_some() && !config.discovery_on_request,
             events: Vec::new(),
             keeps_list: config.cold_start.is_some() || config.maintenance.is_some(),
@@ -252,10 +252,10 @@
         match trust {
             EndpointTrust::Verified => aggregator_state.replica_verified(ix),
             // A replica from an older list already has its unverified steps, or has answered since.
-            EndpointTrust::Doubted(Doubt { steps, check_from }) if known.is_none() => {
+            EndpointTrust::Unverified(PendingVerification { steps, check_from }) if known.is_none() => {
                 aggregator_state.replica_unverified(ix, steps, check_from);
             }
-            EndpointTrust::Doubted(_) | EndpointTrust::Unchanged => {}
+            EndpointTrust::Unverified(_) | EndpointTrust::Unchanged => {}
         }
         if removed {
             aggregator_state.replica_removed(ix);
@@ -343,7 +343,7 @@
         if full_list {
             self.revision = None;
         }
-        self.ask(aggregator_state, context);
+        self.request_list(aggregator_state, context);
     }
 
     /// Returns the replicas added since the last round.
@@ -363,7 +363,7 @@
 
     /// Switches to another discovery agent and requests the complete list from it: its revisions may not continue those
     /// of the previous agent.
-    pub fn follow_address(
+    pub fn change_address(
         &mut self,
         address: SocketAddr,
         aggregator_state: &mut AggregatorState,
@@ -377,21 +377,21 @@
         if self.paced {
             // A new configuration reaches hundreds of nodes at once, so the cold start paces the calls.
             self.cancel_timer(context);
-            self.events.push(DiscoveryEvent::Moved(address));
+            self.events.push(DiscoveryEvent::AddressChanged(address));
             return;
         }
-        self.ask(aggregator_state, context);
+        self.request_list(aggregator_state, context);
     }
 
     /// Starts the watch, unless the aggregator or the cold start decides when discovery is queried.
     pub fn start(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         if !self.on_request && !self.paced {
-            self.ask(aggregator_state, context);
+            self.request_list(aggregator_state, context);
         }
     }
 
     /// Sends a request to discovery, unless a call is in flight.
-    pub fn ask(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
+    pub fn request_list(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         if self.in_flight {
             return;
         }
@@ -485,7 +485,7 @@
                 if self.paced {
                     self.events.push(DiscoveryEvent::Received(revision));
                 }
-                self.ask(aggregator_state, context);
+                self.request_list(aggregator_state, context);
             }
             Ok(Some(_)) => self.call_failed(&CallError::Unexpected, aggregator_state, context),
             Ok(None) => match filled {
@@ -503,7 +503,7 @@
         if self.in_flight {
             self.retry_later(&CallError::NoAnswer, true, aggregator_state, context);
         } else {
-            self.ask(aggregator_state, context);
+            self.request_list(aggregator_state, context);
         }
     }
 
--- a/crates/frontnode/src/event_loop.rs
+++ b/crates/frontnode/src/event_loop.rs
@@ -50,7 +50,7 @@
     /// A partially received message was not completed in time.
     PartialMessage(ConnectionKey),
     /// A connection stayed unresponsive while its replica answered on another one.
-    SilentConnection(ConnectionKey),
+    UnresponsiveConnection(ConnectionKey),
     /// A client's time to send a request, to read its response or to close is over.
     Client(ClientKey),
     /// Connections queued at the listener are accepted.
--- a/crates/frontnode/src/fleet.rs
+++ b/crates/frontnode/src/fleet.rs
@@ -248,7 +248,7 @@
     key: BudgetKey,
     /// The budget of the whole fleet, in units per second.
     total: f64,
-    wanted: f64,
+    demand: f64,
 }
 
 /// Whether this node found a replica failing a service class.
@@ -288,7 +288,7 @@
     /// A changed list to offer to peers in the next round.
     offered_list: Option<ListVersion>,
     /// A changed request for peers' lists; `Some(None)` ends requesting.
-    wanted_list: Option<Option<ListWanted>>,
+    list_request: Option<Option<ListWanted>>,
     timer: Option<DeadlineKey>,
     unsent: u64,
     seed: u64,
@@ -338,7 +338,7 @@
             reported: BTreeMap::new(),
             verdicts: Vec::new(),
             offered_list: None,
-            wanted_list: None,
+            list_request: None,
             timer: None,
             unsent: 0,
             seed,
@@ -408,12 +408,12 @@
     }
 
     /// Requests such a list from peers; `None` ends requesting.
-    pub fn want_list(&mut self, wanted: Option<ListWanted>) {
-        self.wanted_list = Some(wanted);
+    pub fn request_list(&mut self, request: Option<ListWanted>) {
+        self.list_request = Some(request);
     }
 
     /// Takes the endpoint list that a peer sent.
-    pub fn received_list(&mut self) -> Option<ListVersion> {
+    pub fn take_received_list(&mut self) -> Option<ListVersion> {
         self.fleet.take_received_list()
     }
 
@@ -461,7 +461,7 @@
         let since = now - DEMAND_SPAN;
         let demand = |(tenant, &total): (usize, &f64)| {
             let queries = aggregator_state.recent.queries_of(tenant, since) as f64;
-            BudgetDemand { key: tenant_budget(tenant), total, wanted: queries * 1e9 / DEMAND_SPAN as f64 }
+            BudgetDemand { key: tenant_budget(tenant), total, demand: queries * 1e9 / DEMAND_SPAN as f64 }
         };
         self.tenant_rates.iter().enumerate().map(demand).collect()
     }
@@ -470,9 +470,9 @@
     fn retry_demand(&mut self, now: Nanos) -> Option<BudgetDemand> {
         let allowance = self.fleet.allowance(RETRIES);
         let bucket = self.retry_tokens.as_mut()?;
-        let wanted = bucket.demand(allowance, DEMAND_SPAN, now);
+        let demand = bucket.demand(allowance, DEMAND_SPAN, now);
         let total = self.settings.retries_per_second?;
-        Some(BudgetDemand { key: RETRIES, total, wanted })
+        Some(BudgetDemand { key: RETRIES, total, demand })
     }
 
     /// Returns the demand for a replica in slow start: one shard request per window, the floor of a single front node.
@@ -481,7 +481,7 @@
         BudgetDemand {
             key: slow_start_budget(&replica.id),
             total: self.settings.slow_start_floor * 1e9 / window,
-            wanted: 1e9 / window,
+            demand: 1e9 / window,
         }
     }
 
@@ -490,12 +490,12 @@
         let datagrams = std::mem::take(&mut self.datagrams);
         let verdicts = std::mem::take(&mut self.verdicts);
         let verdict_lifetime = self.settings.verdict_lifetime;
-        let (offered_list, wanted_list) = (self.offered_list.take(), self.wanted_list.take());
+        let (offered_list, list_request) = (self.offered_list.take(), self.list_request.take());
         let inputs = |inbox: &mut Inbox| {
             offered_list.into_iter().for_each(|list| inbox.offer_list(list));
-            wanted_list.into_iter().for_each(|wanted| inbox.list_wanted(wanted));
-            for &BudgetDemand { key, total, wanted } in demands {
-                inbox.set_demand(key, total, wanted);
+            list_request.into_iter().for_each(|request| inbox.list_wanted(request));
+            for &BudgetDemand { key, total, demand } in demands {
+                inbox.set_demand(key, total, demand);
             }
             datagrams.iter().for_each(|datagram| inbox.datagram(datagram));
             for &ReplicaVerdict { key, is_failing } in &verdicts {
--- a/crates/frontnode/src/maintenance.rs
+++ b/crates/frontnode/src/maintenance.rs
@@ -216,7 +216,7 @@
 /// A change of the group's log that is not yet handed to the disk.
 struct Save {
     number: u64,
-    saved: LogUpdate,
+    update: LogUpdate,
 }
 
 /// A change of the group's log that was handed to the disk but may not be durable yet.
@@ -231,19 +231,19 @@
     saves: &'a mut VecDeque<Save>,
     unsent: &'a mut u64,
     /// Whether the log cannot be saved; nothing is sent then.
-    is_broken: bool,
+    has_log_failed: bool,
 }
 
 impl OutputSink for GroupWriter<'_> {
     fn send(&mut self, to: SocketAddrV4, datagram: Vec<u8>) {
-        if self.is_broken {
+        if self.has_log_failed {
             return;
         }
         // A datagram that the system will not take now is lost, as one on the way would be.
         *self.unsent += u64::from(self.socket.send_to(&datagram, to).is_err());
     }
-    fn save(&mut self, number: u64, saved: LogUpdate) {
-        self.saves.push_back(Save { number, saved });
+    fn save(&mut self, number: u64, update: LogUpdate) {
+        self.saves.push_back(Save { number, update });
     }
 }
 
@@ -264,7 +264,7 @@
 
 /// The state of the queue that operators last read. The view is generated again when it changes.
 #[derive(Clone, Copy, PartialEq, Eq)]
-struct PublishedOrder {
+struct PublishedState {
     version: u64,
     /// Whether this node led the group at that time.
     leads: bool,
@@ -328,9 +328,9 @@
     /// The longest time that the disk needed to save a batch of the log.
     max_save_duration: Nanos,
     /// Whether the log can no longer be saved.
-    broken: bool,
+    log_failed: bool,
     /// The state that operators read now.
-    published: Option<PublishedOrder>,
+    published: Option<PublishedState>,
     /// Machines that get no new attempts.
     closed: BTreeSet<String>,
     timer: Option<DeadlineKey>,
@@ -373,7 +373,7 @@
             saves: VecDeque::new(),
             pending_saves: VecDeque::new(),
             max_save_duration: 0,
-            broken: false,
+            log_failed: false,
             published: None,
             closed: BTreeSet::new(),
             timer: None,
@@ -453,8 +453,8 @@
             durable.into_iter().for_each(|number| inbox.durable(number));
             inbox.seen(seen);
         };
-        let (unsent, is_broken) = (&mut self.unsent, self.broken);
-        let mut writer = GroupWriter { socket: &self.socket, saves: &mut self.saves, unsent, is_broken };
+        let (unsent, has_log_failed) = (&mut self.unsent, self.log_failed);
+        let mut writer = GroupWriter { socket: &self.socket, saves: &mut self.saves, unsent, has_log_failed };
         self.node.round(now, inputs, &mut writer);
         self.start_saves(context);
         self.publish(context);
@@ -478,10 +478,10 @@
             let PendingSave { number, handed_over, .. } = self.pending_saves.pop_front()?;
             self.max_save_duration = self.max_save_duration.max(now - handed_over);
             match outcome {
-                Ok(_) if !self.broken => durable = durable.max((number > 0).then_some(number)),
+                Ok(_) if !self.log_failed => durable = durable.max((number > 0).then_some(number)),
                 Ok(_) => {}
                 Err(error) => {
-                    if !std::mem::replace(&mut self.broken, true) {
+                    if !std::mem::replace(&mut self.log_failed, true) {
                         log!(
                             "maintenance: cannot save the log, this member stays silent from now on: {error}"
                         );
@@ -498,8 +498,8 @@
             self.saves.clear();
             return;
         };
-        while let Some(Save { number, saved }) = self.saves.pop_front() {
-            let batch = saved.records().fold(Batch::new(), |batch, (key, value)| match value {
+        while let Some(Save { number, update }) = self.saves.pop_front() {
+            let batch = update.records().fold(Batch::new(), |batch, (key, value)| match value {
                 Some(value) => batch.put(MAINTENANCE_KEYSPACE, &key, value),
                 None => batch.delete(MAINTENANCE_KEYSPACE, &key),
             });
@@ -509,7 +509,7 @@
                 }
                 Err(_) => {
                     // The queue is full; this change is the first one of the next attempt.
-                    self.saves.push_front(Save { number, saved });
+                    self.saves.push_front(Save { number, update });
                     return;
                 }
             }
@@ -546,7 +546,7 @@
             Gauge::new(
                 "maintenance_silent",
                 "whether this member is silent, as its log cannot be kept",
-                usize::from(self.broken),
+                usize::from(self.log_failed),
             ),
             Gauge::new("maintenance_asked", "machines in the order", order.entries.len()),
             Gauge::new("maintenance_closed", "machines that get nothing new from here", closed),
@@ -559,7 +559,7 @@
             Gauge::new("maintenance_given_up", "commands that no order showed in time", number(expired)),
         ];
         let Some(requests) = &mut context.maintenance_requests else { return };
-        let published = Some(PublishedOrder { version: order.version, leads });
+        let published = Some(PublishedState { version: order.version, leads });
         if self.published == published {
             return;
         }
--- a/crates/frontnode/src/node/round.rs
+++ b/crates/frontnode/src/node/round.rs
@@ -8,7 +8,7 @@
 
 use super::decisions::DecisionWriter;
 use super::{Node, NodeState};
-use crate::cold_start::{Action, Decisions, DoubtedEndpoint, list_from};
+use crate::cold_start::{Action, Decisions, UnverifiedEndpoint, trace_source};
 use crate::discovery::ListOrigin;
 use crate::event_loop::{EventSource, ReadyEvent, Timer};
 use crate::fleet::{FleetNode, FleetReplica};
@@ -101,7 +101,7 @@
             self.handle_timer(timer, aggregator_state);
         }
         if std::mem::take(&mut self.discovery_requested) {
-            self.discovery.ask(aggregator_state, &mut self.context);
+            self.discovery.request_list(aggregator_state, &mut self.context);
         }
         self.clients.serving = self.discovery.has_replicas();
     }
@@ -144,7 +144,9 @@
             }
             Timer::Connection(key) => connections.connection_due(key, queries, context),
             Timer::PartialMessage(key) => connections.partial_message_due(key, queries, context),
-            Timer::SilentConnection(key) => connections.silent_connection_due(key, queries, context),
+            Timer::UnresponsiveConnection(key) => {
+                connections.unresponsive_connection_due(key, queries, context);
+            }
             Timer::HealthCheck(key) => connections.health_check_due(key, context),
             Timer::Client(key) => {
                 let abandoned = clients.timer_due(key, context);
@@ -209,17 +211,17 @@
     fn cold_start_round(&mut self, aggregator_state: &mut AggregatorState) {
         let NodeState { context, discovery, fleet, cold_start, .. } = self;
         let Some(cold_start) = cold_start else { return };
-        if let Some(list) = fleet.as_mut().and_then(FleetNode::received_list) {
+        if let Some(list) = fleet.as_mut().and_then(FleetNode::take_received_list) {
             cold_start.receive_list(list);
         }
         let events = discovery.take_events();
         let mut list_changed = !events.is_empty();
-        let Decisions { actions, wanted } =
+        let Decisions { actions, peer_request } =
             cold_start.round(&events, fleet.as_ref().map(FleetNode::size), context);
         for action in actions {
             match action {
-                Action::Adopt(offer, doubt) => {
-                    self.adopt_list(&offer, doubt, aggregator_state);
+                Action::Adopt(offer, unverified_steps) => {
+                    self.adopt_list(&offer, unverified_steps, aggregator_state);
                     list_changed = true;
                 }
                 Action::Fetch { full_list } => {
@@ -230,8 +232,8 @@
         }
         let NodeState { discovery, fleet, cold_start, .. } = self;
         let (Some(fleet), Some(cold_start)) = (fleet, cold_start) else { return };
-        if let Some(wanted) = wanted {
-            fleet.want_list(cold_start.wanted(wanted));
+        if let Some(request) = peer_request {
+            fleet.request_list(cold_start.peer_request(request));
         }
         if list_changed {
             let (list, revision) = discovery.list();
@@ -242,18 +244,20 @@
     }
 
     /// Uses an endpoint list that discovery did not publish to this node.
-    fn adopt_list(&mut self, offer: &Offer, doubt: u32, aggregator_state: &mut AggregatorState) {
+    fn adopt_list(&mut self, offer: &Offer, unverified_steps: u32, aggregator_state: &mut AggregatorState) {
         let NodeState { context, queries, connections, discovery, cold_start, .. } = self;
         let Some(cold_start) = cold_start else { return };
-        let (mut endpoints, mut doubts) = (Vec::new(), Vec::new());
-        for DoubtedEndpoint { endpoint, doubt } in cold_start.endpoints(offer, doubt, context.now) {
+        let (mut endpoints, mut verifications) = (Vec::new(), Vec::new());
+        for UnverifiedEndpoint { endpoint, verification } in
+            cold_start.endpoints(offer, unverified_steps, context.now)
+        {
             endpoints.push(endpoint);
-            doubts.push(doubt);
+            verifications.push(verification);
         }
         let age = context.now - offer.seen;
-        let source = list_from(offer.source);
+        let source = trace_source(offer.source);
         log!(
-            "using the endpoint list from {}: {} ms old, {} replicas, {doubt} unverified steps",
+            "using the endpoint list from {}: {} ms old, {} replicas, {unverified_steps} unverified steps",
             source.help(),
             age / 1_000_000,
             endpoints.len()
@@ -262,10 +266,10 @@
             source,
             age,
             replicas: endpoints.len(),
-            unverified_steps: doubt,
+            unverified_steps,
         });
         let list = EndpointList { revision: offer.revision, complete: true, endpoints };
-        let origin = ListOrigin::Doubted(doubts);
+        let origin = ListOrigin::Unverified(verifications);
         discovery.apply_list(list, &origin, connections, queries, aggregator_state, context);
     }
 
@@ -311,7 +315,7 @@
                 }
                 log!("configuration reloaded: discovery at {}", later.discovery);
                 self.context.metrics.reloads += 1;
-                self.discovery.follow_address(later.discovery, aggregator_state, &mut self.context);
+                self.discovery.change_address(later.discovery, aggregator_state, &mut self.context);
             }
             Err(error) => {
                 self.context.metrics.bad_reloads += 1;
--- a/crates/frontnode/src/node/shutdown.rs
+++ b/crates/frontnode/src/node/shutdown.rs
@@ -8,12 +8,12 @@
 use crate::log;
 
 /// The node stops once no connection was accepted for this time (1 s).
-const QUIET: Nanos = 1_000_000_000;
+const QUIET_PERIOD: Nanos = 1_000_000_000;
 /// The node must not be killed earlier than this time (0.7 s) plus the longest deadline after the stop signal. The
-/// longest deadline counts with `LONGEST_COUNTED_DEADLINE` at most. Queries received after the signal are answered
+/// longest deadline counts with `MAX_COUNTED_DEADLINE` at most. Queries received after the signal are answered
 /// `KILL_MARGIN` before that moment.
-const KILLED_AFTER: Nanos = 700_000_000;
-const LONGEST_COUNTED_DEADLINE: Nanos = 3_000_000_000;
+const MIN_KILL_DELAY: Nanos = 700_000_000;
+const MAX_COUNTED_DEADLINE: Nanos = 3_000_000_000;
 const KILL_MARGIN: Nanos = 100_000_000;
 
 /// The progress of the shutdown.
@@ -40,12 +40,12 @@
             );
             clients.last_accepted = context.now;
             let longest = config.service_classes.iter().map(|class| class.deadline).max().unwrap_or(0);
-            let longest = longest.min(LONGEST_COUNTED_DEADLINE);
-            clients.last_answer_by = context.now + longest + KILLED_AFTER - KILL_MARGIN;
+            let longest = longest.min(MAX_COUNTED_DEADLINE);
+            clients.last_answer_by = context.now + longest + MIN_KILL_DELAY - KILL_MARGIN;
             clients.drain(context);
         }
         clients.accept(context);
-        let quiet_at = (clients.last_accepted + QUIET).min(clients.last_answer_by);
+        let quiet_at = (clients.last_accepted + QUIET_PERIOD).min(clients.last_answer_by);
         if context.now >= quiet_at {
             clients.drain(context);
         }
--- a/crates/frontnode/src/persistence.rs
+++ b/crates/frontnode/src/persistence.rs
@@ -302,13 +302,17 @@
         let (store, found) = open().map_err(error)?;
         log_recovery(&found);
         let recovered = RecoveredState::read(&store.snapshot());
-        let age = recovered.revision.map_or("no roster".to_owned(), |stored| {
-            format!("roster {} of {} s ago", stored.revision, (now - stored.at).max(0) / 1_000_000_000)
+        let age = recovered.revision.map_or("no endpoint list".to_owned(), |stored| {
+            format!(
+                "endpoint list revision {} from {} s ago",
+                stored.revision,
+                (now - stored.at).max(0) / 1_000_000_000
+            )
         });
         let ejected = recovered.ejections.values().filter(|stored| stored.ejected_since.is_some()).count();
         let (endpoints, unreadable) = (recovered.endpoints.len(), recovered.unreadable);
         log!(
-            "logbook: {age}, {endpoints} replicas, {ejected} of them set aside, {unreadable} records unread"
+            "logbook: {age}, {endpoints} replicas, {ejected} of them ejected, {unreadable} records unreadable"
         );
         let writer = BackgroundWriter::start(store, settings.writer).map_err(|io| error(io.into()))?;
         let mut starts = recovered.starts.clone();
--- a/crates/frontnode/src/recorder.rs
+++ b/crates/frontnode/src/recorder.rs
@@ -24,7 +24,7 @@
 const CHUNK_AGE: Nanos = 1_000_000_000;
 
 const SECTION: SectionName = SectionName("record");
-const MEBIBYTES_MOST: u64 = 65_536;
+const MAX_MEBIBYTES: u64 = 65_536;
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
@@ -74,7 +74,7 @@
         if file.is_empty() {
             return Err(SECTION.error("file", "should name a file"));
         }
-        SECTION.check_range("most_mb", most_mb, 1, MEBIBYTES_MOST)?;
+        SECTION.check_range("most_mb", most_mb, 1, MAX_MEBIBYTES)?;
         Ok(RecordingSettings { file, max_bytes: most_mb << 20 })
     }
 }
--- a/crates/frontnode/src/settings_file.rs
+++ b/crates/frontnode/src/settings_file.rs
@@ -43,7 +43,7 @@
         SettingsFileError::Value { key: format!("{}.{key}", self.0), problem: problem.into() }
     }
 
-    /// Checks that a number is between `least` and `most`, both included.
+    /// Checks that a number is between `min` and `max`, both included.
     ///
     /// # Errors
     ///
@@ -52,13 +52,13 @@
         self,
         key: &str,
         found: T,
-        least: T,
-        most: T,
+        min: T,
+        max: T,
     ) -> Result<(), SettingsFileError> {
-        if (&least..=&most).contains(&&found) {
+        if (&min..=&max).contains(&&found) {
             return Ok(());
         }
-        Err(self.error(key, format!("should be {least} to {most}, not {found}")))
+        Err(self.error(key, format!("should be {min} to {max}, not {found}")))
     }
 
     /// Parses an IPv4 address with a port.
--- a/crates/frontnode/src/store_connections/attempts.rs
+++ b/crates/frontnode/src/store_connections/attempts.rs
@@ -42,7 +42,7 @@
             }
         }
         for replica in std::mem::take(&mut self.pools_to_check) {
-            self.open_wanted(replica, context);
+            self.open_needed_connections(replica, context);
         }
         for id in std::mem::take(&mut self.unreached) {
             self.cancel_pool_wait(id, context);
--- a/crates/frontnode/src/store_connections/health_checks.rs
+++ b/crates/frontnode/src/store_connections/health_checks.rs
@@ -13,7 +13,7 @@
 
 /// A connection may stay unresponsive for the connect timeout divided by this number after its replica answered a
 /// health check on another connection. That is enough for responses that cross.
-const SILENCE_PART: Nanos = 10;
+const UNRESPONSIVE_TIMEOUT_DIVISOR: Nanos = 10;
 
 impl StoreConnections {
     /// Checks a replica's health. A connection with attempts in flight may be unresponsive although its replica is
@@ -88,7 +88,7 @@
     /// Handles a health check that was answered on one connection. The replica is healthy, so other connections that
     /// stay unresponsive are broken. These are connections that have attempts in flight, but not so many that the
     /// replica leaves the rest unread, and that have an unanswered health check.
-    pub(super) fn suspect_silent_connections(&mut self, answered: ConnectionKey, context: &mut Context) {
+    pub(super) fn detect_unresponsive_connections(&mut self, answered: ConnectionKey, context: &mut Context) {
         let Some(connection) = self.connections.get(answered) else { return };
         for &key in &self.replicas[connection.in_flight.replica.0].connections {
             let other = &mut self.connections[key];
@@ -97,15 +97,15 @@
             let waits = in_flight > 0 && in_flight < limits.requests_per_connection;
             let is_checked = other.in_flight.health_check.is_some() || other.suspect;
             if key != answered && waits && is_checked && other.unresponsive_timer.is_none() {
-                let at = context.now + self.connect_timeout / SILENCE_PART;
-                let timer = context.deadlines.schedule(at, Timer::SilentConnection(key));
+                let at = context.now + self.connect_timeout / UNRESPONSIVE_TIMEOUT_DIVISOR;
+                let timer = context.deadlines.schedule(at, Timer::UnresponsiveConnection(key));
                 other.unresponsive_timer = Some(timer);
             }
         }
     }
 
     /// Closes a connection that stayed unresponsive while its replica answered on another one.
-    pub fn silent_connection_due(
+    pub fn unresponsive_connection_due(
         &mut self,
         key: ConnectionKey,
         queries: &mut QueryTable,
@@ -113,7 +113,7 @@
     ) {
         let Some(connection) = self.connections.get_mut(key) else { return };
         connection.unresponsive_timer = None;
-        context.metrics.connections_silent += 1;
+        context.metrics.connections_unresponsive += 1;
         let reason = "unresponsive, while its server answers on another connection";
         self.connection_ended(key, &reason, AttemptOutcome::ProtocolError, queries, context);
     }
--- a/crates/frontnode/src/store_connections/lifecycle.rs
+++ b/crates/frontnode/src/store_connections/lifecycle.rs
@@ -108,7 +108,7 @@
             (None, Ok(true)) => {
                 self.update_message_timers(key, received.messages, context);
                 if was_checked && self.connections[key].in_flight.health_check.is_none() {
-                    self.suspect_silent_connections(key, context);
+                    self.detect_unresponsive_connections(key, context);
                 }
                 self.write_pending(key, queries, context);
                 self.release(key, queries, context);
--- a/crates/frontnode/src/store_connections/pooled.rs
+++ b/crates/frontnode/src/store_connections/pooled.rs
@@ -15,7 +15,7 @@
         let mut capacity = Capacity {
             max_connections: self.max_connections,
             open: self.connections.len(),
-            serving_stores: self.replicas.iter().filter(|replica| replica.serving).count(),
+            serving_replicas: self.replicas.iter().filter(|replica| replica.serving).count(),
             reserved: 0,
         };
         let others = self.replicas.iter().enumerate();
@@ -43,7 +43,7 @@
                 self.pools_to_check.push(replica);
             }
             Placement::QueueFull => {
-                context.metrics.pool_refusals += 1;
+                context.metrics.pool_rejections += 1;
                 queries.end_attempt(id, AttemptOutcome::Rejected, context);
             }
         }
@@ -68,12 +68,12 @@
     }
 
     /// Opens the connections that a pool needs and may open.
-    pub(super) fn open_wanted(&mut self, replica: ReplicaIndex, context: &mut Context) {
+    pub(super) fn open_needed_connections(&mut self, replica: ReplicaIndex, context: &mut Context) {
         loop {
             let capacity = self.capacity(replica);
             let Some(pool) = &mut self.replicas[replica.0].pool else { return };
             self.unreached.extend(pool.take_stranded(capacity));
-            if !pool.wants_connection(capacity) {
+            if !pool.needs_connection(capacity) {
                 return;
             }
             let Some(key) = self.open(replica, context) else {
--- a/crates/frontnode/src/stream.rs
+++ b/crates/frontnode/src/stream.rs
@@ -71,7 +71,7 @@
     /// Returns the result of a connection attempt, or `None` while it is not known.
     pub fn connect_result(&self) -> Option<io::Result<()>> {
         match self.socket.take_error() {
-            Ok(Some(fault)) | Err(fault) => Some(Err(fault)),
+            Ok(Some(error)) | Err(error) => Some(Err(error)),
             Ok(None) => self.socket.peer_addr().is_ok().then_some(Ok(())),
         }
     }
@@ -98,16 +98,16 @@
         self.inbox.len()
     }
 
-    /// Reads up to about `most` bytes and discards them. Returns false at the end of the stream.
+    /// Reads up to about `max_bytes` bytes and discards them. Returns false at the end of the stream.
     ///
     /// # Errors
     ///
     /// Fails if the connection is broken.
-    pub fn discard(&mut self, most: u64) -> io::Result<bool> {
-        let enough = self.bytes_read + most;
+    pub fn discard(&mut self, max_bytes: u64) -> io::Result<bool> {
+        let limit = self.bytes_read + max_bytes;
         loop {
             self.consume(self.last - self.first);
-            self.unread = self.bytes_read >= enough;
+            self.unread = self.bytes_read >= limit;
             if self.unread || !self.fill(MIN_READ_BYTES)? {
                 return Ok(self.unread);
             }
@@ -117,14 +117,14 @@
         }
     }
 
-    /// Reads until the socket is empty or the inbox contains `most` bytes. Returns false at the end of the stream.
+    /// Reads until the socket is empty or the inbox contains `max_bytes` bytes. Returns false at the end of the stream.
     ///
     /// # Errors
     ///
     /// Fails if the connection is broken.
-    pub fn fill(&mut self, most: usize) -> io::Result<bool> {
+    pub fn fill(&mut self, max_bytes: usize) -> io::Result<bool> {
         loop {
-            self.unread = self.last - self.first >= most;
+            self.unread = self.last - self.first >= max_bytes;
             if self.unread {
                 return Ok(true);
             }
--- a/crates/frontnode/tests/cold_start.rs
+++ b/crates/frontnode/tests/cold_start.rs
@@ -1,4 +1,4 @@
-//! Tens of front nodes as processes that start at once, with discovery and the links between them failing as told.
+//! Many front node processes that start at the same time, with faults of discovery and of the links between them.
 
 mod node_group;
 
@@ -9,10 +9,11 @@
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// Nothing is known at the start. The few that discovery told serve the others, whose own slots come within a
-/// minute, over links that lose a third; each alone, all ask at once.
+/// No endpoint list is known at the start, and the links lose a third of the datagrams. With the cold start, a few nodes
+/// query discovery and pass the list on to the others, whose own slots come within a minute. Without it, all query
+/// discovery at once.
 #[test]
-fn few_of_many_that_start_at_once_ask_discovery_and_the_others_have_the_list_from_them() {
+fn only_a_few_of_many_starting_nodes_query_discovery_and_the_others_get_the_list_from_them() {
     const NODES: usize = 24;
     let mut options = FleetOptions::of(NODES);
     (options.known, options.discovery) = (false, Behavior::Normal);
@@ -25,18 +26,19 @@
     fleet.until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
     let asked = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
     let by_peers = (0..NODES).filter(|&n| fleet.gauge(n, "coldstart_adopted") > 0).count();
-    assert!(asked <= NODES / 2 && by_peers >= NODES / 2, "{asked} asked discovery, {by_peers} their peers");
+    assert!(asked <= NODES / 2 && by_peers >= NODES / 2, "{asked} queried discovery, {by_peers} their peers");
     assert_eq!(fleet.ask(NODES - 1, "r", "c1"), 200);
     drop(fleet);
     options.coldstart = None;
     let fleet = Fleet::open("warm-herd", &options);
     fleet.until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
     let asked = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
-    assert_eq!(asked, NODES, "without a start that waits its turn");
+    assert_eq!(asked, NODES, "without the cold start all nodes query discovery");
 }
 
-/// All nodes have a new list and a query at once, and discovery is silent. Each alone, they connect to every store in the
-/// same moment; in a spread, a store sees them over the span, and each node serves once its moments have come.
+/// All nodes have a new list and a query at the same time, and discovery is unresponsive. Without pacing, all connect to
+/// every replica at the same moment. With it, their connections to a replica are spread, and each node serves once it is
+/// connected.
 #[test]
 fn connections_of_nodes_that_start_together_are_spread_over_their_span() {
     const NODES: usize = 20;
@@ -61,33 +63,34 @@
         });
         spans.min().unwrap()
     };
-    // Twenty draws over four seconds: that all of them fall within two is one case in fifty thousand, and the seeds are fixed.
+    // Twenty random times within four seconds all fall within two seconds once in fifty thousand; the seeds are fixed.
     let spread = play("cold-spread", "connects_a_second = 5.0\n");
     assert!(spread > Duration::from_secs(2), "{spread:?}");
 }
 
-/// Discovery is silent. Nodes serve from the lists of their configurations: at once from a new one, and from one
-/// written an hour ago only after each store answered health checks. Once it speaks, a store that it drains gets nothing new.
+/// Discovery is unresponsive, and nodes serve from the lists of their configurations: immediately from a new list, but
+/// from one written an hour ago only after each replica has answered health checks. Once discovery answers, a replica
+/// that it lists as draining gets no new shard requests.
 #[test]
-fn with_discovery_down_an_older_list_is_gone_by_more_cautiously_until_it_speaks() {
+fn with_discovery_down_an_older_list_is_used_more_cautiously_until_discovery_answers() {
     let mut options = FleetOptions::of(2);
     options.fleet = false;
     options.coldstart = Some("patience_ms = 100\nfetches_a_second = 100.0\nmost_wait_ms = 400\n".to_owned());
     let new = Fleet::open("cold-new", &options);
     assert_eq!(new.ask(0, "r", "c1"), 200);
     let probes: usize = new.stores.iter().map(|s| s.observations().health_checks).sum();
-    assert_eq!(probes, 0, "a new list is trusted as discovery's answer");
+    assert_eq!(probes, 0, "a new list is trusted like a response of discovery");
     drop(new);
     options.written_ago = vec![(0, HOUR), (1, HOUR)];
     let old = Fleet::open("cold-old", &options);
-    // A query lasts 2 s at most: those of the first second may come too early.
+    // A query lasts at most 2 s; queries of the first second may come too early.
     old.until("it serves within seconds, all the same", |f| f.ask(0, "r", "c1") == 200);
-    // An hour beyond half a minute is twelve times five minutes: four steps of doubt, eight health checks a store.
+    // Past half a minute, an hour is twelve half-lives of five minutes: four unverified steps, eight health checks each.
     for (n, store) in old.stores.iter().enumerate() {
         let observed = store.observations();
         assert!(
             observed.payloads.is_empty() || observed.health_checks >= 8,
-            "store {n}: parts after {} probes",
+            "store {n}: shard requests after {} health checks",
             observed.health_checks
         );
     }
@@ -98,14 +101,14 @@
     for n in 0..20 {
         assert_eq!(old.ask(n % 2, &format!("d{n}"), "c2"), 200);
     }
-    assert_eq!(old.seen(0, "c"), before, "a store that drains gets no fresh work once the node learned so");
+    assert_eq!(old.seen(0, "c"), before, "a draining store gets no new shard requests once the node knows");
     assert!(old.seen(1, "c2") > 0);
 }
 
-/// Two lists of different age, and discovery silent: the younger one goes over to the node with the older one, and not
-/// the other way round; a node cut off goes by its own.
+/// Two nodes have lists of different age, and discovery is unresponsive. The node with the older list takes over the
+/// newer one, but not vice versa. A partitioned node uses its own list.
 #[test]
-fn a_peers_older_list_undoes_nothing_and_a_newer_one_is_used() {
+fn a_newer_list_of_a_peer_replaces_an_older_one_but_not_vice_versa() {
     let mut options = FleetOptions::of(3);
     options.coldstart = Some("fresh_s = 600\nhalf_life_s = 600\n".to_owned());
     options.written_ago = vec![(0, 2 * HOUR), (1, HOUR / 2), (2, 3 * HOUR)];
@@ -115,18 +118,18 @@
     let age = |n: usize| fleet.gauge(n, "coldstart_list_age_ms");
     let near = |age: u64, of: Duration| age.abs_diff(of.as_millis() as u64) < 60_000;
     assert!(near(age(0), HOUR / 2), "{} ms", age(0));
-    // Node 1 asks on, as its list is old too, and what it hears is no news.
+    // Node 1 keeps requesting, as its list is old too, but the received lists are not newer.
     assert_eq!(fleet.gauge(1, "coldstart_adopted"), 1);
     assert!(near(age(1), HOUR / 2), "{} ms", age(1));
-    assert!(near(age(2), 3 * HOUR) && fleet.gauge(2, "coldstart_adopted") == 1, "node 2 is cut off");
+    assert!(near(age(2), 3 * HOUR) && fleet.gauge(2, "coldstart_adopted") == 1, "node 2 is partitioned");
     for n in 0..3 {
         fleet.until("each serves by what it has", |f| f.ask(n, &format!("r{n}"), "c") == 200);
     }
 }
 
-/// A node that crashes at its start, over and over, finds its list on disk each time, and asks discovery ever more rarely.
+/// A node that crashes repeatedly at its start finds its list on disk each time and queries discovery less and less often.
 #[test]
-fn a_node_killed_over_and_over_starts_from_its_disk_and_spares_discovery() {
+fn a_node_killed_repeatedly_starts_from_its_disk_and_rarely_queries_discovery() {
     let mut options = FleetOptions::of(1);
     (options.known, options.discovery, options.logbook, options.fleet) =
         (false, Behavior::Normal, true, false);
@@ -138,23 +141,23 @@
     let before = fleet.agent.requests().len();
     for n in 1..=8 {
         let lines = fleet.restart(0);
-        let said = lines.iter().find(|l| l.contains("starts lately")).unwrap();
-        assert!(said.contains(&format!(" {n} starts lately")), "{said}");
+        let said = lines.iter().find(|l| l.contains("recent starts")).unwrap();
+        assert!(said.contains(&format!(" {n} recent starts")), "{said}");
         assert!(lines.iter().any(|l| l.contains("remembered on disk")), "{lines:?}");
-        assert_eq!(fleet.ask(0, &format!("r{n}"), "c"), 200, "by the list on disk");
+        assert_eq!(fleet.ask(0, &format!("r{n}"), "c"), 200, "with the list on disk");
         fleet.until("the disk has it", |f| {
             f.gauge(0, "logbook_syncs") > 0 && f.gauge(0, "logbook_waiting") == 0
         });
     }
     let asked = fleet.agent.requests().len() - before;
-    // The watch of the first run ended with it; a node that was killed before its slot asked nothing.
-    assert!(asked <= 3, "{asked} asks in 8 starts");
+    // The watch of the first run ended with that run; a node killed before its slot sent no request.
+    assert!(asked <= 3, "{asked} requests in 8 starts");
     assert!((0..SLICES).map(|n| fleet.seen(n, "c")).sum::<usize>() >= 8 * SLICES);
 }
 
-/// Discovery answers whole lists one at a time, each after a while: the few that it told serve the others.
+/// Discovery sends complete lists one at a time, each after a delay: the few nodes that got one pass it on to the others.
 #[test]
-fn a_slow_discovery_is_not_asked_by_all_and_all_have_a_list_all_the_same() {
+fn a_slow_discovery_is_not_queried_by_all_nodes_but_all_get_a_list() {
     const NODES: usize = 16;
     let mut options = FleetOptions::of(NODES);
     (options.known, options.discovery) = (false, Behavior::Slow(Duration::from_millis(700)));
@@ -162,13 +165,13 @@
     let fleet = Fleet::open("cold-slow", &options);
     fleet.until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
     let asked = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
-    assert!(asked <= NODES / 2, "{asked} asked discovery");
+    assert!(asked <= NODES / 2, "{asked} queried discovery");
 }
 
-/// A store that has just started, and many nodes that start with one query each: alone, each has a shard request a window for
-/// it; in a fleet all of them together have, from the round in which they learn that it is there.
+/// A replica has just started, and many nodes start with one query each. Without the fleet, each node may send it one
+/// shard request per window. In a fleet, all nodes together may, from the round in which they learn of the replica.
 #[test]
-fn a_store_that_has_just_started_is_not_flooded_by_nodes_that_start_with_it() {
+fn a_replica_in_slow_start_is_not_flooded_by_nodes_that_start_with_it() {
     const NODES: usize = 24;
     let play = |on: bool| {
         let mut options = FleetOptions::of(NODES);
@@ -191,8 +194,8 @@
     };
     let (alone, _) = play(false);
     let (shared, took) = play(true);
-    // One part a second of all; a node whose drawn share of a token is nearly whole has one a little earlier.
+    // One shard request per second in total; a node whose random initial fraction of a token is almost one is a bit early.
     let bound = 2.0 + 2.0 * took;
-    assert!(shared as f64 <= bound, "{shared} parts in {took:.1} s");
-    assert!(alone as f64 > bound, "alone they send {alone}: the test would show nothing");
+    assert!(shared as f64 <= bound, "{shared} shard requests in {took:.1} s");
+    assert!(alone as f64 > bound, "without a fleet they send {alone}: the test would show nothing");
 }
--- a/crates/frontnode/tests/fleet.rs
+++ b/crates/frontnode/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! Several front nodes as processes, their datagrams through a relay that loses, copies, delays and cuts them.
+//! Several front node processes whose datagrams pass through a relay that drops, duplicates, delays and partitions them.
 
 mod node_group;
 
@@ -7,11 +7,11 @@
 use node_group::{Fleet, FleetOptions, SLICES, faults};
 use orchidvalve_test_store::{Fault, FaultPlan};
 
-/// Node 0 meets a store that fails a service class; the others learn of it and keep that class's shard requests away from it
-/// before they ever meet it; and a node cut off from the others does not learn it, and meets the store itself.
+/// Node 0 finds a replica failing a service class. The others receive its verdict and avoid the replica for that class
+/// before they have used it. A partitioned node does not receive the verdict and uses the replica.
 #[test]
-fn a_store_that_one_node_finds_failing_a_grade_is_avoided_by_the_others_unless_they_are_cut_off() {
-    // A hedge goes to any other replica, also to one that fails the class (docs/ROADMAP.md); first attempts and retries don't.
+fn a_replica_failing_a_class_at_one_node_is_avoided_by_all_nodes_that_are_not_partitioned() {
+    // A hedge may go to any other replica, even to one failing the class (docs/ROADMAP.md); other attempts do not.
     let fleet = Fleet::open("failing", &FleetOptions { hedges: false, ..FleetOptions::of(4) });
     fleet.until("all know each other", |f| (0..4).all(|n| f.gauge(n, "fleet_peers") == 3));
     {
@@ -28,15 +28,19 @@
         assert!(n < 50, "node 0 never found store 0 failing");
     }
     fleet.until("the verdict reaches nodes 1 and 2", |f| (1..3).all(|n| f.gauge(n, "fleet_verdicts") > 0));
-    assert_eq!(fleet.gauge(3, "fleet_verdicts"), 0, "node 3 is cut off");
+    assert_eq!(fleet.gauge(3, "fleet_verdicts"), 0, "node 3 is partitioned");
     for (node, customer) in [(1, "marker-b"), (2, "marker-c"), (3, "marker-d")] {
         for n in 0..12 {
             fleet.ask(node, &format!("{customer}-{n}"), customer);
         }
     }
-    assert_eq!(fleet.seen(0, "marker-b") + fleet.seen(0, "marker-c"), 0, "nodes 1 and 2 sent there");
-    assert!(fleet.seen(0, "marker-d") > 0, "node 3, which heard nothing, met store 0 itself");
-    assert!(fleet.seen(1, "marker-b") + fleet.seen(2, "marker-b") >= 12, "node 1 served its parts elsewhere");
+    assert_eq!(
+        fleet.seen(0, "marker-b") + fleet.seen(0, "marker-c"),
+        0,
+        "nodes 1 and 2 sent shard requests there"
+    );
+    assert!(fleet.seen(0, "marker-d") > 0, "node 3, without the verdict, used store 0");
+    assert!(fleet.seen(1, "marker-b") + fleet.seen(2, "marker-b") >= 12, "node 1 used other stores");
     let faults = fleet.relay.faults();
     assert!(
         faults.lost > 0 && faults.forwarded > 0,
@@ -46,10 +50,10 @@
     );
 }
 
-/// Stores that fail every part of a customer tempt each node to ask again, up to the attempts' cap. What all nodes
-/// together may ask again is a budget of the fleet; alone, each has its own.
+/// Replicas fail every shard request of a customer, so each node would retry up to the limit of attempts. The retries of
+/// all nodes together are limited by a budget of the fleet; without a fleet, each node has its own budget.
 #[test]
-fn retries_stay_within_the_fleets_budget_whatever_the_links_do() {
+fn retries_stay_within_the_fleets_budget_under_link_faults() {
     const NODES: usize = 4;
     const ROUNDS: usize = 12;
     let play = |test_name: &str, fleet: bool| {
@@ -83,28 +87,28 @@
             }
         });
         let sent: usize = (0..SLICES).map(|s| f.seen(s, "marker")).sum();
-        // Nothing holds up a shard request's first attempt here.
+        // Nothing delays the first attempt of a shard request here.
         let first = NODES * ROUNDS * SLICES;
         (sent.saturating_sub(first), began.elapsed().as_secs_f64())
     };
     let (alone, _) = play("retries-alone", false);
     let (shared, took) = play("retries-shared", true);
-    // Each node may save up one attempt, and begins with a share of one; leases never add to the total. What was
-    // decided before the first round of the fleet is none.
+    // Each node may save up one attempt and starts with a fraction of one; leases never add to the total. Attempts that
+    // were decided before the first round of the fleet are not limited.
     let bound = (4.0 * took).floor() as usize + 2 * NODES;
-    assert!(shared <= bound, "{shared} further launches in {took:.1} s, {bound} at most");
-    assert!(alone > bound, "alone they send {alone}: the test would show nothing");
+    assert!(shared <= bound, "{shared} retries in {took:.1} s, {bound} at most");
+    assert!(alone > bound, "without a fleet they send {alone}: the test would show nothing");
 }
 
-/// In each fault between six nodes, all of which would ask again without end, the fleet stays within what its bound says of
-/// the time that it took, and a verdict reaches every node that can be reached.
+/// Each of six nodes has enough failing shard requests to retry constantly. Under each fault between them, the fleet stays
+/// within its bound for the elapsed time, and a verdict reaches every node that is reachable.
 #[test]
-fn in_each_fault_the_fleet_keeps_its_bound_and_a_verdict_reaches_all_that_can_be_reached() {
+fn under_each_fault_the_fleet_keeps_its_bound_and_a_verdict_reaches_all_reachable_nodes() {
     for fault in faults::ALL {
         let (further, took) = faults::overshoot(fault, Duration::from_millis(1200));
         let most = faults::bound(fault, took);
         assert!((further as f64) <= most, "{}: {further} in {took:.1} s, {most:.1} at most", fault.name);
-        assert!(further > 0, "{}: nothing was launched again, the test_name shows nothing", fault.name);
+        assert!(further > 0, "{}: no retries were sent, the test shows nothing", fault.name);
         faults::staleness(fault);
     }
 }
--- a/crates/frontnode/tests/golden_client_protocols.rs
+++ b/crates/frontnode/tests/golden_client_protocols.rs
@@ -1,5 +1,5 @@
-//! What clients' messages come to under both protocols, and the bytes of the answers to each outcome, as recorded before
-//! names in the code changed.
+//! The interpretation of client requests under both client protocols, and the bytes of the responses to each outcome,
+//! compared with a recording.
 
 use std::path::PathBuf;
 
@@ -78,7 +78,7 @@
     out
 }
 
-/// What a message comes to, in words of this test, and the answer to each outcome of all that it asks.
+/// Records the interpretation of a request and the responses to each outcome of its queries.
 fn note(samples: &mut Vec<(String, Vec<u8>)>, config: &NodeConfig, name: &str, message: &[u8]) {
     let protocols = client_protocol::protocols(config);
     let message = http::parse_request(message).unwrap().unwrap();
@@ -155,7 +155,7 @@
     ("Idempotency-Key", "k-1"),
 ];
 
-/// Those headers, with one other value, or without that header where the value is empty.
+/// Returns the headers with another value for one of them, or without it if the value is empty.
 fn but<'a>(name: &str, value: &'a str) -> Vec<(&'a str, &'a str)> {
     let changed = HEADERS.iter().map(|&(n, v)| if n == name { (n, value) } else { (n, v) });
     changed.filter(|(_, value)| !value.is_empty()).collect()
@@ -165,7 +165,7 @@
     r#"{"slices":[{"slice":0,"mass":0.33333},{"slice":2,"mass":0.66666,"micros":1500.5}],"filter":"c41"}"#;
 
 #[test]
-fn the_own_protocol_is_spoken_as_recorded() {
+fn the_own_protocol_matches_the_recording() {
     let config = config("own", false, true);
     let mut samples = Vec::new();
     let mut message = |name: &str, message: Vec<u8>| note(&mut samples, &config, name, &message);
@@ -214,7 +214,7 @@
 }
 
 #[test]
-fn the_own_protocol_before_stores_of_the_search_protocol_is_spoken_as_recorded() {
+fn the_own_protocol_in_front_of_search_stores_matches_the_recording() {
     let config = config("own-routed", true, false);
     let mut samples = Vec::new();
     let mut filter = |name: &str, class: &str, filter: &str| {
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn the_search_protocol_is_spoken_as_recorded() {
+fn the_search_protocol_matches_the_recording() {
     let config = config("search", true, false);
     let mut samples = Vec::new();
     let mut message = |name: &str, message: Vec<u8>| note(&mut samples, &config, name, &message);
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn tenants_of_the_search_protocol_are_read_as_recorded() {
+fn tenants_of_the_search_protocol_match_the_recording() {
     let config = config("search-tenants", true, true);
     let mut samples = Vec::new();
     for (name, headers) in [("none", ""), ("second", "Tenant: other\r\n"), ("unknown", "Tenant: nobody\r\n")]
@@ -304,9 +304,9 @@
     check_samples(&golden("search_protocol_tenants.txt"), &samples);
 }
 
-/// Heads, bodies and faults of HTTP messages, and answers.
+/// Heads, bodies and errors of HTTP messages, and responses.
 #[test]
-fn http_messages_are_read_and_written_as_recorded() {
+fn http_messages_match_the_recording() {
     let mut samples = Vec::new();
     let coded = "POST /a?b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     let long = "x".repeat(17 << 10);
--- a/crates/frontnode/tests/golden_config.rs
+++ b/crates/frontnode/tests/golden_config.rs
@@ -1,5 +1,5 @@
-//! What the reader makes of fixed configurations and of the operators' files, and the text of each fault, as recorded
-//! before names in the code changed. A fault names its key in full.
+//! The results of reading fixed configurations and operators' files, and the text of each error, compared with a
+//! recording. An error names its key in full.
 
 use std::path::PathBuf;
 
@@ -16,7 +16,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Every key that the configuration itself has.
+/// Returns a configuration with every key of its own.
 fn full() -> Value {
     json!({
         "name": "n1", "listen": "127.0.0.1:8000", "discovery": "127.0.0.1:8500", "seed": "8c1f30d27a5be964",
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn configurations_are_read_as_recorded() {
+fn configurations_match_the_recording() {
     let mut least = full();
     for key in ["limits", "known"] {
         least.as_object_mut().unwrap().remove(key);
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_head_of_a_recording_names_what_is_in_force() {
+fn the_header_of_a_recording_names_the_current_configuration() {
     let head = read(&full()).unwrap().recording_head(1_750_000_000_123_456_789);
     assert_eq!((&*head.node, head.started_unix_ms), ("n1", 1_750_000_000_123));
     assert_eq!(
@@ -122,9 +122,9 @@
     );
 }
 
-/// Each section that cannot change while the node runs is named where it does, and no other.
+/// Each section that cannot change while the node runs is reported if it differs, and no other.
 #[test]
-fn sections_in_force_until_the_next_start_are_named_as_recorded() {
+fn changed_sections_that_need_a_restart_match_the_recording() {
     let plan = read(&full()).unwrap();
     let mut samples = vec![("nothing".to_owned(), plan.sections_changed_in(&plan).join(", "))];
     for (name, pointer, value) in [
@@ -143,9 +143,9 @@
     check_samples(&golden("sections_in_force.txt"), &samples);
 }
 
-/// Each key of the configuration in turn: left out, and of every other type, below 0 and 0.
+/// Each key of the configuration is removed, replaced by values of other types, by a negative number and by 0.
 #[test]
-fn faults_of_the_configuration_name_their_key_as_recorded() {
+fn configuration_errors_name_their_key_and_match_the_recording() {
     let mut samples = Vec::new();
     let mut note = |name: String, text: &str| {
         let said = match read_text(text) {
@@ -185,7 +185,7 @@
     check_samples(&golden("configuration_faults.txt"), &samples);
 }
 
-/// Paths to all values of a document, in the order of its keys.
+/// Returns the JSON pointers of all values of a document, in the order of its keys.
 fn pointers_of(value: &Value, at: String, pointers: &mut Vec<String>) {
     match value {
         Value::Object(fields) => {
@@ -208,7 +208,7 @@
     }
 }
 
-/// False where the value is an item of a list.
+/// Removes the value at a JSON pointer. Returns false if it is an item of a list.
 fn remove(document: &mut Value, pointer: &str) -> bool {
     let (above, key) = pointer.rsplit_once('/').unwrap();
     match document.pointer_mut(above).unwrap() {
@@ -217,7 +217,7 @@
     }
 }
 
-/// A file of the operator's with one line changed, added or left out, and what is said to it.
+/// Returns the errors of an operator's file with one line changed, added or removed.
 fn faults_of(
     samples: &mut Vec<(String, String)>,
     section: &str,
@@ -251,7 +251,7 @@
 }
 
 #[test]
-fn faults_of_the_operators_files_are_as_recorded() {
+fn errors_of_operators_files_match_the_recording() {
     let mut samples = Vec::new();
     let logbook = [
         ("dir", "\"\""),
@@ -339,9 +339,9 @@
     check_samples(&golden("operators_files.txt"), &samples);
 }
 
-/// What the operators' files come to where they name every key, and where they name as few as they may.
+/// The settings read from operators' files with all keys, and from files with only the required ones.
 #[test]
-fn operators_files_are_read_as_recorded() {
+fn operators_files_match_the_recording() {
     let mut samples = Vec::new();
     let fleet = "[fleet]\nlisten = \"127.0.0.1:7400\"\nexpected = 3\n";
     let more = "advertise = \"127.0.0.1:7401\"\npeers = [\"127.0.0.1:1\"]\nprobe_ms = 500\nsuspect_ms = 100\n\
--- a/crates/frontnode/tests/golden_disk.rs
+++ b/crates/frontnode/tests/golden_disk.rs
@@ -1,5 +1,5 @@
-//! What the node writes: its memory in the logbook, the recording of arrivals, and what it tells operators and other
-//! nodes in JSON, as recorded before names in the code changed.
+//! The data that the node writes: its persistent state, recordings of arrivals, and the JSON for operators and other nodes,
+//! compared with a recording.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
@@ -30,7 +30,7 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// An empty directory of that name.
+/// Returns an empty directory.
 fn fresh(name: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-{name}"));
     let _ = std::fs::remove_dir_all(&path);
@@ -55,7 +55,7 @@
     }
 }
 
-/// A logbook with a list of four, one of them gone and one taken out, and what is thought of two.
+/// Writes a logbook with four endpoints, of which one is removed and one deleted, and the ejection states of all.
 fn write(path: &Path) {
     let mut state = PersistentState::open(&settings(path), NOW).unwrap();
     assert!(state.take_recovered().is_some_and(|left| left.revision.is_none() && left.starts.is_empty()));
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn what_is_remembered_is_written_as_recorded() {
+fn the_persistent_state_matches_the_recording() {
     let path = fresh("written");
     write(&path);
     let disk = RealDisk::open_or_create(path.clone()).unwrap();
@@ -107,7 +107,7 @@
     check_samples(&golden("logbook_values.txt"), &samples);
 }
 
-/// A copy, for one test, of the logbook that was written before names in the code changed.
+/// Returns a copy of the recorded logbook for one test.
 fn copied(test: &str) -> PathBuf {
     let path = fresh(test);
     for file in std::fs::read_dir(golden("logbook")).unwrap() {
@@ -117,11 +117,11 @@
     path
 }
 
-/// What [`write`] left, compared field by field.
+/// Checks each field of the state written by [`write`].
 fn check_left(path: &Path) {
     let mut state = PersistentState::open(&settings(path), NOW + 100).unwrap();
     let left = state.take_recovered().unwrap();
-    assert!(state.take_recovered().is_none(), "it is taken once");
+    assert!(state.take_recovered().is_none(), "it is returned once only");
     let stored = left.revision.unwrap();
     assert_eq!((stored.revision, stored.at), (7, NOW + 5));
     let members: Vec<&Endpoint> = left.endpoints.values().collect();
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn what_an_earlier_build_left_is_read_back() {
+fn a_logbook_of_an_earlier_build_is_recovered() {
     if std::env::var_os(orchidvalve_golden::RECORD_VARIABLE).is_some() && !golden("logbook").exists() {
         std::fs::create_dir_all(golden("logbook")).unwrap();
         let path = fresh("recorded");
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn what_an_earlier_build_left_is_read_back_but_for_a_torn_tail() {
+fn a_logbook_of_an_earlier_build_is_recovered_up_to_its_torn_tail() {
     let path = copied("torn");
     let mut segments: Vec<PathBuf> = std::fs::read_dir(&path)
         .unwrap()
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn arrivals_are_recorded_as_recorded() {
+fn recorded_arrivals_match_the_recording() {
     let path = fresh("arrivals").join("file");
     let settings = RecordingSettings { file: path.display().to_string(), max_bytes: 1 << 20 };
     let head = Header {
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn the_list_that_peers_are_told_and_the_numbers_of_machines_are_as_recorded() {
+fn lists_offered_to_peers_and_machine_numbers_match_the_recording() {
     let list: Vec<Endpoint> = (0..3).map(|n| endpoint(n, n == 2)).collect();
     let bytes = serde_json::to_vec(&list).unwrap();
     assert_eq!(serde_json::from_slice::<Vec<Endpoint>>(&bytes).unwrap(), list);
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn discoverys_answers_are_read_as_recorded() {
+fn discovery_responses_match_the_recording() {
     let whole = r#"{"revision":9,"complete":true,"members":[{"id":"a","host_port":"127.0.0.1:1","cell":2,
         "phase":"up","up_since_ms":1700000000000,"flavor":"os","locality":"z"},
         {"id":"b","host_port":"[::1]:2","cell":0,"phase":"draining"},
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn the_order_of_work_is_shown_as_recorded() {
+fn the_maintenance_view_matches_the_recording() {
     let entry = |n: i64, stage: Stage| QueueEntry {
         machine: format!("s-{n}"),
         by: "op".to_owned(),
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn the_trace_names_replicas_as_recorded() {
+fn replica_names_in_the_trace_match_the_recording() {
     let path = fresh("trace").join("file");
     let mut tracer = TraceWriter::open(&path.display().to_string()).unwrap();
     tracer.name_replica(NOW, ReplicaIndex(3), "s-3");
--- a/crates/frontnode/tests/golden_operators.rs
+++ b/crates/frontnode/tests/golden_operators.rs
@@ -1,5 +1,5 @@
-//! What a node as a process tells operators over HTTP, and its trace, as recorded before names in the code changed: each
-//! metric by its name, kind and help text, the answers to questions of health, and the refusals.
+//! The operator API and the trace of a node process, compared with a recording: the name, type and help text of each
+//! metric, the health responses, and the rejections.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -29,7 +29,7 @@
     }
 }
 
-/// A node with everything switched on, in front of a server that nothing listens at, or of none.
+/// Starts a node with all features enabled. Its list has `members` servers, on whose addresses nothing listens.
 fn start(test_name: &str, members: usize) -> Node {
     let folder = Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("golden-node-{test_name}"));
     let _ = std::fs::remove_dir_all(&folder);
@@ -67,12 +67,12 @@
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let address = loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the node ended");
         if let Some(address) = line.trim().strip_prefix("orchidvalved: listening on ") {
             break address.parse().unwrap();
         }
     };
-    // Read on, lest the node write to a pipe that nobody reads.
+    // The log is read further, so that the node does not block on a full pipe.
     std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
     Node { child, address }
 }
@@ -89,16 +89,16 @@
         answer
     }
 
-    /// Answers until it knows a list; the start takes a moment to go by one.
+    /// Waits until the node has an endpoint list; selecting the first one takes a moment.
     fn until_it_serves(&self) {
         let end = Instant::now() + TOO_LONG;
         while !self.exchange("GET /_health", "").starts_with("HTTP/1.1 200 ") {
-            assert!(Instant::now() < end, "it does not serve");
+            assert!(Instant::now() < end, "the node does not serve");
         }
     }
 }
 
-/// The lines of a text of metrics without their values.
+/// Returns the lines of a metrics text without their values.
 fn without_values(text: &str) -> String {
     let line = |line: &str| match line.strip_prefix('#') {
         Some(_) => format!("{line}\n"),
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn metrics_have_their_names_and_help_texts() {
+fn metric_names_and_help_texts_match_the_recording() {
     let node = start("metrics", 1);
     let answer = node.exchange("GET /metrics", "");
     let (head, body) = answer.split_once("\r\n\r\n").unwrap();
@@ -122,9 +122,9 @@
     check_samples(&golden("metrics.txt"), &samples);
 }
 
-/// Each counter by its name in the last log line.
+/// The last log line contains each counter by its name.
 #[test]
-fn counters_have_their_names_in_the_log() {
+fn counter_names_in_the_log_match_the_recording() {
     let text = Metrics::default().text(&[]);
     let names: Vec<&str> = text.lines().filter_map(|line| line.strip_prefix("# TYPE orchidvalve_")).collect();
     assert_eq!(names.len(), 46, "one of them counts lines of the log");
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn operators_are_answered_as_recorded() {
+fn operator_responses_match_the_recording() {
     let (node, empty) = (start("answers", 1), start("answers-empty", 0));
     node.until_it_serves();
     let wish = |what: &str, body: &str| node.exchange(&format!("POST /_maintenance/{what}"), body);
--- a/crates/frontnode/tests/golden_pool.rs
+++ b/crates/frontnode/tests/golden_pool.rs
@@ -1,5 +1,5 @@
-//! What the pool of connections to a store decides, and in which order deadlines fall due, over chance from fixed seeds, as
-//! recorded before names in the code changed.
+//! The decisions of a connection pool and the order of deadlines, for random inputs from fixed seeds, compared with a
+//! recording.
 
 use std::path::PathBuf;
 
@@ -26,7 +26,7 @@
     note_all(trace, &part.into_iter().collect::<Vec<_>>());
 }
 
-/// One pool whose owner does what it is told, among others that take and give back connections.
+/// Runs one pool whose owner carries out its decisions, while other pools take and return connections.
 fn pool_by_chance(seed: u64) -> u64 {
     let mut chance = Pcg64::seed_from_u64(seed);
     let mut trace = Trace::new();
@@ -48,7 +48,7 @@
         let capacity = Capacity {
             max_connections: 9,
             open,
-            serving_stores: chance.random_range(1..5),
+            serving_replicas: chance.random_range(1..5),
             reserved: chance.random_range(0..4),
         };
         let drawn = |of: &[u32], at: usize| of.get(at % of.len().max(1)).copied().unwrap_or(u32::MAX);
@@ -66,8 +66,8 @@
                 next_part += 1;
             }
             3 => {
-                trace.add_number(u64::from(pool.wants_connection(capacity)));
-                if pool.wants_connection(capacity) {
+                trace.add_number(u64::from(pool.needs_connection(capacity)));
+                if pool.needs_connection(capacity) {
                     pool.opening(next_key, false);
                     links.push(next_key);
                     next_key += 1;
@@ -139,13 +139,13 @@
 }
 
 #[test]
-fn the_pool_decides_as_recorded() {
+fn pool_decisions_match_the_recording() {
     let hashes: Vec<_> = (0..60).map(|seed| (format!("pool-{seed}"), pool_by_chance(seed))).collect();
     check_hashes(&golden("pool.txt"), &hashes);
 }
 
 #[test]
-fn deadlines_fall_due_as_recorded() {
+fn the_order_of_deadlines_matches_the_recording() {
     let hashes: Vec<_> =
         (0..20).map(|seed| (format!("deadlines-{seed}"), deadlines_by_chance(seed))).collect();
     check_hashes(&golden("deadlines.txt"), &hashes);
--- a/crates/frontnode/tests/golden_store_protocols.rs
+++ b/crates/frontnode/tests/golden_store_protocols.rs
@@ -1,5 +1,5 @@
-//! The bytes of calls to stores and what the node makes of a store's bytes, under both protocols, as recorded before
-//! names in the code changed.
+//! The bytes of calls to replicas and the interpretation of their messages, under both store protocols, compared with a
+//! recording.
 
 use std::path::PathBuf;
 
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn what_is_written_to_stores_is_as_recorded() {
+fn calls_to_stores_match_the_recording() {
     let mut samples = Vec::new();
     let mut call = |name: &str, kind: ProtocolKind, parts: &[CallRequest], accepted: bool| {
         let mut out = Vec::new();
@@ -103,7 +103,7 @@
     }
 }
 
-/// All messages in those bytes, in words of this test.
+/// Describes all messages in the bytes.
 fn read(connection: &mut dyn StoreProtocol, mut bytes: &[u8]) -> String {
     let mut words = Vec::new();
     loop {
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn frames_of_stores_are_read_as_recorded() {
+fn parsed_frames_match_the_recording() {
     let answers = [frame(b"5r1.3 S 7 -\nvalue"), frame(b"5r2.0 B 0 -\n"), frame(b"5r.2.1 E 0 a=b c\nwhy")];
     let samples = [
         ("answers", answers.concat()),
@@ -178,7 +178,7 @@
 }
 
 #[test]
-fn responses_of_stores_are_read_as_recorded() {
+fn parsed_responses_match_the_recording() {
     let hits = r#"{"max_score":null,"hits":[]}"#;
     let whole = |failed: u32, late: bool| {
         let shards = format!(r#"{{"total":1,"successful":{},"failed":{failed}}}"#, 1 - failed);
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn connections_are_used_as_recorded() {
+fn connection_limits_match_the_recording() {
     let settings = settings(true);
     let in_words = |kind| {
         let limits = settings.connection_limits(kind);
--- a/crates/frontnode/tests/maintenance.rs
+++ b/crates/frontnode/tests/maintenance.rs
@@ -1,4 +1,4 @@
-//! Machines taken out for work by several front nodes as processes, with faults between them.
+//! Maintenance of machines by several front node processes, with faults between them.
 
 mod node_group;
 
@@ -29,7 +29,7 @@
     assert_eq!(f.operator(node, "POST", "/_maintenance/ask", &wish).0, 202);
 }
 
-/// The stage of a machine as a node knows it; empty where it is not in the order.
+/// Returns the stage of a machine according to a node; empty if the machine is not in the maintenance queue.
 fn stage(f: &Fleet, node: usize, machine: &str) -> String {
     let view = f.operator(node, "GET", "/_maintenance", &Value::Null).1;
     let entries = view["entries"].as_array().cloned().unwrap_or_default();
@@ -37,8 +37,8 @@
     entry.and_then(|e| e["stage"].as_str()).unwrap_or_default().to_owned()
 }
 
-/// Every event that the nodes know, by version: all of them tell the same, and no two machines are out at one time, as
-/// any two of three machines hold a shard together here.
+/// Returns all events that the nodes know, by version. Checks that all nodes agree and that no two machines are out at the
+/// same time, as any two of the three machines share a shard here.
 fn audited(f: &Fleet, nodes: &[usize]) -> Vec<(u64, String, String)> {
     let mut all: BTreeMap<u64, Vec<(String, String)>> = BTreeMap::new();
     for &node in nodes {
@@ -65,7 +65,7 @@
                 "back" | "lapsed" | "recalled" | "cancelled" => out.retain(|m| *m != machine),
                 _ => {}
             }
-            assert!(out.len() <= 1, "{out:?} are out at version {version}");
+            assert!(out.len() <= 1, "{out:?} are out together at version {version}");
             flat.push((version, machine, event));
         }
     }
@@ -76,10 +76,11 @@
     events.iter().filter(|(_, m, e)| m == machine && e == event).count()
 }
 
-/// Two holders of a shard are asked for at once at two followers, over links that lose a fifth; the leader is killed
-/// while it admits. One goes, drained by all first, and its twin only once it is warm again. Nothing is lost or doubled.
+/// Maintenance of two machines with a common shard is requested at the same time at two followers, over links that lose a
+/// fifth of the datagrams, and the leader is killed while it admits one. One machine is drained by all nodes and goes out;
+/// the other follows only once the first is warm again. No request is lost or executed twice.
 #[test]
-fn two_replicas_of_a_shard_asked_for_at_once_go_in_turn_though_the_leader_is_killed() {
+fn two_machines_with_a_common_shard_go_out_in_turn_although_the_leader_is_killed() {
     const NODES: usize = 5;
     let mut f = open("work-turn", 3, NODES);
     {
@@ -89,7 +90,9 @@
     let killed = leader(&f, 3).unwrap();
     ask(&f, 3, "s-0");
     ask(&f, 4, "s-1");
-    f.until("an ask reached the leader", |f| ["s-0", "s-1"].iter().any(|m| !stage(f, killed, m).is_empty()));
+    f.until("a request reached the leader", |f| {
+        ["s-0", "s-1"].iter().any(|m| !stage(f, killed, m).is_empty())
+    });
     f.kill(killed);
     let alive: Vec<usize> = (0..NODES).filter(|&n| n != killed).collect();
     let out = |f: &Fleet| {
@@ -105,9 +108,9 @@
     for n in 0..20 {
         assert_eq!(f.ask(alive[n % alive.len()], &format!("r{n}"), "c1"), 200);
     }
-    assert_eq!(f.seen(store, "c"), before, "no node sends it anything new");
+    assert_eq!(f.seen(store, "c"), before, "no node sends it new shard requests");
     f.restart(killed);
-    // It is worked on: discovery says that it drains, and then that it has started again.
+    // During the maintenance, discovery lists the machine as draining, and then as started again.
     f.agent.publish(f.members(&[(store, "draining")]));
     let mut members = f.members(&[]);
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64;
@@ -119,13 +122,13 @@
         let counts = ["asked", "admitted", "back"].map(|e| times(&events, machine, e));
         assert_eq!(counts, [1, 1, back], "{machine}: {events:?}");
     }
-    assert_eq!(f.ask(killed, "r", "c2"), 200, "the node that was killed serves, and knows the order");
+    assert_eq!(f.ask(killed, "r", "c2"), 200, "the killed node serves again and knows the queue");
 }
 
-/// A member and a follower are cut off from the others. Their side admits nobody; the other goes on; once the links are
-/// whole they have one order.
+/// A member and a follower are partitioned from the others. Their side admits no machine; the other side continues. Once
+/// the partition heals, all nodes have the same queue.
 #[test]
-fn of_two_sides_only_the_one_with_most_of_the_group_admits() {
+fn only_the_side_of_a_partition_with_a_majority_of_the_group_admits_machines() {
     const NODES: usize = 5;
     let f = open("work-cut", 3, NODES);
     let cut = leader(&f, 3).unwrap();
@@ -135,19 +138,19 @@
     let rest: Vec<usize> = (0..4).filter(|&n| n != cut).collect();
     f.until("the larger side goes on", |f| rest.iter().all(|&n| stage(f, n, "s-2") == "out"));
     assert_eq!((stage(&f, cut, "s-0"), stage(&f, 4, "s-0")), (String::new(), String::new()));
-    assert_eq!(stage(&f, 4, "s-2"), "", "node 4 is cut off: it learns late, and says how late");
-    assert!(f.ask(4, "r", "c") == 200, "and serves on");
+    assert_eq!(stage(&f, 4, "s-2"), "", "node 4 is partitioned and learns of it later");
+    assert!(f.ask(4, "r", "c") == 200, "and continues to serve");
     f.work.faults().partitions.clear();
     f.until("one order at all nodes", |f| (0..NODES).all(|n| stage(f, n, "s-2") == "out"));
     ask(&f, 4, "s-0");
-    f.until("the ask is in it", |f| (0..NODES).all(|n| stage(f, n, "s-0") == "asked"));
+    f.until("the request is in it", |f| (0..NODES).all(|n| stage(f, n, "s-0") == "asked"));
     let events = audited(&f, &(0..NODES).collect::<Vec<_>>());
     assert_eq!((times(&events, "s-2", "admitted"), times(&events, "s-0", "admitted")), (1, 0));
 }
 
-/// All nodes die at once, as in a power loss: the order is on their disks.
+/// All nodes are killed at the same time, as in a power loss; the queue is restored from their disks.
 #[test]
-fn the_order_survives_the_death_of_all_nodes() {
+fn the_maintenance_queue_survives_the_loss_of_all_nodes() {
     let mut f = open("work-dark", 3, 4);
     ask(&f, 3, "s-1");
     f.until("it is out", |f| (0..4).all(|n| stage(f, n, "s-1") == "out"));
--- a/crates/frontnode/tests/node_group/faults.rs
+++ b/crates/frontnode/tests/node_group/faults.rs
@@ -1,5 +1,5 @@
-//! Faults between the nodes of a fleet, and what the fleet does in them: attempts beyond its budget, and how long a verdict
-//! takes to reach all.
+//! Faults between the nodes of a fleet and their effects: retries beyond the fleet's budget, and the time until a verdict
+//! has reached all nodes.
 
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
@@ -10,27 +10,27 @@
 use super::{Fleet, FleetOptions, SLICES};
 
 pub const NODES: usize = 6;
-/// Retries a second of the whole fleet.
+/// Retries per second of the whole fleet.
 pub const RETRIES: f64 = 6.0;
 pub const GOSSIP: f64 = 0.05;
 pub const TOLD: f64 = 3.0;
 
-/// What goes wrong between the nodes, or at one of them.
+/// A fault between the nodes or at one of them.
 #[derive(Clone, Copy, Default)]
 pub struct GroupFault {
     pub name: &'static str,
     pub loss: f64,
     pub copies: f64,
     pub delay_ms: u64,
-    /// Up to so much later still, drawn for each datagram: they overtake each other.
+    /// A random additional delay of each datagram, up to this many milliseconds, which reorders the datagrams.
     pub jitter_ms: u64,
-    /// The second half of the nodes is cut off from the first.
+    /// Whether the second half of the nodes is partitioned from the first.
     pub cut: bool,
-    /// A node is killed in the middle, with what it had been lent.
+    /// Whether a node is killed half-way, with the budget that it has borrowed.
     pub killed: bool,
-    /// It starts again at once, under its old address.
+    /// Whether the killed node is restarted immediately with its old address.
     pub restarted: bool,
-    /// Node 0 gets as many datagrams as one sender can send, of strangers and cut short.
+    /// Whether node 0 is flooded with datagrams of strangers and truncated datagrams.
     pub flooded: bool,
 }
 
@@ -59,8 +59,8 @@
     GroupFault { name: "a node flooded", flooded: true, ..WELL },
 ];
 
-/// Retries that all nodes may send in so many seconds: `n + B · (t + burst)`, with a second's burst. A node that
-/// started again begins anew, with one attempt saved up at most.
+/// Returns the maximum number of retries of all nodes in `took` seconds: `n + B · (t + burst)`, with a burst of one second.
+/// A restarted node starts empty, with at most one saved attempt.
 pub fn bound(fault: GroupFault, took: f64) -> f64 {
     (NODES + usize::from(fault.restarted)) as f64 + RETRIES * (took + 1.0)
 }
@@ -84,7 +84,7 @@
     f
 }
 
-/// Datagrams at node 0 until it is over: some that nobody can read, some that claim to be a peer's and are cut short.
+/// Sends datagrams to node 0 until `over` is set: some are unreadable, some claim to come from a peer and are truncated.
 fn flood(f: &Fleet, over: &AtomicBool) {
     let to = f.relay.faults().targets[0].expect("node 0 listens");
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
@@ -97,7 +97,7 @@
     }
 }
 
-/// Retries of all nodes, and for how long they asked.
+/// Returns the retries of all nodes and the time in seconds during which queries were sent.
 pub fn overshoot(fault: GroupFault, plays_for: Duration) -> (usize, f64) {
     let mut f = open(fault, "launches");
     let began = Instant::now();
@@ -134,7 +134,7 @@
     (sent.saturating_sub(first), began.elapsed().as_secs_f64())
 }
 
-/// From the moment that node 0 finds a store failing until every node that is reached knows it.
+/// Returns the seconds from node 0's first verdict on a failing replica until every reachable node knows it.
 pub fn staleness(fault: GroupFault) -> f64 {
     let mut f = open(fault, "verdict");
     if fault.killed {
@@ -146,7 +146,7 @@
         if fault.flooded {
             scope.spawn(|| flood(&f, &over));
         }
-        // Beside the look at the gauges: a query that fails is answered long after its first shard request failed.
+        // Queries run beside the checks of the gauges: a failed query is answered long after its first attempt failed.
         scope.spawn(|| {
             let mut n = 0;
             while !over.load(Relaxed) {
--- a/crates/frontnode/tests/node_group/mod.rs
+++ b/crates/frontnode/tests/node_group/mod.rs
@@ -1,5 +1,5 @@
-//! Several front nodes as processes, their datagrams through a relay that loses, copies, delays and cuts them as a
-//! test or a measurement says. Stores are stand-ins; nothing sleeps to wait: each waits for what must come.
+//! Several front node processes whose datagrams pass through a relay that drops, duplicates, delays and partitions them as
+//! a test or bench requests. Index servers are emulated. Tests do not sleep; each waits for an expected state.
 #![allow(dead_code)]
 
 pub mod faults;
@@ -24,7 +24,7 @@
 pub struct Front {
     pub child: Child,
     pub address: SocketAddr,
-    /// What it wrote before it listened.
+    /// The log lines before the node listened.
     pub lines: Vec<String>,
 }
 
@@ -39,7 +39,7 @@
     pub fronts: Vec<Front>,
     pub stores: Vec<Store>,
     pub relay: Relay,
-    /// The same for datagrams about machines taken out for work.
+    /// The same for datagrams about maintenance.
     pub work: Relay,
     pub agent: DiscoveryAgent,
     configs: Vec<String>,
@@ -53,40 +53,40 @@
     }
 }
 
-/// Where logbooks are kept: in memory where the system has such a place, as a test's verdict must not hang on how long the
-/// machine's disk takes to sync beside a build. Nodes die here by a signal, which loses nothing of a file.
+/// Returns the parent directory of logbooks, in memory if the system provides one: results of tests must not depend on the
+/// time that a disk needs to sync while a build runs. Nodes are killed by a signal, which loses nothing that was written.
 fn memory() -> &'static str {
     let shared = "/dev/shm";
     if std::path::Path::new(shared).is_dir() { shared } else { env!("CARGO_TARGET_TMPDIR") }
 }
 
-/// What a fleet is opened with.
+/// The options of a fleet.
 pub struct FleetOptions {
     pub nodes: usize,
-    /// Stores in each of the three cells, and cells that hold a shard.
+    /// The number of stores in each of the three cells, and the number of cells that hold a shard.
     pub per_cell: usize,
     pub reach: usize,
-    /// Whether the nodes take part in a fleet; else each stands alone.
+    /// Whether the nodes form a fleet; otherwise each works alone.
     pub fleet: bool,
-    /// Lines added to each node's fleet file.
+    /// Additional lines for each node's fleet file.
     pub more: String,
-    /// Stores started so many milliseconds ago, by number; the others long ago.
+    /// Stores, by number, that started this many milliseconds ago; the others started long ago.
     pub started_ms: Vec<(usize, u64)>,
-    /// The cold rule: how long a server is cold, and the window of its multiple.
+    /// The duration of a store's slow start, and the window of its overload limit.
     pub cold_ms: u64,
     pub window_ms: u64,
     /// Whether shard requests may be hedged.
     pub hedges: bool,
-    /// Whether each node's configuration names the stores, and how old it is, by node; the others' are new.
+    /// Whether each node's configuration names the stores, and the age of the configuration by node; the default is 0.
     pub known: bool,
     pub written_ago: Vec<(usize, Duration)>,
-    /// Lines of each node's file of the cold start; none where that is off.
+    /// Lines for each node's cold start file; `None` if the cold start is disabled.
     pub coldstart: Option<String>,
-    /// Whether each node remembers in a logbook.
+    /// Whether each node has persistent state.
     pub logbook: bool,
-    /// How discovery answers at first.
+    /// The initial behavior of discovery.
     pub discovery: Behavior,
-    /// Members of the group that keeps the order of work, and lines of that file; none where it is off.
+    /// The number of members of the maintenance group, and lines of its file; `None` if maintenance is disabled.
     pub maintenance: Option<(usize, String)>,
 }
 
@@ -127,7 +127,7 @@
 }
 
 impl Fleet {
-    /// Front nodes, each told of the first as its peer.
+    /// Starts front nodes, each with the first one as its configured peer.
     pub fn open(test_name: &str, options: &FleetOptions) -> Fleet {
         let nodes = options.nodes;
         let unix_ms = SystemTime::now().duration_since(UNIX_EPOCH).unwrap().as_millis() as u64;
@@ -203,7 +203,7 @@
             }
             configs.push(path("json"));
         }
-        // All at once, as after a release: each is waited for only once all run.
+        // All nodes start at the same time, as after a release; the test waits only once all of them run.
         let children: Vec<Child> = configs.iter().map(|config| run(config)).collect();
         let mut fronts = Vec::new();
         for (n, child) in children.into_iter().enumerate() {
@@ -221,7 +221,7 @@
         front.child.wait().unwrap();
     }
 
-    /// What a node answers to an operator.
+    /// Returns a node's response to a request of an operator.
     pub fn operator(&self, node: usize, method: &str, path: &str, body: &Value) -> (u16, Value) {
         let Ok(mut stream) = TcpStream::connect(self.fronts[node].address) else { return (0, Value::Null) };
         stream.set_read_timeout(Some(TOO_LONG)).unwrap();
@@ -238,7 +238,7 @@
         (status, serde_json::from_str(body).unwrap_or(Value::Null))
     }
 
-    /// Kills a node at once, and starts it again; the lines that it wrote before it listened.
+    /// Kills a node and restarts it. Returns the log lines before it listened.
     pub fn restart(&mut self, node: usize) -> Vec<String> {
         self.kill(node);
         let (front, real) = listening(run(&self.configs[node]));
@@ -248,7 +248,7 @@
         self.fronts[node].lines.clone()
     }
 
-    /// Whether a node has a list to serve by.
+    /// Returns whether a node has an endpoint list and serves.
     pub fn serves(&self, node: usize) -> bool {
         let mut stream = TcpStream::connect(self.fronts[node].address).unwrap();
         stream.set_read_timeout(Some(TOO_LONG)).unwrap();
@@ -258,7 +258,7 @@
         text.contains(" 200 ")
     }
 
-    /// The stores as discovery names them, some of them in another phase.
+    /// Returns the stores as members of discovery's list, some of them in another phase.
     pub fn members(&self, phases: &[(usize, &str)]) -> Value {
         let member = |(n, s): (usize, &Store)| {
             let phase = phases.iter().find(|(store, _)| *store == n).map_or("up", |(_, phase)| *phase);
@@ -286,7 +286,7 @@
         }
     }
 
-    /// A query of all slices at a node, whose text names `customer`; its status.
+    /// Sends a query for all shards with `customer` in its payload to a node. Returns the status of the response.
     pub fn ask(&self, node: usize, id: &str, customer: &str) -> u16 {
         let slices: Vec<Value> =
             (0..SLICES).map(|s| json!({"slice": s, "mass": 1.0 / SLICES as f64})).collect();
@@ -306,7 +306,7 @@
         answer.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0)
     }
 
-    /// Parts that store `n` saw whose text names `customer`.
+    /// Returns the number of shard requests received by store `n` whose payload contains `customer`.
     pub fn seen(&self, n: usize, customer: &str) -> usize {
         self.stores[n].observations().payloads.iter().filter(|t| t.contains(customer)).count()
     }
@@ -317,13 +317,13 @@
     command.env("NODE_CONFIG", config).stderr(Stdio::piped()).spawn().unwrap()
 }
 
-/// Waits until a node listens: the address for clients, and where datagrams of its fleet and about work come in.
+/// Waits until a node listens. Returns its client address and the addresses for datagrams of fleet and maintenance.
 fn listening(mut child: Child) -> (Front, (Option<SocketAddr>, Option<SocketAddr>)) {
     let mut log = BufReader::new(child.stderr.take().unwrap());
     let (mut real, mut lines) = ((None, None), Vec::new());
     let address = loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended: {lines:?}");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the node ended: {lines:?}");
         let told = |of: &str| line.split(of).nth(1)?.split(',').next()?.parse::<SocketAddr>().ok();
         real.0 = real.0.or(told("fleet: datagrams at "));
         real.1 = real.1.or(told("maintenance: datagrams at "));
--- a/crates/frontnode/tests/persistence.rs
+++ b/crates/frontnode/tests/persistence.rs
@@ -1,4 +1,4 @@
-//! A node that is killed again and again while it remembers rosters under load.
+//! A node that is killed repeatedly while it stores endpoint lists under load.
 
 mod search_node;
 
@@ -7,14 +7,14 @@
 use search_node::*;
 use serde_json::json;
 
-/// The revision that a node said it remembers.
-fn remembered(lines: &[String]) -> Option<i64> {
-    let line = lines.iter().find_map(|l| l.split("logbook: roster ").nth(1))?;
+/// Returns the revision of the endpoint list that a node logged as recovered.
+fn recovered_revision(lines: &[String]) -> Option<i64> {
+    let line = lines.iter().find_map(|l| l.split("logbook: endpoint list revision ").nth(1))?;
     line.split(' ').next().unwrap().parse().ok()
 }
 
 #[test]
-fn a_node_killed_under_load_keeps_a_list_that_it_was_sent_and_never_an_older_one_again() {
+fn a_node_killed_under_load_recovers_a_list_no_older_than_the_previous_one() {
     let mut harness = Harness::open("killed", 2, OS, "# logbook\n");
     harness.fill("jobs", 20);
     let told = harness.news();
@@ -24,12 +24,13 @@
         for _ in 0..round % 5 {
             harness.ask("POST", "/jobs/_search", &json!({}));
         }
-        harness.until("it hears of rosters", |harness| harness.counter("roster_news") > before + 3);
+        harness.until("it receives endpoint lists", |harness| harness.counter("roster_news") > before + 3);
         let lines = harness.restart();
-        let found = remembered(&lines).unwrap_or_else(|| panic!("nothing remembered: {lines:?}"));
+        let found =
+            recovered_revision(&lines).unwrap_or_else(|| panic!("no endpoint list recovered: {lines:?}"));
         assert!(found >= last && found <= told.load(Relaxed), "{found} after {last}");
         assert!(
-            lines.iter().any(|l| l.contains("3 replicas") && l.contains(" 0 records unread")),
+            lines.iter().any(|l| l.contains("3 replicas") && l.contains(" 0 records unreadable")),
             "{lines:?}"
         );
         assert!(!lines.iter().any(|l| l.contains("is damaged")), "{lines:?}");
--- a/crates/frontnode/tests/search.rs
+++ b/crates/frontnode/tests/search.rs
@@ -1,5 +1,5 @@
-//! The search API for clients and that of stores, on a node that runs as a process in front of stand-in stores.
-//! No test sleeps: each waits for what must come, and the waits below only end a test that has failed.
+//! The search API for clients and for replicas, on a node process with emulated index servers. No test sleeps: each waits
+//! for expected events, and the timeouts only end a test that has failed.
 
 mod search_node;
 
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 
 #[test]
-fn what_cannot_be_mapped_is_refused_by_path_and_no_shard_request_is_sent() {
+fn unsupported_requests_are_rejected_with_the_path_of_the_error_and_nothing_is_sent() {
     let harness = Harness::open("refused", 1, OS, "");
     let refused = [
         ("POST", "/jobs/_search", json!({"query": {"fuzzy": {"customer": "c"}}}), "query.fuzzy"),
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_partial_answer_says_which_shards_it_lacks_and_all_or_nothing_gets_none() {
+fn a_partial_response_names_its_missing_shards_and_all_or_nothing_returns_an_error() {
     let harness = Harness::open("short", 1, OS, "");
     harness.fill("vans", 30);
     harness.set_faults(2, Some(Fault::Silent), &[]);
@@ -73,14 +73,14 @@
     let path = "/vans/_search?timeout=900ms&allow_partial_search_results=false";
     let (status, told) = harness.ask("POST", path, &json!({}));
     assert_eq!((status, &told["error"]["type"]), (429, &json!("rejected_execution_exception")), "{told}");
-    // A wish for less never lowers the floor of a grade.
+    // A client that accepts partial results does not lower the minimum of the service class.
     let (status, _) =
         harness.ask("POST", "/jobs/_search?timeout=900ms&allow_partial_search_results=true", &json!({}));
     assert_eq!(status, 429);
 }
 
 #[test]
-fn a_store_whose_200_is_incomplete_has_not_answered_and_another_replica_is_asked() {
+fn a_store_whose_200_is_incomplete_counts_as_failed_and_another_replica_is_tried() {
     for (test_name, trouble) in [
         ("failed", Fault::Incomplete),
         ("late", Fault::TimedOut),
@@ -104,10 +104,10 @@
 }
 
 #[test]
-fn each_line_of_an_msearch_has_its_own_end_in_its_place() {
+fn each_search_of_an_msearch_has_its_own_outcome_at_its_position() {
     let harness = Harness::open("msearch", 1, OS, "");
     harness.fill("vans", 12);
-    // Store 1 never answers the short one, and every store turns the hopeless one away.
+    // Store 1 never answers the partial query, and every store fails the query for c5.
     for store in 0..SLICES {
         let short = if store == 1 { vec![("c3", Fault::Silent)] } else { vec![] };
         harness.set_faults(store, None, &[&[("c5", Fault::Error)][..], &short].concat());
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_client_that_leaves_in_the_middle_of_an_msearch_ends_all_its_lines() {
+fn a_client_that_disconnects_during_an_msearch_ends_all_its_searches() {
     let harness = Harness::open("leaves", 1, OS, "");
     (0..SLICES).for_each(|store| harness.set_faults(store, Some(Fault::Silent), &[]));
     let peer = harness.send("POST", "/jobs/_msearch", "", "{}\n{}\n{}\n{}\n");
@@ -148,32 +148,29 @@
 }
 
 #[test]
-fn a_document_is_put_in_once_whatever_is_repeated_and_whoever_dies() {
+fn a_document_is_created_once_despite_retries_and_store_failures() {
     for (test_name, flavors) in [("create-os", OS), ("create-mixed", ["os", "m", "os"])] {
         let harness = Harness::open(test_name, 2, flavors, "");
         let document = json!({"customer": "c1", "crew": 3});
         let create = |id: &str| harness.ask("PUT", &format!("/jobs/_create/{id}"), &document);
         let (status, told) = create("j1");
         assert_eq!((status, &told["result"]), (201, &json!("created")), "{told}");
-        // Asked again by its client: the store has it, and says so.
+        // The client retries: the store has the document and reports success.
         assert_eq!(create("j1").0, 201);
-        // A store that dies once it has run it: attempted again within the window, with the same key.
+        // A store crashes after it has executed the request, which is retried within the window with the same key.
         (0..SLICES).for_each(|s| harness.set_faults(s, None, &[("j2", Fault::Disconnected)]));
         let peer = harness.send("PUT", "/jobs/_create/j2", "", &document.to_string());
         harness.until("it has run", |harness| harness.documents().count("jobs", "j2") == 1);
         (0..SLICES).for_each(|s| harness.set_faults(s, None, &[]));
         let (status, _, told) = peer.answer();
-        assert!(
-            status == 201 || status == 500,
-            "never a refusal, which would say that it has not run: {told}"
-        );
+        assert!(status == 201 || status == 500, "a rejection would claim that it has not run: {told}");
         assert_eq!(create("j2").0, 201);
-        // Run, and never answered: once its window has passed it is not attempted again, and given up.
+        // A request that was executed but not answered is not retried after its window, and expires.
         (0..SLICES).for_each(|s| harness.set_faults(s, None, &[("j3", Fault::Silent)]));
         let (status, told) = harness.ask("PUT", "/jobs/_create/j3?timeout=1200ms", &document);
         assert_eq!((status, &told["error"]["type"]), (500, &json!("given_up_exception")), "{told}");
         (0..SLICES).for_each(|s| harness.set_faults(s, None, &[]));
-        // Outside its window it is the store that knows the key.
+        // Outside the window, the store recognizes the key.
         assert_eq!(create("j3").0, 201);
         for id in ["j1", "j2", "j3"] {
             assert_eq!(harness.documents().count("jobs", id), 1);
@@ -182,7 +179,7 @@
 }
 
 #[test]
-fn a_store_that_never_finishes_fills_its_own_connections_and_the_others_serve_on() {
+fn a_store_that_never_finishes_uses_up_only_its_own_connections() {
     for (test_name, trouble) in
         [("silent", Fault::Silent), ("stall", Fault::Stalled), ("trickle", Fault::Trickled)]
     {
@@ -202,7 +199,7 @@
                     status == 200 && told["hits"]["hits"].as_array().unwrap().len() == documents.len(),
                 );
             }
-            // A store learns late that a connection was closed, so it is given the time.
+            // A store notices a closed connection late, so the test waits for it.
             harness.until("its places and one for a probe", |harness| {
                 harness.stores[0].observations().open <= 5
             });
@@ -212,7 +209,7 @@
 }
 
 #[test]
-fn a_connection_that_drains_an_answer_carries_the_next_shard_request_only_then() {
+fn a_connection_that_drains_a_response_carries_the_next_shard_request_only_after_it() {
     let harness =
         Harness::open("read-out", 1, OS, "[pool]\nconnections = 1\nwait_ms = 5000\ncloses_a_second = 0\n");
     let documents = harness.fill("jobs", 10);
@@ -242,7 +239,7 @@
 }
 
 #[test]
-fn a_shard_request_that_waits_for_a_connection_to_a_draining_store_is_not_sent() {
+fn a_shard_request_queued_for_a_draining_store_is_not_sent() {
     let harness = Harness::open("drain", 1, OS, "[pool]\nconnections = 1\nwait_ms = 5000\n");
     harness.set_faults(0, Some(Fault::Silent), &[]);
     let path = "/jobs/_search?preference=_shards:0&timeout=1500ms";
@@ -261,7 +258,7 @@
     assert_eq!(harness.stores[0].observations().payloads.len(), 1, "nothing new");
 }
 
-/// A query from chance, and how its shard requests fare at every store.
+/// Returns a random query and how its shard requests fail at every store, if they do.
 fn drawn(chance: &mut Pcg64) -> (Value, Option<&'static str>) {
     let customer = format!("c{}", chance.random_range(0..8));
     let words = ["piano", "stairs up", "two piano"][chance.random_range(0..3)];
@@ -288,8 +285,8 @@
     (body, trouble)
 }
 
-/// The same queries through both client protocols and both store protocols: the same answers, those of the evaluator over all
-/// documents, and the same outcomes where a script says how a query fares.
+/// Sends the same queries through both client protocols and both store protocols. They get the same results, equal to
+/// those of the evaluator over all documents, and the same outcomes for queries that a script lets fail.
 #[test]
 fn both_client_protocols_and_both_store_protocols_give_the_same_answers_and_outcomes() {
     for (test_name, flavors) in [("ways-os", OS), ("ways-frames", FRAMES), ("ways-mixed", ["os", "m", "os"])]
@@ -302,7 +299,7 @@
         let mut chance = Pcg64::seed_from_u64(5);
         for n in 0..150 {
             let (body, trouble) = drawn(&mut chance);
-            // Every grade that searches; vans have no notes to be looked into.
+            // Every service class that searches; vans have no notes to search in.
             let vans = n % 3 == 0 && !body.to_string().contains("notes");
             let (name, class) = if vans { ("vans", "van-search") } else { ("jobs", "look") };
             let (index, documents) = (routes.index(name).unwrap(), &all[usize::from(vans)]);
@@ -328,7 +325,7 @@
             let merged: Value = serde_json::from_str(&merge(&search, &parts).response(name, 0)).unwrap();
             assert_eq!((&own["entire"], &merged["hits"]), (&json!(true), &truth["hits"]), "{test_name} {n}");
         }
-        // The grade that puts in: both client protocols, each document once, whichever protocol asks again.
+        // The service class that creates documents: both client protocols create each document once, whichever retries.
         let jobs = routes.index("jobs").unwrap();
         for n in 0..20 {
             let id = format!("new{n}");
--- a/crates/frontnode/tests/search_node/mod.rs
+++ b/crates/frontnode/tests/search_node/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a process, stand-in stores in front of which it runs, and clients with blocking calls.
+//! A node process with emulated index servers, and clients with blocking calls.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -47,7 +47,7 @@
     }
 }
 
-/// Three slices; slice `n` is held by store `n`, and by the next ones up to `reach`.
+/// Settings with three shards; shard `n` is held by store `n` and the following ones, `reach` stores in total.
 fn settings(reach: usize) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "objectiveNs": 400_000_000, "deadlineNs": 3_000_000_000u64,
@@ -88,33 +88,33 @@
            "flavor": flavor, "locality": "a", "up_since_ms": 0})
 }
 
-/// Runs the node until it listens; and the lines that it wrote before.
+/// Starts the node and waits until it listens. Returns the log lines before that as well.
 fn spawn(config: &str) -> (Child, SocketAddr, Vec<String>) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_orchidvalved"));
     let mut child = command.env("NODE_CONFIG", config).stderr(Stdio::piped()).spawn().unwrap();
     let (mut lines, mut log) = (Vec::new(), BufReader::new(child.stderr.take().unwrap()));
     let node = loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended: {lines:?}");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the node ended: {lines:?}");
         if line.contains("listening on") {
             break line.trim().rsplit(' ').next().unwrap().parse().expect(&line);
         }
         lines.push(line);
     };
-    // Read on, lest the node write to a pipe that nobody reads.
+    // The log is read further, so that the node does not block on a full pipe.
     std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
     (child, node, lines)
 }
 
 impl Harness {
-    /// What a second node by the same configuration says before it ends, and how it ends.
+    /// Runs a second node with the same configuration until it ends. Returns its log and exit code.
     pub fn second(&self) -> (String, Option<i32>) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_orchidvalved"));
         let child = command.env("NODE_CONFIG", &self.config).stderr(Stdio::piped()).output().unwrap();
         (String::from_utf8(child.stderr).unwrap(), child.status.code())
     }
 
-    /// Kills it as power that goes does, and starts it again; what it wrote before it listened.
+    /// Kills the node as in a power loss and restarts it. Returns the log lines before it listened.
     pub fn restart(&mut self) -> Vec<String> {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -123,7 +123,8 @@
         lines
     }
 
-    /// An agent that has news whenever it is asked, until the node is gone for good. Gives the revision last told.
+    /// Runs a discovery agent that publishes a new revision at every request until the test ends. Returns the last
+    /// published revision.
     pub fn news(&self) -> Arc<AtomicI64> {
         let (agent, members) = (self.agent.try_clone().unwrap(), self.members.clone());
         let told = Arc::new(AtomicI64::new(1));
@@ -147,26 +148,26 @@
         told
     }
 
-    /// A number of `/metrics` that is there at the moment.
+    /// Returns the current value of a gauge in `/metrics`.
     pub fn gauge(&self, name: &str) -> u64 {
         let (_, _, text) = self.send("GET", "/metrics", "", "").text();
         let line = text.lines().find(|l| l.starts_with(&format!("orchidvalve_{name} "))).unwrap();
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
 
-    /// Tells the agent's next caller this endpoint list.
+    /// Sends this endpoint list to the next client of the discovery agent.
     pub fn tell(&self, agent: &mut TcpStream, roster: &Value) {
         let roster = roster.to_string();
         let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{roster}", roster.len());
         let _ = agent.write_all(answer.as_bytes());
     }
 
-    /// With room for many clients and many connections to stores, for measurements.
+    /// Opens a harness with a capacity for many clients and many connections to stores, for benchmarks.
     pub fn open_wide(test_name: &str, flavors: [&str; SLICES], more: &str) -> Harness {
         Harness::open_with(test_name, 2, flavors, &format!("[pool]\nconnections = 64\n{more}"), 1024)
     }
 
-    /// `flavors`: of each store; those that begin with `os` speak the search protocol.
+    /// Opens a harness. `flavors` are those of the stores; stores whose flavor begins with `os` speak the search protocol.
     pub fn open(test_name: &str, reach: usize, flavors: [&str; SLICES], more: &str) -> Harness {
         Harness::open_with(test_name, reach, flavors, more, 128)
     }
--- a/crates/frontnode/tests/sockets/clients.rs
+++ b/crates/frontnode/tests/sockets/clients.rs
@@ -1,4 +1,4 @@
-//! Connections of clients.
+//! Client connections.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
 use super::support::{Harness, METRICS_REQUEST, Peer, head, open_wide, request, settings};
 
 #[test]
-fn a_client_that_went_away_ends_its_attempts_and_its_slot_serves_another() {
+fn the_attempts_of_a_disconnected_client_are_cancelled_and_its_slot_is_reused() {
     let harness = Harness::open("gone", 1);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "2500m");
@@ -19,7 +19,7 @@
     let mut client = harness.client();
     client.ask("r2", "look", &[0], "2500m");
     let second = replica.call();
-    // The late answer is not for the client that has the slot now.
+    // The late response does not go to the client that uses the slot now.
     replica.answer(&first[0], "S", "late");
     replica.answer(&second[0], "S", "fresh");
     assert!(client.response().2.contains("fresh"));
@@ -27,8 +27,8 @@
 }
 
 #[test]
-fn a_crowd_of_idle_clients_keeps_no_one_out_and_closes_none_that_waits() {
-    // First by the node's own count, then by the system's.
+fn many_idle_clients_block_no_new_client_and_evict_none_with_a_pending_request() {
+    // The limit is first the node's own, then the system's.
     for (test_name, prefix) in [("crowd", ""), ("descriptors", "ulimit -n 24; ")] {
         let mut settings = settings(1);
         settings["limits"]["openCap"] = json!(100);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn bad_requests_are_named_and_touch_nobody_else() {
+fn bad_requests_get_a_specific_error_and_do_not_affect_other_clients() {
     let harness = Harness::open("bad", 2);
     let mut open = harness.client();
     open.ask("open", "look", &[0], "5000m");
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_client_that_sends_no_whole_request_in_time_gets_408_and_one_that_waits_is_left_alone() {
+fn a_client_with_an_incomplete_request_gets_408_in_time_and_one_that_waits_does_not() {
     let harness = Harness::open("slow-clients", 1);
     let begun = Instant::now();
     let mut waits = harness.client();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn clients_that_say_nothing_are_evicted_first() {
+fn clients_that_have_sent_nothing_are_evicted_first() {
     let harness = Harness::open_limited("mute", json!({"memory_mb": 64, "sockets": 128}));
     let ask = |client: &mut Peer| {
         client.send(b"GET /_health HTTP/1.1\r\n\r\n");
@@ -142,8 +142,8 @@
     let mut usual = harness.client();
     assert_eq!(ask(&mut usual), 200);
     let mut crowd: Vec<Peer> = (0..25).map(|_| harness.client()).collect();
-    // Newcomers get a moment to speak, from when the node has taken the last of them in. The crowd connects
-    // before the counter is asked for, so its connections are accepted before that one.
+    // New clients have a moment to send a request, counted from when the node accepted the last of them. The crowd
+    // connects before the counter's client, so it is accepted before that client.
     assert!((0..1_000).any(|_| harness.counter("clients_accepted") > 26));
     let taken_in = Instant::now();
     while taken_in.elapsed() < Duration::from_millis(30) {
@@ -152,28 +152,28 @@
     crowd.extend((0..25).map(|_| harness.client()));
     assert!((0..1_000).any(|_| harness.counter("clients_evicted") > 0));
     assert_eq!(ask(&mut usual), 200);
-    // Under a third of the descriptors are theirs in all.
+    // Clients may use less than a third of the descriptors.
     assert!(harness.counter("clients_evicted") >= 10);
 }
 
-/// A request that goes on and on. Its many small chunks take more memory than the body that they carry: once the node
-/// has read it, [`LONG_REQUEST_MEMORY`].
+/// Returns a request that never ends. Its many small chunks need more memory than their content: once the node has read
+/// it, [`LONG_REQUEST_MEMORY`].
 fn request_without_end() -> String {
     let chunks = format!("f\r\n{}\r\n", "x".repeat(15)).repeat(4_000);
     format!("{}Transfer-Encoding: chunked\r\n\r\n{chunks}", head("r1", "look", "9m"))
 }
 
-/// Bytes that the buffer of a [`request_without_end`] takes, which grows by doubling.
+/// The buffer size for a [`request_without_end`] in bytes; buffers grow by doubling.
 const LONG_REQUEST_MEMORY: usize = 128 << 10;
 const NODE_MEMORY_MB: usize = 16;
-/// Those that fit: unread requests may take a quarter of the node's memory.
+/// The number of such requests that fit: unread requests may use a quarter of the node's memory.
 const LONG_REQUESTS_THAT_FIT: usize = (NODE_MEMORY_MB << 20) / 4 / LONG_REQUEST_MEMORY;
 
 fn node_of_little_memory(test_name: &str) -> Harness {
     Harness::open_limited(test_name, json!({"memory_mb": NODE_MEMORY_MB, "sockets": 256}))
 }
 
-/// Returns once the node has read so many bytes of its clients, its answers about that itself not counted.
+/// Waits until the node has read this many bytes from its clients, not counting the requests of this function.
 fn wait_until_read(harness: &Harness, bytes: usize) {
     let read_of_questions = (1..10_000).map(|questions| questions * METRICS_REQUEST.len());
     for read_of_questions in read_of_questions {
@@ -185,13 +185,13 @@
 }
 
 #[test]
-fn long_requests_that_do_not_end_share_a_bounded_memory() {
+fn endless_long_requests_share_a_bounded_memory() {
     let harness = node_of_little_memory("memory");
     let endless = request_without_end();
     let mut first: Vec<Peer> = (0..LONG_REQUESTS_THAT_FIT).map(|_| harness.client()).collect();
     first.iter_mut().for_each(|client| client.send(endless.as_bytes()));
     wait_until_read(&harness, first.len() * endless.len());
-    // Those after them find the memory taken, and are told before their time is up.
+    // Later requests exceed the memory limit and are rejected before their time limit.
     for _ in first.len()..50 {
         let mut client = harness.client();
         client.send(endless.as_bytes());
@@ -204,17 +204,17 @@
 }
 
 #[test]
-fn long_requests_that_grow_beside_each_other_share_a_bounded_memory() {
+fn long_requests_that_grow_at_the_same_time_share_a_bounded_memory() {
     let harness = node_of_little_memory("memory-in-parts");
     let endless = request_without_end();
-    // With this part read, a request takes half of its memory, and all of them fit.
+    // With this part, each request uses half of its memory, and all of them fit.
     let (part, rest) = endless.as_bytes().split_at(60_000);
     let mut crowd: Vec<Peer> = (0..50).map(|_| harness.client()).collect();
     crowd.iter_mut().for_each(|client| client.send(part));
     wait_until_read(&harness, crowd.len() * part.len());
     crowd.iter_mut().for_each(|client| client.send(rest));
     assert_eq!(harness.health(), 200);
-    // One that finds too much taken makes room for the next one, which may be the last.
+    // A rejected request frees memory for the next one, which may be the last.
     let statuses: Vec<u16> = crowd.iter_mut().map(|client| client.response().0).collect();
     let timed_out = statuses.iter().filter(|&&status| status == 408).count();
     let refused = statuses.iter().filter(|&&status| status == 503).count();
@@ -223,13 +223,13 @@
 }
 
 #[test]
-fn many_bytes_behind_a_pending_request_do_not_hide_that_its_client_left() {
+fn many_bytes_behind_a_pending_request_do_not_hide_the_disconnect_of_its_client() {
     let harness = Harness::open("left-behind", 1);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "60000m");
     let mut replica = harness.replica(0);
     replica.call();
-    // More than one message may take, so that the node would not read as far as the end.
+    // More bytes than a message may have, so the node would not buffer up to the end.
     let behind = request("r2", "look", &[0], "60000m").repeat(2_000);
     client.send(behind.as_bytes());
     drop(client);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn many_bytes_behind_a_pending_request_are_dropped_and_that_one_is_answered() {
+fn many_bytes_behind_a_pending_request_are_dropped_and_the_request_is_answered() {
     let harness = Harness::open("much-behind", 1);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "60000m");
@@ -252,12 +252,12 @@
 }
 
 #[test]
-fn a_crowd_does_not_close_on_a_request_that_came_while_the_node_was_away() {
+fn many_new_clients_do_not_evict_one_whose_request_arrived_while_the_node_was_paused() {
     let harness = Harness::open_limited("crowd-request", json!({"memory_mb": 64, "sockets": 64}));
     let mut usual = harness.client();
     usual.send(b"GET /_health HTTP/1.1\r\n\r\n");
     assert_eq!(usual.response().0, 200);
-    // Held here, the node finds the crowd at the door first, and then the request of its only idle client.
+    // After the pause, the node handles the new connections first, and then the request of its only idle client.
     harness.pause();
     let crowd: Vec<Peer> = (0..60).map(|_| harness.client()).collect();
     usual.send(b"GET /_health HTTP/1.1\r\n\r\n");
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_client_that_says_it_sends_nothing_more_has_gone() {
+fn a_client_that_closes_its_writing_side_counts_as_disconnected() {
     let harness = Harness::open("half-close", 1);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "60000m");
@@ -281,10 +281,10 @@
 }
 
 #[test]
-fn clients_that_go_in_the_midst_of_their_answers_take_no_place() {
+fn clients_that_disconnect_while_they_receive_a_response_occupy_no_slot() {
     let harness = open_wide("half-answer", 64);
     let mut replica = None;
-    // More than may be connected at once.
+    // More clients than may be connected at the same time.
     for n in 0..30 {
         let mut client = harness.client();
         SockRef::from(&client.stream).set_recv_buffer_size(4096).unwrap();
@@ -297,7 +297,7 @@
         }
         assert!(client.more());
         match n % 3 {
-            // Unread bytes make the system say so with a reset.
+            // Closing with unread bytes sends a reset.
             0 => drop(client),
             1 => client.stream.shutdown(std::net::Shutdown::Write).unwrap(),
             _ => client.stream.shutdown(std::net::Shutdown::Both).unwrap(),
@@ -307,9 +307,9 @@
 }
 
 #[test]
-fn a_client_that_left_before_its_request_was_read_has_nothing_sent() {
+fn nothing_is_sent_for_a_client_that_disconnected_before_its_request_was_read() {
     let harness = Harness::open("left-unread", 1);
-    // Held here, the node finds the request and its client's end in one round.
+    // After the pause, the node finds the request and the disconnect of its client in the same round.
     for id in ["r1", "r2"] {
         let mut client = harness.client();
         client.send(b"GET /_health HTTP/1.1\r\n\r\n");
--- a/crates/frontnode/tests/sockets/configuration.rs
+++ b/crates/frontnode/tests/sockets/configuration.rs
@@ -1,11 +1,11 @@
-//! Configurations that cannot be used.
+//! Invalid configurations.
 
 use serde_json::json;
 
 use super::support::{config, listener, settings, spawn};
 
 #[test]
-fn a_bad_configuration_is_named_and_ends_the_program() {
+fn an_invalid_configuration_ends_the_program_with_an_error_that_names_the_key() {
     let whole = config(settings(1), json!([]), listener().local_addr().unwrap());
     for (key, value, named) in [
         ("/listen", json!("here"), "configuration.listen"),
--- a/crates/frontnode/tests/sockets/discovery.rs
+++ b/crates/frontnode/tests/sockets/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: its watch, and what its list changes.
+//! The watch at discovery and the effects of its endpoint lists.
 
 use std::net::TcpListener;
 
@@ -8,20 +8,20 @@
 use super::support::{Harness, Peer, TOO_LONG, listener, member, patient, tell, tell_at};
 
 #[test]
-fn nothing_new_goes_to_a_replica_that_drains_and_a_moved_one_is_found() {
+fn a_draining_replica_gets_no_new_attempts_and_a_moved_one_is_found() {
     let harness = Harness::open("drain", 1);
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
     let address = harness.replicas[0].local_addr().unwrap();
     let told = |revision: u64, address, phase| json!({"revision": revision, "complete": false, "members": [member(0, address, phase)]});
     tell(&mut agent, 1, &told(2, address, "draining"));
-    // The next watch shows that the last answer was taken in; a bad one leaves it in force.
+    // The next watch shows that the last list was accepted; after an invalid one the list stays in use.
     tell(&mut agent, 2, &json!({"revision": 3, "members": [{"id": "s-0"}]}));
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "300m");
     assert_eq!(client.response().0, 503);
     assert_eq!((harness.counter("launches"), harness.counter("bad_rosters")), (0, 1));
-    // Back at another address, and then at yet another, while the connection to the last one stays.
+    // The replica returns at another address and then moves again, while the previous connection stays open.
     let mut kept = Vec::new();
     for (from, id) in [(2, "r2"), (4, "r3")] {
         let moved = listener();
@@ -37,14 +37,14 @@
 }
 
 #[test]
-fn a_new_discovery_is_asked_for_the_whole_list_and_pending_queries_go_on() {
+fn a_new_discovery_agent_is_queried_for_the_complete_list_and_pending_queries_continue() {
     let mut harness = Harness::open("reload", 2);
     let mut old = Peer::new(harness.agent.accept().unwrap().0);
     let mut client = harness.client();
     client.ask("r1", "pay", &[0], "5000m");
     let mut replica = harness.replica(0);
     let call = replica.call();
-    // What cannot be used leaves all as it was, whatever it is.
+    // An invalid configuration changes nothing, whatever is wrong with it.
     for (n, text) in ["{", "{\"name\": \"n1\", \"listen\": \"here\"}"].iter().enumerate() {
         std::fs::write(&harness.path, text).unwrap();
         harness.signal("HUP");
@@ -56,7 +56,7 @@
         std::fs::write(&harness.path, harness.config.to_string()).unwrap();
         harness.signal("HUP");
         let mut agent = Peer::new(agent.accept().unwrap().0);
-        // Its revisions are its own, and who is not in it is gone.
+        // The revisions of the new agent are independent, and replicas that its list does not contain are removed.
         let members = [member(0, harness.replicas[0].local_addr().unwrap(), "up")];
         tell_at(&mut agent, " HTTP", &json!({"revision": revision, "complete": true, "members": members}));
         tell(&mut agent, revision, &json!({"revision": revision, "complete": false, "members": []}));
@@ -72,9 +72,9 @@
 }
 
 #[test]
-fn a_watch_that_is_closed_in_any_way_is_opened_anew_at_once() {
+fn a_watch_that_is_closed_in_any_way_is_reopened_immediately() {
     let harness = Harness::open_with("watch-closed", 1, patient());
-    // What a lost watch would have told counts from that moment on, so no other limit is waited for.
+    // Changes missed by a lost watch count from that moment, so the test waits for no other timeout.
     for (n, told) in
         [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\"", b"nonsense\r\n\r\n"]
             .iter()
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_new_discovery_that_says_nothing_or_trickles_is_asked_again_and_again() {
+fn a_new_discovery_agent_that_is_unresponsive_or_trickles_is_queried_again() {
     let mut harness = Harness::open_with("agent-silent", 1, patient());
     let _old = harness.agent.accept().unwrap();
     let agent = listener();
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn a_query_that_came_with_the_news_that_its_replica_drains_is_not_sent_there() {
+fn a_query_that_arrives_with_the_draining_of_its_replica_is_not_sent_there() {
     let harness = Harness::open("drain-at-once", 1);
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
     let address = harness.replicas[0].local_addr().unwrap();
@@ -134,11 +134,11 @@
 }
 
 #[test]
-fn discovery_that_was_down_is_asked_again_once_it_is_back() {
+fn discovery_that_was_down_is_queried_again_once_it_is_back() {
     let mut harness = Harness::open_with("agent-down", 1, patient());
     let address = harness.agent.local_addr().unwrap();
     let agent = Peer::new(harness.agent.accept().unwrap().0);
-    // Nobody listens there any more: the watch breaks, and what is asked next is refused.
+    // Nothing listens at the address any more: the watch breaks, and the next connections are refused.
     harness.agent = listener();
     drop(agent);
     assert!((0..10_000).any(|_| harness.counter("roster_misses") >= 3));
--- a/crates/frontnode/tests/sockets/main.rs
+++ b/crates/frontnode/tests/sockets/main.rs
@@ -1,6 +1,6 @@
-//! The node as a process, with stand-ins for its replicas, its agent of discovery and its clients in the test itself.
-//! No test sleeps: each waits for what must come, and the waits below only end a test that has failed.
-//! `docs/endings.md` has the table of endings that they show.
+//! A node process; the test itself emulates its replicas, its discovery agent and its clients. No test sleeps: each waits
+//! for expected events, and the timeouts only end a test that has failed. `docs/endings.md` has the table of endings that
+//! these tests cover.
 
 mod clients;
 mod configuration;
--- a/crates/frontnode/tests/sockets/queries.rs
+++ b/crates/frontnode/tests/sockets/queries.rs
@@ -1,4 +1,4 @@
-//! Queries from their acceptance to their answer.
+//! Queries from their acceptance to their response.
 
 use std::io::Read;
 use std::time::Duration;
@@ -8,7 +8,7 @@
 use super::support::{Harness, Peer, TOO_LONG, body, head, settings};
 
 #[test]
-fn a_query_is_answered_with_the_values_as_its_replicas_gave_them() {
+fn a_query_is_answered_with_the_values_of_its_replicas() {
     let harness = Harness::open("answered", 2);
     assert_eq!(harness.health(), 200);
     let mut client = harness.client();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_request_in_pieces_and_the_next_one_behind_it_are_both_served() {
+fn a_request_sent_byte_by_byte_and_the_next_one_behind_it_are_both_served() {
     let harness = Harness::open("pieces", 1);
     let (mut client, text) = (harness.client(), body(&[0]));
     let (left, right) = text.split_at(9);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn shard_requests_for_one_replica_share_a_call_and_rounded_weights_add_up() {
+fn shard_requests_for_one_replica_share_a_call_and_rounded_weights_sum_to_one() {
     let harness = Harness::open_with("call", 1, {
         let mut settings = settings(1);
         settings["extra"]["slices"] = json!(6);
@@ -64,7 +64,7 @@
     let mut replica = harness.replica(0);
     let (first, second) = (replica.call(), replica.call());
     assert_eq!((first.len(), second.len()), (4, 2));
-    // Longer together than one reading takes.
+    // The values together are longer than one read.
     let value = "v".repeat(40_000);
     first.iter().chain(&second).for_each(|line| replica.answer(line, "S", &value));
     let body = client.response().2;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_shard_request_whose_connection_broke_is_retried_where_it_may_be() {
+fn an_idempotent_shard_request_whose_connection_broke_is_retried() {
     let harness = Harness::open_pair("broken");
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "2500m");
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn a_query_that_is_not_idempotent_expires_where_it_may_have_run_and_is_rejected_where_it_never_ran() {
+fn a_non_idempotent_query_expires_if_it_may_have_run_and_is_rejected_if_it_has_not() {
     let harness = Harness::open("effectful", 1);
     let mut client = harness.client();
     client.ask("r1", "pay", &[0], "2500m");
@@ -125,7 +125,7 @@
 #[test]
 fn queries_beyond_the_cap_are_rejected() {
     let harness = Harness::open("cap", 1);
-    // Two bodies a query: itself and its shard request; eight may be pending.
+    // A query counts as two: itself and its shard request. Eight may be pending.
     let mut clients: Vec<Peer> = (0..5).map(|_| harness.client()).collect();
     for (n, client) in clients.iter_mut().enumerate().take(4) {
         client.ask(&format!("r{n}"), "look", &[0], "5000m");
@@ -133,7 +133,7 @@
     }
     clients[4].ask("r4", "look", &[0], "5000m");
     assert_eq!((clients[4].response().0, harness.counter("retrievals_over_cap")), (503, 1));
-    // Those whose clients have gone are open no more, nor are their ids.
+    // Queries whose clients have disconnected are no longer pending, nor are their ids.
     clients.truncate(0);
     assert!((0..1_000).any(|_| harness.counter("lapsed") == 4));
     let mut clients: Vec<Peer> = (0..4).map(|_| harness.client()).collect();
@@ -143,9 +143,9 @@
 }
 
 #[test]
-fn an_answer_that_has_arrived_when_its_query_ends_is_given() {
-    // Woken for a health check or a round between the signal to hold it and its stop, the node would go on with that
-    // event alone. So it is woken rarely, and held just after it was.
+fn a_response_that_has_arrived_when_its_query_expires_is_used() {
+    // If the node was woken by a health check or a round between the stop signal and its effect, it would continue with
+    // that event alone. It is therefore woken rarely, and paused just after a wakeup.
     let harness = Harness::open_with("answer-at-end", 1, {
         let mut settings = settings(1);
         settings["limits"]["probes"] = json!(false);
@@ -153,16 +153,16 @@
         settings
     });
     let mut client = harness.client();
-    // Long enough for the node to be held before its end also on a busy machine.
+    // Long enough for the node to be paused before the deadline even on a busy machine.
     client.ask("r1", "pay", &[0], "2500m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     harness.wait_for_wakeup();
-    // Held here, the node finds the answer and the end of its time in one round.
+    // After the pause, the node finds the response and the expired deadline in the same round.
     harness.pause();
     replica.answer(&call[0], "S", "v");
     client.stream.set_read_timeout(Some(Duration::from_millis(2_600))).unwrap();
-    assert!(client.stream.read(&mut [0]).is_err(), "it is held");
+    assert!(client.stream.read(&mut [0]).is_err(), "the node is paused");
     client.stream.set_read_timeout(Some(TOO_LONG)).unwrap();
     harness.resume();
     assert_eq!(client.response().0, 200);
--- a/crates/frontnode/tests/sockets/shutdown.rs
+++ b/crates/frontnode/tests/sockets/shutdown.rs
@@ -9,14 +9,14 @@
 use super::support::{Harness, Peer, TOO_LONG, listener, settings};
 
 #[test]
-fn a_node_that_shuts_down_answers_what_it_accepted_and_ends_with_success() {
+fn a_node_that_shuts_down_answers_all_accepted_queries_and_exits_with_success() {
     let harness = Harness::open("stop", 1);
     let (mut client, mut idle) = (harness.client(), harness.client());
     client.ask("r1", "look", &[0], "2500m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     harness.signal("TERM");
-    // Idle connections end, which also says that the word was heard.
+    // Idle connections are closed, which also shows that the signal was received.
     assert!(!idle.more());
     assert_eq!(harness.health(), 503);
     let mut late = harness.client();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn queries_after_the_signal_to_stop_are_answered_before_the_kill() {
+fn queries_after_the_stop_signal_are_answered_before_the_kill() {
     let harness = Harness::open("stop-late", 1);
     let mut idle = harness.client();
     assert_eq!(harness.health(), 200);
@@ -48,7 +48,7 @@
     harness.signal("TERM");
     assert!(!idle.more());
     let before = gauge();
-    // The word is heard once, however often it comes; and a new configuration changes nothing.
+    // Repeated stop signals have no effect, and a new configuration changes nothing.
     for _ in 0..5 {
         harness.signal("TERM");
         harness.signal("HUP");
@@ -59,7 +59,7 @@
     pure.ask("r1", "look", &[0], "60000m");
     paid.ask("r2", "pay", &[0], "60000m");
     let mut replica = harness.replica(0);
-    // Its server is told of the wait: three seconds, the longest abandon time, and 0.7, less a margin.
+    // The replica receives the remaining time: three seconds, the longest deadline, plus 0.7 s, less a margin.
     let call = replica.call();
     let wait = call[0].split("d=").nth(1).unwrap().split([',', ' ']).next().unwrap();
     assert!(wait.parse::<u64>().unwrap() <= 3_600, "{call:?}");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_node_that_shuts_down_before_its_first_list_rejects_what_it_accepted() {
+fn a_node_that_shuts_down_before_its_first_list_rejects_accepted_queries() {
     let harness = Harness::begin("", "stop-unlisted", vec![listener()], json!([]), settings(1));
     let (mut client, mut idle) = (harness.client(), harness.client());
     client.ask("r1", "look", &[0], "60000m");
@@ -82,11 +82,11 @@
 }
 
 #[test]
-fn connections_that_overlap_without_end_do_not_keep_a_node_from_stopping() {
+fn overlapping_connections_do_not_keep_a_node_from_stopping() {
     let harness = Harness::open("stop-crowd", 1);
     let begun = Instant::now();
     harness.signal("TERM");
-    // One is there at any moment: each comes, and is answered, before the one before it leaves.
+    // At any time one connection is open: each is opened and answered before the previous one is closed.
     let mut open = harness.client();
     while let Ok(stream) = TcpStream::connect(harness.node) {
         let mut next = Peer::new(stream);
@@ -94,7 +94,7 @@
             break;
         }
         open = next;
-        assert!(begun.elapsed() < TOO_LONG, "it goes on");
+        assert!(begun.elapsed() < TOO_LONG, "the node does not stop");
     }
     drop(open);
     let (log, code) = harness.end();
@@ -102,7 +102,7 @@
 }
 
 #[test]
-fn queries_before_the_signal_to_stop_keep_their_deadlines() {
+fn queries_before_the_stop_signal_keep_their_deadlines() {
     let harness = Harness::open("stop-own-time", 2);
     let (mut early, mut idle) = (harness.client(), harness.client());
     early.ask("r1", "look", &[0], "60000m");
@@ -113,7 +113,7 @@
     let mut late = harness.client();
     late.ask("r2", "look", &[1], "60000m");
     harness.replica(1).call();
-    // What came later ends before the node may be killed; what came earlier may live on where it is not.
+    // Later queries end before the node may be killed; earlier ones may run longer if it is not killed.
     assert_eq!(late.response().0, 503);
     replica.answer(&call[0], "S", "v");
     assert_eq!(early.response().0, 200);
--- a/crates/frontnode/tests/sockets/store_connections.rs
+++ b/crates/frontnode/tests/sockets/store_connections.rs
@@ -11,7 +11,7 @@
 };
 
 #[test]
-fn an_open_end_to_a_machine_that_is_gone_is_not_used_again() {
+fn a_connection_to_a_vanished_machine_is_not_used_again() {
     let harness = Harness::open("open-end", 1);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "2500m");
@@ -19,7 +19,7 @@
     silent.call();
     assert_eq!(silent.frame().0, '4');
     drop(client);
-    // That probe stays without an answer; the next one, and all else, comes on a connection of its own.
+    // This health check stays unanswered; the next one and all other requests use another connection.
     let mut fresh = harness.replica(0);
     let mut other = harness.client();
     other.ask("r2", "look", &[0], "2500m");
@@ -29,7 +29,7 @@
     assert_eq!(other.response().0, 200);
 }
 
-/// A listener that takes no more, as one waits in its queue: what comes then hears nothing until that one left.
+/// Returns a listener with a full queue: new connections are not established until the queued one is accepted.
 fn full() -> (Socket, SocketAddr, TcpStream) {
     let full = Socket::new(Domain::IPV4, Type::STREAM, None).unwrap();
     full.bind(&"127.0.0.1:0".parse::<SocketAddr>().unwrap().into()).unwrap();
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn a_connection_that_never_comes_up_is_known_never_to_have_run_anything() {
+fn attempts_on_a_connection_that_is_never_established_count_as_not_executed() {
     let harness = Harness::open("never-up", 1);
     let (_full, address, _waits) = full();
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
@@ -53,12 +53,12 @@
 }
 
 #[test]
-fn what_waits_for_a_connection_is_not_sent_late() {
+fn an_attempt_that_waits_for_a_connection_is_not_sent_late() {
     for drains in [false, true] {
         let harness = Harness::open_with(&format!("late-{drains}"), 1, {
             let mut settings = settings(1);
             settings["limits"]["connectTimeoutNs"] = json!(10_000_000_000u64);
-            // Where attempts cannot be cancelled, the aggregator cancels none.
+            // Without cancellation the aggregator cancels no attempts.
             settings["limits"]["cancel"] = json!(false);
             settings
         });
@@ -80,7 +80,7 @@
         client.ask("r2", "look", &[0], "9000m");
         let mut replica = Peer::new(full.accept().unwrap().0.into());
         let mut call = replica.probed_until_called();
-        // A shard request dropped as its replica drained may be attempted anew; it is not sent twice.
+        // A shard request dropped from its draining replica may be attempted again; it is not sent twice.
         if call.starts_with("r1.0 ") {
             assert!(drains);
             call = replica.probed_until_called();
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn an_idle_connection_is_closed_before_its_server_may_close_it() {
+fn an_idle_connection_is_closed_before_its_server_closes_it() {
     let harness = Harness::open_with("idle", 1, {
         let mut settings = settings(1);
         settings["limits"]["connIdleNs"] = json!(2_000_000_000);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_replica_that_breaks_the_protocol_loses_its_connection_and_no_more() {
+fn a_replica_that_violates_the_protocol_loses_only_its_connection() {
     let harness = Harness::open("nonsense", 2);
     for (n, nonsense) in ["9what", "5r0.0 Q 1 -\nv", "5no end of line", "Xwhat was that"].iter().enumerate() {
         let mut client = harness.client();
@@ -123,8 +123,8 @@
 }
 
 #[test]
-fn a_corrupted_answer_that_nothing_shows_holds_up_nothing() {
-    // An id that was never out, a frame that does not come whole.
+fn a_corrupted_response_that_is_not_detected_at_once_delays_nothing() {
+    // The cases are an id that was never in flight, and incomplete frames.
     for (n, spoilt) in
         [&b"\0\0\0\x105other.0 S 7 -\nv"[..], b"\0\0\0\x50", b"\0\0\0\xff5r2"].iter().enumerate()
     {
@@ -137,7 +137,7 @@
         assert_eq!((client.response().0, harness.counter("launches_spoilt")), (504, 1));
     }
     let harness = Harness::open("spoilt", 1);
-    // What is left over with nothing out does not become the beginning of the next answer.
+    // Leftover bytes with nothing in flight are not read as the beginning of the next response.
     for n in 3..6 {
         let mut client = harness.client();
         client.ask(&format!("r{n}"), "look", &[0], "9000m");
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn a_silent_connection_of_a_replica_that_answers_on_another_gives_its_attempts_back() {
+fn attempts_on_an_unresponsive_connection_end_once_the_replica_answers_on_another() {
     let harness = Harness::open("silent-link", 1);
     let mut client = harness.client();
     client.ask("r1", "pay", &[0], "9000m");
@@ -162,7 +162,7 @@
     let mut fresh = harness.replica(0);
     assert_eq!(fresh.frame().0, '4');
     fresh.send_frame("4waiting=0,rps=9");
-    // Known at once, not when the client's time is up.
+    // The node notices immediately, not at the client's deadline.
     assert_eq!(client.response().0, 504);
     assert_eq!((harness.counter("links_silent"), harness.counter("launches_spoilt")), (1, 1));
     assert_eq!(silent.frame().0, '4');
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_replica_that_is_slow_with_a_shard_request_but_answers_on_its_connection_keeps_it() {
+fn a_connection_that_answers_health_checks_is_kept_while_a_shard_request_is_slow() {
     let harness = Harness::open("slow-part", 1);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "9000m");
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn a_duplicate_answer_spoils_nothing() {
+fn a_duplicate_response_is_ignored() {
     let harness = Harness::open("second-copy", 1);
     let mut client = harness.client();
     client.ask("r1", "look", &[0], "9000m");
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_connection_that_ends_in_the_midst_of_an_answer_leaves_what_may_have_run() {
+fn a_connection_that_breaks_within_a_response_leaves_attempts_that_may_have_run() {
     let harness = Harness::open("half-answer", 1);
     for n in 0..2 {
         let mut client = harness.client();
@@ -221,7 +221,7 @@
         let whole = [&(answer.len() as u32).to_be_bytes(), answer.as_bytes()].concat();
         replica.send(&whole[..whole.len() - 2]);
         if n == 1 {
-            // Closing with this unsaid makes it a reset.
+            // A linger time of zero makes the close a reset.
             SockRef::from(&replica.stream).set_linger(Some(Duration::ZERO)).unwrap();
         }
         drop(replica);
@@ -231,7 +231,7 @@
 }
 
 #[test]
-fn a_client_that_left_while_its_frame_was_half_written_spoils_no_other_frame() {
+fn cancelling_a_query_whose_frame_is_half_written_corrupts_no_other_frame() {
     let harness = open_wide("half-frame", 64);
     SockRef::from(&harness.replicas[0]).set_recv_buffer_size(4096).unwrap();
     let mut client = harness.client();
@@ -239,7 +239,7 @@
     let head = head("r1", "look", "60000m");
     client.send(format!("{head}Content-Length: {}\r\n\r\n{body}", body.len()).as_bytes());
     let mut replica = harness.replica(0);
-    // Nobody reads there, so one frame has its beginning on the way and others wait behind it.
+    // The replica does not read, so one frame is partly written and the others wait behind it.
     assert!((0..1_000).any(|_| harness.counter("launches") == 60));
     drop(client);
     assert!((0..1_000).any(|_| harness.counter("lapsed") == 1));
@@ -255,9 +255,9 @@
     }
     let written = harness.counter("launches_written") as usize;
     harness.signal("TERM");
-    assert!(replica.inbox.is_empty() && !replica.more(), "more than a cancel for each came");
-    // What was begun came whole, with a cancel behind it; what was not was never sent.
-    assert!(called.len() < 60, "all fitted");
+    assert!(replica.inbox.is_empty() && !replica.more(), "more than one cancellation per call was received");
+    // Frames that were begun arrived completely, each followed by a cancellation; the others were never sent.
+    assert!(called.len() < 60, "all frames were written");
     assert_eq!(called.len(), written);
     called.sort();
     cancelled.sort();
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn a_shard_request_with_an_idempotency_key_that_waits_past_its_window_is_not_sent() {
+fn an_attempt_that_waits_past_its_idempotency_window_is_not_sent() {
     let mut settings = settings(2);
     settings["extra"]["reach"] = json!(2);
     settings["classes"][1]["windowNs"] = json!(800_000_000);
@@ -277,11 +277,11 @@
     let harness = Harness::begin("", "window", replicas, known, settings);
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
     let mut client = harness.client();
-    // Its own time is longer than this test waits for anything.
+    // The deadline is longer than any timeout of this test.
     client.ask("r1", "hold", &[0], "60000m");
     let mut replica = harness.replica(0);
     replica.call();
-    // Both holders move to where no connection comes up, and the one to the old place breaks.
+    // Both replicas move to an address where no connection is established, and the connection to the old one breaks.
     let (full, address, waits) = full();
     tell(&mut agent, 1, &json!({"revision": 2, "complete": false, "members": at(address)}));
     assert!(agent.more());
--- a/crates/frontnode/tests/sockets/support.rs
+++ b/crates/frontnode/tests/sockets/support.rs
@@ -1,4 +1,4 @@
-//! A node as a process, with the replicas, the agent of discovery and the clients in the test itself.
+//! A node process; the test itself emulates its replicas, its discovery agent and its clients.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{Shutdown, SocketAddr, TcpListener, TcpStream};
@@ -10,10 +10,10 @@
 use socket2::{Domain, SockRef, Socket, Type};
 
 pub const TOO_LONG: Duration = Duration::from_secs(20);
-/// What [`Harness::counter`] sends.
+/// The request that [`Harness::counter`] sends.
 pub const METRICS_REQUEST: &[u8] = b"GET /metrics HTTP/1.1\r\n\r\n";
 
-/// Shard `n` is held by replica `n` alone, so that each test knows where a shard request must go.
+/// Settings where shard `n` is held by replica `n` alone, so that each test knows the target of a shard request.
 pub fn settings(replicas: usize) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "objectiveNs": 400_000_000, "deadlineNs": 3_000_000_000u64,
@@ -65,12 +65,12 @@
            "up_since_ms": 0})
 }
 
-/// Each test has a configuration of its own.
+/// Returns the path of the configuration, which differs for each test.
 pub fn path(test_name: &str) -> String {
     format!("{}/{test_name}.json", env!("CARGO_TARGET_TMPDIR"))
 }
 
-/// Runs the program on that configuration, behind what the shell is told first.
+/// Runs the program with a configuration. `first` contains shell commands that run before it.
 pub fn spawn(first: &str, test_name: &str, config: &Value) -> Child {
     let path = path(test_name);
     std::fs::write(&path, config.to_string()).unwrap();
@@ -84,7 +84,7 @@
         Harness::open_with(test_name, replicas, settings(replicas))
     }
 
-    /// Two replicas hold shard 0; both are at one address, as it is left to chance which is asked first.
+    /// Opens a harness where two replicas hold shard 0. They share an address, as the first attempt goes to a random one.
     pub fn open_pair(test_name: &str) -> Harness {
         let mut settings = settings(2);
         settings["extra"]["reach"] = json!(2);
@@ -145,7 +145,7 @@
         assert!(Command::new("sh").args(["-c", &kill]).status().unwrap().success());
     }
 
-    /// Waits until something has woken the node.
+    /// Waits until an event has woken the node.
     pub fn wait_for_wakeup(&self) {
         let status = format!("/proc/{}/status", self.child.id());
         let wakeups = || {
@@ -158,17 +158,17 @@
         }
     }
 
-    /// Holds the node until [`Harness::resume`]; it is held when this returns.
+    /// Pauses the node until [`Harness::resume`]. It is stopped when this function returns.
     ///
-    /// It is held while it waits for events: held in the midst of a round, it would go on with the events that it had
-    /// collected, and a later time. The signal alone isn't enough either: on a busy machine the node, woken by it, may
-    /// still collect what arrives before it is held.
+    /// The node is paused while it waits for events: paused within a round, it would continue with the events collected
+    /// before, at a later time. The signal alone is not sufficient: on a busy machine the node, woken by the signal, may
+    /// still collect arriving events before it stops.
     pub fn pause(&self) {
         let pid = Pid::from_child(&self.child);
         let stat = format!("/proc/{pid}/stat");
         loop {
             let text = std::fs::read_to_string(&stat).unwrap();
-            // The name before it, in brackets, may hold anything.
+            // The name before the state, in brackets, may contain any character.
             let (_, state) = text.rsplit_once(") ").unwrap();
             if state.starts_with('S') {
                 break;
@@ -184,8 +184,8 @@
         self.signal("CONT");
     }
 
-    /// Closes a client's connection and waits until the end of it has reached the node's system: a child that another
-    /// test begins holds a copy of the connection until it runs its program.
+    /// Closes a client's connection and waits until the node's system has received the end of the stream. A child process
+    /// that another test starts holds a copy of the connection until it executes its program.
     pub fn disconnect(&self, client: Peer) {
         let client_port = client.stream.local_addr().unwrap().port();
         drop(client);
@@ -194,7 +194,7 @@
         }
     }
 
-    /// Whether the node's end of a connection has got all that its client sent, with the end.
+    /// Returns whether the node's end of a connection has received everything from its client, including the end.
     fn has_end_of(&self, client_port: u16) -> bool {
         const CLOSE_WAIT: &str = "08";
         let port_of = |address: &str| u16::from_str_radix(address.rsplit_once(':').unwrap().1, 16).unwrap();
@@ -207,9 +207,8 @@
         state.is_none_or(|state| state == CLOSE_WAIT)
     }
 
-    /// From now on connections to a replica are refused, until the returned socket is dropped: it keeps others from the
-    /// replica's port. The listener is shut down first, as a child that another test begins holds a copy of it until it
-    /// runs its program.
+    /// Refuses connections to a replica until the returned socket, which keeps its port reserved, is dropped. The listener
+    /// is shut down first, as a child process that another test starts holds a copy of it until it executes its program.
     pub fn refuse_connections(&mut self, n: usize) -> Socket {
         let listener = self.replicas.remove(n);
         let address = listener.local_addr().unwrap();
@@ -243,7 +242,7 @@
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
 
-    /// The rest of the log and how the program ended.
+    /// Returns the rest of the log and the exit code.
     pub fn end(mut self) -> (String, Option<i32>) {
         let mut log = String::new();
         self.log.read_to_string(&mut log).unwrap();
@@ -251,7 +250,7 @@
     }
 }
 
-/// One connection, read with blocking calls.
+/// A connection that is read with blocking calls.
 pub struct Peer {
     pub stream: TcpStream,
     pub inbox: Vec<u8>,
@@ -268,7 +267,7 @@
         self.stream.write_all(bytes).unwrap();
     }
 
-    /// False at the end of the stream.
+    /// Reads more bytes into the inbox. Returns false at the end of the stream.
     pub fn more(&mut self) -> bool {
         let mut buffer = [0; 4096];
         match self.stream.read(&mut buffer) {
@@ -277,9 +276,9 @@
                 length > 0
             }
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => false,
-            // Nothing was read: this process was stopped and went on meanwhile.
+            // The read was interrupted because this process was stopped and continued.
             Err(e) if e.kind() == std::io::ErrorKind::Interrupted => self.more(),
-            Err(e) => panic!("nothing came: {e}"),
+            Err(e) => panic!("nothing was received: {e}"),
         }
     }
 
@@ -290,21 +289,21 @@
         self.inbox.drain(..length).collect()
     }
 
-    /// A frame's letter and rest.
+    /// Returns the letter and the payload of the next frame.
     pub fn frame(&mut self) -> (char, String) {
         let length = u32::from_be_bytes(self.take(4).try_into().unwrap());
         let frame = String::from_utf8(self.take(length as usize)).unwrap();
         (frame.chars().next().unwrap(), frame[1..].to_owned())
     }
 
-    /// The next call's lines, one a shard request, without their texts.
+    /// Returns the lines of the next call, one for each shard request, without their payloads.
     pub fn call(&mut self) -> Vec<String> {
         let (letter, rest) = self.frame();
         assert_eq!(letter, '1', "{rest}");
         lines(&rest)
     }
 
-    /// Answers health checks until a call comes.
+    /// Answers health checks until a call is received, and returns the call.
     pub fn probed_until_called(&mut self) -> String {
         loop {
             match self.frame() {
@@ -323,13 +322,13 @@
         self.send(&bytes);
     }
 
-    /// Answers a call's line.
+    /// Answers the shard request in a line of a call.
     pub fn answer(&mut self, line: &str, end: &str, value: &str) {
         let id = line.split(' ').next().unwrap();
         self.send_frame(&format!("5{id} {end} 7 -\n{value}"));
     }
 
-    /// Status, head and body.
+    /// Returns the status, head and body of the next response.
     pub fn response(&mut self) -> (u16, String, String) {
         loop {
             if let Some(end) = self.inbox.windows(4).position(|w| w == b"\r\n\r\n") {
@@ -349,7 +348,7 @@
     }
 }
 
-/// A call's lines, one a shard request, without their texts.
+/// Returns the lines of a call, one for each shard request, without their payloads.
 pub fn lines(mut call: &str) -> Vec<String> {
     let mut lines = Vec::new();
     while let Some((line, after)) = call.split_once('\n') {
@@ -359,7 +358,7 @@
     lines
 }
 
-/// The weights are cut to a few digits, so that they sum to less than 1.
+/// Returns the body of a query. Its weights are rounded down to a few digits, so they sum to less than 1.
 pub fn body(shards: &[usize]) -> String {
     let share = (1e5 / shards.len() as f64).floor() / 1e5;
     let slices: Vec<Value> = shards.iter().map(|s| json!({"slice": s, "mass": share})).collect();
@@ -387,7 +386,7 @@
     }
 }
 
-/// Answers the node's watch, which asks from the given revision on.
+/// Answers the node's watch, which requests changes from the revision `from`.
 pub fn tell(agent: &mut Peer, from: u64, told: &Value) {
     tell_at(agent, &format!("?from={from}&hold_ms="), told);
 }
@@ -402,7 +401,7 @@
     agent.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{told}", told.len()).as_bytes());
 }
 
-/// Settings under which all that waits for a connection waits for longer than any test.
+/// Settings with a connect timeout longer than any test.
 pub fn patient() -> Value {
     let mut settings = settings(1);
     settings["limits"]["connectTimeoutNs"] = json!(60_000_000_000u64);
@@ -410,7 +409,8 @@
     settings
 }
 
-/// One replica that holds all of many shards, long latency targets, and room for hundreds of clients and shard requests.
+/// Opens a harness with one replica that holds many shards, long latency targets, and capacity for hundreds of clients and
+/// shard requests.
 pub fn open_wide(test_name: &str, sockets: usize) -> Harness {
     let mut settings = settings(1);
     settings["limits"]["connIdleNs"] = json!(60_000_000_000u64);
--- a/crates/frontnode/tests/store_search_protocol.rs
+++ b/crates/frontnode/tests/store_search_protocol.rs
@@ -1,4 +1,4 @@
-//! Requests of the search API to stores, and what becomes of their responses.
+//! Requests to replicas through the search API, and the outcomes of their responses.
 
 use orchidvalve::state::AttemptOutcome;
 use orchidvalve_frontnode::store_protocol::search::Search;
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn each_response_ends_an_attempt_by_what_is_known_of_it() {
+fn each_response_ends_an_attempt_with_its_known_outcome() {
     let body = |failed: u32, late: bool| {
         let shards = format!(r#"{{"total":1,"successful":{},"failed":{failed}}}"#, 1 - failed);
         format!(r#"{{"took":1,"timed_out":{late},"_shards":{shards},"hits":{{"max_score":null,"hits":[]}}}}"#)
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn a_response_to_another_request_or_to_none_is_an_error() {
+fn a_response_to_another_request_or_to_no_request_is_an_error() {
     let mut protocol = sent(SEARCH);
     let other = response(200, "X-Opaque-Id: r2.3\r\n", "{}");
     assert!(protocol.next_message(&other).unwrap_err().to_string().contains("'r2.3'"));
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_health_check_is_answered_by_its_status_and_its_load_is_read_where_it_can_be() {
+fn a_health_check_succeeds_by_its_status_and_its_load_is_read_if_valid() {
     let stats = r#"{"nodes":{"n":{"thread_pool":{"search":{"threads":4,"queue":7,"active":4,"rejected":2,"completed":90}}}}}"#;
     for (status, body, answered, load) in [
         (200, stats, true, Some(Load::Counts { queued: 7, rejected: 2, completed: 90 })),
--- a/crates/frontnode/tests/stream.rs
+++ b/crates/frontnode/tests/stream.rs
@@ -1,4 +1,4 @@
-//! Reading of one connection.
+//! Reading from one connection.
 
 use std::io::Write;
 use std::net::{TcpListener, TcpStream};
@@ -7,7 +7,7 @@
 use orchidvalve_frontnode::stream::Stream;
 
 #[test]
-fn a_reading_that_stops_at_its_cap_says_that_more_is_there() {
+fn a_read_that_stops_at_its_limit_reports_unread_bytes() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let mut peer = TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     peer.write_all(&[7; 10_000]).unwrap();
