--- a/crates/frontnode/benches/archive.rs
+++ b/crates/frontnode/benches/archive.rs
@@ -1,5 +1,5 @@
-//! The cost of persistence: two nodes that constantly receive endpoint lists and serve the same clients, one with a logbook
-//! and one without, in turns. `cargo bench -p orchidvalve-frontnode --bench archive`, with `-- ROUNDS`.
+//! The cost of persistence: two nodes that constantly receive endpoint lists and serve the same clients, one with a
+//! logbook and one without, in turns. `cargo bench -p orchidvalve-frontnode --bench archive`, with `-- ROUNDS`.
 
 #[path = "../tests/search_node/mod.rs"]
 mod search_node;
--- a/crates/frontnode/benches/coldstart.rs
+++ b/crates/frontnode/benches/coldstart.rs
@@ -1,6 +1,6 @@
-//! The load on discovery and on a newly started store when many front nodes start at the same time, with and without the
-//! cold start. `cargo bench -p orchidvalve-frontnode --bench coldstart -- DIR` runs processes on loopback, prints a table
-//! to standard output and writes a chart of it to DIR.
+//! The load on discovery and on a newly started store when many front nodes start at the same time, with and without
+//! the cold start. `cargo bench -p orchidvalve-frontnode --bench coldstart -- DIR` runs processes on loopback, prints a
+//! table to standard output and writes a chart of it to DIR.
 
 #[path = "../tests/node_group/mod.rs"]
 mod node_group;
--- a/crates/frontnode/benches/doors.rs
+++ b/crates/frontnode/benches/doors.rs
@@ -1,5 +1,6 @@
 //! Both client protocols in front of both store protocols, measured in turns within one run: queries per second of the
-//! node's processor time, latencies, memory. `cargo bench -p orchidvalve-frontnode --bench doors`, with `-- ROUNDS` for more.
+//! node's processor time, latencies, memory. `cargo bench -p orchidvalve-frontnode --bench doors`, with `-- ROUNDS` for
+//! more.
 
 #[path = "../tests/search_node/mod.rs"]
 mod search_node;
--- a/crates/frontnode/benches/faults.rs
+++ b/crates/frontnode/benches/faults.rs
@@ -1,5 +1,6 @@
-//! Retries beyond the budget and staleness of verdicts in a fleet of processes under each fault between them, against the
-//! bounds of `docs/fleet.md`. `cargo bench -p orchidvalve-frontnode --bench faults` prints a table to standard output.
+//! Retries beyond the budget and staleness of verdicts in a fleet of processes under each fault between them, against
+//! the bounds of `docs/fleet.md`. `cargo bench -p orchidvalve-frontnode --bench faults` prints a table to standard
+//! output.
 
 #[path = "../tests/node_group/mod.rs"]
 mod node_group;
--- a/crates/frontnode/benches/fleet.rs
+++ b/crates/frontnode/benches/fleet.rs
@@ -1,7 +1,7 @@
-//! The load on a newly started store from many front nodes with little traffic each, with and without the fleet. The floor
-//! of the slow start is one shard request per window from each node alone, and `cold_floor` from all nodes together in a
-//! fleet. `cargo bench -p orchidvalve-frontnode --bench fleet` runs processes on loopback and prints a table to standard
-//! output.
+//! The load on a newly started store from many front nodes with little traffic each, with and without the fleet. The
+//! floor of the slow start is one shard request per window from each node alone, and `cold_floor` from all nodes
+//! together in a fleet. `cargo bench -p orchidvalve-frontnode --bench fleet` runs processes on loopback and prints a
+//! table to standard output.
 
 #[path = "../tests/node_group/mod.rs"]
 mod node_group;
@@ -12,8 +12,8 @@
 
 const SECONDS: u64 = 6;
 
-/// Returns the shard requests at the store in slow start in each second, those at all stores, and the numbers of queries
-/// answered with 200 and of all queries.
+/// Returns the shard requests at the store in slow start in each second, those at all stores, and the numbers of
+/// queries answered with 200 and of all queries.
 fn play(nodes: usize, fleet: bool) -> (Vec<usize>, usize, (usize, usize)) {
     let mut options = FleetOptions::of(nodes);
     (options.fleet, options.started_ms, options.cold_ms) = (fleet, vec![(0, 0)], 20_000);
--- a/crates/frontnode/benches/play/mod.rs
+++ b/crates/frontnode/benches/play/mod.rs
@@ -26,7 +26,8 @@
     pub rates: Vec<f64>,
 }
 
-/// Returns the processor time that a process has used, in seconds: fields 14 and 15 of its stat, 100 per second on Linux.
+/// Returns the processor time that a process has used, in seconds: fields 14 and 15 of its stat, 100 per second on
+/// Linux.
 fn processor(harness: &Harness) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", harness.child.id())).unwrap();
     let after = stat.rsplit_once(") ").unwrap().1;
--- a/crates/frontnode/src/client_protocol/mod.rs
+++ b/crates/frontnode/src/client_protocol/mod.rs
@@ -26,8 +26,8 @@
 
 /// A protocol of clients.
 pub trait ClientProtocol {
-    /// Interprets a request. Returns `None` if the path is not part of this protocol. `since` is the time when the first
-    /// bytes of the request arrived.
+    /// Interprets a request. Returns `None` if the path is not part of this protocol. `since` is the time when the
+    /// first bytes of the request arrived.
     fn interpret<'a>(
         &self,
         message: &'a Message<'a>,
--- a/crates/frontnode/src/client_protocol/search.rs
+++ b/crates/frontnode/src/client_protocol/search.rs
@@ -1,5 +1,5 @@
-//! An OpenSearch-style API for clients: `_search`, `_count`, `_msearch` and `_create` on the indices that the operator's
-//! routes name. `docs/search.md` lists what is mapped and what is rejected.
+//! An OpenSearch-style API for clients: `_search`, `_count`, `_msearch` and `_create` on the indices that the
+//! operator's routes name. `docs/search.md` lists what is mapped and what is rejected.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -151,8 +151,8 @@
 }
 
 impl SearchProtocol {
-    /// Returns the protocol for the indices of `routes`. The ids of queries are derived from `seed`, which should differ
-    /// between nodes.
+    /// Returns the protocol for the indices of `routes`. The ids of queries are derived from `seed`, which should
+    /// differ between nodes.
     pub fn new(routes: Rc<Routes>, seed: u64) -> SearchProtocol {
         SearchProtocol { routes, seed, queries: Cell::new(0) }
     }
--- a/crates/frontnode/src/clients.rs
+++ b/crates/frontnode/src/clients.rs
@@ -25,8 +25,8 @@
 
 use client::{Client, PendingMessage, PendingQuery};
 
-/// The number of connections that the system queues until they are accepted. Many clients may connect at the same moment,
-/// and a client that finds the queue full retries only after a second.
+/// The number of connections that the system queues until they are accepted. Many clients may connect at the same
+/// moment, and a client that finds the queue full retries only after a second.
 const LISTEN_BACKLOG: i32 = 1024;
 /// The maximum number of bytes read and discarded from one connection in one round.
 const MAX_DISCARDED_BYTES: u64 = 256 << 10;
@@ -253,8 +253,8 @@
         }
     }
 
-    /// Handles the time limit of a client. An incomplete request gets an error response. A client that has sent nothing,
-    /// or has its response, is disconnected. Returns the queries whose client is disconnected.
+    /// Handles the time limit of a client. An incomplete request gets an error response. A client that has sent
+    /// nothing, or has its response, is disconnected. Returns the queries whose client is disconnected.
     pub fn timer_due(&mut self, key: ClientKey, context: &mut Context) -> Vec<QueryIndex> {
         let Some(client) = self.clients.get_mut(key) else { return Vec::new() };
         client.timer = None;
--- a/crates/frontnode/src/clients/requests.rs
+++ b/crates/frontnode/src/clients/requests.rs
@@ -44,9 +44,9 @@
             return Vec::new();
         }
         if client.stream.unread && client.pending.is_some() {
-            // So many bytes behind a pending request are not stored. They are discarded, as the node has to keep reading
-            // to notice when the client disconnects. The connection ends with the response, because the discarded bytes
-            // cannot be divided into requests.
+            // So many bytes behind a pending request are not stored. They are discarded, as the node has to keep
+            // reading to notice when the client disconnects. The connection ends with the response, because the
+            // discarded bytes cannot be divided into requests.
             client.keeps_alive = false;
             client.stream.consume(client.stream.inbox().len());
             context.ready_again.push(EventSource::Client(key));
@@ -83,8 +83,8 @@
         }
     }
 
-    /// Reads the next complete request of a connection and accepts its queries. Returns false if there is none or if the
-    /// client's last request is not answered yet.
+    /// Reads the next complete request of a connection and accepts its queries. Returns false if there is none or if
+    /// the client's last request is not answered yet.
     fn read_request(
         &mut self,
         key: ClientKey,
--- a/crates/frontnode/src/cold_start.rs
+++ b/crates/frontnode/src/cold_start.rs
@@ -1,6 +1,6 @@
 //! The cold start among hundreds of front nodes, if the operator enables it. The endpoint lists found in the
-//! configuration, on disk and at peers are passed to `orchidvalve-cold-start`, and its decisions are passed to discovery
-//! and to the aggregator. This module decides nothing itself.
+//! configuration, on disk and at peers are passed to `orchidvalve-cold-start`, and its decisions are passed to
+//! discovery and to the aggregator. This module decides nothing itself.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -24,7 +24,8 @@
 use crate::settings_file::{SectionName, SettingsFileError, milliseconds, parse};
 use crate::stable_hash::stable_hash;
 
-/// The maximum numbers of cells and endpoints in a peer's list; they bound the memory that a peer can make this node use.
+/// The maximum numbers of cells and endpoints in a peer's list; they bound the memory that a peer can make this node
+/// use.
 const MAX_CELLS: usize = 1 << 16;
 const MAX_ENDPOINTS: usize = 1 << 14;
 
--- a/crates/frontnode/src/config.rs
+++ b/crates/frontnode/src/config.rs
@@ -389,8 +389,8 @@
         })
     }
 
-    /// Returns the maximum number of client connections. Clients may hold up to a third of the descriptors. The limit is
-    /// slightly lower, as otherwise idle clients take the slots of new ones.
+    /// Returns the maximum number of client connections. Clients may hold up to a third of the descriptors. The limit
+    /// is slightly lower, as otherwise idle clients take the slots of new ones.
     fn max_clients(&self) -> usize {
         self.sockets * 3 / 10
     }
--- a/crates/frontnode/src/connection_pool.rs
+++ b/crates/frontnode/src/connection_pool.rs
@@ -57,8 +57,8 @@
 enum State<T> {
     /// The connection is being established.
     Connecting { for_health_check: bool },
-    /// Carries nothing. `released` numbers the releases: the connection released last is reused first, so that the others
-    /// become idle for long enough to be closed.
+    /// Carries nothing. `released` numbers the releases: the connection released last is reused first, so that the
+    /// others become idle for long enough to be closed.
     Idle { released: u64 },
     /// Carries a shard request.
     Busy(T),
--- a/crates/frontnode/src/deadlines.rs
+++ b/crates/frontnode/src/deadlines.rs
@@ -5,8 +5,8 @@
 
 use orchidvalve::interface::Nanos;
 
-/// A clock in nanoseconds since the Unix epoch. It reads the system clock once and then counts monotonically: a change of
-/// the system clock must not move deadlines, but discovery publishes start times in Unix time.
+/// A clock in nanoseconds since the Unix epoch. It reads the system clock once and then counts monotonically: a change
+/// of the system clock must not move deadlines, but discovery publishes start times in Unix time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
--- a/crates/frontnode/src/discovery.rs
+++ b/crates/frontnode/src/discovery.rs
@@ -24,8 +24,9 @@
 use crate::stream::{Stream, connect};
 
 /// How long a watch (a long poll) may wait for a change (`hold_ms`), and how much later its response counts as missed.
-/// Changes that an unresponsive watch misses count as published 2 s after that wait: by then another watch needs to have
-/// its response. If discovery is queried on request, the aggregator waits for up to a second before it requests a query.
+/// Changes that an unresponsive watch misses count as published 2 s after that wait: by then another watch needs to
+/// have its response. If discovery is queried on request, the aggregator waits for up to a second before it requests a
+/// query.
 const WATCH_MS: i64 = 20_000;
 const WATCH_SLACK_MS: i64 = 800;
 /// The same slack for a call without a wait, whose changes count as published 6 s after it became unresponsive.
@@ -304,7 +305,8 @@
         }
     }
 
-    /// Sets the machines that maintenance closes: they get no new attempts. Machines no longer in the set get them again.
+    /// Sets the machines that maintenance closes: they get no new attempts. Machines no longer in the set get them
+    /// again.
     pub fn close_machines(
         &mut self,
         closed: BTreeSet<String>,
--- a/crates/frontnode/src/fleet.rs
+++ b/crates/frontnode/src/fleet.rs
@@ -1,8 +1,8 @@
 //! This node's part in the fleet of front nodes, if the operator enables it: a UDP socket, the rounds of
-//! `orchidvalve-fleet`, and the exchange with the aggregator. It does not select replicas and rejects nothing. It passes
-//! two things to the aggregator: the number of shard requests that a replica in slow start may still get from this node
-//! as its floor, and the service classes that other front nodes found failing at a replica. It reports to the peers what
-//! this node found.
+//! `orchidvalve-fleet`, and the exchange with the aggregator. It does not select replicas and rejects nothing. It
+//! passes two things to the aggregator: the number of shard requests that a replica in slow start may still get from
+//! this node as its floor, and the service classes that other front nodes found failing at a replica. It reports to the
+//! peers what this node found.
 
 use std::collections::BTreeMap;
 use std::io::{self, ErrorKind};
@@ -507,8 +507,8 @@
     }
 
     /// Passes the fleet's limits and verdicts to the aggregator. It runs after all other input of the round, including
-    /// endpoint lists of peers: otherwise a replica that such a list has just added would get the floor of a single front
-    /// node.
+    /// endpoint lists of peers: otherwise a replica that such a list has just added would get the floor of a single
+    /// front node.
     pub fn update_aggregator_state(
         &mut self,
         replicas: &[FleetReplica],
--- a/crates/frontnode/src/http.rs
+++ b/crates/frontnode/src/http.rs
@@ -66,8 +66,8 @@
 }
 
 impl<'a> Message<'a> {
-    /// Returns the value of a header. Returns `None` if the header is missing, not UTF-8, or present twice: another reader
-    /// of the message might use the other value.
+    /// Returns the value of a header. Returns `None` if the header is missing, not UTF-8, or present twice: another
+    /// reader of the message might use the other value.
     pub fn header(&self, name: &str) -> Option<&'a str> {
         let mut values = values_of(&self.headers, name);
         let (Some(value), None) = (values.next(), values.next()) else { return None };
@@ -97,8 +97,8 @@
     }))
 }
 
-/// Parses the first response of a buffer. Returns `None` while more bytes are needed. A body without a length, which ends
-/// when the connection is closed, is not supported.
+/// Parses the first response of a buffer. Returns `None` while more bytes are needed. A body without a length, which
+/// ends when the connection is closed, is not supported.
 ///
 /// # Errors
 ///
@@ -232,8 +232,8 @@
     if rest.len() > MAX_HEAD_BYTES { Err(HEAD_TOO_LARGE) } else { Ok(None) }
 }
 
-/// Percent-encodes a text (RFC 3986). Only unreserved characters, which are valid in path segments and query values, stay
-/// unchanged.
+/// Percent-encodes a text (RFC 3986). Only unreserved characters, which are valid in path segments and query values,
+/// stay unchanged.
 pub fn percent_encode(text: &str) -> String {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~".contains(&byte);
     let encode =
--- a/crates/frontnode/src/log.rs
+++ b/crates/frontnode/src/log.rs
@@ -1,5 +1,5 @@
-//! The log: `tracing` events written to standard error as text or JSON. Lines are rate limited per call site; suppressed
-//! lines are counted.
+//! The log: `tracing` events written to standard error as text or JSON. Lines are rate limited per call site;
+//! suppressed lines are counted.
 
 use std::collections::HashMap;
 use std::fmt::{self, Write as _};
@@ -48,8 +48,8 @@
 /// The file and the line of a log call.
 type CallSite = (&'static str, u32);
 
-/// Decides whether a line from a call site may be written now, so that a peer that fails constantly neither fills the log
-/// nor blocks the node. Only lines of the project's own crates are written.
+/// Decides whether a line from a call site may be written now, so that a peer that fails constantly neither fills the
+/// log nor blocks the node. Only lines of the project's own crates are written.
 #[derive(Debug, Default)]
 struct RateLimit {
     /// For each call site, the current second and the number of lines in it.
--- a/crates/frontnode/src/operator_api.rs
+++ b/crates/frontnode/src/operator_api.rs
@@ -7,8 +7,8 @@
 use crate::queries::QueryTable;
 use crate::reply::Reply;
 
-/// Answers a request of an operator. Returns `None` if the path is not part of this API. `serving` says whether the node
-/// accepts queries.
+/// Answers a request of an operator. Returns `None` if the path is not part of this API. `serving` says whether the
+/// node accepts queries.
 pub fn answer(message: &Message, serving: bool, queries: &QueryTable, context: &Context) -> Option<Reply> {
     let path = message.path.split('?').next().unwrap_or_default();
     match (message.method, path) {
--- a/crates/frontnode/src/persistence.rs
+++ b/crates/frontnode/src/persistence.rs
@@ -1,6 +1,6 @@
-//! The state that the node keeps across restarts: the last endpoint list with its age, and the ejections of replicas. It
-//! is written by the log store's own thread, so that no round waits for a disk. Persistence is disabled unless a settings
-//! file names a directory.
+//! The state that the node keeps across restarts: the last endpoint list with its age, and the ejections of replicas.
+//! It is written by the log store's own thread, so that no round waits for a disk. Persistence is disabled unless a
+//! settings file names a directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -343,8 +343,8 @@
         self.recovered.take()
     }
 
-    /// Removes stored replicas that a complete list of discovery does not name. Otherwise replicas that were removed while
-    /// the node was down would stay on disk if the stored list was never used.
+    /// Removes stored replicas that a complete list of discovery does not name. Otherwise replicas that were removed
+    /// while the node was down would stay on disk if the stored list was never used.
     pub fn remove_unlisted(&mut self, is_listed: impl Fn(&str) -> bool) {
         for id in std::mem::take(&mut self.unconfirmed) {
             if !is_listed(&id) {
--- a/crates/frontnode/src/queries.rs
+++ b/crates/frontnode/src/queries.rs
@@ -1,5 +1,5 @@
-//! The accepted queries with their shard requests and attempts, indexed by the aggregator's numbers. They are kept until
-//! the aggregator forgets them.
+//! The accepted queries with their shard requests and attempts, indexed by the aggregator's numbers. They are kept
+//! until the aggregator forgets them.
 
 use std::borrow::Cow;
 use std::collections::{HashMap, VecDeque};
@@ -152,7 +152,8 @@
     pub estimated_work: Nanos,
     /// Whether the client marked the query as a retry.
     pub is_retry: bool,
-    /// The minimum fraction of the shards' weight that a response must cover, if it exceeds the one of the service class.
+    /// The minimum fraction of the shards' weight that a response must cover, if it exceeds the one of the service
+    /// class.
     pub min_weight: f64,
     /// The idempotency key, in service classes that require one: it makes repeated attempts safe.
     pub idempotency_key: Option<Cow<'a, str>>,
@@ -301,8 +302,8 @@
         Some(AttemptId { shard_request, number })
     }
 
-    /// Schedules a new timer for an attempt whose timer fell due: a written attempt may run until its own deadline, which
-    /// is later than the deadline for sending. Returns false if it has timed out.
+    /// Schedules a new timer for an attempt whose timer fell due: a written attempt may run until its own deadline,
+    /// which is later than the deadline for sending. Returns false if it has timed out.
     pub fn extend_timeout(&mut self, id: AttemptId, context: &mut Context) -> bool {
         let waits = |attempt: &&mut Attempt| attempt.written && context.now < attempt.deadline;
         let Some(attempt) = self.attempt(id).filter(waits) else { return false };
--- a/crates/frontnode/src/recorder.rs
+++ b/crates/frontnode/src/recorder.rs
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Returns the number of chunks that were dropped or not written, plus the queries with too many shards for a record.
+    /// Returns the number of chunks that were dropped or not written, plus the queries with too many shards for a
+    /// record.
     pub fn lost(&self) -> u64 {
         self.dropped + self.unwritten.load(Relaxed)
     }
--- a/crates/frontnode/src/store_connections/lifecycle.rs
+++ b/crates/frontnode/src/store_connections/lifecycle.rs
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Closes a connection on which a message was not completed in time. Its length may be corrupted, and later messages
-    /// would then be read as the rest of it.
+    /// Closes a connection on which a message was not completed in time. Its length may be corrupted, and later
+    /// messages would then be read as the rest of it.
     pub fn partial_message_due(
         &mut self,
         key: ConnectionKey,
--- a/crates/frontnode/src/stream.rs
+++ b/crates/frontnode/src/stream.rs
@@ -187,8 +187,8 @@
         Ok(())
     }
 
-    /// Closes the writing side. The bytes that the peer still sends must be read; otherwise the peer could receive a reset
-    /// before it has read everything.
+    /// Closes the writing side. The bytes that the peer still sends must be read; otherwise the peer could receive a
+    /// reset before it has read everything.
     pub fn shut_down_writing(&self) {
         let _ = self.socket.shutdown(Shutdown::Write);
     }
--- a/crates/frontnode/tests/cold_start.rs
+++ b/crates/frontnode/tests/cold_start.rs
@@ -9,9 +9,9 @@
 
 const HOUR: Duration = Duration::from_secs(3600);
 
-/// No endpoint list is known at the start, and the links lose a third of the datagrams. With the cold start, a few nodes
-/// query discovery and pass the list on to the others, whose own slots come within a minute. Without it, all query
-/// discovery at once.
+/// No endpoint list is known at the start, and the links lose a third of the datagrams. With the cold start, a few
+/// nodes query discovery and pass the list on to the others, whose own slots come within a minute. Without it, all
+/// query discovery at once.
 #[test]
 fn only_a_few_of_many_starting_nodes_query_discovery_and_the_others_get_the_list_from_them() {
     const NODES: usize = 24;
@@ -36,9 +36,9 @@
     assert_eq!(asked, NODES, "without the cold start all nodes query discovery");
 }
 
-/// All nodes have a new list and a query at the same time, and discovery is unresponsive. Without pacing, all connect to
-/// every replica at the same moment. With it, their connections to a replica are spread, and each node serves once it is
-/// connected.
+/// All nodes have a new list and a query at the same time, and discovery is unresponsive. Without pacing, all connect
+/// to every replica at the same moment. With it, their connections to a replica are spread, and each node serves once
+/// it is connected.
 #[test]
 fn connections_of_nodes_that_start_together_are_spread_over_their_span() {
     const NODES: usize = 20;
@@ -85,7 +85,8 @@
     let old = Fleet::open("cold-old", &options);
     // A query lasts at most 2 s; queries of the first second may come too early.
     old.until("it serves within seconds, all the same", |f| f.ask(0, "r", "c1") == 200);
-    // Past half a minute, an hour is twelve half-lives of five minutes: four unverified steps, eight health checks each.
+    // Past half a minute, an hour is twelve half-lives of five minutes: four unverified steps, eight health checks
+    // each.
     for (n, store) in old.stores.iter().enumerate() {
         let observed = store.observations();
         assert!(
@@ -127,7 +128,8 @@
     }
 }
 
-/// A node that crashes repeatedly at its start finds its list on disk each time and queries discovery less and less often.
+/// A node that crashes repeatedly at its start finds its list on disk each time and queries discovery less and less
+/// often.
 #[test]
 fn a_node_killed_repeatedly_starts_from_its_disk_and_rarely_queries_discovery() {
     let mut options = FleetOptions::of(1);
@@ -155,7 +157,8 @@
     assert!((0..SLICES).map(|n| fleet.seen(n, "c")).sum::<usize>() >= 8 * SLICES);
 }
 
-/// Discovery sends complete lists one at a time, each after a delay: the few nodes that got one pass it on to the others.
+/// Discovery sends complete lists one at a time, each after a delay: the few nodes that got one pass it on to the
+/// others.
 #[test]
 fn a_slow_discovery_is_not_queried_by_all_nodes_but_all_get_a_list() {
     const NODES: usize = 16;
@@ -194,7 +197,8 @@
     };
     let (alone, _) = play(false);
     let (shared, took) = play(true);
-    // One shard request per second in total; a node whose random initial fraction of a token is almost one is a bit early.
+    // One shard request per second in total; a node whose random initial fraction of a token is almost one is a bit
+    // early.
     let bound = 2.0 + 2.0 * took;
     assert!(shared as f64 <= bound, "{shared} shard requests in {took:.1} s");
     assert!(alone as f64 > bound, "without a fleet they send {alone}: the test would show nothing");
--- a/crates/frontnode/tests/fleet.rs
+++ b/crates/frontnode/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Several front node processes whose datagrams pass through a relay that drops, duplicates, delays and partitions them.
+//! Several front node processes whose datagrams pass through a relay that drops, duplicates, delays and partitions
+//! them.
 
 mod node_group;
 
@@ -50,8 +51,8 @@
     );
 }
 
-/// Replicas fail every shard request of a customer, so each node would retry up to the limit of attempts. The retries of
-/// all nodes together are limited by a budget of the fleet; without a fleet, each node has its own budget.
+/// Replicas fail every shard request of a customer, so each node would retry up to the limit of attempts. The retries
+/// of all nodes together are limited by a budget of the fleet; without a fleet, each node has its own budget.
 #[test]
 fn retries_stay_within_the_fleets_budget_under_link_faults() {
     const NODES: usize = 4;
@@ -100,8 +101,8 @@
     assert!(alone > bound, "without a fleet they send {alone}: the test would show nothing");
 }
 
-/// Each of six nodes has enough failing shard requests to retry constantly. Under each fault between them, the fleet stays
-/// within its bound for the elapsed time, and a verdict reaches every node that is reachable.
+/// Each of six nodes has enough failing shard requests to retry constantly. Under each fault between them, the fleet
+/// stays within its bound for the elapsed time, and a verdict reaches every node that is reachable.
 #[test]
 fn under_each_fault_the_fleet_keeps_its_bound_and_a_verdict_reaches_all_reachable_nodes() {
     for fault in faults::ALL {
--- a/crates/frontnode/tests/golden_disk.rs
+++ b/crates/frontnode/tests/golden_disk.rs
@@ -1,5 +1,5 @@
-//! The data that the node writes: its persistent state, recordings of arrivals, and the JSON for operators and other nodes,
-//! compared with a recording.
+//! The data that the node writes: its persistent state, recordings of arrivals, and the JSON for operators and other
+//! nodes, compared with a recording.
 
 use std::collections::VecDeque;
 use std::path::{Path, PathBuf};
--- a/crates/frontnode/tests/maintenance.rs
+++ b/crates/frontnode/tests/maintenance.rs
@@ -37,8 +37,8 @@
     entry.and_then(|e| e["stage"].as_str()).unwrap_or_default().to_owned()
 }
 
-/// Returns all events that the nodes know, by version. Checks that all nodes agree and that no two machines are out at the
-/// same time, as any two of the three machines share a shard here.
+/// Returns all events that the nodes know, by version. Checks that all nodes agree and that no two machines are out at
+/// the same time, as any two of the three machines share a shard here.
 fn audited(f: &Fleet, nodes: &[usize]) -> Vec<(u64, String, String)> {
     let mut all: BTreeMap<u64, Vec<(String, String)>> = BTreeMap::new();
     for &node in nodes {
@@ -76,9 +76,9 @@
     events.iter().filter(|(_, m, e)| m == machine && e == event).count()
 }
 
-/// Maintenance of two machines with a common shard is requested at the same time at two followers, over links that lose a
-/// fifth of the datagrams, and the leader is killed while it admits one. One machine is drained by all nodes and goes out;
-/// the other follows only once the first is warm again. No request is lost or executed twice.
+/// Maintenance of two machines with a common shard is requested at the same time at two followers, over links that lose
+/// a fifth of the datagrams, and the leader is killed while it admits one. One machine is drained by all nodes and goes
+/// out; the other follows only once the first is warm again. No request is lost or executed twice.
 #[test]
 fn two_machines_with_a_common_shard_go_out_in_turn_although_the_leader_is_killed() {
     const NODES: usize = 5;
@@ -125,8 +125,8 @@
     assert_eq!(f.ask(killed, "r", "c2"), 200, "the killed node serves again and knows the queue");
 }
 
-/// A member and a follower are partitioned from the others. Their side admits no machine; the other side continues. Once
-/// the partition heals, all nodes have the same queue.
+/// A member and a follower are partitioned from the others. Their side admits no machine; the other side continues.
+/// Once the partition heals, all nodes have the same queue.
 #[test]
 fn only_the_side_of_a_partition_with_a_majority_of_the_group_admits_machines() {
     const NODES: usize = 5;
--- a/crates/frontnode/tests/node_group/faults.rs
+++ b/crates/frontnode/tests/node_group/faults.rs
@@ -1,5 +1,5 @@
-//! Faults between the nodes of a fleet and their effects: retries beyond the fleet's budget, and the time until a verdict
-//! has reached all nodes.
+//! Faults between the nodes of a fleet and their effects: retries beyond the fleet's budget, and the time until a
+//! verdict has reached all nodes.
 
 use std::net::UdpSocket;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering::Relaxed};
@@ -59,8 +59,8 @@
     GroupFault { name: "a node flooded", flooded: true, ..WELL },
 ];
 
-/// Returns the maximum number of retries of all nodes in `took` seconds: `n + B · (t + burst)`, with a burst of one second.
-/// A restarted node starts empty, with at most one saved attempt.
+/// Returns the maximum number of retries of all nodes in `took` seconds: `n + B · (t + burst)`, with a burst of one
+/// second. A restarted node starts empty, with at most one saved attempt.
 pub fn bound(fault: GroupFault, took: f64) -> f64 {
     (NODES + usize::from(fault.restarted)) as f64 + RETRIES * (took + 1.0)
 }
@@ -84,7 +84,8 @@
     f
 }
 
-/// Sends datagrams to node 0 until `over` is set: some are unreadable, some claim to come from a peer and are truncated.
+/// Sends datagrams to node 0 until `over` is set: some are unreadable, some claim to come from a peer and are
+/// truncated.
 fn flood(f: &Fleet, over: &AtomicBool) {
     let to = f.relay.faults().targets[0].expect("node 0 listens");
     let socket = UdpSocket::bind("127.0.0.1:0").unwrap();
--- a/crates/frontnode/tests/node_group/mod.rs
+++ b/crates/frontnode/tests/node_group/mod.rs
@@ -1,5 +1,5 @@
-//! Several front node processes whose datagrams pass through a relay that drops, duplicates, delays and partitions them as
-//! a test or bench requests. Index servers are emulated. Tests do not sleep; each waits for an expected state.
+//! Several front node processes whose datagrams pass through a relay that drops, duplicates, delays and partitions them
+//! as a test or bench requests. Index servers are emulated. Tests do not sleep; each waits for an expected state.
 #![allow(dead_code)]
 
 pub mod faults;
@@ -53,8 +53,9 @@
     }
 }
 
-/// Returns the parent directory of logbooks, in memory if the system provides one: results of tests must not depend on the
-/// time that a disk needs to sync while a build runs. Nodes are killed by a signal, which loses nothing that was written.
+/// Returns the parent directory of logbooks, in memory if the system provides one: results of tests must not depend on
+/// the time that a disk needs to sync while a build runs. Nodes are killed by a signal, which loses nothing that was
+/// written.
 fn memory() -> &'static str {
     let shared = "/dev/shm";
     if std::path::Path::new(shared).is_dir() { shared } else { env!("CARGO_TARGET_TMPDIR") }
--- a/crates/frontnode/tests/search.rs
+++ b/crates/frontnode/tests/search.rs
@@ -1,5 +1,5 @@
-//! The search API for clients and for replicas, on a node process with emulated index servers. No test sleeps: each waits
-//! for expected events, and the timeouts only end a test that has failed.
+//! The search API for clients and for replicas, on a node process with emulated index servers. No test sleeps: each
+//! waits for expected events, and the timeouts only end a test that has failed.
 
 mod search_node;
 
--- a/crates/frontnode/tests/search_node/mod.rs
+++ b/crates/frontnode/tests/search_node/mod.rs
@@ -167,7 +167,8 @@
         Harness::open_with(test_name, 2, flavors, &format!("[pool]\nconnections = 64\n{more}"), 1024)
     }
 
-    /// Opens a harness. `flavors` are those of the stores; stores whose flavor begins with `os` speak the search protocol.
+    /// Opens a harness. `flavors` are those of the stores; stores whose flavor begins with `os` speak the search
+    /// protocol.
     pub fn open(test_name: &str, reach: usize, flavors: [&str; SLICES], more: &str) -> Harness {
         Harness::open_with(test_name, reach, flavors, more, 128)
     }
--- a/crates/frontnode/tests/sockets/support.rs
+++ b/crates/frontnode/tests/sockets/support.rs
@@ -84,7 +84,8 @@
         Harness::open_with(test_name, replicas, settings(replicas))
     }
 
-    /// Opens a harness where two replicas hold shard 0. They share an address, as the first attempt goes to a random one.
+    /// Opens a harness where two replicas hold shard 0. They share an address, as the first attempt goes to a random
+    /// one.
     pub fn open_pair(test_name: &str) -> Harness {
         let mut settings = settings(2);
         settings["extra"]["reach"] = json!(2);
@@ -161,8 +162,8 @@
     /// Pauses the node until [`Harness::resume`]. It is stopped when this function returns.
     ///
     /// The node is paused while it waits for events: paused within a round, it would continue with the events collected
-    /// before, at a later time. The signal alone is not sufficient: on a busy machine the node, woken by the signal, may
-    /// still collect arriving events before it stops.
+    /// before, at a later time. The signal alone is not sufficient: on a busy machine the node, woken by the signal,
+    /// may still collect arriving events before it stops.
     pub fn pause(&self) {
         let pid = Pid::from_child(&self.child);
         let stat = format!("/proc/{pid}/stat");
@@ -184,8 +185,8 @@
         self.signal("CONT");
     }
 
-    /// Closes a client's connection and waits until the node's system has received the end of the stream. A child process
-    /// that another test starts holds a copy of the connection until it executes its program.
+    /// Closes a client's connection and waits until the node's system has received the end of the stream. A child
+    /// process that another test starts holds a copy of the connection until it executes its program.
     pub fn disconnect(&self, client: Peer) {
         let client_port = client.stream.local_addr().unwrap().port();
         drop(client);
@@ -207,8 +208,9 @@
         state.is_none_or(|state| state == CLOSE_WAIT)
     }
 
-    /// Refuses connections to a replica until the returned socket, which keeps its port reserved, is dropped. The listener
-    /// is shut down first, as a child process that another test starts holds a copy of it until it executes its program.
+    /// Refuses connections to a replica until the returned socket, which keeps its port reserved, is dropped. The
+    /// listener is shut down first, as a child process that another test starts holds a copy of it until it executes
+    /// its program.
     pub fn refuse_connections(&mut self, n: usize) -> Socket {
         let listener = self.replicas.remove(n);
         let address = listener.local_addr().unwrap();
@@ -409,8 +411,8 @@
     settings
 }
 
-/// Opens a harness with one replica that holds many shards, long latency targets, and capacity for hundreds of clients and
-/// shard requests.
+/// Opens a harness with one replica that holds many shards, long latency targets, and capacity for hundreds of clients
+/// and shard requests.
 pub fn open_wide(test_name: &str, sockets: usize) -> Harness {
     let mut settings = settings(1);
     settings["limits"]["connIdleNs"] = json!(60_000_000_000u64);
