--- a/crates/frontnode/benches/archive.rs
+++ b/crates/frontnode/benches/archive.rs
@@ -6,20 +6,20 @@
 
 mod play;
 
-use play::Figures;
+use play::Measurement;
 use search_node::FRAMES;
 
 fn main() {
     let rounds: usize = std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(6);
     let mut both = [
-        Figures::new("logbook off", true, FRAMES, ""),
-        Figures::new("logbook on", true, FRAMES, "# logbook\n"),
+        Measurement::new("logbook off", true, FRAMES, ""),
+        Measurement::new("logbook on", true, FRAMES, "# logbook\n"),
     ];
-    both.iter().for_each(|figures| drop(figures.harness.news()));
+    both.iter().for_each(|figures| drop(figures.harness.publish_constantly()));
     let mut longest = [Vec::new(), Vec::new()];
     for round in 0..rounds {
         for (figures, longest) in both.iter_mut().zip(&mut longest) {
-            figures.turn(round);
+            figures.run_turn(round);
             longest.push(figures.harness.gauge("round_p99_us"));
         }
     }
@@ -31,7 +31,7 @@
         println!(
             "| {} | {:.0} | {:.2} | {:.2} | {} to {}, middle {} | {} |",
             f.name,
-            f.done as f64 / f.processor,
+            f.done as f64 / f.processor_seconds,
             ms(0.5),
             ms(0.99),
             longest[0],
--- a/crates/frontnode/benches/coldstart.rs
+++ b/crates/frontnode/benches/coldstart.rs
@@ -16,29 +16,29 @@
 /// The configured rate of requests to discovery per second.
 const RATE: f64 = 2.0;
 
-struct Played {
+struct RunResult {
     /// Requests for complete lists: in total, and the maximum within a second.
-    asks: (usize, usize),
-    /// The time until every node had a list, in seconds.
-    all_serve: Duration,
+    list_requests: (usize, usize),
+    /// The time until every node had a list.
+    time_to_serve: Duration,
     /// Shard requests and health checks at the newly started store in each second.
-    at_cold: Vec<usize>,
+    cold_store_load: Vec<usize>,
     answered: (usize, usize),
 }
 
-fn play(nodes: usize, on: bool) -> Played {
+fn run_nodes(nodes: usize, on: bool) -> RunResult {
     let mut options = FleetOptions::of(nodes);
     (options.fleet, options.known, options.discovery) = (on, false, Behavior::Normal);
     (options.started_ms, options.cold_ms) = (vec![(0, 0)], 20_000);
     options.coldstart = on.then(|| format!("fetches_a_second = {RATE}\n"));
-    let began = Instant::now();
+    let started = Instant::now();
     let f = Fleet::open(&format!("coldbench-{nodes}-{on}"), &options);
-    let (answered, all_serve) = (Mutex::new((0, 0)), Mutex::new(None));
-    let mut at_cold = vec![0; SECONDS as usize];
+    let (answered, time_to_serve) = (Mutex::new((0, 0)), Mutex::new(None));
+    let mut cold_store_load = vec![0; SECONDS as usize];
     std::thread::scope(|scope| {
         scope.spawn(|| {
-            f.until("all have a list", |f| (0..nodes).all(|n| f.serves(n)));
-            *all_serve.lock().unwrap() = Some(began.elapsed());
+            f.wait_until("all have a list", |f| (0..nodes).all(|n| f.serves(n)));
+            *time_to_serve.lock().unwrap() = Some(started.elapsed());
         });
         for node in 0..nodes {
             let (f, answered) = (&f, &answered);
@@ -46,12 +46,12 @@
                 // Each node sends one query every two seconds; the nodes start at different moments.
                 let offset = Duration::from_millis(2000 * node as u64 / nodes as u64);
                 let mut n = 0;
-                while began.elapsed() < Duration::from_secs(SECONDS) {
+                while started.elapsed() < Duration::from_secs(SECONDS) {
                     let next = offset + Duration::from_secs(2 * n);
-                    if let Some(wait) = next.checked_sub(began.elapsed()) {
+                    if let Some(wait) = next.checked_sub(started.elapsed()) {
                         std::thread::sleep(wait);
                     }
-                    let status = f.ask(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
+                    let status = f.query(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
                     let mut answered = answered.lock().unwrap();
                     *answered = (answered.0 + usize::from(status == 200), answered.1 + 1);
                     n += 1;
@@ -60,20 +60,20 @@
         }
         let (mut second, mut before) = (0, 0);
         while second < SECONDS as usize {
-            if began.elapsed() >= Duration::from_secs(second as u64 + 1) {
-                let seen = f.stores[0].observations();
-                let total = seen.payloads.len() + seen.health_checks;
-                (at_cold[second], before) = (total - before, total);
+            if started.elapsed() >= Duration::from_secs(second as u64 + 1) {
+                let received = f.stores[0].observations();
+                let total = received.payloads.len() + received.health_checks;
+                (cold_store_load[second], before) = (total - before, total);
                 second += 1;
             }
             std::thread::sleep(Duration::from_millis(2));
         }
     });
-    let asks = f.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
-    let (most, answered) =
+    let list_requests = f.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
+    let (max_list_requests, answered) =
         (f.agent.max_first_requests_within(Duration::from_secs(1)), *answered.lock().unwrap());
-    let all_serve = all_serve.lock().unwrap().unwrap_or_default();
-    Played { asks: (asks, most), all_serve, at_cold, answered }
+    let time_to_serve = time_to_serve.lock().unwrap().unwrap_or_default();
+    RunResult { list_requests: (list_requests, max_list_requests), time_to_serve, cold_store_load, answered }
 }
 
 fn main() {
@@ -86,19 +86,19 @@
     println!("| --- | --- | --- | --- | --- | --- | --- |");
     for nodes in [8, 16, 32, 48] {
         for on in [false, true] {
-            let p = play(nodes, on);
-            let each: Vec<String> = p.at_cold.iter().map(usize::to_string).collect();
+            let p = run_nodes(nodes, on);
+            let each: Vec<String> = p.cold_store_load.iter().map(usize::to_string).collect();
             println!(
                 "| {nodes} | {} | {} | {} | {:.2} | {} | {} of {} |",
                 if on { "on" } else { "off" },
-                p.asks.0,
-                p.asks.1,
-                p.all_serve.as_secs_f64(),
+                p.list_requests.0,
+                p.list_requests.1,
+                p.time_to_serve.as_secs_f64(),
                 each.join(", "),
                 p.answered.0,
                 p.answered.1
             );
-            lines[usize::from(on)].push((nodes as f64, p.asks.1 as f64));
+            lines[usize::from(on)].push((nodes as f64, p.list_requests.1 as f64));
         }
     }
     if let Some(dir) = dir {
--- a/crates/frontnode/benches/doors.rs
+++ b/crates/frontnode/benches/doors.rs
@@ -7,29 +7,29 @@
 
 mod play;
 
-use play::{Figures, resident_kb};
+use play::{Measurement, resident_kb};
 use search_node::{FRAMES, OS};
 
 fn main() {
     // Cargo adds its own flags.
     let rounds = std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(5);
     let mut all = [
-        Figures::new("own door, frames", true, FRAMES, ""),
-        Figures::new("search door, frames", false, FRAMES, ""),
-        Figures::new("own door, search", true, OS, ""),
-        Figures::new("search door, search", false, OS, ""),
+        Measurement::new("own door, frames", true, FRAMES, ""),
+        Measurement::new("search door, frames", false, FRAMES, ""),
+        Measurement::new("own door, search", true, OS, ""),
+        Measurement::new("search door, search", false, OS, ""),
     ];
     for round in 0..rounds {
         eprintln!("round {} of {rounds}", round + 1);
-        all.iter_mut().for_each(|figures| figures.turn(round));
+        all.iter_mut().for_each(|figures| figures.run_turn(round));
     }
     println!(
         "| door, wire | a processor second | a second | p50 ms | p99 ms | highest memory MB | of own door, frames |"
     );
     println!("| --- | --- | --- | --- | --- | --- | --- |");
-    let base = all[0].done as f64 / all[0].processor;
+    let base = all[0].done as f64 / all[0].processor_seconds;
     for f in &all {
-        let rate = f.done as f64 / f.processor;
+        let rate = f.done as f64 / f.processor_seconds;
         let ms = |q| f.latencies.value_at_quantile(q) as f64 / 1e3;
         println!(
             "| {} | {rate:.0} | {:.0} | {:.2} | {:.2} | {:.1} | {:.2} |",
--- a/crates/frontnode/benches/faults.rs
+++ b/crates/frontnode/benches/faults.rs
@@ -7,7 +7,9 @@
 
 use std::time::Duration;
 
-use node_group::faults::{ALL, GOSSIP, NODES, TOLD, bound, overshoot, staleness};
+use node_group::faults::{
+    ALL, GOSSIP_FANOUT, GOSSIP_INTERVAL_S, NODES, bound, retries_under_fault, verdict_delay,
+};
 
 fn main() {
     println!(
@@ -15,18 +17,18 @@
     );
     println!("| --- | --- | --- | --- | --- | --- |");
     for fault in ALL {
-        let (further, took) = overshoot(fault, Duration::from_secs(4));
-        let most = bound(fault, took);
-        let mut stale: Vec<f64> = (0..3).map(|_| staleness(fault)).collect();
+        let (retries, elapsed) = retries_under_fault(fault, Duration::from_secs(4));
+        let max_retries = bound(fault, elapsed);
+        let mut stale: Vec<f64> = (0..3).map(|_| verdict_delay(fault)).collect();
         stale.sort_by(f64::total_cmp);
-        let n = if fault.cut { 3.0 } else { NODES as f64 };
-        let told = TOLD * (1.0 - fault.loss);
-        let period = GOSSIP + (fault.delay_ms as f64 + fault.jitter_ms as f64 / 2.0) / 1000.0;
-        let formula = period * (n.ln() / (told + 1.0).ln() + n.ln() / told);
+        let n = if fault.partitioned { 3.0 } else { NODES as f64 };
+        let fanout = GOSSIP_FANOUT * (1.0 - fault.loss);
+        let period = GOSSIP_INTERVAL_S + (fault.delay_ms as f64 + fault.jitter_ms as f64 / 2.0) / 1000.0;
+        let formula = period * (n.ln() / (fanout + 1.0).ln() + n.ln() / fanout);
         println!(
-            "| {} | {further} | {took:.1} | {most:.0} | {:.2} to {:.2} | {formula:.2} |",
+            "| {} | {retries} | {elapsed:.1} | {max_retries:.0} | {:.2} to {:.2} | {formula:.2} |",
             fault.name, stale[0], stale[2]
         );
-        assert!((further as f64) <= most, "over the bound");
+        assert!((retries as f64) <= max_retries, "over the bound");
     }
 }
--- a/crates/frontnode/benches/fleet.rs
+++ b/crates/frontnode/benches/fleet.rs
@@ -14,16 +14,16 @@
 
 /// Returns the shard requests at the store in slow start in each second, those at all stores, and the numbers of
 /// queries answered with 200 and of all queries.
-fn play(nodes: usize, fleet: bool) -> (Vec<usize>, usize, (usize, usize)) {
+fn run_nodes(nodes: usize, fleet: bool) -> (Vec<usize>, usize, (usize, usize)) {
     let mut options = FleetOptions::of(nodes);
     (options.fleet, options.started_ms, options.cold_ms) = (fleet, vec![(0, 0)], 20_000);
     let f = Fleet::open(&format!("cold-{nodes}-{fleet}"), &options);
     if fleet {
-        f.until("all know each other", |f| {
+        f.wait_until("all nodes know each other", |f| {
             (0..nodes).all(|n| f.gauge(n, "fleet_peers") as usize == nodes - 1)
         });
     }
-    let began = Instant::now();
+    let started = Instant::now();
     let mut at_cold = vec![0; SECONDS as usize];
     let answered = std::sync::Mutex::new((0, 0));
     std::thread::scope(|scope| {
@@ -33,12 +33,12 @@
                 // Each node sends one query every two seconds; the nodes start at different moments.
                 let offset = Duration::from_millis(2000 * node as u64 / nodes as u64);
                 let mut n = 0;
-                while began.elapsed() < Duration::from_secs(SECONDS) {
+                while started.elapsed() < Duration::from_secs(SECONDS) {
                     let next = offset + Duration::from_secs(2 * n);
-                    if let Some(wait) = next.checked_sub(began.elapsed()) {
+                    if let Some(wait) = next.checked_sub(started.elapsed()) {
                         std::thread::sleep(wait);
                     }
-                    let status = f.ask(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
+                    let status = f.query(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
                     let mut answered = answered.lock().unwrap();
                     *answered = (answered.0 + usize::from(status == 200), answered.1 + 1);
                     n += 1;
@@ -47,7 +47,7 @@
         }
         let mut second = 0;
         while second < SECONDS as usize {
-            if began.elapsed() >= Duration::from_secs(second as u64 + 1) {
+            if started.elapsed() >= Duration::from_secs(second as u64 + 1) {
                 at_cold[second] = f.stores[0].observations().payloads.len();
                 second += 1;
             }
@@ -70,10 +70,10 @@
     println!("| --- | --- | --- | --- | --- |");
     for nodes in [4, 8, 16, 24] {
         for fleet in [false, true] {
-            let (each, all, (whole, asked)) = play(nodes, fleet);
+            let (each, all, (whole, requests)) = run_nodes(nodes, fleet);
             let each: Vec<String> = each.iter().map(usize::to_string).collect();
             let on = if fleet { "on" } else { "off" };
-            println!("| {nodes} | {on} | {} | {all} | {whole} of {asked} |", each.join(", "));
+            println!("| {nodes} | {on} | {} | {all} | {whole} of {requests} |", each.join(", "));
         }
     }
 }
--- a/crates/frontnode/benches/play/mod.rs
+++ b/crates/frontnode/benches/play/mod.rs
@@ -5,14 +5,14 @@
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
 
-use super::search_node::{Harness, SLICES};
+use super::search_node::{Harness, SHARDS};
 use hdrhistogram::Histogram;
 use serde_json::json;
 
 pub const CLIENTS: usize = 24;
 const TURN: Duration = Duration::from_millis(1500);
 
-pub struct Figures {
+pub struct Measurement {
     pub name: &'static str,
     pub harness: Harness,
     /// The request that each client sends; requests of the own protocol also get an id.
@@ -21,14 +21,14 @@
     pub latencies: Histogram<u64>,
     pub done: u64,
     pub seconds: f64,
-    pub processor: f64,
+    pub processor_seconds: f64,
     /// The values of each turn.
     pub rates: Vec<f64>,
 }
 
 /// Returns the processor time that a process has used, in seconds: fields 14 and 15 of its stat, 100 per second on
 /// Linux.
-fn processor(harness: &Harness) -> f64 {
+fn processor_seconds(harness: &Harness) -> f64 {
     let stat = std::fs::read_to_string(format!("/proc/{}/stat", harness.child.id())).unwrap();
     let after = stat.rsplit_once(") ").unwrap().1;
     let ticks: u64 = after.split(' ').skip(11).take(2).map(|t| t.parse::<u64>().unwrap()).sum();
@@ -41,8 +41,8 @@
     line.split_whitespace().nth(1).unwrap().parse().unwrap()
 }
 
-impl Figures {
-    pub fn new(name: &'static str, own: bool, flavors: [&str; SLICES], more: &str) -> Figures {
+impl Measurement {
+    pub fn new(name: &'static str, own: bool, flavors: [&str; SHARDS], more: &str) -> Measurement {
         let harness = Harness::open_wide(&name.replace([' ', ','], "-"), flavors, more);
         harness.fill("jobs", 90);
         let asked = json!({"query": {"bool": {"must": {"match": {"notes": "piano"}},
@@ -58,13 +58,13 @@
             )
             .unwrap();
             let slices: Vec<_> =
-                (0..SLICES).map(|s| json!({"slice": s, "mass": 1.0 / SLICES as f64})).collect();
+                (0..SHARDS).map(|s| json!({"slice": s, "mass": 1.0 / SHARDS as f64})).collect();
             json!({"slices": slices, "filter": search.canonical()}).to_string()
         } else {
             asked.to_string()
         };
         let latencies = Histogram::new(3).unwrap();
-        Figures {
+        Measurement {
             name,
             harness,
             own,
@@ -72,7 +72,7 @@
             latencies,
             done: 0,
             seconds: 0.0,
-            processor: 0.0,
+            processor_seconds: 0.0,
             rates: Vec::new(),
         }
     }
@@ -89,20 +89,20 @@
         format!("{head}Content-Length: {length}\r\n\r\n{}", self.body)
     }
 
-    pub fn turn(&mut self, turn: usize) {
-        let (began, before) = (Instant::now(), processor(&self.harness));
+    pub fn run_turn(&mut self, turn: usize) {
+        let (started, before) = (Instant::now(), processor_seconds(&self.harness));
         let this = &*self;
-        let taken: Vec<Vec<u64>> = std::thread::scope(|scope| {
-            let client = |n: usize| move || this.client(n, turn, began + TURN);
+        let latencies: Vec<Vec<u64>> = std::thread::scope(|scope| {
+            let client = |n: usize| move || this.client(n, turn, started + TURN);
             let clients: Vec<_> = (0..CLIENTS).map(|n| scope.spawn(client(n))).collect();
             clients.into_iter().map(|client| client.join().unwrap()).collect()
         });
-        let (seconds, used) = (began.elapsed().as_secs_f64(), processor(&self.harness) - before);
-        let done = taken.iter().map(Vec::len).sum::<usize>();
-        taken.into_iter().flatten().for_each(|micros| self.latencies.record(micros).unwrap());
+        let (seconds, used) = (started.elapsed().as_secs_f64(), processor_seconds(&self.harness) - before);
+        let done = latencies.iter().map(Vec::len).sum::<usize>();
+        latencies.into_iter().flatten().for_each(|micros| self.latencies.record(micros).unwrap());
         self.done += done as u64;
         self.seconds += seconds;
-        self.processor += used;
+        self.processor_seconds += used;
         self.rates.push(done as f64 / used);
     }
 
@@ -110,10 +110,10 @@
     fn client(&self, n: usize, turn: usize, end: Instant) -> Vec<u64> {
         let mut stream = TcpStream::connect(self.harness.node).unwrap();
         stream.set_nodelay(true).unwrap();
-        let (mut taken, mut inbox, mut buffer) = (Vec::new(), Vec::new(), vec![0; 64 << 10]);
+        let (mut latencies, mut inbox, mut buffer) = (Vec::new(), Vec::new(), vec![0; 64 << 10]);
         while Instant::now() < end {
-            let request = self.request(&format!("{turn}-{n}-{}", taken.len()));
-            let began = Instant::now();
+            let request = self.request(&format!("{turn}-{n}-{}", latencies.len()));
+            let started = Instant::now();
             stream.write_all(request.as_bytes()).unwrap();
             loop {
                 let length = stream.read(&mut buffer).unwrap();
@@ -129,8 +129,8 @@
                     break;
                 }
             }
-            taken.push(began.elapsed().as_micros() as u64);
+            latencies.push(started.elapsed().as_micros() as u64);
         }
-        taken
+        latencies
     }
 }
--- a/crates/frontnode/src/clients/tests.rs
+++ b/crates/frontnode/src/clients/tests.rs
@@ -11,7 +11,7 @@
 use crate::metrics::Metrics;
 
 const MS: Nanos = 1_000_000;
-const TOO_LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The client connections of a node without the rest of the node.
 struct Fixture {
@@ -72,7 +72,7 @@
     fn wait_for(&mut self, source: EventSource) {
         while !self.ready.ready.iter().any(|event| event.source == source) {
             let before = self.ready.ready.len();
-            self.events.dispatch(TOO_LONG, &mut self.ready).unwrap();
+            self.events.dispatch(TIMEOUT, &mut self.ready).unwrap();
             assert!(self.ready.ready.len() > before, "{source:?} is not ready");
         }
         self.ready.ready.clear();
@@ -92,11 +92,11 @@
 #[test]
 fn a_client_with_an_unseen_request_is_not_evicted_for_newcomers_in_later_rounds() {
     let mut fixture = Fixture::new(1);
-    let mut usual = fixture.connect();
+    let mut regular = fixture.connect();
     fixture.wait_for(EventSource::Listener);
     fixture.accept(1);
     let keys = fixture.keys();
-    usual.write_all(b"GET /_health HTTP/1.1\r\n\r\n").unwrap();
+    regular.write_all(b"GET /_health HTTP/1.1\r\n\r\n").unwrap();
     fixture.wait_for(EventSource::Client(keys[0]));
     let _newcomer = fixture.connect();
     fixture.wait_for(EventSource::Listener);
--- a/crates/frontnode/src/cold_start.rs
+++ b/crates/frontnode/src/cold_start.rs
@@ -160,19 +160,19 @@
     #[display("{_0}")]
     Json(serde_json::Error),
     #[from(ignore)]
-    #[display("{_0} replicas")]
-    TooLong(#[error(not(source))] usize),
-    #[display("a cell out of range")]
-    Cell,
+    #[display("too many replicas: {_0}")]
+    TooManyEndpoints(#[error(not(source))] usize),
+    #[display("the number of a cell is out of range")]
+    CellOutOfRange,
 }
 
 fn parse_list(bytes: &[u8]) -> Result<Vec<Endpoint>, PeerListError> {
     let endpoints: Vec<Endpoint> = serde_json::from_slice(bytes)?;
     if endpoints.len() > MAX_ENDPOINTS {
-        return Err(PeerListError::TooLong(endpoints.len()));
+        return Err(PeerListError::TooManyEndpoints(endpoints.len()));
     }
     if endpoints.iter().any(|endpoint| endpoint.cell >= MAX_CELLS) {
-        return Err(PeerListError::Cell);
+        return Err(PeerListError::CellOutOfRange);
     }
     Ok(endpoints)
 }
--- a/crates/frontnode/src/connection_pool.rs
+++ b/crates/frontnode/src/connection_pool.rs
@@ -269,11 +269,11 @@
         let elapsed = now.saturating_sub(self.close_allowance_at).max(0);
         self.close_allowance = self.close_allowance.saturating_add(elapsed).min(self.settings.close_budget);
         self.close_allowance_at = now;
-        let enough = self.close_allowance >= self.settings.close_cost;
-        if enough {
+        let can_close = self.close_allowance >= self.settings.close_cost;
+        if can_close {
             self.close_allowance -= self.settings.close_cost;
         }
-        enough
+        can_close
     }
 
     /// Takes all queued shard requests: the replica drains or is gone, and nothing new may be sent to it.
--- a/crates/frontnode/src/connection_pool/tests.rs
+++ b/crates/frontnode/src/connection_pool/tests.rs
@@ -52,10 +52,13 @@
     };
     assert!(pool.needs_connection(Capacity { reserved: 5, ..capacity(2) }), "one of eight is spare");
     assert!(!pool.needs_connection(Capacity { reserved: 6, ..capacity(2) }));
-    let mut late = self::pool(8);
-    late.place(1);
-    assert!(late.needs_connection(Capacity { reserved: 4, ..capacity(6) }), "its fair share is available");
-    assert_eq!(late.reserved(capacity(6)), 2);
+    let mut other_pool = self::pool(8);
+    other_pool.place(1);
+    assert!(
+        other_pool.needs_connection(Capacity { reserved: 4, ..capacity(6) }),
+        "its fair share is available"
+    );
+    assert_eq!(other_pool.reserved(capacity(6)), 2);
 }
 
 #[test]
--- a/crates/frontnode/src/discovery.rs
+++ b/crates/frontnode/src/discovery.rs
@@ -52,14 +52,14 @@
     Status(#[error(not(source))] u16),
     #[display("{_0}")]
     List(EndpointListError),
-    #[display("an answer that was not asked for")]
+    #[display("unexpected response")]
     Unexpected,
-    #[display("an answer without end")]
-    Endless,
-    #[display("closed by the agent")]
+    #[display("the response is too long")]
+    TooLong,
+    #[display("connection closed by the agent")]
     Closed,
-    #[display("no answer")]
-    NoAnswer,
+    #[display("no response in time")]
+    TimedOut,
 }
 
 /// The origin of an endpoint list, which decides how far the list is trusted.
@@ -468,16 +468,16 @@
                 context.metrics.bad_endpoint_lists += 1;
                 self.call_failed(&error, aggregator_state, context);
             }
-            Ok(Some(answer)) if self.in_flight => {
-                stream.consume(answer.length);
-                if !answer.keeps_alive || !matches!(filled, Ok(true)) {
+            Ok(Some(response)) if self.in_flight => {
+                stream.consume(response.length);
+                if !response.keeps_alive || !matches!(filled, Ok(true)) {
                     self.stream = None;
                 }
                 (self.in_flight, self.misses) = (false, 0);
                 context.metrics.endpoint_lists += 1;
-                let revision = answer.list.revision;
+                let revision = response.list.revision;
                 self.apply_list(
-                    answer.list,
+                    response.list,
                     &ListOrigin::Discovery,
                     connections,
                     queries,
@@ -491,7 +491,7 @@
             }
             Ok(Some(_)) => self.call_failed(&CallError::Unexpected, aggregator_state, context),
             Ok(None) => match filled {
-                Ok(true) if stream.unread => self.call_failed(&CallError::Endless, aggregator_state, context),
+                Ok(true) if stream.unread => self.call_failed(&CallError::TooLong, aggregator_state, context),
                 Ok(true) => {}
                 Ok(false) => self.call_failed(&CallError::Closed, aggregator_state, context),
                 Err(error) => self.call_failed(&error.into(), aggregator_state, context),
@@ -503,7 +503,7 @@
     pub fn timer_due(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         self.timer = None;
         if self.in_flight {
-            self.retry_later(&CallError::NoAnswer, true, aggregator_state, context);
+            self.retry_later(&CallError::TimedOut, true, aggregator_state, context);
         } else {
             self.request_list(aggregator_state, context);
         }
@@ -548,7 +548,7 @@
 }
 
 /// A parsed response of discovery.
-struct Answer {
+struct ListResponse {
     list: EndpointList,
     /// The length of the response in the buffer, in bytes.
     length: usize,
@@ -556,11 +556,11 @@
 }
 
 /// Parses the first response of a buffer. Returns `None` while more bytes are needed.
-fn read_list(buffer: &[u8]) -> Result<Option<Answer>, CallError> {
+fn read_list(buffer: &[u8]) -> Result<Option<ListResponse>, CallError> {
     let Some(message) = http::parse_response(buffer)? else { return Ok(None) };
     if message.status != 200 {
         return Err(CallError::Status(message.status));
     }
     let list = membership::read(&message.body)?;
-    Ok(Some(Answer { list, length: message.length, keeps_alive: message.keeps_alive }))
+    Ok(Some(ListResponse { list, length: message.length, keeps_alive: message.keeps_alive }))
 }
--- a/crates/frontnode/src/persistence.rs
+++ b/crates/frontnode/src/persistence.rs
@@ -408,7 +408,7 @@
     /// Returns the gauges for `/metrics`.
     pub fn gauges(&self) -> Vec<Gauge> {
         let counts = self.writer.counters();
-        let of = |count: &std::sync::atomic::AtomicU64| count.load(Relaxed) as usize;
+        let value = |count: &std::sync::atomic::AtomicU64| count.load(Relaxed) as usize;
         vec![
             Gauge::new("logbook_keys", "keys in the logbook", self.writer.snapshot().len()),
             Gauge::new(
@@ -416,16 +416,16 @@
                 "keys whose state waits for room in the queue",
                 self.handle.buffered_keys(),
             ),
-            Gauge::new("logbook_batches", "batches written since the start", of(&counts.batches)),
-            Gauge::new("logbook_syncs", "syncs since the start", of(&counts.syncs)),
-            Gauge::new("logbook_faults", "writes, syncs and merges that failed", of(&counts.errors)),
+            Gauge::new("logbook_batches", "batches written since the start", value(&counts.batches)),
+            Gauge::new("logbook_syncs", "syncs since the start", value(&counts.syncs)),
+            Gauge::new("logbook_faults", "writes, syncs and merges that failed", value(&counts.errors)),
             Gauge::new(
                 "logbook_merged",
                 "states that a later one replaced before they were written",
-                of(&counts.coalesced),
+                value(&counts.coalesced),
             ),
-            Gauge::new("logbook_refused", "batches and states that found no room", of(&counts.rejected)),
-            Gauge::new("logbook_compactions", "runs of segments merged", of(&counts.compactions)),
+            Gauge::new("logbook_refused", "batches and states that found no room", value(&counts.rejected)),
+            Gauge::new("logbook_compactions", "runs of segments merged", value(&counts.compactions)),
         ]
     }
 
@@ -445,7 +445,7 @@
     }
     if let Some(Corruption { segment, offset }) = found.corruption {
         log!(
-            "logbook: {segment:016x}.seg is damaged at byte {offset}; kept aside: {}",
+            "logbook: {segment:016x}.seg is damaged at byte {offset}; quarantined files: {}",
             found.quarantined.join(", ")
         );
     }
--- a/crates/frontnode/tests/cold_start.rs
+++ b/crates/frontnode/tests/cold_start.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use node_group::{Fleet, FleetOptions, SLICES};
+use node_group::{Fleet, FleetOptions, SHARDS};
 use orchidvalve_test_store::discovery::Behavior;
 
 const HOUR: Duration = Duration::from_secs(3600);
@@ -20,20 +20,23 @@
     options.coldstart = Some("fetches_a_second = 0.4\n".to_owned());
     let fleet = Fleet::open("cold-herd", &options);
     {
-        let mut faults = fleet.relay.faults();
+        let mut faults = fleet.fleet_relay.faults();
         (faults.loss, faults.duplication, faults.delay) = (0.3, 0.1, Duration::from_millis(2));
     }
-    fleet.until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
-    let asked = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
+    fleet.wait_until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
+    let requests = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
     let by_peers = (0..NODES).filter(|&n| fleet.gauge(n, "coldstart_adopted") > 0).count();
-    assert!(asked <= NODES / 2 && by_peers >= NODES / 2, "{asked} queried discovery, {by_peers} their peers");
-    assert_eq!(fleet.ask(NODES - 1, "r", "c1"), 200);
+    assert!(
+        requests <= NODES / 2 && by_peers >= NODES / 2,
+        "{requests} queried discovery, {by_peers} their peers"
+    );
+    assert_eq!(fleet.query(NODES - 1, "r", "c1"), 200);
     drop(fleet);
     options.coldstart = None;
     let fleet = Fleet::open("warm-herd", &options);
-    fleet.until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
-    let asked = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
-    assert_eq!(asked, NODES, "without the cold start all nodes query discovery");
+    fleet.wait_until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
+    let requests = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
+    assert_eq!(requests, NODES, "without the cold start all nodes query discovery");
 }
 
 /// All nodes have a new list and a query at the same time, and discovery is unresponsive. Without pacing, all connect
@@ -42,7 +45,7 @@
 #[test]
 fn connections_of_nodes_that_start_together_are_spread_over_their_span() {
     const NODES: usize = 20;
-    let play = |test_name: &str, lines: &str| {
+    let run_nodes = |test_name: &str, lines: &str| {
         let mut options = FleetOptions::of(NODES);
         options.fleet = false;
         options.coldstart = Some(format!("patience_ms = 100\n{lines}"));
@@ -50,10 +53,10 @@
         std::thread::scope(|scope| {
             for node in 0..NODES {
                 let f = &f;
-                scope.spawn(move || f.until("it serves", |f| f.ask(node, "r", "c1") == 200));
+                scope.spawn(move || f.wait_until("it serves", |f| f.query(node, "r", "c1") == 200));
             }
         });
-        f.until("every node has connected to every store", |f| {
+        f.wait_until("every node has connected to every store", |f| {
             f.stores.iter().all(|store| store.observations().connections >= NODES)
         });
         let spans = f.stores.iter().map(|store| {
@@ -64,7 +67,7 @@
         spans.min().unwrap()
     };
     // Twenty random times within four seconds all fall within two seconds once in fifty thousand; the seeds are fixed.
-    let spread = play("cold-spread", "connects_a_second = 5.0\n");
+    let spread = run_nodes("cold-spread", "connects_a_second = 5.0\n");
     assert!(spread > Duration::from_secs(2), "{spread:?}");
 }
 
@@ -77,14 +80,14 @@
     options.fleet = false;
     options.coldstart = Some("patience_ms = 100\nfetches_a_second = 100.0\nmost_wait_ms = 400\n".to_owned());
     let new = Fleet::open("cold-new", &options);
-    assert_eq!(new.ask(0, "r", "c1"), 200);
+    assert_eq!(new.query(0, "r", "c1"), 200);
     let probes: usize = new.stores.iter().map(|s| s.observations().health_checks).sum();
     assert_eq!(probes, 0, "a new list is trusted like a response of discovery");
     drop(new);
     options.written_ago = vec![(0, HOUR), (1, HOUR)];
     let old = Fleet::open("cold-old", &options);
     // A query lasts at most 2 s; queries of the first second may come too early.
-    old.until("it serves within seconds, all the same", |f| f.ask(0, "r", "c1") == 200);
+    old.wait_until("it serves within seconds", |f| f.query(0, "r", "c1") == 200);
     // Past half a minute, an hour is twelve half-lives of five minutes: four unverified steps, eight health checks
     // each.
     for (n, store) in old.stores.iter().enumerate() {
@@ -97,13 +100,17 @@
     }
     old.agent.publish(old.members(&[(0, "draining")]));
     old.agent.set_behavior(Behavior::Normal);
-    old.until("both are told", |f| (0..2).all(|n| f.gauge(n, "coldstart_told") == 1));
-    let before = old.seen(0, "c");
+    old.wait_until("both have a list of discovery", |f| (0..2).all(|n| f.gauge(n, "coldstart_told") == 1));
+    let before = old.received(0, "c");
     for n in 0..20 {
-        assert_eq!(old.ask(n % 2, &format!("d{n}"), "c2"), 200);
+        assert_eq!(old.query(n % 2, &format!("d{n}"), "c2"), 200);
     }
-    assert_eq!(old.seen(0, "c"), before, "a draining store gets no new shard requests once the node knows");
-    assert!(old.seen(1, "c2") > 0);
+    assert_eq!(
+        old.received(0, "c"),
+        before,
+        "a draining store gets no new shard requests once the node knows"
+    );
+    assert!(old.received(1, "c2") > 0);
 }
 
 /// Two nodes have lists of different age, and discovery is unresponsive. The node with the older list takes over the
@@ -114,17 +121,17 @@
     options.coldstart = Some("fresh_s = 600\nhalf_life_s = 600\n".to_owned());
     options.written_ago = vec![(0, 2 * HOUR), (1, HOUR / 2), (2, 3 * HOUR)];
     let fleet = Fleet::open("cold-ages", &options);
-    fleet.relay.partition(&[2], 3);
-    fleet.until("node 0 goes by node 1's list", |f| f.gauge(0, "coldstart_adopted") == 2);
+    fleet.fleet_relay.partition(&[2], 3);
+    fleet.wait_until("node 0 uses the list of node 1", |f| f.gauge(0, "coldstart_adopted") == 2);
     let age = |n: usize| fleet.gauge(n, "coldstart_list_age_ms");
-    let near = |age: u64, of: Duration| age.abs_diff(of.as_millis() as u64) < 60_000;
-    assert!(near(age(0), HOUR / 2), "{} ms", age(0));
+    let is_near = |age: u64, of: Duration| age.abs_diff(of.as_millis() as u64) < 60_000;
+    assert!(is_near(age(0), HOUR / 2), "{} ms", age(0));
     // Node 1 keeps requesting, as its list is old too, but the received lists are not newer.
     assert_eq!(fleet.gauge(1, "coldstart_adopted"), 1);
-    assert!(near(age(1), HOUR / 2), "{} ms", age(1));
-    assert!(near(age(2), 3 * HOUR) && fleet.gauge(2, "coldstart_adopted") == 1, "node 2 is partitioned");
+    assert!(is_near(age(1), HOUR / 2), "{} ms", age(1));
+    assert!(is_near(age(2), 3 * HOUR) && fleet.gauge(2, "coldstart_adopted") == 1, "node 2 is partitioned");
     for n in 0..3 {
-        fleet.until("each serves by what it has", |f| f.ask(n, &format!("r{n}"), "c") == 200);
+        fleet.wait_until("each node serves with its list", |f| f.query(n, &format!("r{n}"), "c") == 200);
     }
 }
 
@@ -137,24 +144,26 @@
         (false, Behavior::Normal, true, false);
     options.coldstart = Some("fetches_a_second = 1.0\n".to_owned());
     let mut fleet = Fleet::open("cold-loop", &options);
-    fleet.until("it was told", |f| f.gauge(0, "coldstart_told") == 1);
-    fleet.until("the disk has it", |f| f.gauge(0, "logbook_syncs") > 0 && f.gauge(0, "logbook_waiting") == 0);
-    fleet.ask(0, "r", "c");
+    fleet.wait_until("it has a list of discovery", |f| f.gauge(0, "coldstart_told") == 1);
+    fleet.wait_until("the list is on disk", |f| {
+        f.gauge(0, "logbook_syncs") > 0 && f.gauge(0, "logbook_waiting") == 0
+    });
+    fleet.query(0, "r", "c");
     let before = fleet.agent.requests().len();
     for n in 1..=8 {
         let lines = fleet.restart(0);
-        let said = lines.iter().find(|l| l.contains("recent starts")).unwrap();
-        assert!(said.contains(&format!(" {n} recent starts")), "{said}");
+        let line = lines.iter().find(|l| l.contains("recent starts")).unwrap();
+        assert!(line.contains(&format!(" {n} recent starts")), "{line}");
         assert!(lines.iter().any(|l| l.contains("remembered on disk")), "{lines:?}");
-        assert_eq!(fleet.ask(0, &format!("r{n}"), "c"), 200, "with the list on disk");
-        fleet.until("the disk has it", |f| {
+        assert_eq!(fleet.query(0, &format!("r{n}"), "c"), 200, "with the list on disk");
+        fleet.wait_until("the list is on disk", |f| {
             f.gauge(0, "logbook_syncs") > 0 && f.gauge(0, "logbook_waiting") == 0
         });
     }
-    let asked = fleet.agent.requests().len() - before;
+    let requests = fleet.agent.requests().len() - before;
     // The watch of the first run ended with that run; a node killed before its slot sent no request.
-    assert!(asked <= 3, "{asked} requests in 8 starts");
-    assert!((0..SLICES).map(|n| fleet.seen(n, "c")).sum::<usize>() >= 8 * SLICES);
+    assert!(requests <= 3, "{requests} requests in 8 starts");
+    assert!((0..SHARDS).map(|n| fleet.received(n, "c")).sum::<usize>() >= 8 * SHARDS);
 }
 
 /// Discovery sends complete lists one at a time, each after a delay: the few nodes that got one pass it on to the
@@ -166,9 +175,9 @@
     (options.known, options.discovery) = (false, Behavior::Slow(Duration::from_millis(700)));
     options.coldstart = Some("fetches_a_second = 0.4\n".to_owned());
     let fleet = Fleet::open("cold-slow", &options);
-    fleet.until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
-    let asked = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
-    assert!(asked <= NODES / 2, "{asked} queried discovery");
+    fleet.wait_until("all have a list", |f| (0..NODES).all(|n| f.serves(n)));
+    let requests = fleet.agent.requests().iter().filter(|a| a.from.unwrap_or(0) == 0).count();
+    assert!(requests <= NODES / 2, "{requests} queried discovery");
 }
 
 /// A replica has just started, and many nodes start with one query each. Without the fleet, each node may send it one
@@ -176,30 +185,30 @@
 #[test]
 fn a_replica_in_slow_start_is_not_flooded_by_nodes_that_start_with_it() {
     const NODES: usize = 24;
-    let play = |on: bool| {
+    let run_nodes = |on: bool| {
         let mut options = FleetOptions::of(NODES);
         (options.fleet, options.known, options.discovery) = (on, true, Behavior::Normal);
         (options.started_ms, options.cold_ms) = (vec![(0, 0)], 60_000);
         options.coldstart = on.then(|| "fetches_a_second = 10.0\n".to_owned());
-        let began = std::time::Instant::now();
+        let started = std::time::Instant::now();
         let fleet = Fleet::open(&format!("cold-store-{on}"), &options);
         std::thread::scope(|scope| {
             for node in 0..NODES {
                 let fleet = &fleet;
                 scope.spawn(move || {
                     for n in 0..3 {
-                        fleet.ask(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
+                        fleet.query(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
                     }
                 });
             }
         });
-        (fleet.seen(0, "c"), began.elapsed().as_secs_f64())
+        (fleet.received(0, "c"), started.elapsed().as_secs_f64())
     };
-    let (alone, _) = play(false);
-    let (shared, took) = play(true);
+    let (unshared, _) = run_nodes(false);
+    let (shared, elapsed) = run_nodes(true);
     // One shard request per second in total; a node whose random initial fraction of a token is almost one is a bit
     // early.
-    let bound = 2.0 + 2.0 * took;
-    assert!(shared as f64 <= bound, "{shared} shard requests in {took:.1} s");
-    assert!(alone as f64 > bound, "without a fleet they send {alone}: the test would show nothing");
+    let bound = 2.0 + 2.0 * elapsed;
+    assert!(shared as f64 <= bound, "{shared} shard requests in {elapsed:.1} s");
+    assert!(unshared as f64 > bound, "without a fleet they send {unshared}: the test would show nothing");
 }
--- a/crates/frontnode/tests/golden_client_protocols.rs
+++ b/crates/frontnode/tests/golden_client_protocols.rs
@@ -79,7 +79,7 @@
 }
 
 /// Records the interpretation of a request and the responses to each outcome of its queries.
-fn note(samples: &mut Vec<(String, Vec<u8>)>, config: &NodeConfig, name: &str, message: &[u8]) {
+fn record(samples: &mut Vec<(String, Vec<u8>)>, config: &NodeConfig, name: &str, message: &[u8]) {
     let protocols = client_protocol::protocols(config);
     let message = http::parse_request(message).unwrap().unwrap();
     let interpretation = protocols.iter().find_map(|protocol| protocol.interpret(&message, SINCE, config));
@@ -95,8 +95,8 @@
         match one {
             Err(reply) => words.push(format!("refused {}", String::from_utf8(bytes(reply, false)).unwrap())),
             Ok(one) => {
-                let parts: Vec<String> =
-                    one.shards.iter().map(|part| format!("{}:{}", part.shard, part.weight)).collect();
+                let shards: Vec<String> =
+                    one.shards.iter().map(|shard| format!("{}:{}", shard.shard, shard.weight)).collect();
                 words.push(format!(
                     "id {} class {} tenant {} until {} work {} again {} floor {} key {} parts {} text {}",
                     one.id,
@@ -107,7 +107,7 @@
                     one.is_retry,
                     one.min_weight,
                     one.idempotency_key.as_deref().unwrap_or("none"),
-                    parts.join(" "),
+                    shards.join(" "),
                     one.payload
                 ));
             }
@@ -156,7 +156,7 @@
 ];
 
 /// Returns the headers with another value for one of them, or without it if the value is empty.
-fn but<'a>(name: &str, value: &'a str) -> Vec<(&'a str, &'a str)> {
+fn headers_with<'a>(name: &str, value: &'a str) -> Vec<(&'a str, &'a str)> {
     let changed = HEADERS.iter().map(|&(n, v)| if n == name { (n, value) } else { (n, v) });
     changed.filter(|(_, value)| !value.is_empty()).collect()
 }
@@ -168,11 +168,11 @@
 fn the_own_protocol_matches_the_recording() {
     let config = config("own", false, true);
     let mut samples = Vec::new();
-    let mut message = |name: &str, message: Vec<u8>| note(&mut samples, &config, name, &message);
+    let mut message = |name: &str, message: Vec<u8>| record(&mut samples, &config, name, &message);
     message("two-parts", own(&HEADERS, BODY));
-    message("receipted", own(&but("Request-Class", "hold"), BODY));
+    message("receipted", own(&headers_with("Request-Class", "hold"), BODY));
     message("asked-again", own(&[&HEADERS[..], &[("Client-Retry", "1")]].concat(), BODY));
-    message("microseconds", own(&but("Request-Timeout", "250000u"), BODY));
+    message("microseconds", own(&headers_with("Request-Timeout", "250000u"), BODY));
     for (name, header, value) in [
         ("no-id", "Request-Id", ""),
         ("id-with-comma", "Request-Id", "a,b"),
@@ -185,7 +185,7 @@
         ("no-tenant", "Tenant", ""),
         ("unknown-tenant", "Tenant", "nobody"),
     ] {
-        message(name, own(&but(header, value), BODY));
+        message(name, own(&headers_with(header, value), BODY));
     }
     let receipted =
         [("Request-Id", "r1"), ("Request-Class", "hold"), ("Request-Timeout", "1m"), ("Tenant", "acme")];
@@ -219,7 +219,7 @@
     let mut samples = Vec::new();
     let mut filter = |name: &str, class: &str, filter: &str| {
         let body = json!({"slices": [{"slice": 0, "mass": 1}], "filter": filter}).to_string();
-        note(&mut samples, &config, name, &own(&but("Request-Class", class), &body));
+        record(&mut samples, &config, name, &own(&headers_with("Request-Class", class), &body));
     };
     filter("search", "look", r#"{"search":{"index":"jobs","body":{"size":1}}}"#);
     filter("create", "hold", r#"{"create":{"index":"jobs","id":"k-1","document":{"crew":1}}}"#);
@@ -236,7 +236,7 @@
 fn the_search_protocol_matches_the_recording() {
     let config = config("search", true, false);
     let mut samples = Vec::new();
-    let mut message = |name: &str, message: Vec<u8>| note(&mut samples, &config, name, &message);
+    let mut message = |name: &str, message: Vec<u8>| record(&mut samples, &config, name, &message);
     let query = r#"{"query":{"term":{"customer":"c 1"}},"size":3}"#;
     let document = r#"{"customer":"c1","crew":3}"#;
     let marked = "X-Opaque-Id: m7\r\n";
@@ -299,7 +299,7 @@
     let mut samples = Vec::new();
     for (name, headers) in [("none", ""), ("second", "Tenant: other\r\n"), ("unknown", "Tenant: nobody\r\n")]
     {
-        note(&mut samples, &config, name, &search("POST", "/jobs/_search", headers, "{}"));
+        record(&mut samples, &config, name, &search("POST", "/jobs/_search", headers, "{}"));
     }
     check_samples(&golden("search_protocol_tenants.txt"), &samples);
 }
--- a/crates/frontnode/tests/golden_config.rs
+++ b/crates/frontnode/tests/golden_config.rs
@@ -46,51 +46,54 @@
 }
 
 fn read_text(text: &str) -> Result<NodeConfig, String> {
-    config::read(text, config::OperatorFiles::default()).map(|read| read.0).map_err(|fault| fault.to_string())
+    config::read(text, config::OperatorFiles::default()).map(|read| read.0).map_err(|error| error.to_string())
 }
 
-fn in_words(plan: &NodeConfig) -> String {
+fn describe(config: &NodeConfig) -> String {
     let member = |m: &orchidvalve_frontnode::membership::Endpoint| {
         format!(
             "{} {} {} {} {} {} {} {:?}",
             m.id, m.address, m.flavor, m.locality, m.cell, m.serving, m.removed, m.started
         )
     };
-    let members: Vec<String> = plan.known_endpoints.endpoints.iter().map(member).collect();
-    let pool = &plan.store_protocols.pool;
-    let deadlines: Vec<_> = plan.service_classes.iter().map(|class| class.deadline).collect();
-    let classes = plan.route_classes().into_iter().map(|class| (class.name, class.has_idempotency_key));
+    let members: Vec<String> = config.known_endpoints.endpoints.iter().map(member).collect();
+    let pool = &config.store_protocols.pool;
+    let deadlines: Vec<_> = config.service_classes.iter().map(|class| class.deadline).collect();
+    let classes = config.route_classes().into_iter().map(|class| (class.name, class.has_idempotency_key));
     let classes: Vec<(String, bool)> = classes.collect();
-    let ring = (plan.ring.cells, plan.ring.reach);
+    let ring = (config.ring.cells, config.ring.reach);
     [
-        format!("{} {} {} {:x}", plan.name, plan.listen, plan.discovery, plan.seed),
+        format!("{} {} {} {:x}", config.name, config.listen, config.discovery, config.seed),
         format!(
             "known {} {} {}",
-            plan.known_endpoints.revision,
-            plan.known_endpoints.complete,
+            config.known_endpoints.revision,
+            config.known_endpoints.complete,
             members.join(", ")
         ),
-        format!("classes {:?} tenants {:?} abandon {:?}", classes, plan.tenants, deadlines),
-        format!("ring {:?} shards {} on request {}", ring, plan.shards, plan.discovery_on_request),
+        format!("classes {:?} tenants {:?} abandon {:?}", classes, config.tenants, deadlines),
+        format!("ring {:?} shards {} on request {}", ring, config.shards, config.discovery_on_request),
         format!(
             "call {} link {} load {}",
-            plan.store_protocols.requests_per_call,
-            plan.store_protocols.requests_per_connection,
-            plan.store_protocols.request_load
+            config.store_protocols.requests_per_call,
+            config.store_protocols.requests_per_connection,
+            config.store_protocols.request_load
         ),
         format!("pool {} {} {}", pool.max_connections, pool.max_queued, pool.queue_timeout),
         format!("pool {} {} {}", pool.close_cost, pool.close_budget, pool.drain_timeout),
-        format!("open {} idle {} connect {}", plan.max_pending, plan.idle_timeout, plan.connect_timeout),
-        format!("most {} {} {}", plan.max_clients, plan.max_store_connections, plan.max_request_bytes),
-        format!("request {} tick {} drain {}", plan.request_timeout, plan.tick, plan.drain_grace),
+        format!(
+            "open {} idle {} connect {}",
+            config.max_pending, config.idle_timeout, config.connect_timeout
+        ),
+        format!("most {} {} {}", config.max_clients, config.max_store_connections, config.max_request_bytes),
+        format!("request {} tick {} drain {}", config.request_timeout, config.tick, config.drain_grace),
         format!(
             "off {} {} {} {} {} {}",
-            plan.persistence.is_none(),
-            plan.fleet.is_none(),
-            plan.cold_start.is_none(),
-            plan.maintenance.is_none(),
-            plan.recording.is_none(),
-            plan.routes.is_none()
+            config.persistence.is_none(),
+            config.fleet.is_none(),
+            config.cold_start.is_none(),
+            config.maintenance.is_none(),
+            config.recording.is_none(),
+            config.routes.is_none()
         ),
     ]
     .join("; ")
@@ -108,7 +111,7 @@
         "extra": {"positions": 1, "reach": 1, "slices": 1}
     });
     let samples =
-        [("every-key", in_words(&read(&full()).unwrap())), ("least", in_words(&read(&least).unwrap()))];
+        [("every-key", describe(&read(&full()).unwrap())), ("least", describe(&read(&least).unwrap()))];
     check_samples(&golden("configuration.txt"), &samples);
 }
 
@@ -125,8 +128,8 @@
 /// Each section that cannot change while the node runs is reported if it differs, and no other.
 #[test]
 fn changed_sections_that_need_a_restart_match_the_recording() {
-    let plan = read(&full()).unwrap();
-    let mut samples = vec![("nothing".to_owned(), plan.sections_changed_in(&plan).join(", "))];
+    let config = read(&full()).unwrap();
+    let mut samples = vec![("nothing".to_owned(), config.sections_changed_in(&config).join(", "))];
     for (name, pointer, value) in [
         ("name", "/name", json!("n2")),
         ("listen", "/listen", json!("127.0.0.1:8001")),
@@ -138,7 +141,7 @@
     ] {
         let mut later = full();
         *later.pointer_mut(pointer).unwrap() = value;
-        samples.push((name.to_owned(), plan.sections_changed_in(&read(&later).unwrap()).join(", ")));
+        samples.push((name.to_owned(), config.sections_changed_in(&read(&later).unwrap()).join(", ")));
     }
     check_samples(&golden("sections_in_force.txt"), &samples);
 }
@@ -147,41 +150,41 @@
 #[test]
 fn configuration_errors_name_their_key_and_match_the_recording() {
     let mut samples = Vec::new();
-    let mut note = |name: String, text: &str| {
-        let said = match read_text(text) {
+    let mut record = |name: String, text: &str| {
+        let result = match read_text(text) {
             Ok(_) => "accepted".to_owned(),
             Err(text) => text,
         };
-        samples.push((name, said));
+        samples.push((name, result));
     };
     for bad in ["{", "3", "[]"] {
-        note(format!("all={bad}"), bad);
+        record(format!("all={bad}"), bad);
     }
     let mut pointers = Vec::new();
     pointers_of(&full(), String::new(), &mut pointers);
     for pointer in pointers {
         let mut left_out = full();
         if remove(&mut left_out, &pointer) {
-            note(format!("{pointer}=left-out"), &left_out.to_string());
+            record(format!("{pointer}=left-out"), &left_out.to_string());
         }
         for bad in
             [json!(null), json!("text"), json!(-1), json!(0), json!(0.5), json!(true), json!([]), json!({})]
         {
             let mut document = full();
             *document.pointer_mut(&pointer).unwrap() = bad.clone();
-            note(format!("{pointer}={bad}"), &document.to_string());
+            record(format!("{pointer}={bad}"), &document.to_string());
         }
     }
     for key in ["search", "logbook", "fleet", "coldstart", "maintenance", "record"] {
         let mut document = full();
         for bad in [json!(7), json!("no-such-directory/file")] {
             document[key] = bad.clone();
-            note(format!("/{key}={bad}"), &document.to_string());
+            record(format!("/{key}={bad}"), &document.to_string());
         }
     }
     let mut second_step = full();
     second_step["settings"]["extra"]["classFetch"] = json!([0, 1]);
-    note("second-step".to_owned(), &second_step.to_string());
+    record("second-step".to_owned(), &second_step.to_string());
     check_samples(&golden("configuration_faults.txt"), &samples);
 }
 
@@ -198,8 +201,8 @@
             }
         }
         Value::Array(items) => {
-            for (place, item) in items.iter().enumerate() {
-                let pointer = format!("{at}/{place}");
+            for (index, item) in items.iter().enumerate() {
+                let pointer = format!("{at}/{index}");
                 pointers.push(pointer.clone());
                 pointers_of(item, pointer, pointers);
             }
@@ -218,7 +221,7 @@
 }
 
 /// Returns the errors of an operator's file with one line changed, added or removed.
-fn faults_of(
+fn errors_of(
     samples: &mut Vec<(String, String)>,
     section: &str,
     lines: &[(&str, &str)],
@@ -236,18 +239,18 @@
         }
         text
     };
-    let mut note = |name: String, text: &str| {
+    let mut record = |name: String, text: &str| {
         samples.push((name, read(text).err().unwrap_or_else(|| "accepted".to_owned())));
     };
-    note(format!("{section}/as-it-should-be"), &file(None));
+    record(format!("{section}/as-it-should-be"), &file(None));
     for &(key, value) in changes {
-        note(format!("{section}/{key}={}", value.replace(' ', "_")), &file(Some((key, value))));
+        record(format!("{section}/{key}={}", value.replace(' ', "_")), &file(Some((key, value))));
     }
     for (key, _) in lines {
-        note(format!("{section}/{key}=left-out"), &file(Some((key, ""))));
+        record(format!("{section}/{key}=left-out"), &file(Some((key, ""))));
     }
-    note(format!("{section}/unknown-key"), &file(Some(("colour", "1"))));
-    note(format!("{section}/empty"), "");
+    record(format!("{section}/unknown-key"), &file(Some(("colour", "1"))));
+    record(format!("{section}/empty"), "");
 }
 
 #[test]
@@ -266,12 +269,12 @@
         ("free_least_mb", "-1"),
         ("checkpoints", "false"),
     ];
-    faults_of(&mut samples, "logbook", &[("dir", "\"book\"")], &logbook, |text| {
-        PersistenceSettings::read(text).map(drop).map_err(|fault| fault.to_string())
+    errors_of(&mut samples, "logbook", &[("dir", "\"book\"")], &logbook, |text| {
+        PersistenceSettings::read(text).map(drop).map_err(|error| error.to_string())
     });
     let record = [("file", "\"\""), ("file", "3"), ("most_mb", "0"), ("most_mb", "65537"), ("most_mb", "1")];
-    faults_of(&mut samples, "record", &[("file", "\"arrivals\"")], &record, |text| {
-        RecordingSettings::read(text).map(drop).map_err(|fault| fault.to_string())
+    errors_of(&mut samples, "record", &[("file", "\"arrivals\"")], &record, |text| {
+        RecordingSettings::read(text).map(drop).map_err(|error| error.to_string())
     });
     let fleet = [
         ("listen", "\"here\""),
@@ -293,8 +296,8 @@
         ("retries_a_second", "inf"),
     ];
     let lines = [("listen", "\"127.0.0.1:7400\""), ("expected", "3")];
-    faults_of(&mut samples, "fleet", &lines, &fleet, |text| {
-        FleetSettings::read(text).map(drop).map_err(|fault| fault.to_string())
+    errors_of(&mut samples, "fleet", &lines, &fleet, |text| {
+        FleetSettings::read(text).map(drop).map_err(|error| error.to_string())
     });
     let coldstart = [
         ("expected", "0"),
@@ -312,8 +315,8 @@
         ("source", "\"\""),
         ("share_lists", "3"),
     ];
-    faults_of(&mut samples, "coldstart", &[("expected", "300")], &coldstart, |text| {
-        ColdStartSettings::read(text).map(drop).map_err(|fault| fault.to_string())
+    errors_of(&mut samples, "coldstart", &[("expected", "300")], &coldstart, |text| {
+        ColdStartSettings::read(text).map(drop).map_err(|error| error.to_string())
     });
     let maintenance = [
         ("listen", "\"here\""),
@@ -333,8 +336,8 @@
         ("most", "0"),
     ];
     let lines = [("listen", "\"127.0.0.1:7500\""), ("group", "[\"127.0.0.1:7500\"]")];
-    faults_of(&mut samples, "maintenance", &lines, &maintenance, |text| {
-        MaintenanceSettings::read(text).map(drop).map_err(|fault| fault.to_string())
+    errors_of(&mut samples, "maintenance", &lines, &maintenance, |text| {
+        MaintenanceSettings::read(text).map(drop).map_err(|error| error.to_string())
     });
     check_samples(&golden("operators_files.txt"), &samples);
 }
@@ -348,13 +351,13 @@
         forget_ms = 200\ngossip_ms = 300\ngossip_to = 4\nlease_ms = 600\ncold_floor = 2.5\nbad_for_ms = 700\n\
         retries_a_second = 6.5\n";
     for (name, text) in [("fleet/least", fleet.to_owned()), ("fleet/every-key", format!("{fleet}{more}"))] {
-        let plan = FleetSettings::read(&text).unwrap();
-        let of = &plan.protocol;
+        let config = FleetSettings::read(&text).unwrap();
+        let of = &config.protocol;
         samples.push((
             name,
             format!(
                 "{} {} {:?} {} {} {} {} {} {} {} {} {} {} {} {:?}",
-                plan.listen,
+                config.listen,
                 of.me,
                 of.peers,
                 of.expected,
@@ -366,9 +369,9 @@
                 of.gossip_fanout,
                 of.leases.duration,
                 of.leases.answer_timeout,
-                plan.slow_start_floor,
-                plan.verdict_lifetime,
-                plan.retries_per_second
+                config.slow_start_floor,
+                config.verdict_lifetime,
+                config.retries_per_second
             ),
         ));
     }
@@ -379,8 +382,8 @@
     for (name, text) in
         [("coldstart/least", cold.to_owned()), ("coldstart/every-key", format!("{cold}{more}"))]
     {
-        let plan = ColdStartSettings::read(&text).unwrap();
-        let of = &plan.policy;
+        let config = ColdStartSettings::read(&text).unwrap();
+        let of = &config.policy;
         samples.push((
             name,
             format!(
@@ -395,9 +398,9 @@
                 of.discovery_timeout,
                 of.probes_a_second,
                 of.connects_a_second,
-                plan.share_lists,
-                plan.source,
-                plan.restart_window
+                config.share_lists,
+                config.source,
+                config.restart_window
             ),
         ));
     }
@@ -407,23 +410,23 @@
     for (name, text) in
         [("maintenance/least", work.to_owned()), ("maintenance/every-key", format!("{work}{more}"))]
     {
-        let plan = MaintenanceSettings::read(&text).unwrap();
+        let config = MaintenanceSettings::read(&text).unwrap();
         samples.push((
             name,
             format!(
                 "{} {:?} {:?} {:?} {} {} {} {} {} {} {} {}",
-                plan.listen,
-                plan.advertise,
-                plan.group,
-                plan.member,
-                plan.tick,
-                plan.follow_interval,
-                plan.rule.share,
-                plan.rule.least_sound,
-                plan.rule.zone_share,
-                plan.rule.most,
-                plan.pace.drain,
-                plan.pace.look_lasts
+                config.listen,
+                config.advertise,
+                config.group,
+                config.member,
+                config.tick,
+                config.follow_interval,
+                config.rule.share,
+                config.rule.least_sound,
+                config.rule.zone_share,
+                config.rule.most,
+                config.pace.drain,
+                config.pace.look_lasts
             ),
         ));
     }
--- a/crates/frontnode/tests/golden_disk.rs
+++ b/crates/frontnode/tests/golden_disk.rs
@@ -191,10 +191,10 @@
         classes: vec!["look".to_owned(), "hold".to_owned()],
         tenants: vec!["acme".to_owned()],
     };
-    let part = |shard, weight| ShardWeight { shard, weight };
-    let all_of_one = [part(1, 1.0)];
+    let shard_weight = |shard, weight| ShardWeight { shard, weight };
+    let all_of_one = [shard_weight(1, 1.0)];
     let mut recorder = Recorder::open(&settings, &head, NOW).unwrap();
-    recorder.record(NOW + 1_999, &recorded(0, None, &[part(0, 0.5), part(2, 0.5)]));
+    recorder.record(NOW + 1_999, &recorded(0, None, &[shard_weight(0, 0.5), shard_weight(2, 0.5)]));
     let retry =
         RecordedQuery { is_retry: true, estimated_work: 1_500_499, ..recorded(1, Some(0), &all_of_one) };
     recorder.record(NOW + 5_000_001, &retry);
--- a/crates/frontnode/tests/golden_operators.rs
+++ b/crates/frontnode/tests/golden_operators.rs
@@ -11,7 +11,7 @@
 use orchidvalve_golden::check_samples;
 use serde_json::json;
 
-const TOO_LONG: Duration = Duration::from_secs(20);
+const TIMEOUT: Duration = Duration::from_secs(20);
 
 fn golden(name: &str) -> PathBuf {
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
@@ -80,7 +80,7 @@
 impl Node {
     fn exchange(&self, request: &str, body: &str) -> String {
         let mut stream = TcpStream::connect(self.address).unwrap();
-        stream.set_read_timeout(Some(TOO_LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let head =
             format!("{request} HTTP/1.1\r\nConnection: close\r\nContent-Length: {}\r\n\r\n", body.len());
         stream.write_all(format!("{head}{body}").as_bytes()).unwrap();
@@ -90,8 +90,8 @@
     }
 
     /// Waits until the node has an endpoint list; selecting the first one takes a moment.
-    fn until_it_serves(&self) {
-        let end = Instant::now() + TOO_LONG;
+    fn wait_until_serving(&self) {
+        let end = Instant::now() + TIMEOUT;
         while !self.exchange("GET /_health", "").starts_with("HTTP/1.1 200 ") {
             assert!(Instant::now() < end, "the node does not serve");
         }
@@ -136,7 +136,7 @@
 #[test]
 fn operator_responses_match_the_recording() {
     let (node, empty) = (start("answers", 1), start("answers-empty", 0));
-    node.until_it_serves();
+    node.wait_until_serving();
     let wish = |what: &str, body: &str| node.exchange(&format!("POST /_maintenance/{what}"), body);
     let samples = [
         ("health", node.exchange("GET /_health", "")),
@@ -164,11 +164,11 @@
 #[test]
 fn the_trace_names_replicas_and_queries() {
     let node = start("trace", 1);
-    node.until_it_serves();
+    node.wait_until_serving();
     let body = json!({"slices": [{"slice": 0, "mass": 1.0}], "filter": "x"}).to_string();
     let head = "Request-Id: a1\r\nRequest-Class: look\r\nRequest-Timeout: 400m\r\nConnection: close\r\n";
     let mut stream = TcpStream::connect(node.address).unwrap();
-    stream.set_read_timeout(Some(TOO_LONG)).unwrap();
+    stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     let length = body.len();
     stream
         .write_all(format!("POST /api HTTP/1.1\r\n{head}Content-Length: {length}\r\n\r\n{body}").as_bytes())
--- a/crates/frontnode/tests/golden_pool.rs
+++ b/crates/frontnode/tests/golden_pool.rs
@@ -17,73 +17,73 @@
     PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-fn note_all(trace: &mut Trace, parts: &[u32]) {
-    trace.add_number(parts.len() as u64);
-    parts.iter().for_each(|&part| trace.add_number(u64::from(part)));
+fn note_all(trace: &mut Trace, shard_requests: &[u32]) {
+    trace.add_number(shard_requests.len() as u64);
+    shard_requests.iter().for_each(|&shard_request| trace.add_number(u64::from(shard_request)));
 }
 
-fn note_option(trace: &mut Trace, part: Option<u32>) {
-    note_all(trace, &part.into_iter().collect::<Vec<_>>());
+fn note_option(trace: &mut Trace, shard_request: Option<u32>) {
+    note_all(trace, &shard_request.into_iter().collect::<Vec<_>>());
 }
 
 /// Runs one pool whose owner carries out its decisions, while other pools take and return connections.
-fn pool_by_chance(seed: u64) -> u64 {
-    let mut chance = Pcg64::seed_from_u64(seed);
+fn pool_decisions(seed: u64) -> u64 {
+    let mut rng = Pcg64::seed_from_u64(seed);
     let mut trace = Trace::new();
     let settings = PoolSettings {
-        max_connections: chance.random_range(1..6),
-        max_queued: chance.random_range(1..8),
+        max_connections: rng.random_range(1..6),
+        max_queued: rng.random_range(1..8),
         queue_timeout: 250,
-        close_cost: chance.random_range(1..60),
-        close_budget: chance.random_range(0..120),
-        drain_timeout: chance.random_range(1..500),
+        close_cost: rng.random_range(1..60),
+        close_budget: rng.random_range(0..120),
+        drain_timeout: rng.random_range(1..500),
     };
     let mut pool: ConnectionPool<u32, u32> = ConnectionPool::new(settings);
-    let (mut now, mut next_part, mut next_key) = (0i64, 0u32, 0u32);
-    let (mut links, mut parts) = (Vec::<u32>::new(), Vec::<u32>::new());
+    let (mut now, mut next_shard_request, mut next_key) = (0i64, 0u32, 0u32);
+    let (mut connections, mut shard_requests) = (Vec::<u32>::new(), Vec::<u32>::new());
     for _ in 0..STEPS {
-        now += chance.random_range(0..20);
-        let others = chance.random_range(0..6);
-        let open = links.len() + others;
+        now += rng.random_range(0..20);
+        let others = rng.random_range(0..6);
+        let open = connections.len() + others;
         let capacity = Capacity {
             max_connections: 9,
             open,
-            serving_replicas: chance.random_range(1..5),
-            reserved: chance.random_range(0..4),
+            serving_replicas: rng.random_range(1..5),
+            reserved: rng.random_range(0..4),
         };
         let drawn = |of: &[u32], at: usize| of.get(at % of.len().max(1)).copied().unwrap_or(u32::MAX);
-        let at = chance.random_range(0..1000);
-        let step = chance.random_range(0..10);
+        let at = rng.random_range(0..1000);
+        let step = rng.random_range(0..10);
         trace.add_number(step);
         match step {
             0..=2 => {
-                parts.push(next_part);
-                match pool.place(next_part) {
+                shard_requests.push(next_shard_request);
+                match pool.place(next_shard_request) {
                     Placement::On(key) => note_all(&mut trace, &[0, key]),
                     Placement::Queued => note_all(&mut trace, &[1]),
                     Placement::QueueFull => note_all(&mut trace, &[2]),
                 }
-                next_part += 1;
+                next_shard_request += 1;
             }
             3 => {
                 trace.add_number(u64::from(pool.needs_connection(capacity)));
                 if pool.needs_connection(capacity) {
                     pool.opening(next_key, false);
-                    links.push(next_key);
+                    connections.push(next_key);
                     next_key += 1;
                 }
             }
-            4 | 5 => note_option(&mut trace, pool.release(drawn(&links, at))),
+            4 | 5 => note_option(&mut trace, pool.release(drawn(&connections, at))),
             6 => {
-                let key = drawn(&links, at);
-                links.retain(|&link| link != key);
+                let key = drawn(&connections, at);
+                connections.retain(|&connection| connection != key);
                 note_all(&mut trace, &pool.remove(key));
             }
-            7 => match pool.cancel(now, drawn(&parts, at), at % 3 == 0) {
+            7 => match pool.cancel(now, drawn(&shard_requests, at), at % 3 == 0) {
                 Cancellation::Dequeued => note_all(&mut trace, &[0]),
                 Cancellation::Close(key) => {
                     note_all(&mut trace, &[1, key]);
-                    links.retain(|&link| link != key);
+                    connections.retain(|&connection| connection != key);
                     note_all(&mut trace, &pool.remove(key));
                 }
                 Cancellation::Drain(key, until) => {
@@ -97,36 +97,36 @@
                 HealthCheckPlacement::Open => {
                     note_all(&mut trace, &[1]);
                     pool.opening(next_key, true);
-                    links.push(next_key);
+                    connections.push(next_key);
                     next_key += 1;
                 }
                 HealthCheckPlacement::Unavailable => note_all(&mut trace, &[2]),
             },
             _ if at % 10 == 0 => note_all(&mut trace, &pool.take_queue()),
-            _ if at % 2 == 0 => trace.add_number(u64::from(pool.dequeue(drawn(&parts, at)))),
+            _ if at % 2 == 0 => trace.add_number(u64::from(pool.dequeue(drawn(&shard_requests, at)))),
             _ => note_all(&mut trace, &pool.take_stranded(capacity)),
         }
         trace.add_number(pool.reserved(capacity) as u64);
         trace.add_number((pool.connections() * 100 + pool.queued()) as u64);
-        for &key in &links {
+        for &key in &connections {
             trace.add_number(u64::from(pool.is_busy(key)) * 2 + u64::from(pool.is_draining(key)));
         }
     }
     trace.finish()
 }
 
-fn deadlines_by_chance(seed: u64) -> u64 {
-    let mut chance = Pcg64::seed_from_u64(seed);
+fn deadline_order(seed: u64) -> u64 {
+    let mut rng = Pcg64::seed_from_u64(seed);
     let mut trace = Trace::new();
     let mut deadlines: Deadlines<u32> = Deadlines::default();
     let mut keys: Vec<DeadlineKey> = Vec::new();
     let mut now = 0i64;
     for step in 0..STEPS as u32 {
-        match chance.random_range(0..4) {
-            0 | 1 => keys.push(deadlines.schedule(now + chance.random_range(0..30), step)),
-            2 if !keys.is_empty() => deadlines.cancel(keys.swap_remove(chance.random_range(0..keys.len()))),
+        match rng.random_range(0..4) {
+            0 | 1 => keys.push(deadlines.schedule(now + rng.random_range(0..30), step)),
+            2 if !keys.is_empty() => deadlines.cancel(keys.swap_remove(rng.random_range(0..keys.len()))),
             _ => {
-                now += chance.random_range(0..10);
+                now += rng.random_range(0..10);
                 while let Some(due) = deadlines.pop_due(now) {
                     trace.add_number(u64::from(due));
                 }
@@ -140,13 +140,12 @@
 
 #[test]
 fn pool_decisions_match_the_recording() {
-    let hashes: Vec<_> = (0..60).map(|seed| (format!("pool-{seed}"), pool_by_chance(seed))).collect();
+    let hashes: Vec<_> = (0..60).map(|seed| (format!("pool-{seed}"), pool_decisions(seed))).collect();
     check_hashes(&golden("pool.txt"), &hashes);
 }
 
 #[test]
 fn the_order_of_deadlines_matches_the_recording() {
-    let hashes: Vec<_> =
-        (0..20).map(|seed| (format!("deadlines-{seed}"), deadlines_by_chance(seed))).collect();
+    let hashes: Vec<_> = (0..20).map(|seed| (format!("deadlines-{seed}"), deadline_order(seed))).collect();
     check_hashes(&golden("deadlines.txt"), &hashes);
 }
--- a/crates/frontnode/tests/golden_store_protocols.rs
+++ b/crates/frontnode/tests/golden_store_protocols.rs
@@ -34,33 +34,43 @@
 const CREATE: &str = r#"{"create":{"document":{"crew":1},"id":"k 1","index":"jobs","routing":"c/7"}}"#;
 const CREATE_UNROUTED: &str = r#"{"create":{"document":{"crew":1},"id":"k1","index":"jobs"}}"#;
 
-fn part<'a>(query_id: &'a str, shard: usize, key: Option<&'a str>, payload: &'a str) -> CallRequest<'a> {
+fn shard_request<'a>(
+    query_id: &'a str,
+    shard: usize,
+    key: Option<&'a str>,
+    payload: &'a str,
+) -> CallRequest<'a> {
     CallRequest { query_id, shard, timeout_ms: 480, idempotency_key: key, payload }
 }
 
 #[test]
 fn calls_to_stores_match_the_recording() {
     let mut samples = Vec::new();
-    let mut call = |name: &str, kind: ProtocolKind, parts: &[CallRequest], accepted: bool| {
+    let mut call = |name: &str, kind: ProtocolKind, shard_requests: &[CallRequest], accepted: bool| {
         let mut out = Vec::new();
-        assert_eq!(connection(kind, false).write_call(&mut out, parts), accepted, "{name}");
+        assert_eq!(connection(kind, false).write_call(&mut out, shard_requests), accepted, "{name}");
         samples.push((name.to_owned(), out));
     };
-    let one = part("r1", 3, None, "c41e77d0");
-    let keyed = part("r-2", 0, Some("k-2"), "two\nlines");
-    let empty = part("r3", 11, None, "");
-    call("frames-one-part", ProtocolKind::Frames, &[part("r1", 3, None, "c41e77d0")], true);
-    call("frames-key", ProtocolKind::Frames, &[part("r-2", 0, Some("k-2"), "two\nlines")], true);
+    let one = shard_request("r1", 3, None, "c41e77d0");
+    let keyed = shard_request("r-2", 0, Some("k-2"), "two\nlines");
+    let empty = shard_request("r3", 11, None, "");
+    call("frames-one-part", ProtocolKind::Frames, &[shard_request("r1", 3, None, "c41e77d0")], true);
+    call("frames-key", ProtocolKind::Frames, &[shard_request("r-2", 0, Some("k-2"), "two\nlines")], true);
     call("frames-three-parts", ProtocolKind::Frames, &[one, keyed, empty], true);
-    call("search-search", ProtocolKind::Search, &[part("r1", 3, None, SEARCH)], true);
-    call("search-create", ProtocolKind::Search, &[part("r1", 3, Some("k 1"), CREATE)], true);
-    call("search-create-without-key", ProtocolKind::Search, &[part("r1", 3, None, CREATE)], true);
-    call("search-create-unrouted", ProtocolKind::Search, &[part("r1", 3, Some("k1"), CREATE_UNROUTED)], true);
-    call("search-other-text", ProtocolKind::Search, &[part("r1", 3, None, "c41e77d0")], false);
+    call("search-search", ProtocolKind::Search, &[shard_request("r1", 3, None, SEARCH)], true);
+    call("search-create", ProtocolKind::Search, &[shard_request("r1", 3, Some("k 1"), CREATE)], true);
+    call("search-create-without-key", ProtocolKind::Search, &[shard_request("r1", 3, None, CREATE)], true);
+    call(
+        "search-create-unrouted",
+        ProtocolKind::Search,
+        &[shard_request("r1", 3, Some("k1"), CREATE_UNROUTED)],
+        true,
+    );
+    call("search-other-text", ProtocolKind::Search, &[shard_request("r1", 3, None, "c41e77d0")], false);
     call(
         "search-two-parts",
         ProtocolKind::Search,
-        &[part("r1", 3, None, SEARCH), part("r1", 4, None, SEARCH)],
+        &[shard_request("r1", 3, None, SEARCH), shard_request("r1", 4, None, SEARCH)],
         false,
     );
     for (name, kind, request_load) in [
@@ -72,17 +82,17 @@
         connection(kind, request_load).write_health_check(&mut out);
         samples.push((name.to_owned(), out));
     }
-    for (name, kind, is_told) in
+    for (name, kind, is_written) in
         [("frames-cancel", ProtocolKind::Frames, true), ("search-cancel", ProtocolKind::Search, false)]
     {
         let mut out = Vec::new();
-        assert_eq!(connection(kind, false).write_cancel(&mut out, "r1", 3), is_told);
+        assert_eq!(connection(kind, false).write_cancel(&mut out, "r1", 3), is_written);
         samples.push((name.to_owned(), out));
     }
     check_samples(&golden("to_stores.txt"), &samples);
 }
 
-fn ending_in_words(outcome: AttemptOutcome) -> &'static str {
+fn describe_outcome(outcome: AttemptOutcome) -> &'static str {
     match outcome {
         AttemptOutcome::Answered => "done",
         AttemptOutcome::Rejected => "full",
@@ -91,7 +101,7 @@
     }
 }
 
-fn load_in_words(load: Option<Load>) -> String {
+fn describe_load(load: Option<Load>) -> String {
     match load {
         None => "none".to_owned(),
         Some(Load::Rate { queued, completed_per_second }) => {
@@ -122,12 +132,12 @@
             })) => {
                 words.push(format!(
                     "answer {query_id} {shard} {} '{value}' {length}",
-                    ending_in_words(outcome)
+                    describe_outcome(outcome)
                 ));
                 bytes = &bytes[length..];
             }
             Ok(Some(ParsedMessage { message: StoreMessage::Health { answered, load }, length })) => {
-                words.push(format!("probe {answered} {} {length}", load_in_words(load)));
+                words.push(format!("probe {answered} {} {length}", describe_load(load)));
                 bytes = &bytes[length..];
             }
         }
@@ -216,7 +226,9 @@
         let mut connection = connection(ProtocolKind::Search, false);
         let mut out = Vec::new();
         match text {
-            Some(text) => assert!(connection.write_call(&mut out, &[part("r1", 3, Some("k 1"), text)])),
+            Some(text) => {
+                assert!(connection.write_call(&mut out, &[shard_request("r1", 3, Some("k 1"), text)]));
+            }
             None => connection.write_health_check(&mut out),
         }
         samples.push((name, read(&mut *connection, &bytes)));
@@ -231,13 +243,13 @@
 #[test]
 fn connection_limits_match_the_recording() {
     let settings = settings(true);
-    let in_words = |kind| {
+    let describe = |kind| {
         let limits = settings.connection_limits(kind);
         format!(
             "{} {} {} {}",
             limits.requests_per_call, limits.requests_per_connection, limits.pooled, limits.max_message_bytes
         )
     };
-    assert_eq!(in_words(ProtocolKind::Frames), "4 8 false 66564");
-    assert_eq!(in_words(ProtocolKind::Search), "1 1 true 147456");
+    assert_eq!(describe(ProtocolKind::Frames), "4 8 false 66564");
+    assert_eq!(describe(ProtocolKind::Search), "1 1 true 147456");
 }
--- a/crates/frontnode/tests/maintenance.rs
+++ b/crates/frontnode/tests/maintenance.rs
@@ -16,7 +16,7 @@
     (options.fleet, options.logbook, options.discovery) = (false, true, Behavior::Normal);
     options.maintenance = Some((members, LINES.to_owned()));
     let fleet = Fleet::open(test_name, &options);
-    fleet.until("the group has a leader", |f| leader(f, members).is_some());
+    fleet.wait_until("the group has a leader", |f| leader(f, members).is_some());
     fleet
 }
 
@@ -24,9 +24,9 @@
     (0..members).find(|&n| f.operator(n, "GET", "/_maintenance", &Value::Null).1["leads"] == true)
 }
 
-fn ask(f: &Fleet, node: usize, machine: &str) {
-    let wish = json!({"machine": machine, "by": "story", "lasts_ms": 600_000});
-    assert_eq!(f.operator(node, "POST", "/_maintenance/ask", &wish).0, 202);
+fn request_maintenance(f: &Fleet, node: usize, machine: &str) {
+    let request = json!({"machine": machine, "by": "story", "lasts_ms": 600_000});
+    assert_eq!(f.operator(node, "POST", "/_maintenance/ask", &request).0, 202);
 }
 
 /// Returns the stage of a machine according to a node; empty if the machine is not in the maintenance queue.
@@ -39,7 +39,7 @@
 
 /// Returns all events that the nodes know, by version. Checks that all nodes agree and that no two machines are out at
 /// the same time, as any two of the three machines share a shard here.
-fn audited(f: &Fleet, nodes: &[usize]) -> Vec<(u64, String, String)> {
+fn checked_events(f: &Fleet, nodes: &[usize]) -> Vec<(u64, String, String)> {
     let mut all: BTreeMap<u64, Vec<(String, String)>> = BTreeMap::new();
     for &node in nodes {
         let view = f.operator(node, "GET", "/_maintenance", &Value::Null).1;
@@ -57,7 +57,7 @@
         }
     }
     let mut out: Vec<String> = Vec::new();
-    let mut flat = Vec::new();
+    let mut ordered = Vec::new();
     for (version, events) in all {
         for (machine, event) in events {
             match event.as_str() {
@@ -66,13 +66,13 @@
                 _ => {}
             }
             assert!(out.len() <= 1, "{out:?} are out together at version {version}");
-            flat.push((version, machine, event));
+            ordered.push((version, machine, event));
         }
     }
-    flat
+    ordered
 }
 
-fn times(events: &[(u64, String, String)], machine: &str, event: &str) -> usize {
+fn count_events(events: &[(u64, String, String)], machine: &str, event: &str) -> usize {
     events.iter().filter(|(_, m, e)| m == machine && e == event).count()
 }
 
@@ -84,13 +84,13 @@
     const NODES: usize = 5;
     let mut f = open("work-turn", 3, NODES);
     {
-        let mut faults = f.work.faults();
+        let mut faults = f.maintenance_relay.faults();
         (faults.loss, faults.duplication, faults.delay) = (0.2, 0.2, Duration::from_millis(3));
     }
     let killed = leader(&f, 3).unwrap();
-    ask(&f, 3, "s-0");
-    ask(&f, 4, "s-1");
-    f.until("a request reached the leader", |f| {
+    request_maintenance(&f, 3, "s-0");
+    request_maintenance(&f, 4, "s-1");
+    f.wait_until("a request reached the leader", |f| {
         ["s-0", "s-1"].iter().any(|m| !stage(f, killed, m).is_empty())
     });
     f.kill(killed);
@@ -99,16 +99,16 @@
         let of = |m: &&str| alive.iter().all(|&n| stage(f, n, m) == "out");
         ["s-0", "s-1"].into_iter().find(of).map(str::to_owned)
     };
-    f.until("one of them is out at every node", |f| out(f).is_some());
+    f.wait_until("one of them is out at every node", |f| out(f).is_some());
     let first = out(&f).unwrap();
     let second = if first == "s-0" { "s-1" } else { "s-0" };
-    f.until("the other one waits", |f| alive.iter().all(|&n| stage(f, n, second) == "asked"));
+    f.wait_until("the other one waits", |f| alive.iter().all(|&n| stage(f, n, second) == "asked"));
     let store: usize = first[2..].parse().unwrap();
-    let before = f.seen(store, "c");
+    let before = f.received(store, "c");
     for n in 0..20 {
-        assert_eq!(f.ask(alive[n % alive.len()], &format!("r{n}"), "c1"), 200);
+        assert_eq!(f.query(alive[n % alive.len()], &format!("r{n}"), "c1"), 200);
     }
-    assert_eq!(f.seen(store, "c"), before, "no node sends it new shard requests");
+    assert_eq!(f.received(store, "c"), before, "no node sends it new shard requests");
     f.restart(killed);
     // During the maintenance, discovery lists the machine as draining, and then as started again.
     f.agent.publish(f.members(&[(store, "draining")]));
@@ -116,13 +116,13 @@
     let now = std::time::SystemTime::now().duration_since(std::time::UNIX_EPOCH).unwrap().as_millis() as u64;
     members[store]["up_since_ms"] = json!(now);
     f.agent.publish(members);
-    f.until("the second one is out at every node", |f| (0..NODES).all(|n| stage(f, n, second) == "out"));
-    let events = audited(&f, &(0..NODES).collect::<Vec<_>>());
+    f.wait_until("the second one is out at every node", |f| (0..NODES).all(|n| stage(f, n, second) == "out"));
+    let events = checked_events(&f, &(0..NODES).collect::<Vec<_>>());
     for (machine, back) in [(first.as_str(), 1), (second, 0)] {
-        let counts = ["asked", "admitted", "back"].map(|e| times(&events, machine, e));
+        let counts = ["asked", "admitted", "back"].map(|e| count_events(&events, machine, e));
         assert_eq!(counts, [1, 1, back], "{machine}: {events:?}");
     }
-    assert_eq!(f.ask(killed, "r", "c2"), 200, "the killed node serves again and knows the queue");
+    assert_eq!(f.query(killed, "r", "c2"), 200, "the killed node serves again and knows the queue");
 }
 
 /// A member and a follower are partitioned from the others. Their side admits no machine; the other side continues.
@@ -131,32 +131,34 @@
 fn only_the_side_of_a_partition_with_a_majority_of_the_group_admits_machines() {
     const NODES: usize = 5;
     let f = open("work-cut", 3, NODES);
-    let cut = leader(&f, 3).unwrap();
-    f.work.partition(&[cut, 4], NODES);
-    ask(&f, 4, "s-0");
-    ask(&f, 3, "s-2");
-    let rest: Vec<usize> = (0..4).filter(|&n| n != cut).collect();
-    f.until("the larger side goes on", |f| rest.iter().all(|&n| stage(f, n, "s-2") == "out"));
-    assert_eq!((stage(&f, cut, "s-0"), stage(&f, 4, "s-0")), (String::new(), String::new()));
+    let partitioned = leader(&f, 3).unwrap();
+    f.maintenance_relay.partition(&[partitioned, 4], NODES);
+    request_maintenance(&f, 4, "s-0");
+    request_maintenance(&f, 3, "s-2");
+    let rest: Vec<usize> = (0..4).filter(|&n| n != partitioned).collect();
+    f.wait_until("the larger side continues", |f| rest.iter().all(|&n| stage(f, n, "s-2") == "out"));
+    assert_eq!((stage(&f, partitioned, "s-0"), stage(&f, 4, "s-0")), (String::new(), String::new()));
     assert_eq!(stage(&f, 4, "s-2"), "", "node 4 is partitioned and learns of it later");
-    assert!(f.ask(4, "r", "c") == 200, "and continues to serve");
-    f.work.faults().partitions.clear();
-    f.until("one order at all nodes", |f| (0..NODES).all(|n| stage(f, n, "s-2") == "out"));
-    ask(&f, 4, "s-0");
-    f.until("the request is in it", |f| (0..NODES).all(|n| stage(f, n, "s-0") == "asked"));
-    let events = audited(&f, &(0..NODES).collect::<Vec<_>>());
-    assert_eq!((times(&events, "s-2", "admitted"), times(&events, "s-0", "admitted")), (1, 0));
+    assert!(f.query(4, "r", "c") == 200, "and continues to serve");
+    f.maintenance_relay.faults().partitions.clear();
+    f.wait_until("all nodes have the same queue", |f| (0..NODES).all(|n| stage(f, n, "s-2") == "out"));
+    request_maintenance(&f, 4, "s-0");
+    f.wait_until("the request is in the queue", |f| (0..NODES).all(|n| stage(f, n, "s-0") == "asked"));
+    let events = checked_events(&f, &(0..NODES).collect::<Vec<_>>());
+    assert_eq!((count_events(&events, "s-2", "admitted"), count_events(&events, "s-0", "admitted")), (1, 0));
 }
 
 /// All nodes are killed at the same time, as in a power loss; the queue is restored from their disks.
 #[test]
 fn the_maintenance_queue_survives_the_loss_of_all_nodes() {
     let mut f = open("work-dark", 3, 4);
-    ask(&f, 3, "s-1");
-    f.until("it is out", |f| (0..4).all(|n| stage(f, n, "s-1") == "out"));
+    request_maintenance(&f, 3, "s-1");
+    f.wait_until("the machine is out", |f| (0..4).all(|n| stage(f, n, "s-1") == "out"));
     (0..4).for_each(|n| f.kill(n));
     (0..4).for_each(|n| drop(f.restart(n)));
-    f.until("they know it again", |f| (0..4).all(|n| stage(f, n, "s-1") == "out"));
-    let events = audited(&f, &[0, 1, 2, 3]);
-    assert_eq!((times(&events, "s-1", "asked"), times(&events, "s-1", "admitted")), (1, 1));
+    f.wait_until("the restarted nodes know the machine is out", |f| {
+        (0..4).all(|n| stage(f, n, "s-1") == "out")
+    });
+    let events = checked_events(&f, &[0, 1, 2, 3]);
+    assert_eq!((count_events(&events, "s-1", "asked"), count_events(&events, "s-1", "admitted")), (1, 1));
 }
--- a/crates/frontnode/tests/search_node/mod.rs
+++ b/crates/frontnode/tests/search_node/mod.rs
@@ -13,8 +13,8 @@
 use orchidvalve_test_store::{Documents, Fault, FaultPlan, Store};
 use serde_json::{Value, json};
 
-pub const TOO_LONG: Duration = Duration::from_secs(20);
-pub const SLICES: usize = 3;
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+pub const SHARDS: usize = 3;
 
 const ROUTES: &str = r#"
 [index.jobs]
@@ -39,11 +39,11 @@
 customer = "keyword"
 "#;
 
-pub fn settled() -> RoutingContext {
+pub fn routing_context() -> RoutingContext {
     let grade = |name: &str, receipted| RouteClass { name: name.to_owned(), has_idempotency_key: receipted };
     RoutingContext {
         classes: vec![grade("look", false), grade("van-search", false), grade("hold", true)],
-        shards: SLICES,
+        shards: SHARDS,
     }
 }
 
@@ -57,7 +57,7 @@
     hold["windowNs"] = json!(300_000_000);
     json!({
         "classes": [class("look", "pure"), class("van-search", "pure"), hold],
-        "extra": {"positions": SLICES, "reach": reach, "slices": SLICES, "bundleMax": 4,
+        "extra": {"positions": SHARDS, "reach": reach, "slices": SHARDS, "bundleMax": 4,
                   "classFloor": [1.0, 0.6, 1.0], "wholeAt": [1.0, 1.0, 1.0], "shortWorth": [0.0, 0.6, 0.0]},
         "limits": {"attemptsCap": 4, "cancel": true, "secondCopies": true, "probes": true, "multiplex": 8,
                    "connIdleNs": 15_000_000_000u64, "connectTimeoutNs": 100_000_000},
@@ -108,7 +108,7 @@
 
 impl Harness {
     /// Runs a second node with the same configuration until it ends. Returns its log and exit code.
-    pub fn second(&self) -> (String, Option<i32>) {
+    pub fn run_second_node(&self) -> (String, Option<i32>) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_orchidvalved"));
         let child = command.env("NODE_CONFIG", &self.config).stderr(Stdio::piped()).output().unwrap();
         (String::from_utf8(child.stderr).unwrap(), child.status.code())
@@ -125,10 +125,10 @@
 
     /// Runs a discovery agent that publishes a new revision at every request until the test ends. Returns the last
     /// published revision.
-    pub fn news(&self) -> Arc<AtomicI64> {
+    pub fn publish_constantly(&self) -> Arc<AtomicI64> {
         let (agent, members) = (self.agent.try_clone().unwrap(), self.members.clone());
-        let told = Arc::new(AtomicI64::new(1));
-        let count = told.clone();
+        let published = Arc::new(AtomicI64::new(1));
+        let count = published.clone();
         std::thread::spawn(move || {
             for mut stream in agent.incoming().flatten() {
                 let mut request = [0; 1024];
@@ -136,16 +136,16 @@
                     let revision = count.fetch_add(1, Relaxed) + 1;
                     let mut members = members.clone();
                     members[(revision % 3) as usize]["locality"] = json!(format!("a{revision}"));
-                    let roster =
+                    let list =
                         json!({"revision": revision, "complete": true, "members": members}).to_string();
-                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", roster.len());
-                    if stream.write_all(format!("{head}{roster}").as_bytes()).is_err() {
+                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
+                    if stream.write_all(format!("{head}{list}").as_bytes()).is_err() {
                         break;
                     }
                 }
             }
         });
-        told
+        published
     }
 
     /// Returns the current value of a gauge in `/metrics`.
@@ -156,35 +156,35 @@
     }
 
     /// Sends this endpoint list to the next client of the discovery agent.
-    pub fn tell(&self, agent: &mut TcpStream, roster: &Value) {
-        let roster = roster.to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{roster}", roster.len());
+    pub fn send_list(&self, agent: &mut TcpStream, list: &Value) {
+        let list = list.to_string();
+        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         let _ = agent.write_all(answer.as_bytes());
     }
 
     /// Opens a harness with a capacity for many clients and many connections to stores, for benchmarks.
-    pub fn open_wide(test_name: &str, flavors: [&str; SLICES], more: &str) -> Harness {
+    pub fn open_wide(test_name: &str, flavors: [&str; SHARDS], more: &str) -> Harness {
         Harness::open_with(test_name, 2, flavors, &format!("[pool]\nconnections = 64\n{more}"), 1024)
     }
 
     /// Opens a harness. `flavors` are those of the stores; stores whose flavor begins with `os` speak the search
     /// protocol.
-    pub fn open(test_name: &str, reach: usize, flavors: [&str; SLICES], more: &str) -> Harness {
+    pub fn open(test_name: &str, reach: usize, flavors: [&str; SHARDS], more: &str) -> Harness {
         Harness::open_with(test_name, reach, flavors, more, 128)
     }
 
     fn open_with(
         test_name: &str,
         reach: usize,
-        flavors: [&str; SLICES],
+        flavors: [&str; SHARDS],
         more: &str,
         sockets: usize,
     ) -> Harness {
         let file = format!("{ROUTES}\n[[stores]]\nflavor = \"os*\"\nwire = \"search\"\n{more}");
-        let routes = Arc::new(Routes::read(&file, &settled()).unwrap());
+        let routes = Arc::new(Routes::read(&file, &routing_context()).unwrap());
         let documents = Arc::new(Mutex::new(Documents::new(routes)));
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-        let stores: Vec<Store> = (0..SLICES).map(|_| Store::start(any, documents.clone()).unwrap()).collect();
+        let stores: Vec<Store> = (0..SHARDS).map(|_| Store::start(any, documents.clone()).unwrap()).collect();
         let agent = TcpListener::bind(any).unwrap();
         let members = stores.iter().zip(flavors).enumerate();
         let members: Value = members.map(|(n, (store, flavor))| member(n, store, flavor, "up")).collect();
@@ -194,9 +194,9 @@
             "seed": "8c1f30d27a5be964", "limits": {"memory_mb": 192, "sockets": sockets}, "search": path("toml"),
             "known": {"revision": 1, "complete": true, "members": members}, "settings": settings(reach)
         });
-        let book = format!("[logbook]\ndir = \"{}\"\nsoon_ms = 1\n", path("book"));
+        let logbook = format!("[logbook]\ndir = \"{}\"\nsoon_ms = 1\n", path("book"));
         let _ = std::fs::remove_dir_all(path("book"));
-        std::fs::write(path("book.toml"), book).unwrap();
+        std::fs::write(path("book.toml"), logbook).unwrap();
         let mut config = config;
         if more.contains("# logbook") {
             config["logbook"] = json!(path("book.toml"));
@@ -221,21 +221,21 @@
                 source["notes"] = json!(notes);
             }
             let document = Document::new(&format!("d{n:03}"), source, &index.mapping).unwrap();
-            let home = index.document_shard(&document.id, None).unwrap();
-            self.documents().insert(&index.name, home, document.clone());
+            let shard = index.document_shard(&document.id, None).unwrap();
+            self.documents().insert(&index.name, shard, document.clone());
             document
         });
         made.collect()
     }
 
     pub fn set_faults(&self, store: usize, all: Option<Fault>, rules: &[(&str, Fault)]) {
-        let rules = rules.iter().map(|&(words, trouble)| (words.to_owned(), trouble)).collect();
+        let rules = rules.iter().map(|&(words, fault)| (words.to_owned(), fault)).collect();
         self.stores[store].set_faults(FaultPlan { rules, default: all, health_checks: None });
     }
 
     pub fn send(&self, method: &str, path: &str, more: &str, body: &str) -> Peer {
         let mut stream = TcpStream::connect(self.node).unwrap();
-        stream.set_read_timeout(Some(TOO_LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let head = format!("{method} {path} HTTP/1.1\r\n{more}Content-Length: {}\r\n\r\n", body.len());
         stream.write_all(format!("{head}{body}").as_bytes()).unwrap();
         Peer(stream)
@@ -246,7 +246,7 @@
         (status, body)
     }
 
-    pub fn parts(&self) -> usize {
+    pub fn shard_requests(&self) -> usize {
         self.stores.iter().map(|s| s.observations().payloads.len()).sum()
     }
 
@@ -256,8 +256,8 @@
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
 
-    pub fn until(&self, what: &str, mut holds: impl FnMut(&Harness) -> bool) {
-        let end = Instant::now() + TOO_LONG;
+    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&Harness) -> bool) {
+        let end = Instant::now() + TIMEOUT;
         while !holds(self) {
             assert!(Instant::now() < end, "{what}");
             std::thread::yield_now();
@@ -292,5 +292,5 @@
     }
 }
 
-pub const OS: [&str; SLICES] = ["os", "os", "os"];
-pub const FRAMES: [&str; SLICES] = ["m", "m", "m"];
+pub const OS: [&str; SHARDS] = ["os", "os", "os"];
+pub const FRAMES: [&str; SHARDS] = ["m", "m", "m"];
--- a/crates/frontnode/tests/sockets/clients.rs
+++ b/crates/frontnode/tests/sockets/clients.rs
@@ -11,13 +11,13 @@
 fn the_attempts_of_a_disconnected_client_are_cancelled_and_its_slot_is_reused() {
     let harness = Harness::open("gone", 1);
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "2500m");
+    client.query("r1", "look", &[0], "2500m");
     let mut replica = harness.replica(0);
     let first = replica.call();
     drop(client);
     assert_eq!(replica.frame(), ('2', "r1.0".to_owned()));
     let mut client = harness.client();
-    client.ask("r2", "look", &[0], "2500m");
+    client.query("r2", "look", &[0], "2500m");
     let second = replica.call();
     // The late response does not go to the client that uses the slot now.
     replica.answer(&first[0], "S", "late");
@@ -33,15 +33,15 @@
         let mut settings = settings(1);
         settings["limits"]["openCap"] = json!(100);
         let harness = Harness::open_under(prefix, test_name, 1, settings);
-        let mut waits = harness.client();
-        waits.ask("r1", "look", &[0], "5000m");
+        let mut waiting = harness.client();
+        waiting.query("r1", "look", &[0], "5000m");
         let mut replica = harness.replica(0);
         let call = replica.call();
         let crowd: Vec<Peer> = (0..100).map(|_| harness.client()).collect();
         assert_eq!(harness.health(), 200, "{test_name}");
         assert!(harness.counter("clients_evicted") > 0, "{test_name}");
         replica.answer(&call[0], "S", "v");
-        assert_eq!(waits.response().0, 200, "{test_name}");
+        assert_eq!(waiting.response().0, 200, "{test_name}");
         drop(crowd);
     }
 }
@@ -50,7 +50,7 @@
 fn bad_requests_get_a_specific_error_and_do_not_affect_other_clients() {
     let harness = Harness::open("bad", 2);
     let mut open = harness.client();
-    open.ask("open", "look", &[0], "5000m");
+    open.query("open", "look", &[0], "5000m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     let good = request("r1", "look", &[0, 1], "500m");
@@ -110,37 +110,37 @@
 #[test]
 fn a_client_with_an_incomplete_request_gets_408_in_time_and_one_that_waits_does_not() {
     let harness = Harness::open("slow-clients", 1);
-    let begun = Instant::now();
-    let mut waits = harness.client();
-    waits.ask("r1", "look", &[0], "9000m");
+    let started = Instant::now();
+    let mut waiting = harness.client();
+    waiting.query("r1", "look", &[0], "9000m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     let whole = request("r2", "look", &[0], "9000m");
     let (mut silent, mut head, mut body) = (harness.client(), harness.client(), harness.client());
     head.send(&whole.as_bytes()[..40]);
     body.send(&whole.as_bytes()[..whole.len() - 1]);
-    assert!(!silent.more());
+    assert!(!silent.read_more());
     for half in [&mut head, &mut body] {
         assert_eq!(half.response().0, 408);
-        assert!(!half.more());
+        assert!(!half.read_more());
     }
-    assert!(begun.elapsed() < Duration::from_secs(3));
+    assert!(started.elapsed() < Duration::from_secs(3));
     replica.answer(&call[0], "S", "v");
-    assert_eq!(waits.response().0, 200);
+    assert_eq!(waiting.response().0, 200);
     assert_eq!((harness.counter("retrievals_taken"), harness.counter("bad_requests")), (1, 2));
-    waits.send(b"GET /_health HTTP/1.1\r\n\r\n");
-    assert_eq!(waits.response().0, 200);
+    waiting.send(b"GET /_health HTTP/1.1\r\n\r\n");
+    assert_eq!(waiting.response().0, 200);
 }
 
 #[test]
 fn clients_that_have_sent_nothing_are_evicted_first() {
     let harness = Harness::open_limited("mute", json!({"memory_mb": 64, "sockets": 128}));
-    let ask = |client: &mut Peer| {
+    let health_status = |client: &mut Peer| {
         client.send(b"GET /_health HTTP/1.1\r\n\r\n");
         client.response().0
     };
-    let mut usual = harness.client();
-    assert_eq!(ask(&mut usual), 200);
+    let mut regular = harness.client();
+    assert_eq!(health_status(&mut regular), 200);
     let mut crowd: Vec<Peer> = (0..25).map(|_| harness.client()).collect();
     // New clients have a moment to send a request, counted from when the node accepted the last of them. The crowd
     // connects before the counter's client, so it is accepted before that client.
@@ -151,7 +151,7 @@
     }
     crowd.extend((0..25).map(|_| harness.client()));
     assert!((0..1_000).any(|_| harness.counter("clients_evicted") > 0));
-    assert_eq!(ask(&mut usual), 200);
+    assert_eq!(health_status(&mut regular), 200);
     // Clients may use less than a third of the descriptors.
     assert!(harness.counter("clients_evicted") >= 10);
 }
@@ -226,7 +226,7 @@
 fn many_bytes_behind_a_pending_request_do_not_hide_the_disconnect_of_its_client() {
     let harness = Harness::open("left-behind", 1);
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "60000m");
+    client.query("r1", "look", &[0], "60000m");
     let mut replica = harness.replica(0);
     replica.call();
     // More bytes than a message may have, so the node would not buffer up to the end.
@@ -242,7 +242,7 @@
 fn many_bytes_behind_a_pending_request_are_dropped_and_the_request_is_answered() {
     let harness = Harness::open("much-behind", 1);
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "60000m");
+    client.query("r1", "look", &[0], "60000m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     client.send(request("r2", "look", &[0], "60000m").repeat(2_000).as_bytes());
@@ -254,15 +254,15 @@
 #[test]
 fn many_new_clients_do_not_evict_one_whose_request_arrived_while_the_node_was_paused() {
     let harness = Harness::open_limited("crowd-request", json!({"memory_mb": 64, "sockets": 64}));
-    let mut usual = harness.client();
-    usual.send(b"GET /_health HTTP/1.1\r\n\r\n");
-    assert_eq!(usual.response().0, 200);
+    let mut regular = harness.client();
+    regular.send(b"GET /_health HTTP/1.1\r\n\r\n");
+    assert_eq!(regular.response().0, 200);
     // After the pause, the node handles the new connections first, and then the request of its only idle client.
     harness.pause();
     let crowd: Vec<Peer> = (0..60).map(|_| harness.client()).collect();
-    usual.send(b"GET /_health HTTP/1.1\r\n\r\n");
+    regular.send(b"GET /_health HTTP/1.1\r\n\r\n");
     harness.resume();
-    assert_eq!(usual.response().0, 200);
+    assert_eq!(regular.response().0, 200);
     assert!((0..10_000).any(|_| harness.counter("clients_evicted") > 0));
     drop(crowd);
 }
@@ -271,13 +271,13 @@
 fn a_client_that_closes_its_writing_side_counts_as_disconnected() {
     let harness = Harness::open("half-close", 1);
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "60000m");
+    client.query("r1", "look", &[0], "60000m");
     let mut replica = harness.replica(0);
     replica.call();
     client.stream.shutdown(std::net::Shutdown::Write).unwrap();
     let cancelled = std::iter::repeat_with(|| replica.frame()).find(|(letter, _)| *letter == '2').unwrap();
     assert_eq!(cancelled.1, "r1.0");
-    assert!(!client.more());
+    assert!(!client.read_more());
 }
 
 #[test]
@@ -288,14 +288,14 @@
     for n in 0..30 {
         let mut client = harness.client();
         SockRef::from(&client.stream).set_recv_buffer_size(4096).unwrap();
-        client.ask(&format!("r{n}"), "look", &(0..60).collect::<Vec<_>>(), "60000m");
+        client.query(&format!("r{n}"), "look", &(0..60).collect::<Vec<_>>(), "60000m");
         let replica = replica.get_or_insert_with(|| harness.replica(0));
         for _ in 0..15 {
             for line in replica.call() {
                 replica.answer(&line, "S", &"v".repeat(60 << 10));
             }
         }
-        assert!(client.more());
+        assert!(client.read_more());
         match n % 3 {
             // Closing with unread bytes sends a reset.
             0 => drop(client),
@@ -315,12 +315,12 @@
         client.send(b"GET /_health HTTP/1.1\r\n\r\n");
         assert_eq!(client.response().0, 200);
         harness.pause();
-        client.ask(id, "look", &[0], "60000m");
+        client.query(id, "look", &[0], "60000m");
         harness.disconnect(client);
         harness.resume();
     }
     let mut client = harness.client();
-    client.ask("r3", "look", &[0], "60000m");
+    client.query("r3", "look", &[0], "60000m");
     let call = harness.replica(0).call();
     assert!(call[0].starts_with("r3.0 "), "{call:?}");
     assert_eq!(harness.counter("launches"), 1);
--- a/crates/frontnode/tests/sockets/discovery.rs
+++ b/crates/frontnode/tests/sockets/discovery.rs
@@ -5,29 +5,31 @@
 use serde_json::json;
 use socket2::SockRef;
 
-use super::support::{Harness, Peer, TOO_LONG, listener, member, patient, tell, tell_at};
+use super::support::{
+    Harness, Peer, TIMEOUT, listener, member, send_list, send_list_at, settings_with_long_timeouts,
+};
 
 #[test]
 fn a_draining_replica_gets_no_new_attempts_and_a_moved_one_is_found() {
     let harness = Harness::open("drain", 1);
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
     let address = harness.replicas[0].local_addr().unwrap();
-    let told = |revision: u64, address, phase| json!({"revision": revision, "complete": false, "members": [member(0, address, phase)]});
-    tell(&mut agent, 1, &told(2, address, "draining"));
+    let list = |revision: u64, address, phase| json!({"revision": revision, "complete": false, "members": [member(0, address, phase)]});
+    send_list(&mut agent, 1, &list(2, address, "draining"));
     // The next watch shows that the last list was accepted; after an invalid one the list stays in use.
-    tell(&mut agent, 2, &json!({"revision": 3, "members": [{"id": "s-0"}]}));
+    send_list(&mut agent, 2, &json!({"revision": 3, "members": [{"id": "s-0"}]}));
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "300m");
+    client.query("r1", "look", &[0], "300m");
     assert_eq!(client.response().0, 503);
     assert_eq!((harness.counter("launches"), harness.counter("bad_rosters")), (0, 1));
     // The replica returns at another address and then moves again, while the previous connection stays open.
     let mut kept = Vec::new();
     for (from, id) in [(2, "r2"), (4, "r3")] {
         let moved = listener();
-        tell(&mut agent, from, &told(from + 2, moved.local_addr().unwrap(), "up"));
-        assert!(agent.more());
-        client.ask(id, "look", &[0], "2000m");
+        send_list(&mut agent, from, &list(from + 2, moved.local_addr().unwrap(), "up"));
+        assert!(agent.read_more());
+        client.query(id, "look", &[0], "2000m");
         let mut replica = Peer::new(moved.accept().unwrap().0);
         let call = replica.call();
         replica.answer(&call[0], "S", "v");
@@ -41,7 +43,7 @@
     let mut harness = Harness::open("reload", 2);
     let mut old = Peer::new(harness.agent.accept().unwrap().0);
     let mut client = harness.client();
-    client.ask("r1", "pay", &[0], "5000m");
+    client.query("r1", "pay", &[0], "5000m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     // An invalid configuration changes nothing, whatever is wrong with it.
@@ -58,13 +60,17 @@
         let mut agent = Peer::new(agent.accept().unwrap().0);
         // The revisions of the new agent are independent, and replicas that its list does not contain are removed.
         let members = [member(0, harness.replicas[0].local_addr().unwrap(), "up")];
-        tell_at(&mut agent, " HTTP", &json!({"revision": revision, "complete": true, "members": members}));
-        tell(&mut agent, revision, &json!({"revision": revision, "complete": false, "members": []}));
-        while old.more() {}
+        send_list_at(
+            &mut agent,
+            " HTTP",
+            &json!({"revision": revision, "complete": true, "members": members}),
+        );
+        send_list(&mut agent, revision, &json!({"revision": revision, "complete": false, "members": []}));
+        while old.read_more() {}
         old = agent;
     }
     let mut other = harness.client();
-    other.ask("r2", "look", &[1], "300m");
+    other.query("r2", "look", &[1], "300m");
     assert_eq!(other.response().0, 503);
     replica.answer(&call[0], "S", "v");
     assert_eq!(client.response().0, 200);
@@ -73,32 +79,32 @@
 
 #[test]
 fn a_watch_that_is_closed_in_any_way_is_reopened_immediately() {
-    let harness = Harness::open_with("watch-closed", 1, patient());
+    let harness = Harness::open_with("watch-closed", 1, settings_with_long_timeouts());
     // Changes missed by a lost watch count from that moment, so the test waits for no other timeout.
-    for (n, told) in
+    for (n, list) in
         [&b""[..], b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{\"revision\"", b"nonsense\r\n\r\n"]
             .iter()
             .enumerate()
     {
         let mut agent = Peer::new(harness.agent.accept().unwrap().0);
-        let mut asked = String::new();
-        while !asked.ends_with("\r\n\r\n") {
-            asked.push(agent.take(1)[0] as char);
+        let mut received = String::new();
+        while !received.ends_with("\r\n\r\n") {
+            received.push(agent.take(1)[0] as char);
         }
-        assert!(asked.contains("?from=1&hold_ms="), "{n}: {asked}");
-        agent.send(told);
+        assert!(received.contains("?from=1&hold_ms="), "{n}: {received}");
+        agent.send(list);
     }
     let mut agent = Peer::new(harness.agent.accept().unwrap().0);
     let address = harness.replicas[0].local_addr().unwrap();
     harness.move_replica(&mut agent, 1, address, "draining");
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "300m");
+    client.query("r1", "look", &[0], "300m");
     assert_eq!((client.response().0, harness.counter("launches")), (503, 0));
 }
 
 #[test]
 fn a_new_discovery_agent_that_is_unresponsive_or_trickles_is_queried_again() {
-    let mut harness = Harness::open_with("agent-silent", 1, patient());
+    let mut harness = Harness::open_with("agent-silent", 1, settings_with_long_timeouts());
     let _old = harness.agent.accept().unwrap();
     let agent = listener();
     harness.config["discovery"] = json!(agent.local_addr().unwrap().to_string());
@@ -108,8 +114,8 @@
     let mut trickles = Peer::new(agent.accept().unwrap().0);
     trickles.send(b"HTTP/1.1 200 OK\r\nContent-Length: 500\r\n\r\n{");
     let mut last = Peer::new(agent.accept().unwrap().0);
-    tell_at(&mut last, " HTTP", &json!({"revision": 7, "complete": true, "members": []}));
-    assert!(last.more());
+    send_list_at(&mut last, " HTTP", &json!({"revision": 7, "complete": true, "members": []}));
+    assert!(last.read_more());
     assert_eq!(harness.health(), 200);
     assert_eq!(harness.counter("roster_misses"), 2);
 }
@@ -123,8 +129,8 @@
     client.send(b"GET /_health HTTP/1.1\r\n\r\n");
     assert_eq!(client.response().0, 200);
     harness.pause();
-    client.ask("r1", "look", &[0], "300m");
-    tell(
+    client.query("r1", "look", &[0], "300m");
+    send_list(
         &mut agent,
         1,
         &json!({"revision": 2, "complete": false, "members": [member(0, address, "draining")]}),
@@ -135,7 +141,7 @@
 
 #[test]
 fn discovery_that_was_down_is_queried_again_once_it_is_back() {
-    let mut harness = Harness::open_with("agent-down", 1, patient());
+    let mut harness = Harness::open_with("agent-down", 1, settings_with_long_timeouts());
     let address = harness.agent.local_addr().unwrap();
     let agent = Peer::new(harness.agent.accept().unwrap().0);
     // Nothing listens at the address any more: the watch breaks, and the next connections are refused.
@@ -143,11 +149,11 @@
     drop(agent);
     assert!((0..10_000).any(|_| harness.counter("roster_misses") >= 3));
     let back = TcpListener::bind(address).unwrap();
-    SockRef::from(&back).set_read_timeout(Some(TOO_LONG)).unwrap();
+    SockRef::from(&back).set_read_timeout(Some(TIMEOUT)).unwrap();
     let mut agent = Peer::new(back.accept().unwrap().0);
     let replica = harness.replicas[0].local_addr().unwrap();
     harness.move_replica(&mut agent, 1, replica, "draining");
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "300m");
+    client.query("r1", "look", &[0], "300m");
     assert_eq!((client.response().0, harness.counter("launches")), (503, 0));
 }
--- a/crates/frontnode/tests/sockets/queries.rs
+++ b/crates/frontnode/tests/sockets/queries.rs
@@ -5,14 +5,14 @@
 
 use serde_json::{Value, json};
 
-use super::support::{Harness, Peer, TOO_LONG, body, head, settings};
+use super::support::{Harness, Peer, TIMEOUT, body, head, settings};
 
 #[test]
 fn a_query_is_answered_with_the_values_of_its_replicas() {
     let harness = Harness::open("answered", 2);
     assert_eq!(harness.health(), 200);
     let mut client = harness.client();
-    client.ask("r1", "hold", &[0, 1], "2000m");
+    client.query("r1", "hold", &[0, 1], "2000m");
     for (n, value) in [(0, "5be2a07c19f04d63"), (1, "a\"b\\c")] {
         let mut replica = harness.replica(n);
         let call = replica.call();
@@ -42,7 +42,7 @@
     for byte in coded.bytes() {
         client.send(&[byte]);
     }
-    client.ask("r2", "look", &[0], "2000m");
+    client.query("r2", "look", &[0], "2000m");
     let mut replica = harness.replica(0);
     for id in ["r1", "r2"] {
         let call = replica.call();
@@ -60,7 +60,7 @@
         settings
     });
     let mut client = harness.client();
-    client.ask("r1", "look", &[0, 1, 2, 3, 4, 5], "2000m");
+    client.query("r1", "look", &[0, 1, 2, 3, 4, 5], "2000m");
     let mut replica = harness.replica(0);
     let (first, second) = (replica.call(), replica.call());
     assert_eq!((first.len(), second.len()), (4, 2));
@@ -76,7 +76,7 @@
 fn an_idempotent_shard_request_whose_connection_broke_is_retried() {
     let harness = Harness::open_pair("broken");
     let mut client = harness.client();
-    client.ask("r1", "look", &[0], "2500m");
+    client.query("r1", "look", &[0], "2500m");
     harness.replica(0).call();
     let mut replica = harness.replica(0);
     let call = replica.call();
@@ -89,7 +89,7 @@
 fn a_non_idempotent_query_expires_if_it_may_have_run_and_is_rejected_if_it_has_not() {
     let harness = Harness::open("effectful", 1);
     let mut client = harness.client();
-    client.ask("r1", "pay", &[0], "2500m");
+    client.query("r1", "pay", &[0], "2500m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     replica.answer(&call[0], "E", "");
@@ -104,7 +104,7 @@
     });
     let mut client = harness.client();
     let _refuses = harness.refuse_connections(0);
-    client.ask("r2", "pay", &[0], "600m");
+    client.query("r2", "pay", &[0], "600m");
     let (status, head, _) = client.response();
     assert!(status == 503 && head.contains("Retry-After: 0.5\r\n"), "{head}");
     assert!(harness.counter("launches_unreached") > 0);
@@ -114,7 +114,7 @@
 fn an_unanswered_attempt_times_out_and_is_cancelled_at_its_replica() {
     let harness = Harness::open("silent", 1);
     let mut client = harness.client();
-    client.ask("r1", "pay", &[0], "500m");
+    client.query("r1", "pay", &[0], "500m");
     let mut replica = harness.replica(0);
     replica.call();
     assert_eq!(client.response().0, 504);
@@ -128,16 +128,16 @@
     // A query counts as two: itself and its shard request. Eight may be pending.
     let mut clients: Vec<Peer> = (0..5).map(|_| harness.client()).collect();
     for (n, client) in clients.iter_mut().enumerate().take(4) {
-        client.ask(&format!("r{n}"), "look", &[0], "5000m");
+        client.query(&format!("r{n}"), "look", &[0], "5000m");
         assert!((0..1_000).any(|_| harness.counter("retrievals_taken") > n as u64));
     }
-    clients[4].ask("r4", "look", &[0], "5000m");
+    clients[4].query("r4", "look", &[0], "5000m");
     assert_eq!((clients[4].response().0, harness.counter("retrievals_over_cap")), (503, 1));
     // Queries whose clients have disconnected are no longer pending, nor are their ids.
     clients.truncate(0);
     assert!((0..1_000).any(|_| harness.counter("lapsed") == 4));
     let mut clients: Vec<Peer> = (0..4).map(|_| harness.client()).collect();
-    clients.iter_mut().enumerate().for_each(|(n, c)| c.ask(&format!("r{n}"), "look", &[0], "300m"));
+    clients.iter_mut().enumerate().for_each(|(n, c)| c.query(&format!("r{n}"), "look", &[0], "300m"));
     clients.iter_mut().for_each(|client| assert_eq!(client.response().0, 503));
     assert_eq!((harness.counter("retrievals_taken"), harness.counter("retrievals_over_cap")), (8, 1));
 }
@@ -154,7 +154,7 @@
     });
     let mut client = harness.client();
     // Long enough for the node to be paused before the deadline even on a busy machine.
-    client.ask("r1", "pay", &[0], "2500m");
+    client.query("r1", "pay", &[0], "2500m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     harness.wait_for_wakeup();
@@ -163,7 +163,7 @@
     replica.answer(&call[0], "S", "v");
     client.stream.set_read_timeout(Some(Duration::from_millis(2_600))).unwrap();
     assert!(client.stream.read(&mut [0]).is_err(), "the node is paused");
-    client.stream.set_read_timeout(Some(TOO_LONG)).unwrap();
+    client.stream.set_read_timeout(Some(TIMEOUT)).unwrap();
     harness.resume();
     assert_eq!(client.response().0, 200);
 }
--- a/crates/frontnode/tests/sockets/shutdown.rs
+++ b/crates/frontnode/tests/sockets/shutdown.rs
@@ -6,27 +6,27 @@
 
 use serde_json::json;
 
-use super::support::{Harness, Peer, TOO_LONG, listener, settings};
+use super::support::{Harness, Peer, TIMEOUT, listener, settings};
 
 #[test]
 fn a_node_that_shuts_down_answers_all_accepted_queries_and_exits_with_success() {
     let harness = Harness::open("stop", 1);
     let (mut client, mut idle) = (harness.client(), harness.client());
-    client.ask("r1", "look", &[0], "2500m");
+    client.query("r1", "look", &[0], "2500m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     harness.signal("TERM");
     // Idle connections are closed, which also shows that the signal was received.
-    assert!(!idle.more());
+    assert!(!idle.read_more());
     assert_eq!(harness.health(), 503);
     let mut late = harness.client();
-    late.ask("r2", "look", &[0], "2500m");
+    late.query("r2", "look", &[0], "2500m");
     let call = [call, replica.call()].concat();
     for (line, client) in call.iter().zip([&mut client, &mut late]) {
         replica.answer(line, "S", "v");
         let (status, head, _) = client.response();
         assert!(status == 200 && head.contains("Connection: close"), "{head}");
-        assert!(!client.more());
+        assert!(!client.read_more());
     }
     let (log, code) = harness.end();
     assert_eq!(code, Some(0), "{log}");
@@ -46,7 +46,7 @@
         line.rsplit(' ').next().unwrap().parse::<u64>().unwrap()
     };
     harness.signal("TERM");
-    assert!(!idle.more());
+    assert!(!idle.read_more());
     let before = gauge();
     // Repeated stop signals have no effect, and a new configuration changes nothing.
     for _ in 0..5 {
@@ -56,8 +56,8 @@
     }
     assert!(gauge() <= before + 1, "{} deadlines, {before} before", gauge());
     let (mut pure, mut paid) = (harness.client(), harness.client());
-    pure.ask("r1", "look", &[0], "60000m");
-    paid.ask("r2", "pay", &[0], "60000m");
+    pure.query("r1", "look", &[0], "60000m");
+    paid.query("r2", "pay", &[0], "60000m");
     let mut replica = harness.replica(0);
     // The replica receives the remaining time: three seconds, the longest deadline, plus 0.7 s, less a margin.
     let call = replica.call();
@@ -72,10 +72,10 @@
 fn a_node_that_shuts_down_before_its_first_list_rejects_accepted_queries() {
     let harness = Harness::begin("", "stop-unlisted", vec![listener()], json!([]), settings(1));
     let (mut client, mut idle) = (harness.client(), harness.client());
-    client.ask("r1", "look", &[0], "60000m");
+    client.query("r1", "look", &[0], "60000m");
     assert!((0..10_000).any(|_| harness.counter("retrievals_taken") == 1));
     harness.signal("TERM");
-    assert!(!idle.more());
+    assert!(!idle.read_more());
     assert_eq!(client.response().0, 503);
     let (log, code) = harness.end();
     assert_eq!(code, Some(0), "{log}");
@@ -84,17 +84,17 @@
 #[test]
 fn overlapping_connections_do_not_keep_a_node_from_stopping() {
     let harness = Harness::open("stop-crowd", 1);
-    let begun = Instant::now();
+    let started = Instant::now();
     harness.signal("TERM");
     // At any time one connection is open: each is opened and answered before the previous one is closed.
     let mut open = harness.client();
     while let Ok(stream) = TcpStream::connect(harness.node) {
         let mut next = Peer::new(stream);
-        if next.stream.write_all(b"GET /_health HTTP/1.1\r\n\r\n").is_err() || !next.more() {
+        if next.stream.write_all(b"GET /_health HTTP/1.1\r\n\r\n").is_err() || !next.read_more() {
             break;
         }
         open = next;
-        assert!(begun.elapsed() < TOO_LONG, "the node does not stop");
+        assert!(started.elapsed() < TIMEOUT, "the node does not stop");
     }
     drop(open);
     let (log, code) = harness.end();
@@ -105,13 +105,13 @@
 fn queries_before_the_stop_signal_keep_their_deadlines() {
     let harness = Harness::open("stop-own-time", 2);
     let (mut early, mut idle) = (harness.client(), harness.client());
-    early.ask("r1", "look", &[0], "60000m");
+    early.query("r1", "look", &[0], "60000m");
     let mut replica = harness.replica(0);
     let call = replica.call();
     harness.signal("TERM");
-    assert!(!idle.more());
+    assert!(!idle.read_more());
     let mut late = harness.client();
-    late.ask("r2", "look", &[1], "60000m");
+    late.query("r2", "look", &[1], "60000m");
     harness.replica(1).call();
     // Later queries end before the node may be killed; earlier ones may run longer if it is not killed.
     assert_eq!(late.response().0, 503);
--- a/crates/frontnode/tests/sockets/support.rs
+++ b/crates/frontnode/tests/sockets/support.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 use socket2::{Domain, SockRef, Socket, Type};
 
-pub const TOO_LONG: Duration = Duration::from_secs(20);
+pub const TIMEOUT: Duration = Duration::from_secs(20);
 /// The request that [`Harness::counter`] sends.
 pub const METRICS_REQUEST: &[u8] = b"GET /metrics HTTP/1.1\r\n\r\n";
 
@@ -50,7 +50,7 @@
 
 pub fn listener() -> TcpListener {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
-    SockRef::from(&listener).set_read_timeout(Some(TOO_LONG)).unwrap();
+    SockRef::from(&listener).set_read_timeout(Some(TIMEOUT)).unwrap();
     listener
 }
 
@@ -260,7 +260,7 @@
 
 impl Peer {
     pub fn new(stream: TcpStream) -> Peer {
-        stream.set_read_timeout(Some(TOO_LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         stream.set_nodelay(true).unwrap();
         Peer { stream, inbox: Vec::new() }
     }
@@ -270,7 +270,7 @@
     }
 
     /// Reads more bytes into the inbox. Returns false at the end of the stream.
-    pub fn more(&mut self) -> bool {
+    pub fn read_more(&mut self) -> bool {
         let mut buffer = [0; 4096];
         match self.stream.read(&mut buffer) {
             Ok(length) => {
@@ -279,14 +279,14 @@
             }
             Err(e) if e.kind() == std::io::ErrorKind::ConnectionReset => false,
             // The read was interrupted because this process was stopped and continued.
-            Err(e) if e.kind() == std::io::ErrorKind::Interrupted => self.more(),
+            Err(e) if e.kind() == std::io::ErrorKind::Interrupted => self.read_more(),
             Err(e) => panic!("nothing was received: {e}"),
         }
     }
 
     pub fn take(&mut self, length: usize) -> Vec<u8> {
         while self.inbox.len() < length {
-            assert!(self.more(), "the connection ended");
+            assert!(self.read_more(), "the connection ended");
         }
         self.inbox.drain(..length).collect()
     }
@@ -306,7 +306,7 @@
     }
 
     /// Answers health checks until a call is received, and returns the call.
-    pub fn probed_until_called(&mut self) -> String {
+    pub fn answer_health_checks_until_call(&mut self) -> String {
         loop {
             match self.frame() {
                 ('4', _) => self.send_frame("4waiting=0,rps=9"),
@@ -340,11 +340,11 @@
                 let status = head.split(' ').nth(1).unwrap().parse().unwrap();
                 return (status, head, String::from_utf8(body).unwrap());
             }
-            assert!(self.more(), "the connection ended");
+            assert!(self.read_more(), "the connection ended");
         }
     }
 
-    pub fn ask(&mut self, id: &str, class: &str, shards: &[usize], timeout: &str) {
+    pub fn query(&mut self, id: &str, class: &str, shards: &[usize], timeout: &str) {
         let request = request(id, class, shards, timeout);
         self.send(request.as_bytes());
     }
@@ -382,29 +382,29 @@
 
 impl Harness {
     pub fn move_replica(&self, agent: &mut Peer, from: u64, address: SocketAddr, phase: &str) {
-        let told = json!({"revision": from + 1, "complete": false, "members": [member(0, address, phase)]});
-        tell(agent, from, &told);
-        assert!(agent.more());
+        let list = json!({"revision": from + 1, "complete": false, "members": [member(0, address, phase)]});
+        send_list(agent, from, &list);
+        assert!(agent.read_more());
     }
 }
 
 /// Answers the node's watch, which requests changes from the revision `from`.
-pub fn tell(agent: &mut Peer, from: u64, told: &Value) {
-    tell_at(agent, &format!("?from={from}&hold_ms="), told);
+pub fn send_list(agent: &mut Peer, from: u64, list: &Value) {
+    send_list_at(agent, &format!("?from={from}&hold_ms="), list);
 }
 
-pub fn tell_at(agent: &mut Peer, path: &str, told: &Value) {
-    let mut asked = String::new();
-    while !asked.ends_with("\r\n\r\n") {
-        asked.push(agent.take(1)[0] as char);
+pub fn send_list_at(agent: &mut Peer, path: &str, list: &Value) {
+    let mut received = String::new();
+    while !received.ends_with("\r\n\r\n") {
+        received.push(agent.take(1)[0] as char);
     }
-    assert!(asked.starts_with(&format!("GET /catalog/members{path}")), "{asked}");
-    let told = told.to_string();
-    agent.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{told}", told.len()).as_bytes());
+    assert!(received.starts_with(&format!("GET /catalog/members{path}")), "{received}");
+    let list = list.to_string();
+    agent.send(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len()).as_bytes());
 }
 
 /// Settings with a connect timeout longer than any test.
-pub fn patient() -> Value {
+pub fn settings_with_long_timeouts() -> Value {
     let mut settings = settings(1);
     settings["limits"]["connectTimeoutNs"] = json!(60_000_000_000u64);
     settings["rules"]["stopSendingWithinNs"] = json!(100_000_000);
