--- a/crates/frontnode/benches/archive.rs
+++ b/crates/frontnode/benches/archive.rs
@@ -1,25 +1,25 @@
-//! What remembering costs the node: two nodes that hear of an endpoint list all the time and serve the same clients, one with
-//! a logbook and one without, in turns. `cargo bench -p orchidvalve-frontnode --bench archive`, with `-- ROUNDS`.
+//! The cost of persistence: two nodes that constantly receive endpoint lists and serve the same clients, one with a
+//! logbook and one without, in turns. `cargo bench -p orchidvalve-frontnode --bench archive`, with `-- ROUNDS`.
 
 #[path = "../tests/search_node/mod.rs"]
 mod search_node;
 
 mod play;
 
-use play::Figures;
+use play::Measurement;
 use search_node::FRAMES;
 
 fn main() {
     let rounds: usize = std::env::args().filter_map(|a| a.parse().ok()).next().unwrap_or(6);
     let mut both = [
-        Figures::new("logbook off", true, FRAMES, ""),
-        Figures::new("logbook on", true, FRAMES, "# logbook\n"),
+        Measurement::new("logbook off", true, FRAMES, ""),
+        Measurement::new("logbook on", true, FRAMES, "# logbook\n"),
     ];
-    both.iter().for_each(|figures| drop(figures.harness.news()));
+    both.iter().for_each(|figures| drop(figures.harness.publish_constantly()));
     let mut longest = [Vec::new(), Vec::new()];
     for round in 0..rounds {
         for (figures, longest) in both.iter_mut().zip(&mut longest) {
-            figures.turn(round);
+            figures.run_turn(round);
             longest.push(figures.harness.gauge("round_p99_us"));
         }
     }
@@ -31,7 +31,7 @@
         println!(
             "| {} | {:.0} | {:.2} | {:.2} | {} to {}, middle {} | {} |",
             f.name,
-            f.done as f64 / f.processor,
+            f.done as f64 / f.processor_seconds,
             ms(0.5),
             ms(0.99),
             longest[0],
--- a/crates/frontnode/benches/fleet.rs
+++ b/crates/frontnode/benches/fleet.rs
@@ -1,6 +1,7 @@
-//! What a store that has just started gets from many front nodes of little traffic each, with the fleet and without:
-//! the floor of the cold rule is one part a window from every node alone, and `cold_floor` from all of them together
-//! in a fleet. `cargo bench -p orchidvalve-frontnode --bench fleet`: processes on loopback, a table to standard output.
+//! The load on a newly started store from many front nodes with little traffic each, with and without the fleet. The
+//! floor of the slow start is one shard request per window from each node alone, and `cold_floor` from all nodes
+//! together in a fleet. `cargo bench -p orchidvalve-frontnode --bench fleet` runs processes on loopback and prints a
+//! table to standard output.
 
 #[path = "../tests/node_group/mod.rs"]
 mod node_group;
@@ -11,32 +12,33 @@
 
 const SECONDS: u64 = 6;
 
-/// Shard requests at the store in slow start in each second, shard requests at all stores, and queries answered with 200 of all.
-fn play(nodes: usize, fleet: bool) -> (Vec<usize>, usize, (usize, usize)) {
+/// Returns the shard requests at the store in slow start in each second, those at all stores, and the numbers of
+/// queries answered with 200 and of all queries.
+fn run_nodes(nodes: usize, fleet: bool) -> (Vec<usize>, usize, (usize, usize)) {
     let mut options = FleetOptions::of(nodes);
     (options.fleet, options.started_ms, options.cold_ms) = (fleet, vec![(0, 0)], 20_000);
     let f = Fleet::open(&format!("cold-{nodes}-{fleet}"), &options);
     if fleet {
-        f.until("all know each other", |f| {
+        f.wait_until("all nodes know each other", |f| {
             (0..nodes).all(|n| f.gauge(n, "fleet_peers") as usize == nodes - 1)
         });
     }
-    let began = Instant::now();
+    let started = Instant::now();
     let mut at_cold = vec![0; SECONDS as usize];
     let answered = std::sync::Mutex::new((0, 0));
     std::thread::scope(|scope| {
         for node in 0..nodes {
             let (f, answered) = (&f, &answered);
             scope.spawn(move || {
-                // One query each two seconds from each node, begun at different moments.
+                // Each node sends one query every two seconds; the nodes start at different moments.
                 let offset = Duration::from_millis(2000 * node as u64 / nodes as u64);
                 let mut n = 0;
-                while began.elapsed() < Duration::from_secs(SECONDS) {
+                while started.elapsed() < Duration::from_secs(SECONDS) {
                     let next = offset + Duration::from_secs(2 * n);
-                    if let Some(wait) = next.checked_sub(began.elapsed()) {
+                    if let Some(wait) = next.checked_sub(started.elapsed()) {
                         std::thread::sleep(wait);
                     }
-                    let status = f.ask(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
+                    let status = f.query(node, &format!("n{node}-{n}"), &format!("c{node}x{n}y"));
                     let mut answered = answered.lock().unwrap();
                     *answered = (answered.0 + usize::from(status == 200), answered.1 + 1);
                     n += 1;
@@ -45,7 +47,7 @@
         }
         let mut second = 0;
         while second < SECONDS as usize {
-            if began.elapsed() >= Duration::from_secs(second as u64 + 1) {
+            if started.elapsed() >= Duration::from_secs(second as u64 + 1) {
                 at_cold[second] = f.stores[0].observations().payloads.len();
                 second += 1;
             }
@@ -68,10 +70,10 @@
     println!("| --- | --- | --- | --- | --- |");
     for nodes in [4, 8, 16, 24] {
         for fleet in [false, true] {
-            let (each, all, (whole, asked)) = play(nodes, fleet);
+            let (each, all, (whole, requests)) = run_nodes(nodes, fleet);
             let each: Vec<String> = each.iter().map(usize::to_string).collect();
             let on = if fleet { "on" } else { "off" };
-            println!("| {nodes} | {on} | {} | {all} | {whole} of {asked} |", each.join(", "));
+            println!("| {nodes} | {on} | {} | {all} | {whole} of {requests} |", each.join(", "));
         }
     }
 }
--- a/crates/frontnode/src/discovery.rs
+++ b/crates/frontnode/src/discovery.rs
@@ -10,7 +10,7 @@
 use orchidvalve::state::AggregatorState;
 use orchidvalve_search::routes::{Routes, StoreProtocol};
 
-use crate::cold_start::{DiscoveryEvent, Doubt};
+use crate::cold_start::{DiscoveryEvent, PendingVerification};
 use crate::config::NodeConfig;
 use crate::context::Context;
 use crate::deadlines::DeadlineKey;
@@ -24,8 +24,9 @@
 use crate::stream::{Stream, connect};
 
 /// How long a watch (a long poll) may wait for a change (`hold_ms`), and how much later its response counts as missed.
-/// Changes that an unresponsive watch misses count as published 2 s after that wait: by then another watch needs to have
-/// its response. If discovery is queried on request, the aggregator waits for up to a second before it requests a query.
+/// Changes that an unresponsive watch misses count as published 2 s after that wait: by then another watch needs to
+/// have its response. If discovery is queried on request, the aggregator waits for up to a second before it requests a
+/// query.
 const WATCH_MS: i64 = 20_000;
 const WATCH_SLACK_MS: i64 = 800;
 /// The same slack for a call without a wait, whose changes count as published 6 s after it became unresponsive.
@@ -36,7 +37,7 @@
 /// A change counts as published whether or not a watch is open, and the grace period for drains runs from then on. A
 /// failed call is therefore retried immediately. If that fails too, the backoff is the grace period divided by this
 /// number, doubled up to `MAX_BACKOFF_DOUBLINGS` times.
-const GRACE_PART: Nanos = 32;
+const BACKOFF_GRACE_DIVISOR: Nanos = 32;
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// Why a call to discovery returned no list.
@@ -51,14 +52,14 @@
     Status(#[error(not(source))] u16),
     #[display("{_0}")]
     List(EndpointListError),
-    #[display("an answer that was not asked for")]
+    #[display("unexpected response")]
     Unexpected,
-    #[display("an answer without end")]
-    Endless,
-    #[display("closed by the agent")]
+    #[display("the response is too long")]
+    TooLong,
+    #[display("connection closed by the agent")]
     Closed,
-    #[display("no answer")]
-    NoAnswer,
+    #[display("no response in time")]
+    TimedOut,
 }
 
 /// The origin of an endpoint list, which decides how far the list is trusted.
@@ -68,7 +69,7 @@
     /// Read from the configuration. It is trusted like discovery's list if there is no cold start.
     Configuration,
     /// An older list, with the number of unverified steps of each replica.
-    Doubted(Vec<Doubt>),
+    Unverified(Vec<PendingVerification>),
 }
 
 impl ListOrigin {
@@ -77,9 +78,9 @@
         match self {
             ListOrigin::Discovery => EndpointTrust::Verified,
             ListOrigin::Configuration => EndpointTrust::Unchanged,
-            ListOrigin::Doubted(doubts) => match doubts.get(position) {
-                Some(Doubt { steps: 0, .. }) => EndpointTrust::Verified,
-                Some(&doubt) => EndpointTrust::Doubted(doubt),
+            ListOrigin::Unverified(verifications) => match verifications.get(position) {
+                Some(PendingVerification { steps: 0, .. }) => EndpointTrust::Verified,
+                Some(&verification) => EndpointTrust::Unverified(verification),
                 None => EndpointTrust::Unchanged,
             },
         }
@@ -90,7 +91,7 @@
 #[derive(Clone, Copy)]
 enum EndpointTrust {
     Verified,
-    Doubted(Doubt),
+    Unverified(PendingVerification),
     /// The trust of the replica stays as it was.
     Unchanged,
 }
@@ -160,7 +161,7 @@
             timer: None,
             misses: 0,
             connect_timeout: config.connect_timeout,
-            backoff: (config.drain_grace / GRACE_PART).max(config.tick),
+            backoff: (config.drain_grace / BACKOFF_GRACE_DIVISOR).max(config.tick),
             paced: config.cold_start.is_some() && !config.discovery_on_request,
             events: Vec::new(),
             keeps_list: config.cold_start.is_some() || config.maintenance.is_some(),
@@ -252,10 +253,10 @@
         match trust {
             EndpointTrust::Verified => aggregator_state.replica_verified(ix),
             // A replica from an older list already has its unverified steps, or has answered since.
-            EndpointTrust::Doubted(Doubt { steps, check_from }) if known.is_none() => {
+            EndpointTrust::Unverified(PendingVerification { steps, check_from }) if known.is_none() => {
                 aggregator_state.replica_unverified(ix, steps, check_from);
             }
-            EndpointTrust::Doubted(_) | EndpointTrust::Unchanged => {}
+            EndpointTrust::Unverified(_) | EndpointTrust::Unchanged => {}
         }
         if removed {
             aggregator_state.replica_removed(ix);
@@ -304,7 +305,8 @@
         }
     }
 
-    /// Sets the machines that maintenance closes: they get no new attempts. Machines no longer in the set get them again.
+    /// Sets the machines that maintenance closes: they get no new attempts. Machines no longer in the set get them
+    /// again.
     pub fn close_machines(
         &mut self,
         closed: BTreeSet<String>,
@@ -343,7 +345,7 @@
         if full_list {
             self.revision = None;
         }
-        self.ask(aggregator_state, context);
+        self.request_list(aggregator_state, context);
     }
 
     /// Returns the replicas added since the last round.
@@ -363,7 +365,7 @@
 
     /// Switches to another discovery agent and requests the complete list from it: its revisions may not continue those
     /// of the previous agent.
-    pub fn follow_address(
+    pub fn change_address(
         &mut self,
         address: SocketAddr,
         aggregator_state: &mut AggregatorState,
@@ -377,21 +379,21 @@
         if self.paced {
             // A new configuration reaches hundreds of nodes at once, so the cold start paces the calls.
             self.cancel_timer(context);
-            self.events.push(DiscoveryEvent::Moved(address));
+            self.events.push(DiscoveryEvent::AddressChanged(address));
             return;
         }
-        self.ask(aggregator_state, context);
+        self.request_list(aggregator_state, context);
     }
 
     /// Starts the watch, unless the aggregator or the cold start decides when discovery is queried.
     pub fn start(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         if !self.on_request && !self.paced {
-            self.ask(aggregator_state, context);
+            self.request_list(aggregator_state, context);
         }
     }
 
     /// Sends a request to discovery, unless a call is in flight.
-    pub fn ask(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
+    pub fn request_list(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         if self.in_flight {
             return;
         }
@@ -466,16 +468,16 @@
                 context.metrics.bad_endpoint_lists += 1;
                 self.call_failed(&error, aggregator_state, context);
             }
-            Ok(Some(answer)) if self.in_flight => {
-                stream.consume(answer.length);
-                if !answer.keeps_alive || !matches!(filled, Ok(true)) {
+            Ok(Some(response)) if self.in_flight => {
+                stream.consume(response.length);
+                if !response.keeps_alive || !matches!(filled, Ok(true)) {
                     self.stream = None;
                 }
                 (self.in_flight, self.misses) = (false, 0);
                 context.metrics.endpoint_lists += 1;
-                let revision = answer.list.revision;
+                let revision = response.list.revision;
                 self.apply_list(
-                    answer.list,
+                    response.list,
                     &ListOrigin::Discovery,
                     connections,
                     queries,
@@ -485,11 +487,11 @@
                 if self.paced {
                     self.events.push(DiscoveryEvent::Received(revision));
                 }
-                self.ask(aggregator_state, context);
+                self.request_list(aggregator_state, context);
             }
             Ok(Some(_)) => self.call_failed(&CallError::Unexpected, aggregator_state, context),
             Ok(None) => match filled {
-                Ok(true) if stream.unread => self.call_failed(&CallError::Endless, aggregator_state, context),
+                Ok(true) if stream.unread => self.call_failed(&CallError::TooLong, aggregator_state, context),
                 Ok(true) => {}
                 Ok(false) => self.call_failed(&CallError::Closed, aggregator_state, context),
                 Err(error) => self.call_failed(&error.into(), aggregator_state, context),
@@ -501,9 +503,9 @@
     pub fn timer_due(&mut self, aggregator_state: &mut AggregatorState, context: &mut Context) {
         self.timer = None;
         if self.in_flight {
-            self.retry_later(&CallError::NoAnswer, true, aggregator_state, context);
+            self.retry_later(&CallError::TimedOut, true, aggregator_state, context);
         } else {
-            self.ask(aggregator_state, context);
+            self.request_list(aggregator_state, context);
         }
     }
 
@@ -546,7 +548,7 @@
 }
 
 /// A parsed response of discovery.
-struct Answer {
+struct ListResponse {
     list: EndpointList,
     /// The length of the response in the buffer, in bytes.
     length: usize,
@@ -554,11 +556,11 @@
 }
 
 /// Parses the first response of a buffer. Returns `None` while more bytes are needed.
-fn read_list(buffer: &[u8]) -> Result<Option<Answer>, CallError> {
+fn read_list(buffer: &[u8]) -> Result<Option<ListResponse>, CallError> {
     let Some(message) = http::parse_response(buffer)? else { return Ok(None) };
     if message.status != 200 {
         return Err(CallError::Status(message.status));
     }
     let list = membership::read(&message.body)?;
-    Ok(Some(Answer { list, length: message.length, keeps_alive: message.keeps_alive }))
+    Ok(Some(ListResponse { list, length: message.length, keeps_alive: message.keeps_alive }))
 }
--- a/crates/frontnode/src/persistence.rs
+++ b/crates/frontnode/src/persistence.rs
@@ -1,6 +1,6 @@
-//! The state that the node keeps across restarts: the last endpoint list with its age, and the ejections of replicas. It
-//! is written by the log store's own thread, so that no round waits for a disk. Persistence is disabled unless a settings
-//! file names a directory.
+//! The state that the node keeps across restarts: the last endpoint list with its age, and the ejections of replicas.
+//! It is written by the log store's own thread, so that no round waits for a disk. Persistence is disabled unless a
+//! settings file names a directory.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io;
@@ -302,13 +302,17 @@
         let (store, found) = open().map_err(error)?;
         log_recovery(&found);
         let recovered = RecoveredState::read(&store.snapshot());
-        let age = recovered.revision.map_or("no roster".to_owned(), |stored| {
-            format!("roster {} of {} s ago", stored.revision, (now - stored.at).max(0) / 1_000_000_000)
+        let age = recovered.revision.map_or("no endpoint list".to_owned(), |stored| {
+            format!(
+                "endpoint list revision {} from {} s ago",
+                stored.revision,
+                (now - stored.at).max(0) / 1_000_000_000
+            )
         });
         let ejected = recovered.ejections.values().filter(|stored| stored.ejected_since.is_some()).count();
         let (endpoints, unreadable) = (recovered.endpoints.len(), recovered.unreadable);
         log!(
-            "logbook: {age}, {endpoints} replicas, {ejected} of them set aside, {unreadable} records unread"
+            "logbook: {age}, {endpoints} replicas, {ejected} of them ejected, {unreadable} records unreadable"
         );
         let writer = BackgroundWriter::start(store, settings.writer).map_err(|io| error(io.into()))?;
         let mut starts = recovered.starts.clone();
@@ -339,8 +343,8 @@
         self.recovered.take()
     }
 
-    /// Removes stored replicas that a complete list of discovery does not name. Otherwise replicas that were removed while
-    /// the node was down would stay on disk if the stored list was never used.
+    /// Removes stored replicas that a complete list of discovery does not name. Otherwise replicas that were removed
+    /// while the node was down would stay on disk if the stored list was never used.
     pub fn remove_unlisted(&mut self, is_listed: impl Fn(&str) -> bool) {
         for id in std::mem::take(&mut self.unconfirmed) {
             if !is_listed(&id) {
@@ -404,7 +408,7 @@
     /// Returns the gauges for `/metrics`.
     pub fn gauges(&self) -> Vec<Gauge> {
         let counts = self.writer.counters();
-        let of = |count: &std::sync::atomic::AtomicU64| count.load(Relaxed) as usize;
+        let value = |count: &std::sync::atomic::AtomicU64| count.load(Relaxed) as usize;
         vec![
             Gauge::new("logbook_keys", "keys in the logbook", self.writer.snapshot().len()),
             Gauge::new(
@@ -412,16 +416,16 @@
                 "keys whose state waits for room in the queue",
                 self.handle.buffered_keys(),
             ),
-            Gauge::new("logbook_batches", "batches written since the start", of(&counts.batches)),
-            Gauge::new("logbook_syncs", "syncs since the start", of(&counts.syncs)),
-            Gauge::new("logbook_faults", "writes, syncs and merges that failed", of(&counts.errors)),
+            Gauge::new("logbook_batches", "batches written since the start", value(&counts.batches)),
+            Gauge::new("logbook_syncs", "syncs since the start", value(&counts.syncs)),
+            Gauge::new("logbook_faults", "writes, syncs and merges that failed", value(&counts.errors)),
             Gauge::new(
                 "logbook_merged",
                 "states that a later one replaced before they were written",
-                of(&counts.coalesced),
+                value(&counts.coalesced),
             ),
-            Gauge::new("logbook_refused", "batches and states that found no room", of(&counts.rejected)),
-            Gauge::new("logbook_compactions", "runs of segments merged", of(&counts.compactions)),
+            Gauge::new("logbook_refused", "batches and states that found no room", value(&counts.rejected)),
+            Gauge::new("logbook_compactions", "runs of segments merged", value(&counts.compactions)),
         ]
     }
 
@@ -441,7 +445,7 @@
     }
     if let Some(Corruption { segment, offset }) = found.corruption {
         log!(
-            "logbook: {segment:016x}.seg is damaged at byte {offset}; kept aside: {}",
+            "logbook: {segment:016x}.seg is damaged at byte {offset}; quarantined files: {}",
             found.quarantined.join(", ")
         );
     }
--- a/crates/frontnode/src/store_connections/lifecycle.rs
+++ b/crates/frontnode/src/store_connections/lifecycle.rs
@@ -108,7 +108,7 @@
             (None, Ok(true)) => {
                 self.update_message_timers(key, received.messages, context);
                 if was_checked && self.connections[key].in_flight.health_check.is_none() {
-                    self.suspect_silent_connections(key, context);
+                    self.detect_unresponsive_connections(key, context);
                 }
                 self.write_pending(key, queries, context);
                 self.release(key, queries, context);
@@ -142,8 +142,8 @@
         }
     }
 
-    /// Closes a connection on which a message was not completed in time. Its length may be corrupted, and later messages
-    /// would then be read as the rest of it.
+    /// Closes a connection on which a message was not completed in time. Its length may be corrupted, and later
+    /// messages would then be read as the rest of it.
     pub fn partial_message_due(
         &mut self,
         key: ConnectionKey,
--- a/crates/frontnode/tests/golden_client_protocols.rs
+++ b/crates/frontnode/tests/golden_client_protocols.rs
@@ -1,5 +1,5 @@
-//! What clients' messages come to under both protocols, and the bytes of the answers to each outcome, as recorded before
-//! names in the code changed.
+//! The interpretation of client requests under both client protocols, and the bytes of the responses to each outcome,
+//! compared with a recording.
 
 use std::path::PathBuf;
 
@@ -78,8 +78,8 @@
     out
 }
 
-/// What a message comes to, in words of this test, and the answer to each outcome of all that it asks.
-fn note(samples: &mut Vec<(String, Vec<u8>)>, config: &NodeConfig, name: &str, message: &[u8]) {
+/// Records the interpretation of a request and the responses to each outcome of its queries.
+fn record(samples: &mut Vec<(String, Vec<u8>)>, config: &NodeConfig, name: &str, message: &[u8]) {
     let protocols = client_protocol::protocols(config);
     let message = http::parse_request(message).unwrap().unwrap();
     let interpretation = protocols.iter().find_map(|protocol| protocol.interpret(&message, SINCE, config));
@@ -95,8 +95,8 @@
         match one {
             Err(reply) => words.push(format!("refused {}", String::from_utf8(bytes(reply, false)).unwrap())),
             Ok(one) => {
-                let parts: Vec<String> =
-                    one.shards.iter().map(|part| format!("{}:{}", part.shard, part.weight)).collect();
+                let shards: Vec<String> =
+                    one.shards.iter().map(|shard| format!("{}:{}", shard.shard, shard.weight)).collect();
                 words.push(format!(
                     "id {} class {} tenant {} until {} work {} again {} floor {} key {} parts {} text {}",
                     one.id,
@@ -107,7 +107,7 @@
                     one.is_retry,
                     one.min_weight,
                     one.idempotency_key.as_deref().unwrap_or("none"),
-                    parts.join(" "),
+                    shards.join(" "),
                     one.payload
                 ));
             }
@@ -155,8 +155,8 @@
     ("Idempotency-Key", "k-1"),
 ];
 
-/// Those headers, with one other value, or without that header where the value is empty.
-fn but<'a>(name: &str, value: &'a str) -> Vec<(&'a str, &'a str)> {
+/// Returns the headers with another value for one of them, or without it if the value is empty.
+fn headers_with<'a>(name: &str, value: &'a str) -> Vec<(&'a str, &'a str)> {
     let changed = HEADERS.iter().map(|&(n, v)| if n == name { (n, value) } else { (n, v) });
     changed.filter(|(_, value)| !value.is_empty()).collect()
 }
@@ -165,14 +165,14 @@
     r#"{"slices":[{"slice":0,"mass":0.33333},{"slice":2,"mass":0.66666,"micros":1500.5}],"filter":"c41"}"#;
 
 #[test]
-fn the_own_protocol_is_spoken_as_recorded() {
+fn the_own_protocol_matches_the_recording() {
     let config = config("own", false, true);
     let mut samples = Vec::new();
-    let mut message = |name: &str, message: Vec<u8>| note(&mut samples, &config, name, &message);
+    let mut message = |name: &str, message: Vec<u8>| record(&mut samples, &config, name, &message);
     message("two-parts", own(&HEADERS, BODY));
-    message("receipted", own(&but("Request-Class", "hold"), BODY));
+    message("receipted", own(&headers_with("Request-Class", "hold"), BODY));
     message("asked-again", own(&[&HEADERS[..], &[("Client-Retry", "1")]].concat(), BODY));
-    message("microseconds", own(&but("Request-Timeout", "250000u"), BODY));
+    message("microseconds", own(&headers_with("Request-Timeout", "250000u"), BODY));
     for (name, header, value) in [
         ("no-id", "Request-Id", ""),
         ("id-with-comma", "Request-Id", "a,b"),
@@ -185,7 +185,7 @@
         ("no-tenant", "Tenant", ""),
         ("unknown-tenant", "Tenant", "nobody"),
     ] {
-        message(name, own(&but(header, value), BODY));
+        message(name, own(&headers_with(header, value), BODY));
     }
     let receipted =
         [("Request-Id", "r1"), ("Request-Class", "hold"), ("Request-Timeout", "1m"), ("Tenant", "acme")];
@@ -214,12 +214,12 @@
 }
 
 #[test]
-fn the_own_protocol_before_stores_of_the_search_protocol_is_spoken_as_recorded() {
+fn the_own_protocol_in_front_of_search_stores_matches_the_recording() {
     let config = config("own-routed", true, false);
     let mut samples = Vec::new();
     let mut filter = |name: &str, class: &str, filter: &str| {
         let body = json!({"slices": [{"slice": 0, "mass": 1}], "filter": filter}).to_string();
-        note(&mut samples, &config, name, &own(&but("Request-Class", class), &body));
+        record(&mut samples, &config, name, &own(&headers_with("Request-Class", class), &body));
     };
     filter("search", "look", r#"{"search":{"index":"jobs","body":{"size":1}}}"#);
     filter("create", "hold", r#"{"create":{"index":"jobs","id":"k-1","document":{"crew":1}}}"#);
@@ -233,10 +233,10 @@
 }
 
 #[test]
-fn the_search_protocol_is_spoken_as_recorded() {
+fn the_search_protocol_matches_the_recording() {
     let config = config("search", true, false);
     let mut samples = Vec::new();
-    let mut message = |name: &str, message: Vec<u8>| note(&mut samples, &config, name, &message);
+    let mut message = |name: &str, message: Vec<u8>| record(&mut samples, &config, name, &message);
     let query = r#"{"query":{"term":{"customer":"c 1"}},"size":3}"#;
     let document = r#"{"customer":"c1","crew":3}"#;
     let marked = "X-Opaque-Id: m7\r\n";
@@ -294,19 +294,19 @@
 }
 
 #[test]
-fn tenants_of_the_search_protocol_are_read_as_recorded() {
+fn tenants_of_the_search_protocol_match_the_recording() {
     let config = config("search-tenants", true, true);
     let mut samples = Vec::new();
     for (name, headers) in [("none", ""), ("second", "Tenant: other\r\n"), ("unknown", "Tenant: nobody\r\n")]
     {
-        note(&mut samples, &config, name, &search("POST", "/jobs/_search", headers, "{}"));
+        record(&mut samples, &config, name, &search("POST", "/jobs/_search", headers, "{}"));
     }
     check_samples(&golden("search_protocol_tenants.txt"), &samples);
 }
 
-/// Heads, bodies and faults of HTTP messages, and answers.
+/// Heads, bodies and errors of HTTP messages, and responses.
 #[test]
-fn http_messages_are_read_and_written_as_recorded() {
+fn http_messages_match_the_recording() {
     let mut samples = Vec::new();
     let coded = "POST /a?b HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n";
     let long = "x".repeat(17 << 10);
--- a/crates/frontnode/tests/search_node/mod.rs
+++ b/crates/frontnode/tests/search_node/mod.rs
@@ -1,4 +1,4 @@
-//! A node as a process, stand-in stores in front of which it runs, and clients with blocking calls.
+//! A node process with emulated index servers, and clients with blocking calls.
 #![allow(dead_code)]
 
 use std::io::{BufRead, BufReader, Read, Write};
@@ -13,8 +13,8 @@
 use orchidvalve_test_store::{Documents, Fault, FaultPlan, Store};
 use serde_json::{Value, json};
 
-pub const TOO_LONG: Duration = Duration::from_secs(20);
-pub const SLICES: usize = 3;
+pub const TIMEOUT: Duration = Duration::from_secs(20);
+pub const SHARDS: usize = 3;
 
 const ROUTES: &str = r#"
 [index.jobs]
@@ -39,15 +39,15 @@
 customer = "keyword"
 "#;
 
-pub fn settled() -> RoutingContext {
+pub fn routing_context() -> RoutingContext {
     let grade = |name: &str, receipted| RouteClass { name: name.to_owned(), has_idempotency_key: receipted };
     RoutingContext {
         classes: vec![grade("look", false), grade("van-search", false), grade("hold", true)],
-        shards: SLICES,
+        shards: SHARDS,
     }
 }
 
-/// Three slices; slice `n` is held by store `n`, and by the next ones up to `reach`.
+/// Settings with three shards; shard `n` is held by store `n` and the following ones, `reach` stores in total.
 fn settings(reach: usize) -> Value {
     let class = |name: &str, effect: &str| {
         json!({"name": name, "effect": effect, "objectiveNs": 400_000_000, "deadlineNs": 3_000_000_000u64,
@@ -57,7 +57,7 @@
     hold["windowNs"] = json!(300_000_000);
     json!({
         "classes": [class("look", "pure"), class("van-search", "pure"), hold],
-        "extra": {"positions": SLICES, "reach": reach, "slices": SLICES, "bundleMax": 4,
+        "extra": {"positions": SHARDS, "reach": reach, "slices": SHARDS, "bundleMax": 4,
                   "classFloor": [1.0, 0.6, 1.0], "wholeAt": [1.0, 1.0, 1.0], "shortWorth": [0.0, 0.6, 0.0]},
         "limits": {"attemptsCap": 4, "cancel": true, "secondCopies": true, "probes": true, "multiplex": 8,
                    "connIdleNs": 15_000_000_000u64, "connectTimeoutNs": 100_000_000},
@@ -88,33 +88,33 @@
            "flavor": flavor, "locality": "a", "up_since_ms": 0})
 }
 
-/// Runs the node until it listens; and the lines that it wrote before.
+/// Starts the node and waits until it listens. Returns the log lines before that as well.
 fn spawn(config: &str) -> (Child, SocketAddr, Vec<String>) {
     let mut command = Command::new(env!("CARGO_BIN_EXE_orchidvalved"));
     let mut child = command.env("NODE_CONFIG", config).stderr(Stdio::piped()).spawn().unwrap();
     let (mut lines, mut log) = (Vec::new(), BufReader::new(child.stderr.take().unwrap()));
     let node = loop {
         let mut line = String::new();
-        assert!(log.read_line(&mut line).unwrap() > 0, "it ended: {lines:?}");
+        assert!(log.read_line(&mut line).unwrap() > 0, "the node ended: {lines:?}");
         if line.contains("listening on") {
             break line.trim().rsplit(' ').next().unwrap().parse().expect(&line);
         }
         lines.push(line);
     };
-    // Read on, lest the node write to a pipe that nobody reads.
+    // The log is read further, so that the node does not block on a full pipe.
     std::thread::spawn(move || std::io::copy(&mut log, &mut std::io::sink()));
     (child, node, lines)
 }
 
 impl Harness {
-    /// What a second node by the same configuration says before it ends, and how it ends.
-    pub fn second(&self) -> (String, Option<i32>) {
+    /// Runs a second node with the same configuration until it ends. Returns its log and exit code.
+    pub fn run_second_node(&self) -> (String, Option<i32>) {
         let mut command = Command::new(env!("CARGO_BIN_EXE_orchidvalved"));
         let child = command.env("NODE_CONFIG", &self.config).stderr(Stdio::piped()).output().unwrap();
         (String::from_utf8(child.stderr).unwrap(), child.status.code())
     }
 
-    /// Kills it as power that goes does, and starts it again; what it wrote before it listened.
+    /// Kills the node as in a power loss and restarts it. Returns the log lines before it listened.
     pub fn restart(&mut self) -> Vec<String> {
         self.child.kill().unwrap();
         self.child.wait().unwrap();
@@ -123,11 +123,12 @@
         lines
     }
 
-    /// An agent that has news whenever it is asked, until the node is gone for good. Gives the revision last told.
-    pub fn news(&self) -> Arc<AtomicI64> {
+    /// Runs a discovery agent that publishes a new revision at every request until the test ends. Returns the last
+    /// published revision.
+    pub fn publish_constantly(&self) -> Arc<AtomicI64> {
         let (agent, members) = (self.agent.try_clone().unwrap(), self.members.clone());
-        let told = Arc::new(AtomicI64::new(1));
-        let count = told.clone();
+        let published = Arc::new(AtomicI64::new(1));
+        let count = published.clone();
         std::thread::spawn(move || {
             for mut stream in agent.incoming().flatten() {
                 let mut request = [0; 1024];
@@ -135,54 +136,55 @@
                     let revision = count.fetch_add(1, Relaxed) + 1;
                     let mut members = members.clone();
                     members[(revision % 3) as usize]["locality"] = json!(format!("a{revision}"));
-                    let roster =
+                    let list =
                         json!({"revision": revision, "complete": true, "members": members}).to_string();
-                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", roster.len());
-                    if stream.write_all(format!("{head}{roster}").as_bytes()).is_err() {
+                    let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", list.len());
+                    if stream.write_all(format!("{head}{list}").as_bytes()).is_err() {
                         break;
                     }
                 }
             }
         });
-        told
+        published
     }
 
-    /// A number of `/metrics` that is there at the moment.
+    /// Returns the current value of a gauge in `/metrics`.
     pub fn gauge(&self, name: &str) -> u64 {
         let (_, _, text) = self.send("GET", "/metrics", "", "").text();
         let line = text.lines().find(|l| l.starts_with(&format!("orchidvalve_{name} "))).unwrap();
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
 
-    /// Tells the agent's next caller this endpoint list.
-    pub fn tell(&self, agent: &mut TcpStream, roster: &Value) {
-        let roster = roster.to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{roster}", roster.len());
+    /// Sends this endpoint list to the next client of the discovery agent.
+    pub fn send_list(&self, agent: &mut TcpStream, list: &Value) {
+        let list = list.to_string();
+        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{list}", list.len());
         let _ = agent.write_all(answer.as_bytes());
     }
 
-    /// With room for many clients and many connections to stores, for measurements.
-    pub fn open_wide(test_name: &str, flavors: [&str; SLICES], more: &str) -> Harness {
+    /// Opens a harness with a capacity for many clients and many connections to stores, for benchmarks.
+    pub fn open_wide(test_name: &str, flavors: [&str; SHARDS], more: &str) -> Harness {
         Harness::open_with(test_name, 2, flavors, &format!("[pool]\nconnections = 64\n{more}"), 1024)
     }
 
-    /// `flavors`: of each store; those that begin with `os` speak the search protocol.
-    pub fn open(test_name: &str, reach: usize, flavors: [&str; SLICES], more: &str) -> Harness {
+    /// Opens a harness. `flavors` are those of the stores; stores whose flavor begins with `os` speak the search
+    /// protocol.
+    pub fn open(test_name: &str, reach: usize, flavors: [&str; SHARDS], more: &str) -> Harness {
         Harness::open_with(test_name, reach, flavors, more, 128)
     }
 
     fn open_with(
         test_name: &str,
         reach: usize,
-        flavors: [&str; SLICES],
+        flavors: [&str; SHARDS],
         more: &str,
         sockets: usize,
     ) -> Harness {
         let file = format!("{ROUTES}\n[[stores]]\nflavor = \"os*\"\nwire = \"search\"\n{more}");
-        let routes = Arc::new(Routes::read(&file, &settled()).unwrap());
+        let routes = Arc::new(Routes::read(&file, &routing_context()).unwrap());
         let documents = Arc::new(Mutex::new(Documents::new(routes)));
         let any: SocketAddr = "127.0.0.1:0".parse().unwrap();
-        let stores: Vec<Store> = (0..SLICES).map(|_| Store::start(any, documents.clone()).unwrap()).collect();
+        let stores: Vec<Store> = (0..SHARDS).map(|_| Store::start(any, documents.clone()).unwrap()).collect();
         let agent = TcpListener::bind(any).unwrap();
         let members = stores.iter().zip(flavors).enumerate();
         let members: Value = members.map(|(n, (store, flavor))| member(n, store, flavor, "up")).collect();
@@ -192,9 +194,9 @@
             "seed": "8c1f30d27a5be964", "limits": {"memory_mb": 192, "sockets": sockets}, "search": path("toml"),
             "known": {"revision": 1, "complete": true, "members": members}, "settings": settings(reach)
         });
-        let book = format!("[logbook]\ndir = \"{}\"\nsoon_ms = 1\n", path("book"));
+        let logbook = format!("[logbook]\ndir = \"{}\"\nsoon_ms = 1\n", path("book"));
         let _ = std::fs::remove_dir_all(path("book"));
-        std::fs::write(path("book.toml"), book).unwrap();
+        std::fs::write(path("book.toml"), logbook).unwrap();
         let mut config = config;
         if more.contains("# logbook") {
             config["logbook"] = json!(path("book.toml"));
@@ -219,21 +221,21 @@
                 source["notes"] = json!(notes);
             }
             let document = Document::new(&format!("d{n:03}"), source, &index.mapping).unwrap();
-            let home = index.document_shard(&document.id, None).unwrap();
-            self.documents().insert(&index.name, home, document.clone());
+            let shard = index.document_shard(&document.id, None).unwrap();
+            self.documents().insert(&index.name, shard, document.clone());
             document
         });
         made.collect()
     }
 
     pub fn set_faults(&self, store: usize, all: Option<Fault>, rules: &[(&str, Fault)]) {
-        let rules = rules.iter().map(|&(words, trouble)| (words.to_owned(), trouble)).collect();
+        let rules = rules.iter().map(|&(words, fault)| (words.to_owned(), fault)).collect();
         self.stores[store].set_faults(FaultPlan { rules, default: all, health_checks: None });
     }
 
     pub fn send(&self, method: &str, path: &str, more: &str, body: &str) -> Peer {
         let mut stream = TcpStream::connect(self.node).unwrap();
-        stream.set_read_timeout(Some(TOO_LONG)).unwrap();
+        stream.set_read_timeout(Some(TIMEOUT)).unwrap();
         let head = format!("{method} {path} HTTP/1.1\r\n{more}Content-Length: {}\r\n\r\n", body.len());
         stream.write_all(format!("{head}{body}").as_bytes()).unwrap();
         Peer(stream)
@@ -244,7 +246,7 @@
         (status, body)
     }
 
-    pub fn parts(&self) -> usize {
+    pub fn shard_requests(&self) -> usize {
         self.stores.iter().map(|s| s.observations().payloads.len()).sum()
     }
 
@@ -254,8 +256,8 @@
         line.rsplit(' ').next().unwrap().parse().unwrap()
     }
 
-    pub fn until(&self, what: &str, mut holds: impl FnMut(&Harness) -> bool) {
-        let end = Instant::now() + TOO_LONG;
+    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&Harness) -> bool) {
+        let end = Instant::now() + TIMEOUT;
         while !holds(self) {
             assert!(Instant::now() < end, "{what}");
             std::thread::yield_now();
@@ -290,5 +292,5 @@
     }
 }
 
-pub const OS: [&str; SLICES] = ["os", "os", "os"];
-pub const FRAMES: [&str; SLICES] = ["m", "m", "m"];
+pub const OS: [&str; SHARDS] = ["os", "os", "os"];
+pub const FRAMES: [&str; SHARDS] = ["m", "m", "m"];
