--- a/crates/testbed/src/invariants/configurations.rs
+++ b/crates/testbed/src/invariants/configurations.rs
@@ -25,7 +25,7 @@
     accepted_at: Option<u64>,
     /// When the operator first received a response of acceptance.
     pub acknowledged_at: Option<u64>,
-    refused: bool,
+    rejected: bool,
 }
 
 impl ChangeRecord {
@@ -63,7 +63,7 @@
                     sent_at: context.now,
                     accepted_at: None,
                     acknowledged_at: None,
-                    refused: false,
+                    rejected: false,
                 });
             }
             Observation::ConfigurationSendEnded { change, status } => {
@@ -77,7 +77,7 @@
             }
             Observation::ConfigurationResponseLost { change, status } => {
                 let Some(index) = self.index_of(*change) else { return };
-                if is_success(*status) || is_refusal(*status) {
+                if is_success(*status) || is_rejection(*status) {
                     self.close(index);
                 }
                 self.check_response(context, index, *status);
@@ -118,9 +118,9 @@
     }
 
     fn check_response(&mut self, context: &mut CheckContext, index: usize, status: u16) {
-        if is_refusal(status) {
-            self.check_refusal(context, index, status);
-            self.sent[index].refused = true;
+        if is_rejection(status) {
+            self.check_rejection(context, index, status);
+            self.sent[index].rejected = true;
         }
         if is_success(status) {
             self.check_acceptance(context, index);
@@ -137,7 +137,7 @@
         if !change.valid {
             context.violate(Invariant::Config, &subject, "an invalid configuration was acknowledged");
         }
-        if change.refused {
+        if change.rejected {
             context.violate(Invariant::Config, &subject, "was acknowledged after it had been refused");
         }
         let accepted =
@@ -151,7 +151,7 @@
     }
 
     /// Checks that a valid change is rejected only if another one may have superseded it, and never after its acceptance.
-    fn check_refusal(&self, context: &mut CheckContext, index: usize, status: u16) {
+    fn check_rejection(&self, context: &mut CheckContext, index: usize, status: u16) {
         let change = &self.sent[index];
         let subject = change.version.to_string();
         if change.is_accepted() {
@@ -168,7 +168,7 @@
         }
         let mut others = self.sent.iter().filter(|other| other.number != change.number && other.valid);
         let may_supersede = |other: &ChangeRecord| {
-            (other.base == change.base && !other.refused)
+            (other.base == change.base && !other.rejected)
                 || (other.is_accepted() && other.version > change.base)
         };
         if !others.any(may_supersede) {
@@ -209,8 +209,8 @@
             of_version.iter().copied().filter(|change| change.is_accepted()).collect();
         let candidates = if accepted.is_empty() { &of_version } else { &accepted };
         let same = candidates.iter().filter(|change| change.document == *document);
-        match same.min_by_key(|change| change.refused) {
-            Some(change) if change.refused => {
+        match same.min_by_key(|change| change.rejected) {
+            Some(change) if change.rejected => {
                 context.violate(Invariant::Config, &subject, "is in force though it was refused");
             }
             Some(_) => {}
@@ -254,7 +254,7 @@
         let acknowledged =
             self.sent.iter().filter(|change| change.acknowledged_at.is_some_and(|at| at <= applied_at));
         let oldest = acknowledged.map(|change| change.version).max().unwrap_or(0);
-        self.sent.iter().filter(move |change| change.version >= oldest && !change.refused)
+        self.sent.iter().filter(move |change| change.version >= oldest && !change.rejected)
     }
 
     /// Checks the changes that are still open at the end.
@@ -268,7 +268,7 @@
 }
 
 /// Whether a status rejects a change for good; 408, 421 and 429 only defer it.
-fn is_refusal(status: u16) -> bool {
+fn is_rejection(status: u16) -> bool {
     (400..500).contains(&status) && !matches!(status, 408 | 421 | 429)
 }
 
--- a/crates/testbed/src/invariants/job_record.rs
+++ b/crates/testbed/src/invariants/job_record.rs
@@ -36,7 +36,7 @@
     pub credentials: Credentials,
     pub first_sent: u64,
     pub sends: u64,
-    refusals: u64,
+    rejections: u64,
     pub accepted_at: Option<u64>,
     pub cancel_sent: bool,
     pub cancelled_at: Option<u64>,
@@ -53,7 +53,7 @@
             sent,
             first_sent: now,
             sends: 1,
-            refusals: 0,
+            rejections: 0,
             accepted_at: None,
             cancel_sent: false,
             cancelled_at: None,
@@ -68,14 +68,14 @@
             Some(202) => {
                 self.accepted_at.get_or_insert(now);
             }
-            Some(status) if NOT_EXECUTED_STATUSES.contains(&status) => self.refusals += 1,
+            Some(status) if NOT_EXECUTED_STATUSES.contains(&status) => self.rejections += 1,
             _ => {}
         }
     }
 
     /// Whether every submission received a status that promises that nothing of the job is executed.
-    pub fn is_refused(&self) -> bool {
-        self.refusals >= self.sends && self.accepted_at.is_none()
+    pub fn is_rejected(&self) -> bool {
+        self.rejections >= self.sends && self.accepted_at.is_none()
     }
 
     /// Checks a page of results against earlier pages and against the record of the servers.
--- a/crates/testbed/src/invariants/jobs.rs
+++ b/crates/testbed/src/invariants/jobs.rs
@@ -130,10 +130,10 @@
 
     /// Checks that no item of a batch job was executed if every submission of the job was rejected.
     pub fn finish(&self, context: &mut CheckContext, server_log: &ServerLog) {
-        for (job_id, job) in self.jobs.iter().filter(|(_, job)| job.is_refused()) {
+        for (job_id, job) in self.jobs.iter().filter(|(_, job)| job.is_rejected()) {
             for id in job.sent.items.iter().flat_map(|item| [&item.id, &item.reward.id]) {
                 let was_executed = !server_log.executions(id).is_empty();
-                if was_executed && self.jobs_with(id).all(JobRecord::is_refused) {
+                if was_executed && self.jobs_with(id).all(JobRecord::is_rejected) {
                     let detail = format!("was executed although batch job {job_id} was refused");
                     context.violate(Invariant::Refused, id, detail);
                 }
--- a/crates/testbed/src/invariants/requests.rs
+++ b/crates/testbed/src/invariants/requests.rs
@@ -22,7 +22,7 @@
     idempotent: bool,
     credentials: Credentials,
     sent_at: u64,
-    refused: bool,
+    rejected: bool,
 }
 
 /// Requests of clients by id.
@@ -59,7 +59,7 @@
                     idempotent: *idempotent,
                     credentials: credentials.clone(),
                     sent_at: context.now,
-                    refused: false,
+                    rejected: false,
                 };
                 self.sent.insert(id.clone(), request);
             }
@@ -72,7 +72,7 @@
                 match status {
                     200..=299 => check_success(context, server_log, id, signature.as_deref(), *body),
                     status if NOT_EXECUTED_STATUSES.contains(status) => {
-                        self.check_refusal(context, server_log, id, *status);
+                        self.check_rejection(context, server_log, id, *status);
                     }
                     _ => {}
                 }
@@ -111,14 +111,14 @@
             let detail = "a request that isn't idempotent is executed again";
             context.violate(Invariant::Twice, id, detail);
         }
-        if request.refused {
+        if request.rejected {
             context.violate(Invariant::Refused, id, "is executed after its refusal");
         }
     }
 
-    fn check_refusal(&mut self, context: &mut CheckContext, server_log: &ServerLog, id: &str, status: u16) {
+    fn check_rejection(&mut self, context: &mut CheckContext, server_log: &ServerLog, id: &str, status: u16) {
         let Some(request) = self.sent.get_mut(id).filter(|request| !request.idempotent) else { return };
-        request.refused = true;
+        request.rejected = true;
         if !server_log.executions(id).is_empty() {
             let detail = format!("got {status} though it has been executed");
             context.violate(Invariant::Refused, id, detail);
--- a/crates/testbed/src/invariants/usage_accounts.rs
+++ b/crates/testbed/src/invariants/usage_accounts.rs
@@ -101,7 +101,7 @@
             match self.reports.get(&window).filter(|report| report.at <= self.due_at(window)) {
                 None => figures.missing += 1,
                 Some(report) if !self.is_within_tolerance(expected, &report.counts) => {
-                    figures.inaccurate += 1
+                    figures.inaccurate += 1;
                 }
                 Some(_) => {}
             }
--- a/crates/testbed/src/launch/topology.rs
+++ b/crates/testbed/src/launch/topology.rs
@@ -17,12 +17,12 @@
 const FIRST_PORT: u16 = 12_000;
 const LAST_PORT: u16 = 31_000;
 /// Number of ports of a machine: frontend, readiness, control, and those between nodes.
-const BLOCK: u16 = INTERNAL_PORTS + 3;
+const PORTS_PER_MACHINE: u16 = INTERNAL_PORTS + 3;
 /// First value of the second address octet; each launch uses a different value.
 const FIRST_NETWORK: u32 = 20;
 const NETWORKS: u32 = 200;
 /// Number of port blocks among which the search of a launch starts.
-const FIRST_BLOCKS: u32 = 500;
+const START_BLOCKS: u32 = 500;
 /// Third address octet of the platform; emulated servers use the next value.
 const EMULATOR_NET: u8 = 200;
 /// Third address octet of edge machines in the first zone.
@@ -128,8 +128,8 @@
         machines.extend((0..store_nodes).map(|index| store_machine(network, index)));
         let addresses: Vec<Ipv4Addr> =
             machines.iter().flat_map(|machine| [machine.ip, behind_proxy(machine.ip)]).collect();
-        let start = FIRST_PORT + (number % FIRST_BLOCKS) as u16 * BLOCK;
-        let mut blocks = (start..LAST_PORT).step_by(usize::from(BLOCK)).map(Ports::block);
+        let start = FIRST_PORT + (number % START_BLOCKS) as u16 * PORTS_PER_MACHINE;
+        let mut blocks = (start..LAST_PORT).step_by(usize::from(PORTS_PER_MACHINE)).map(Ports::block);
         let ports = blocks.find(|ports| ports.are_free(&addresses)).ok_or(LaunchError::NoFreePorts)?;
         let platform = SocketAddrV4::new(Ipv4Addr::new(127, network, EMULATOR_NET, 1), ports.control);
         Ok(Topology { machines, ports, platform, proxied: false, network })
--- a/crates/testbed/src/scenario/compound_faults.rs
+++ b/crates/testbed/src/scenario/compound_faults.rs
@@ -35,7 +35,7 @@
         after(0, Step::Kill(wiped.to_vec())),
         after(1, Step::Wipe(wiped.to_vec())),
         after(1, Step::AddStore),
-        after(2, Step::TerminateForGood(leaving.to_vec())),
+        after(2, Step::TerminateAndRemove(leaving.to_vec())),
         after(SHORT_DOWN_MS, Step::Start(wiped.to_vec())),
     ]
 }
--- a/crates/testbed/src/scenario/execution.rs
+++ b/crates/testbed/src/scenario/execution.rs
@@ -62,8 +62,8 @@
             Step::SpendQuota(ids) => self.running(ids).try_for_each(|id| self.launcher.pause(id))?,
             Step::RenewQuota(ids) => self.running(ids).try_for_each(|id| self.launcher.resume(id))?,
             Step::Terminate(ids) => self.terminate(now, &ids)?,
-            Step::TerminateForGood(ids) => {
-                self.supervision.leaving.extend(&ids);
+            Step::TerminateAndRemove(ids) => {
+                self.supervision.removed_after_exit.extend(&ids);
                 self.terminate(now, &ids)?;
             }
             Step::Remove(ids) => self.remove(&ids)?,
--- a/crates/testbed/src/scenario/run.rs
+++ b/crates/testbed/src/scenario/run.rs
@@ -102,7 +102,7 @@
     }
     run.launcher.start_all()?;
     run.wait_until_ready()?;
-    run.play(options)?;
+    run.run_traffic_and_faults(options)?;
     Ok(run.report(options))
 }
 
@@ -164,7 +164,7 @@
         Ok(())
     }
 
-    fn play(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
+    fn run_traffic_and_faults(&mut self, options: &ScenarioOptions) -> Result<(), ScenarioError> {
         let from = self.host.now() + LEAD_MS;
         let until = from + options.seconds * 1_000;
         self.schedule_faults(options, from + options.seconds * 10 * FAULT_PERCENT);
--- a/crates/testbed/src/scenario/steps.rs
+++ b/crates/testbed/src/scenario/steps.rs
@@ -24,7 +24,7 @@
     /// Sends SIGTERM to processes, and restarts them after they have exited.
     Terminate(Vec<ProcessId>),
     /// Sends SIGTERM to processes, and removes their machines and disks after they have exited.
-    TerminateForGood(Vec<ProcessId>),
+    TerminateAndRemove(Vec<ProcessId>),
     /// Removes machines and their disks at once.
     Remove(Vec<ProcessId>),
     AddStore,
@@ -61,7 +61,7 @@
         matches!(
             self,
             Step::Terminate(_)
-                | Step::TerminateForGood(_)
+                | Step::TerminateAndRemove(_)
                 | Step::Start(_)
                 | Step::AddStore
                 | Step::AddControl
@@ -71,7 +71,7 @@
     /// Maximum duration of the step after its start, in milliseconds.
     pub fn lasts_ms(&self) -> u64 {
         match self {
-            Step::Terminate(_) | Step::TerminateForGood(_) => GRACE_MS,
+            Step::Terminate(_) | Step::TerminateAndRemove(_) => GRACE_MS,
             Step::Leader(_, duration_ms) => *duration_ms,
             _ => 0,
         }
--- a/crates/testbed/src/scenario/supervision.rs
+++ b/crates/testbed/src/scenario/supervision.rs
@@ -20,7 +20,7 @@
     /// Processes that received SIGTERM, with the time at which they are killed.
     pub stopping: BTreeMap<ProcessId, u64>,
     /// Processes whose machines are removed with their disks after they have exited.
-    pub leaving: BTreeSet<ProcessId>,
+    pub removed_after_exit: BTreeSet<ProcessId>,
     /// Number of retired machines that were removed.
     retired: usize,
     ended: Vec<EndedProcess>,
@@ -85,7 +85,7 @@
 
     /// Schedules the restart of an exited process, or removes its machine if it was to leave.
     fn replace_ended(&mut self, now: u64, id: ProcessId) -> Result<(), ScenarioError> {
-        if self.supervision.leaving.remove(&id) {
+        if self.supervision.removed_after_exit.remove(&id) {
             return self.remove(&[id]);
         }
         self.schedule.steps.push(after(now + RESTART_MS, Step::Start(vec![id])));
--- a/crates/testbed/src/scenario/tests.rs
+++ b/crates/testbed/src/scenario/tests.rs
@@ -156,7 +156,7 @@
         Step::Pause(ids) => add_processes(trace, 4, ids),
         Step::Resume(ids) => add_processes(trace, 5, ids),
         Step::Terminate(ids) => add_processes(trace, 6, ids),
-        Step::TerminateForGood(ids) => add_processes(trace, 7, ids),
+        Step::TerminateAndRemove(ids) => add_processes(trace, 7, ids),
         Step::Remove(ids) => add_processes(trace, 8, ids),
         Step::AddStore => trace.add_number(9),
         Step::AddControl => trace.add_number(10),
--- a/crates/testbed/tests/golden_callers.rs
+++ b/crates/testbed/tests/golden_callers.rs
@@ -24,13 +24,14 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde_json::{Value, json};
-use support::recording::play_caller;
+use support::recording::run_caller;
 
 const SEEDS: u64 = 10;
 const UNTIL: u64 = 40_000;
 
-fn check(file: &str, play: impl Fn(u64) -> u64) {
-    let hashes: Vec<(String, u64)> = (0..SEEDS).map(|seed| (format!("seed-{seed}"), play(seed))).collect();
+fn check(file: &str, simulate: impl Fn(u64) -> u64) {
+    let hashes: Vec<(String, u64)> =
+        (0..SEEDS).map(|seed| (format!("seed-{seed}"), simulate(seed))).collect();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
     check_hashes(&path, &hashes);
 }
@@ -72,7 +73,7 @@
     }
 }
 
-fn play_clients(seed: u64) -> u64 {
+fn simulate_clients(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let settings = ClientSettings {
         zone: ["north", "south", "east"][seed as usize % 3].to_owned(),
@@ -97,7 +98,7 @@
     for gateway in 0..seed as usize % 5 {
         directory.record_readiness(gateway, true);
     }
-    let trace = play_caller(&mut clients, &mut directory, &mut random, UNTIL, |call, random| {
+    let trace = run_caller(&mut clients, &mut directory, &mut random, UNTIL, |call, random| {
         let (request, _) = parse_request(&call.bytes).unwrap().unwrap();
         failure(random).unwrap_or_else(|| {
             let id = request.headers.get("Attempt-Id").unwrap_or_default().to_owned();
@@ -112,14 +113,14 @@
 
 #[test]
 fn clients_match_the_golden_traces() {
-    check("clients.txt", play_clients);
+    check("clients.txt", simulate_clients);
 }
 
-fn play_readiness_checks(seed: u64) -> u64 {
+fn simulate_readiness_checks(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut directory = directory();
     let mut checks = ReadinessChecks::default();
-    let trace = play_caller(&mut checks, &mut directory, &mut random, UNTIL, |_, random| {
+    let trace = run_caller(&mut checks, &mut directory, &mut random, UNTIL, |_, random| {
         failure(random).unwrap_or_else(|| Outcome::Response(response(200, &[], Vec::new())))
     });
     trace ^ directory.ready_gateways() as u64
@@ -127,7 +128,7 @@
 
 #[test]
 fn readiness_checks_match_the_golden_traces() {
-    check("readiness_checks.txt", play_readiness_checks);
+    check("readiness_checks.txt", simulate_readiness_checks);
 }
 
 fn first_configuration() -> Value {
@@ -209,12 +210,12 @@
     script
 }
 
-fn play_operator(seed: u64) -> u64 {
+fn simulate_operator(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let script: Script = Rc::new(RefCell::new(script(&mut random)));
     let (mut operator, stats) = Operator::new(script, seed);
     let mut control = ControlNodeStub { current: json!({}) };
-    let trace = play_caller(&mut operator, &mut directory(), &mut random, UNTIL, |call, random| {
+    let trace = run_caller(&mut operator, &mut directory(), &mut random, UNTIL, |call, random| {
         control.respond(call, random)
     });
     let stats = stats.borrow();
@@ -232,10 +233,10 @@
 
 #[test]
 fn the_operator_matches_the_golden_traces() {
-    check("operator.txt", play_operator);
+    check("operator.txt", simulate_operator);
 }
 
-fn play_concurrent_operators(seed: u64) -> u64 {
+fn simulate_concurrent_operators(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut current = first_configuration();
     current["config-version"] = json!(4);
@@ -246,7 +247,7 @@
     let (mut concurrent_operators, stats) = ConcurrentOperators::new(settings);
     let mut control = ControlNodeStub { current };
     let trace =
-        play_caller(&mut concurrent_operators, &mut directory(), &mut random, UNTIL, |call, random| {
+        run_caller(&mut concurrent_operators, &mut directory(), &mut random, UNTIL, |call, random| {
             control.respond(call, random)
         });
     let stats = stats.borrow();
@@ -257,5 +258,5 @@
 
 #[test]
 fn concurrent_operators_match_the_golden_traces() {
-    check("operators_at_the_same_time.txt", play_concurrent_operators);
+    check("operators_at_the_same_time.txt", simulate_concurrent_operators);
 }
--- a/crates/testbed/tests/golden_invariants.rs
+++ b/crates/testbed/tests/golden_invariants.rs
@@ -159,10 +159,10 @@
         checker.observe(*at, observation);
         trace.add_number(checker.violations().len() as u64);
     }
-    for broken in checker.finish() {
-        trace.add(broken.invariant.to_string().as_bytes());
-        trace.add(broken.subject.as_bytes());
-        trace.add_number(broken.at);
+    for violation in checker.finish() {
+        trace.add(violation.invariant.to_string().as_bytes());
+        trace.add(violation.subject.as_bytes());
+        trace.add_number(violation.at);
     }
     checker.violations().len()
 }
--- a/crates/testbed/tests/golden_servers.rs
+++ b/crates/testbed/tests/golden_servers.rs
@@ -22,8 +22,9 @@
 const SEEDS: u64 = 12;
 const STEPS: usize = 300;
 
-fn check(file: &str, play: impl Fn(u64) -> u64) {
-    let hashes: Vec<(String, u64)> = (0..SEEDS).map(|seed| (format!("seed-{seed}"), play(seed))).collect();
+fn check(file: &str, simulate: impl Fn(u64) -> u64) {
+    let hashes: Vec<(String, u64)> =
+        (0..SEEDS).map(|seed| (format!("seed-{seed}"), simulate(seed))).collect();
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(file);
     check_hashes(&path, &hashes);
 }
@@ -109,7 +110,7 @@
     RecordedService::new(ModelServerEmulator::new(seed + 1, settings))
 }
 
-fn play_model_server(seed: u64) -> u64 {
+fn simulate_model_server(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut server = model_server(seed);
     for _ in 0..STEPS {
@@ -140,7 +141,7 @@
 
 #[test]
 fn model_servers_match_the_golden_traces() {
-    check("model_servers.txt", play_model_server);
+    check("model_servers.txt", simulate_model_server);
 }
 
 fn application_server(seed: u64) -> RecordedService<ApplicationServerEmulator> {
@@ -175,7 +176,7 @@
     write("POST", "/plain/7", "host", &fields, id.as_bytes())
 }
 
-fn play_application_server(seed: u64) -> u64 {
+fn simulate_application_server(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let mut server = application_server(seed);
     for _ in 0..STEPS {
@@ -201,7 +202,7 @@
 
 #[test]
 fn application_servers_match_the_golden_traces() {
-    check("application_servers.txt", play_application_server);
+    check("application_servers.txt", simulate_application_server);
 }
 
 fn entry(random: &mut Pcg64Mcg, number: usize) -> ListedServer {
@@ -221,7 +222,7 @@
     }
 }
 
-fn play_platform(seed: u64) -> u64 {
+fn simulate_platform(seed: u64) -> u64 {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
     let settings = PlatformSettings {
         lag_ms: 100 * seed,
@@ -263,5 +264,5 @@
 
 #[test]
 fn platform_pages_match_the_golden_traces() {
-    check("platform.txt", play_platform);
+    check("platform.txt", simulate_platform);
 }
--- a/crates/testbed/tests/golden_trainer.rs
+++ b/crates/testbed/tests/golden_trainer.rs
@@ -12,7 +12,7 @@
 use orchidvalve_golden::{Trace, check_hashes};
 use orchidvalve_testbed::trainer::{ReviewTimes, TrainerSettings};
 use support::reference::{Defect, Reference};
-use support::world::{Played, play, settings};
+use support::world::{SimulationResult, settings, simulate};
 
 const DEFECTS: [(&str, Defect); 13] = [
     ("none", Defect::None),
@@ -30,10 +30,10 @@
     ("share-token", Defect::ShareToken),
 ];
 
-fn hash(played: &Played) -> u64 {
+fn hash(result: &SimulationResult) -> u64 {
     let mut trace = Trace::new();
-    trace.add_number(played.hash);
-    let stats = &played.stats;
+    trace.add_number(result.hash);
+    let stats = &result.stats;
     for number in [
         stats.steps_submitted,
         stats.steps_done,
@@ -49,7 +49,7 @@
     ] {
         trace.add_number(number);
     }
-    for violation in &played.violations {
+    for violation in &result.violations {
         trace.add(violation.invariant.to_string().as_bytes());
         trace.add(violation.subject.as_bytes());
         trace.add_number(violation.at);
@@ -81,7 +81,7 @@
         let mut reference = Reference::new(defect, 60, 100);
         reference.method = "retain";
         reference.refusals = if defect == Defect::RunRefused { 20 } else { 2 };
-        hashes.push((format!("busy-{name}"), hash(&play(busy(hashes.len() as u64), reference))));
+        hashes.push((format!("busy-{name}"), hash(&simulate(busy(hashes.len() as u64), reference))));
     }
     for (number, method) in ["wait", "truncate", "retain"].into_iter().enumerate() {
         let mut reference = Reference::new(Defect::None, 5, 1_500);
@@ -92,7 +92,7 @@
         settings.steps.steps_ahead = version_lag - 1;
         settings.batch.version_lag = version_lag;
         settings.batch.single_version = version_lag == 1;
-        hashes.push((format!("calm-{method}"), hash(&play(settings, reference))));
+        hashes.push((format!("calm-{method}"), hash(&simulate(settings, reference))));
     }
     check_hashes(&Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden/trainer.txt"), &hashes);
 }
--- a/crates/testbed/tests/support/recording.rs
+++ b/crates/testbed/tests/support/recording.rs
@@ -397,7 +397,7 @@
 
 /// Runs a caller until `until`. Its calls end with the outcomes that `answer` draws, after random times. Returns the hash
 /// of all actions of the caller.
-pub fn play_caller(
+pub fn run_caller(
     caller: &mut dyn Caller,
     directory: &mut Directory,
     random: &mut Pcg64Mcg,
--- a/crates/testbed/tests/support/world.rs
+++ b/crates/testbed/tests/support/world.rs
@@ -70,7 +70,7 @@
 }
 
 /// Result of a run.
-pub struct Played {
+pub struct SimulationResult {
     pub stats: TrainerStats,
     pub violations: Vec<Violation>,
     /// Hash of all actions of the trainer and the servers.
@@ -138,7 +138,7 @@
 }
 
 /// Runs a simulation in which a stream breaks every half second.
-pub fn play(settings: TrainerSettings, mut reference: Reference) -> Played {
+pub fn simulate(settings: TrainerSettings, mut reference: Reference) -> SimulationResult {
     let checker = InvariantChecker::new(InvariantBounds::default());
     let servers = reference.servers();
     reference.observations.clear();
@@ -170,5 +170,5 @@
     let violations = world.checker.finish().to_vec();
     let stats = stats.borrow().clone();
     assert!(stats.is_done, "the run ends");
-    Played { stats, violations, hash: world.trace.finish(), observations: world.observations }
+    SimulationResult { stats, violations, hash: world.trace.finish(), observations: world.observations }
 }
--- a/crates/testbed/tests/trainer.rs
+++ b/crates/testbed/tests/trainer.rs
@@ -18,10 +18,10 @@
 const BUSY_EVENT_MS: u64 = 60;
 
 /// Runs a simulation in which a stream breaks every half second. Returns the trainer's counters and the violations.
-fn play(settings: TrainerSettings, reference: Reference) -> (TrainerStats, Vec<Invariant>) {
-    let played = world::play(settings, reference);
-    let invariants = played.violations.iter().map(|broken: &Violation| broken.invariant).collect();
-    (played.stats, invariants)
+fn simulate(settings: TrainerSettings, reference: Reference) -> (TrainerStats, Vec<Invariant>) {
+    let result = world::simulate(settings, reference);
+    let invariants = result.violations.iter().map(|violation: &Violation| violation.invariant).collect();
+    (result.stats, invariants)
 }
 
 #[rstest]
@@ -32,7 +32,7 @@
     let mut settings = settings();
     settings.steps.steps_ahead = steps_ahead;
     settings.batch.version_lag = version_lag;
-    let (stats, invariants) = play(settings, Reference::new(Defect::None, EVENT_MS, 100));
+    let (stats, invariants) = simulate(settings, Reference::new(Defect::None, EVENT_MS, 100));
     assert_eq!(invariants, []);
     assert!(stats.steps_done >= 5 && stats.completed >= 160, "{stats:?}");
     assert_eq!(stats.steps_done, stats.steps_submitted);
@@ -42,7 +42,7 @@
 
 #[test]
 fn failing_reward_calls_make_items_expire() {
-    let (stats, invariants) = play(settings(), Reference::new(Defect::None, EVENT_MS, 2_000));
+    let (stats, invariants) = simulate(settings(), Reference::new(Defect::None, EVENT_MS, 2_000));
     assert_eq!(invariants, []);
     assert!(stats.expired > 0);
 }
@@ -51,7 +51,7 @@
 fn a_rejected_batch_job_is_submitted_again() {
     let mut reference = Reference::new(Defect::None, EVENT_MS, 0);
     reference.refusals = 3;
-    let (stats, invariants) = play(settings(), reference);
+    let (stats, invariants) = simulate(settings(), reference);
     assert_eq!((invariants, stats.refusals), (Vec::new(), 3));
     assert_eq!(stats.steps_done, stats.steps_submitted);
 }
@@ -60,7 +60,7 @@
 fn a_step_rejected_until_its_deadline_does_not_stop_the_next() {
     let mut reference = Reference::new(Defect::None, EVENT_MS, 0);
     reference.refusals = 150;
-    let (stats, invariants) = play(settings(), reference);
+    let (stats, invariants) = simulate(settings(), reference);
     assert_eq!(invariants, []);
     assert!(stats.steps_done > 0 && stats.steps_done < stats.steps_submitted, "{stats:?}");
 }
@@ -81,7 +81,7 @@
 
 #[test]
 fn a_correct_system_violates_no_invariant_when_versions_change_during_generations() {
-    let (stats, invariants) = play(busy(), busy_reference(Defect::None));
+    let (stats, invariants) = simulate(busy(), busy_reference(Defect::None));
     assert_eq!(invariants, []);
     assert!(stats.steps_done >= 10, "{stats:?}");
 }
@@ -92,7 +92,7 @@
 fn incomplete_groups_may_be_carried_over(#[case] defect: Defect, #[case] expected: &[Invariant]) {
     let mut settings = busy();
     settings.batch.carry_over = true;
-    let (stats, mut invariants) = play(settings, busy_reference(defect));
+    let (stats, mut invariants) = simulate(settings, busy_reference(defect));
     invariants.dedup();
     assert_eq!(invariants, expected);
     assert!(stats.steps_done >= 5, "{stats:?}");
@@ -110,14 +110,14 @@
 #[case(Defect::ChangeBody, Invariant::Mixed)]
 #[case(Defect::ShareToken, Invariant::One)]
 fn the_violation_of_a_defect_is_reported(#[case] defect: Defect, #[case] invariant: Invariant) {
-    let (_, invariants) = play(busy(), busy_reference(defect));
+    let (_, invariants) = simulate(busy(), busy_reference(defect));
     assert!(invariants.contains(&invariant), "{invariants:?}");
 }
 
 #[test]
 fn execution_after_a_cancellation_is_reported() {
     let slow = Reference::new(Defect::IgnoreEnd, 5 * BUSY_EVENT_MS, 0);
-    let (_, invariants) = play(busy(), slow);
+    let (_, invariants) = simulate(busy(), slow);
     assert!(
         !invariants.is_empty() && invariants.iter().all(|invariant| *invariant == Invariant::Unasked),
         "{invariants:?}"
@@ -128,7 +128,7 @@
 fn execution_of_a_rejected_batch_job_is_reported() {
     let mut reference = Reference::new(Defect::RunRefused, EVENT_MS, 0);
     reference.refusals = 10_000;
-    let (_, invariants) = play(settings(), reference);
+    let (_, invariants) = simulate(settings(), reference);
     assert!(
         !invariants.is_empty() && invariants.iter().all(|invariant| *invariant == Invariant::Refused),
         "{invariants:?}"
