--- a/crates/testbed/src/clients.rs
+++ b/crates/testbed/src/clients.rs
@@ -172,8 +172,8 @@
         all[self.random.random_range(0..all.len())].clone()
     }
 
-    /// Returns the call that sends a pending request with a new attempt id, through the given gateway or one picked from the
-    /// directory.
+    /// Returns the call that sends a pending request with a new attempt id, through the given gateway or one picked
+    /// from the directory.
     fn attempt(
         &mut self,
         now: u64,
--- a/crates/testbed/src/concurrent_operators.rs
+++ b/crates/testbed/src/concurrent_operators.rs
@@ -136,8 +136,8 @@
         self.operators[operator] = OperatorState::Changing { change, begun_at: now, call };
     }
 
-    /// Returns one of the routes with different time fields. No two changes of a run are equal, since the system may treat an
-    /// equal change as a retry.
+    /// Returns one of the routes with different time fields. No two changes of a run are equal, since the system may
+    /// treat an equal change as a retry.
     fn changed_route(&mut self, change: u64) -> Value {
         let index = self.random.random_range(0..self.settings.routes.len());
         let mut route = self.settings.routes[index].clone();
--- a/crates/testbed/src/configuration_document.rs
+++ b/crates/testbed/src/configuration_document.rs
@@ -38,8 +38,8 @@
     routes_of(document).flat_map(services_of_route).all(|name| services.contains(&name.as_str()))
 }
 
-/// Applies a change of named items to a configuration. `remove` contains names of items by list, `upsert` contains new or
-/// changed items by list.
+/// Applies a change of named items to a configuration. `remove` contains names of items by list, `upsert` contains
+/// new or changed items by list.
 pub fn apply_patch(document: &mut Value, upsert: &Value, remove: &Value) {
     for (list, names) in remove.as_object().into_iter().flatten() {
         if let Some(items) = document[list].as_array_mut() {
--- a/crates/testbed/src/directory.rs
+++ b/crates/testbed/src/directory.rs
@@ -59,9 +59,9 @@
         self.gateways.iter().filter(|gateway| gateway.is_ready()).count()
     }
 
-    /// Picks the gateway for a new connection: a ready one of the zone if at least half of the zone's gateways are ready,
-    /// otherwise any of the zone. If no gateway of the zone is ready, picks a ready one of another zone, or any gateway if
-    /// none is ready at all.
+    /// Picks the gateway for a new connection: a ready one of the zone if at least half of the zone's gateways are
+    /// ready, otherwise any of the zone. If no gateway of the zone is ready, picks a ready one of another zone, or
+    /// any gateway if none is ready at all.
     pub fn pick_gateway(&self, zone: &str, random: &mut impl Rng) -> Option<SocketAddrV4> {
         let in_zone: Vec<&Gateway> = self.gateways.iter().filter(|gateway| gateway.zone == zone).collect();
         let ready_in_zone: Vec<&Gateway> =
--- a/crates/testbed/src/effects.rs
+++ b/crates/testbed/src/effects.rs
@@ -65,7 +65,8 @@
     pub bytes: Vec<u8>,
     /// Maximum time until the complete response, in milliseconds.
     pub timeout_ms: u64,
-    /// Whether to reuse an idle connection to the address and keep it afterwards. Otherwise a new one is opened and closed.
+    /// Whether to reuse an idle connection to the address and keep it afterwards. Otherwise a new one is opened and
+    /// closed.
     pub keep_alive: bool,
     /// Calls that are pipelined on the connection after this one (RFC 9112, section 9.3.2). The timeout of this call
     /// applies to all of them.
@@ -165,8 +166,8 @@
     /// Handles a complete request.
     fn request(&mut self, now: u64, connection: ConnectionKey, request: Request, out: &mut Effects);
 
-    /// Handles the head of a request whose body has not arrived yet; `head` has an empty body. Returns whether the service
-    /// has responded. If so, the complete request is passed to [`Service::remaining_body`].
+    /// Handles the head of a request whose body has not arrived yet; `head` has an empty body. Returns whether the
+    /// service has responded. If so, the complete request is passed to [`Service::remaining_body`].
     fn request_head(&mut self, _connection: ConnectionKey, _head: &Request, _out: &mut Effects) -> bool {
         false
     }
--- a/crates/testbed/src/fault_proxy.rs
+++ b/crates/testbed/src/fault_proxy.rs
@@ -1,12 +1,12 @@
 //! A proxy for the connections between the system's own processes, which can partition, reset or slow down the link
 //! between two machines.
 //!
-//! The proxy listens at the address that a machine announces. The machine itself listens at another address, from which
-//! its own connections originate as well. This tells the proxy which machine a connection comes from, and each direction
-//! of the connection is subject to the [`LinkFault`] of its [`Link`].
+//! The proxy listens at the address that a machine announces. The machine itself listens at another address, from
+//! which its own connections originate as well. This tells the proxy which machine a connection comes from, and each
+//! direction of the connection is subject to the [`LinkFault`] of its [`Link`].
 //!
-//! A partition delays bytes and the ends of connections until it is over, like a path on which packets are retransmitted.
-//! A connection opened during a partition is accepted, but transfers nothing until the partition ends.
+//! A partition delays bytes and the ends of connections until it is over, like a path on which packets are
+//! retransmitted. A connection opened during a partition is accepted, but transfers nothing until the partition ends.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::io;
@@ -110,8 +110,8 @@
 }
 
 impl FaultProxy {
-    /// Listens at the address that a machine announces, and forwards connections to its real address. Accepted connections
-    /// have the tag `first_tag` plus the number of earlier listeners.
+    /// Listens at the address that a machine announces, and forwards connections to its real address. Accepted
+    /// connections have the tag `first_tag` plus the number of earlier listeners.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/host/outbound.rs
+++ b/crates/testbed/src/host/outbound.rs
@@ -68,8 +68,8 @@
         self.end_call(now, id, outcome, ended);
     }
 
-    /// Reads the response to a call that is followed by pipelined calls. Returns `false` if the response is incomplete or
-    /// invalid, or is the last one on its connection.
+    /// Reads the response to a call that is followed by pipelined calls. Returns `false` if the response is
+    /// incomplete or invalid, or is the last one on its connection.
     fn read_pipelined_response(&mut self, now: u64, id: ConnectionId) -> bool {
         let Some(ConnectionRole::Outbound { caller, call, .. }) = self.roles.get_mut(&id) else {
             return false;
--- a/crates/testbed/src/http.rs
+++ b/crates/testbed/src/http.rs
@@ -1,8 +1,8 @@
 //! Parsing and formatting of complete HTTP/1.1 messages (RFC 9112).
 //!
 //! The emulators have their own parser and formatter on purpose. They check the system from outside, so a bug in the
-//! system's parser must not be hidden by the same bug here. This parser is also more lenient, so that it shows what the
-//! system sent instead of rejecting it.
+//! system's parser must not be hidden by the same bug here. This parser is also more lenient, so that it shows what
+//! the system sent instead of rejecting it.
 
 use std::borrow::Cow;
 use std::fmt::Write;
--- a/crates/testbed/src/invariants/configurations.rs
+++ b/crates/testbed/src/invariants/configurations.rs
@@ -150,7 +150,8 @@
         }
     }
 
-    /// Checks that a valid change is rejected only if another one may have superseded it, and never after its acceptance.
+    /// Checks that a valid change is rejected only if another one may have superseded it, and never after its
+    /// acceptance.
     fn check_rejection(&self, context: &mut CheckContext, index: usize, status: u16) {
         let change = &self.sent[index];
         let subject = change.version.to_string();
--- a/crates/testbed/src/invariants/context.rs
+++ b/crates/testbed/src/invariants/context.rs
@@ -90,7 +90,8 @@
         disruption.is_none_or(|at| at + self.bounds.contact_ms <= since.min(self.now))
     }
 
-    /// Whether a machine was resumed, or a link of it restored, so recently that its orders and calls are not checked.
+    /// Whether a machine was resumed, or a link of it restored, so recently that its orders and calls are not
+    /// checked.
     pub fn is_just_resumed(&self, machine: &str) -> bool {
         self.resumed_at.get(machine).is_some_and(|at| self.now <= at + self.bounds.thaw_slack_ms)
     }
--- a/crates/testbed/src/invariants/invariant.rs
+++ b/crates/testbed/src/invariants/invariant.rs
@@ -80,7 +80,8 @@
     pub list_lag_ms: u64,
     /// Maximum time that a graceful shutdown takes.
     pub grace_ms: u64,
-    /// Time after which a lost connection cannot be explained by a request that arrived after the gateway stopped reading.
+    /// Time after which a lost connection cannot be explained by a request that arrived after the gateway stopped
+    /// reading.
     pub loss_slack_ms: u64,
 }
 
--- a/crates/testbed/src/invariants/job_record.rs
+++ b/crates/testbed/src/invariants/job_record.rs
@@ -196,7 +196,8 @@
     }
 }
 
-/// Checks that the score is the signature of a successful reward call, which reached a server after the text was complete.
+/// Checks that the score is the signature of a successful reward call, which reached a server after the text was
+/// complete.
 fn check_score(context: &mut CheckContext, server_log: &ServerLog, item: &ItemSent, result: &ItemResult) {
     let has_score = |response: &ResponseRecord| {
         response.is_success() && Some(&response.signature) == result.score.as_ref()
--- a/crates/testbed/src/invariants/key_use.rs
+++ b/crates/testbed/src/invariants/key_use.rs
@@ -99,8 +99,8 @@
         }
     }
 
-    /// Checks that a client uses a removed key only until the configuration without it is active. The removal of a key does
-    /// not end batch jobs: their items are still executed.
+    /// Checks that a client uses a removed key only until the configuration without it is active. The removal of a
+    /// key does not end batch jobs: their items are still executed.
     fn check_active_caller(
         &self,
         context: &mut CheckContext,
@@ -167,7 +167,8 @@
         }
     }
 
-    /// Whether a condition holds for all configurations possibly active since a time, and one is surely applied by then.
+    /// Whether a condition holds for all configurations possibly active since a time, and one is surely applied by
+    /// then.
     fn all_active(&self, context: &CheckContext, since: u64, holds: impl Fn(&ChangeRecord) -> bool) -> bool {
         let applied_at = since.saturating_sub(context.bounds.config_apply_ms);
         let is_applied =
--- a/crates/testbed/src/invariants/lease_history.rs
+++ b/crates/testbed/src/invariants/lease_history.rs
@@ -1,7 +1,7 @@
 //! The invariant ONE for one subject: one leader at a time acts on it, under increasing fencing tokens.
 //!
-//! The emulators do not enforce the tokens. So these also violate the invariant: a lower token after a higher one, and
-//! leaders that alternate within the duration of a lease.
+//! The emulators do not enforce the tokens. So these also violate the invariant: a lower token after a higher one,
+//! and leaders that alternate within the duration of a lease.
 
 use std::collections::BTreeMap;
 
--- a/crates/testbed/src/invariants/outputs.rs
+++ b/crates/testbed/src/invariants/outputs.rs
@@ -36,9 +36,9 @@
     }
 }
 
-/// Returns the version sets of all complete texts that the executions can form. The first execution of a text starts at
-/// the beginning, and each following one resumes after the last event used from the one before. Empty if no complete
-/// text is possible.
+/// Returns the version sets of all complete texts that the executions can form. The first execution of a text starts
+/// at the beginning, and each following one resumes after the last event used from the one before. Empty if no
+/// complete text is possible.
 pub(super) fn possible_versions(executions: &[ExecutionRecord], events: u64) -> Vec<BTreeSet<u64>> {
     let mut found = Vec::new();
     for execution in executions.iter().filter(|execution| execution.after_event == 0) {
--- a/crates/testbed/src/invariants/platform_calls.rs
+++ b/crates/testbed/src/invariants/platform_calls.rs
@@ -23,8 +23,8 @@
         }
     }
 
-    /// Checks a call against the lease history of its subject. Calls are not checked while the platform is disrupted, or
-    /// right after their sender was resumed or one of its links was restored.
+    /// Checks a call against the lease history of its subject. Calls are not checked while the platform is disrupted,
+    /// or right after their sender was resumed or one of its links was restored.
     fn check_lease(&mut self, context: &mut CheckContext, call: &PlatformCall) {
         if context.is_just_resumed(&call.leader) || context.is_platform_disrupted() {
             return;
--- a/crates/testbed/src/invariants/starved_items.rs
+++ b/crates/testbed/src/invariants/starved_items.rs
@@ -1,5 +1,5 @@
-//! The invariant LOST for items that the system does not dispatch: a step misses its deadline while one of its items is
-//! at no server, although servers are free and nothing is disrupted.
+//! The invariant LOST for items that the system does not dispatch: a step misses its deadline while one of its items
+//! is at no server, although servers are free and nothing is disrupted.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 
--- a/crates/testbed/src/launch/launcher.rs
+++ b/crates/testbed/src/launch/launcher.rs
@@ -46,8 +46,8 @@
 }
 
 impl Launcher {
-    /// Returns a launch of `program` without running processes. It must be created before an event loop on the same thread
-    /// blocks signals, because child processes inherit the signal mask of the thread that starts them.
+    /// Returns a launch of `program` without running processes. It must be created before an event loop on the same
+    /// thread blocks signals, because child processes inherit the signal mask of the thread that starts them.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/launch/settings_file.rs
+++ b/crates/testbed/src/launch/settings_file.rs
@@ -11,8 +11,8 @@
 const STORE_DISK_MB: u32 = 380;
 const OTHER_DISK_MB: u32 = 64;
 
-/// Returns the settings file of a process as text. `data` is its data directory; `bootstrap` allows it to bootstrap a new
-/// system.
+/// Returns the settings file of a process as text. `data` is its data directory; `bootstrap` allows it to bootstrap a
+/// new system.
 pub fn settings_text(
     topology: &Topology,
     machine: &Machine,
--- a/crates/testbed/src/launch/topology.rs
+++ b/crates/testbed/src/launch/topology.rs
@@ -113,8 +113,8 @@
 }
 
 impl Topology {
-    /// Returns machines at addresses that only this launch uses: edge machines with a disk, each with a control node and a
-    /// gateway; further edge machines up to the number of gateways; and storage machines.
+    /// Returns machines at addresses that only this launch uses: edge machines with a disk, each with a control node
+    /// and a gateway; further edge machines up to the number of gateways; and storage machines.
     ///
     /// # Errors
     ///
--- a/crates/testbed/src/lib.rs
+++ b/crates/testbed/src/lib.rs
@@ -1,9 +1,9 @@
 //! Emulators of everything outside the system, on loopback, so that the complete system runs on a single host.
 //!
-//! Each emulator is a state machine without I/O. It receives events with the time of a monotonic clock in milliseconds,
-//! and collects its actions in [`effects::Effects`]. [`host::Host`] connects the emulators to sockets, [`launch`] starts
-//! the system's processes, [`scenario`] runs load and faults on a schedule, and [`invariants::InvariantChecker`] checks
-//! the observations of all emulators against the invariants.
+//! Each emulator is a state machine without I/O. It receives events with the time of a monotonic clock in
+//! milliseconds, and collects its actions in [`effects::Effects`]. [`host::Host`] connects the emulators to sockets,
+//! [`launch`] starts the system's processes, [`scenario`] runs load and faults on a schedule, and
+//! [`invariants::InvariantChecker`] checks the observations of all emulators against the invariants.
 
 pub mod application_server;
 pub mod clients;
--- a/crates/testbed/src/model_server/generations.rs
+++ b/crates/testbed/src/model_server/generations.rs
@@ -55,7 +55,8 @@
 }
 
 impl Generation {
-    /// Sends the next event, preceded by the response head if it is the first. Returns whether the stream is complete.
+    /// Sends the next event, preceded by the response head if it is the first. Returns whether the stream is
+    /// complete.
     pub fn emit_event(&mut self, version: u64, load: &str, out: &mut Effects) -> bool {
         let mut bytes = match self.version {
             None => self.head(version, load),
--- a/crates/testbed/src/observation.rs
+++ b/crates/testbed/src/observation.rs
@@ -90,7 +90,8 @@
         /// Value of the `Tenant` header; several fields are joined by commas (RFC 9110, section 5.3).
         tenant: Option<String>,
     },
-    /// A server received a request of any kind with an `Authorization` header. Its value is a secret and is not recorded.
+    /// A server received a request of any kind with an `Authorization` header. Its value is a secret and is not
+    /// recorded.
     AuthorizationReceived {
         /// Id of the incarnation.
         server: String,
--- a/crates/testbed/src/operator.rs
+++ b/crates/testbed/src/operator.rs
@@ -1,4 +1,5 @@
-//! The operator: sends configurations, changes, conflicting and invalid changes, and retirements, and reads back at the end.
+//! The operator: sends configurations, changes, conflicting and invalid changes, and retirements, and reads back at
+//! the end.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, VecDeque};
@@ -212,8 +213,8 @@
         self.send_change(now, change, request, now + CHANGE_TIME_MS, out);
     }
 
-    /// Sends the active configuration with a changed field of a route, under a version that is `above` higher than the next
-    /// one.
+    /// Sends the active configuration with a changed field of a route, under a version that is `above` higher than
+    /// the next one.
     fn put_with(&mut self, now: u64, above: u64, route: &str, field: &str, value: &Value, out: &mut Effects) {
         let version = self.next_version() + above;
         let mut document = self.current.clone();
--- a/crates/testbed/src/platform/mod.rs
+++ b/crates/testbed/src/platform/mod.rs
@@ -189,8 +189,8 @@
         PlatformResponse { status: ACCEPTED, page: Some(page) }
     }
 
-    /// Handles a platform call for a singleton role and returns its status. The call is accepted unless it is malformed, a
-    /// fault rejects it, or it exceeds the rate limit.
+    /// Handles a platform call for a singleton role and returns its status. The call is accepted unless it is
+    /// malformed, a fault rejects it, or it exceeds the rate limit.
     fn handle_platform_call(
         &mut self,
         now: u64,
--- a/crates/testbed/src/scenario/compound_faults.rs
+++ b/crates/testbed/src/scenario/compound_faults.rs
@@ -1,5 +1,5 @@
-//! Faults that consist of several failures: a second loss after a replacement, a store node that leaves, restarts after
-//! many changes, and servers that respond twice or early.
+//! Faults that consist of several failures: a second loss after a replacement, a store node that leaves, restarts
+//! after many changes, and servers that respond twice or early.
 
 use super::servers::ServerIndices;
 use super::steps::{ScheduledStep, Step, after};
@@ -14,8 +14,8 @@
 /// Time until a killed process is restarted, in milliseconds.
 const SHORT_DOWN_MS: u64 = 400;
 
-/// Removes a control node for good, adds an empty one at another address, and wipes the disk of another control node as
-/// soon as the added one had time to catch up.
+/// Removes a control node for good, adds an empty one at another address, and wipes the disk of another control node
+/// as soon as the added one had time to catch up.
 pub(super) fn replace_then_wipe(lost: &[ProcessId], wiped: &[ProcessId]) -> Vec<ScheduledStep> {
     let second = REPLACEMENT_MS + CATCH_UP_MS;
     vec![
@@ -27,9 +27,9 @@
     ]
 }
 
-/// Wipes the disk of a store node and restarts it, and orders another store node to leave before anything can have been
-/// copied. The leaving node has the only copy of the partitions that these two share. An added store node can receive
-/// them.
+/// Wipes the disk of a store node and restarts it, and orders another store node to leave before anything can have
+/// been copied. The leaving node has the only copy of the partitions that these two share. An added store node can
+/// receive them.
 pub(super) fn leave_with_only_copy(wiped: &[ProcessId], leaving: &[ProcessId]) -> Vec<ScheduledStep> {
     vec![
         after(0, Step::Kill(wiped.to_vec())),
--- a/crates/testbed/src/scenario/faults.rs
+++ b/crates/testbed/src/scenario/faults.rs
@@ -72,10 +72,11 @@
     LeaveWithOnlyCopy,
     /// All machines restart after hundreds of configuration changes.
     RestartAfterManyChanges,
-    /// All servers send their responses twice, and application servers respond before they have read long request bodies.
+    /// All servers send their responses twice, and application servers respond before they have read long request
+    /// bodies.
     DuplicateResponses,
-    /// A machine with a control node runs under a CPU quota: at full speed until the quota is used up, then not at all
-    /// until the end of the period.
+    /// A machine with a control node runs under a CPU quota: at full speed until the quota is used up, then not at
+    /// all until the end of the period.
     QuotaControl,
     /// A storage machine runs under a CPU quota.
     QuotaStore,
@@ -83,7 +84,8 @@
     QuotaGateway,
     /// All machines run under a CPU quota.
     QuotaAll,
-    /// API keys are revoked one after the other while clients still use them; some are restored or moved to another tenant.
+    /// API keys are revoked one after the other while clients still use them; some are restored or moved to another
+    /// tenant.
     RevokeKey,
     /// All API keys of a tenant are revoked, and then all tenants except that of the trainers are removed.
     RevokeLastKey,
@@ -161,7 +163,8 @@
 ];
 
 impl Fault {
-    /// Returns the pace of operators that change the configuration continuously; `None` if the fault needs no operators.
+    /// Returns the pace of operators that change the configuration continuously; `None` if the fault needs no
+    /// operators.
     pub(super) fn operator_pace(self) -> Option<OperatorPace> {
         let pace = |pause_ms, response_loss_percent| {
             Some(OperatorPace { operators: CONCURRENT_OPERATORS, pause_ms, response_loss_percent })
--- a/crates/testbed/src/scenario/key_faults.rs
+++ b/crates/testbed/src/scenario/key_faults.rs
@@ -17,8 +17,8 @@
     after(at, Step::Operator(action))
 }
 
-/// Revokes one key each of two client tenants and of the trainers' tenant, one after the other. Later restores the key of
-/// the first tenant, and moves the key of the second tenant to the third.
+/// Revokes one key each of two client tenants and of the trainers' tenant, one after the other. Later restores the
+/// key of the first tenant, and moves the key of the second tenant to the third.
 pub(super) fn revoke_one_by_one(tenants: &Tenants) -> Vec<ScheduledStep> {
     let [first, second, third, ..] = tenants.clients.as_slice() else { return Vec::new() };
     let without_first_key = |tenant: &Tenant| tenant.with_keys(tenant.keys[1..].to_vec());
--- a/crates/testbed/src/scenario/leader_faults.rs
+++ b/crates/testbed/src/scenario/leader_faults.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Returns all processes of the machine that last acted as leader, or of the first control node's machine if none has
-    /// acted as leader.
+    /// Returns all processes of the machine that last acted as leader, or of the first control node's machine if none
+    /// has acted as leader.
     fn leader_processes(&self) -> Vec<ProcessId> {
         let name = self.last_leader.as_deref();
         let is_leader = |id: &ProcessId| Some(self.launcher.machine(*id).name.as_str()) == name;
--- a/crates/testbed/src/scenario/report.rs
+++ b/crates/testbed/src/scenario/report.rs
@@ -99,8 +99,8 @@
 }
 
 impl Report {
-    /// Whether no invariant was violated, no process exited unexpectedly, at least one client request was served, every
-    /// trainer finished a step, and concurrent operators (if any) got a change acknowledged.
+    /// Whether no invariant was violated, no process exited unexpectedly, at least one client request was served,
+    /// every trainer finished a step, and concurrent operators (if any) got a change acknowledged.
     pub fn is_good(&self) -> bool {
         let served: u64 = self.clients.iter().map(|stats| stats.served).sum();
         let steps_done = self.trainers.iter().all(|trainer| trainer.stats.steps_done > 0);
--- a/crates/testbed/src/scenario/run.rs
+++ b/crates/testbed/src/scenario/run.rs
@@ -32,8 +32,8 @@
 const REVIEW_MS: u64 = 15_000;
 /// Time for which concurrent operators continue after the last fault, in milliseconds.
 const OPERATORS_AFTER_MS: u64 = 2_000;
-/// Time for which clients keep using their keys after the last change of keys, in milliseconds. It exceeds the time until
-/// that change is active.
+/// Time for which clients keep using their keys after the last change of keys, in milliseconds. It exceeds the time
+/// until that change is active.
 const KEY_USE_AFTER_MS: u64 = 4_000;
 /// Length of a usage window, deadline of its report, and tolerance of its counts. They must equal
 /// `bounds.usage-window-s`, `bounds.usage-late-s` and `bounds.usage-tolerance` in the settings of the processes.
--- a/crates/testbed/src/scenario/tenants.rs
+++ b/crates/testbed/src/scenario/tenants.rs
@@ -82,8 +82,8 @@
             .collect()
     }
 
-    /// Returns improper credentials: unknown keys, other schemes, several fields, tenant names. A request may be executed
-    /// only if one of its keys exists, and in the name of the tenant that owns it.
+    /// Returns improper credentials: unknown keys, other schemes, several fields, tenant names. A request may be
+    /// executed only if one of its keys exists, and in the name of the tenant that owns it.
     pub fn improper_credentials(&self) -> Vec<Credentials> {
         let (known, other) = (&self.clients[0].keys[0], &self.clients[1].name);
         let unknown = "Bearer unknown".to_owned();
--- a/crates/testbed/src/server_fault.rs
+++ b/crates/testbed/src/server_fault.rs
@@ -18,7 +18,7 @@
     MalformedResponse,
     /// Every response is sent twice.
     DuplicateResponses,
-    /// Requests with long bodies receive their response before the complete body has arrived. The rest of the body is read
-    /// afterwards.
+    /// Requests with long bodies receive their response before the complete body has arrived. The rest of the body is
+    /// read afterwards.
     EarlyResponse,
 }
--- a/crates/testbed/src/synthetic_text.rs
+++ b/crates/testbed/src/synthetic_text.rs
@@ -1,5 +1,5 @@
-//! The texts that emulated model servers generate. A text depends only on the item's id and the event numbers, so that a
-//! text combined from the events of several generations can be checked.
+//! The texts that emulated model servers generate. A text depends only on the item's id and the event numbers, so
+//! that a text combined from the events of several generations can be checked.
 
 /// Filler that gives an event a typical size.
 const FILLING: &str = "the lorry leaves at eight and the second crew follows with the crates; ";
@@ -25,7 +25,8 @@
     (event_data(id, number) == data).then_some(number)
 }
 
-/// Returns the number of events in an item's complete text, given the limit of output tokens and the tokens per event.
+/// Returns the number of events in an item's complete text, given the limit of output tokens and the tokens per
+/// event.
 pub fn event_count(id: &str, max_output_tokens: u64, tokens_per_event: u64) -> u64 {
     let most = max_output_tokens.div_ceil(tokens_per_event.max(1)).max(1);
     most - digest(id.as_bytes()) % (most / 2 + 1)
--- a/crates/testbed/src/trainer/group_progress.rs
+++ b/crates/testbed/src/trainer/group_progress.rs
@@ -30,8 +30,8 @@
         GroupProgress { groups, carried_over, outstanding, outstanding_in_group, complete_at: None }
     }
 
-    /// Records results that were read for the first time. The batch job is complete as soon as all groups carried over are
-    /// complete, and at least `required_groups` groups in total.
+    /// Records results that were read for the first time. The batch job is complete as soon as all groups carried
+    /// over are complete, and at least `required_groups` groups in total.
     pub fn record(&mut self, now: u64, results: &[ItemResult], required_groups: usize) {
         for result in results {
             if let Some(group) = self.outstanding.remove(&result.item) {
--- a/crates/testbed/src/trainer/responses.rs
+++ b/crates/testbed/src/trainer/responses.rs
@@ -45,8 +45,8 @@
         self.next_at = Some(now + RETRY_DELAY_MS);
     }
 
-    /// Handles the end of a read after position `after`. Returns whether all required groups are complete, so that the
-    /// batch job can be cancelled.
+    /// Handles the end of a read after position `after`. Returns whether all required groups are complete, so that
+    /// the batch job can be cancelled.
     pub(super) fn results_read(
         &mut self,
         now: u64,
--- a/crates/testbed/src/trainer/steps.rs
+++ b/crates/testbed/src/trainer/steps.rs
@@ -57,8 +57,8 @@
         (trainer, stats)
     }
 
-    /// Returns when the next step may be submitted; `None` while its version is not acknowledged or after the end of the
-    /// traffic.
+    /// Returns when the next step may be submitted; `None` while its version is not acknowledged or after the end of
+    /// the traffic.
     fn next_step_at(&self) -> Option<u64> {
         let due = self.settings.steps.from + self.next_step * self.settings.steps.interval_ms;
         let needed = (self.next_step + 1).saturating_sub(self.settings.steps.steps_ahead).max(1);
--- a/crates/testbed/src/trainer/version_announcement.rs
+++ b/crates/testbed/src/trainer/version_announcement.rs
@@ -1,5 +1,5 @@
-//! Announcement of versions: after the training of each step, a new version is announced until the system acknowledges
-//! it.
+//! Announcement of versions: after the training of each step, a new version is announced until the system
+//! acknowledges it.
 
 use std::collections::VecDeque;
 
--- a/crates/testbed/tests/golden_callers.rs
+++ b/crates/testbed/tests/golden_callers.rs
@@ -1,5 +1,5 @@
-//! Golden traces of everything that calls the system: clients, readiness checks, the operator, and concurrent operators,
-//! with seeded random outcomes of their calls.
+//! Golden traces of everything that calls the system: clients, readiness checks, the operator, and concurrent
+//! operators, with seeded random outcomes of their calls.
 
 mod support {
     pub mod recording;
--- a/crates/testbed/tests/golden_messages.rs
+++ b/crates/testbed/tests/golden_messages.rs
@@ -1,4 +1,5 @@
-//! Golden samples of formatted HTTP messages, and golden traces of parsed messages and of the settings files of processes.
+//! Golden samples of formatted HTTP messages, and golden traces of parsed messages and of the settings files of
+//! processes.
 
 mod support {
     pub mod recording;
--- a/crates/testbed/tests/golden_servers.rs
+++ b/crates/testbed/tests/golden_servers.rs
@@ -1,5 +1,5 @@
-//! Golden traces of all emulated servers: model servers, application servers and the platform's list, under seeded random
-//! requests, faults and pauses.
+//! Golden traces of all emulated servers: model servers, application servers and the platform's list, under seeded
+//! random requests, faults and pauses.
 
 mod support {
     pub mod recording;
--- a/crates/testbed/tests/golden_trainer.rs
+++ b/crates/testbed/tests/golden_trainer.rs
@@ -57,7 +57,8 @@
     trace.finish()
 }
 
-/// Returns settings with overlapping steps, so that versions change during runs and items are left at the end of a step.
+/// Returns settings with overlapping steps, so that versions change during runs and items are left at the end of a
+/// step.
 fn busy(seed: u64) -> TrainerSettings {
     let mut settings = short();
     settings.steps.interval_ms = 1_000;
--- a/crates/testbed/tests/invariants.rs
+++ b/crates/testbed/tests/invariants.rs
@@ -240,8 +240,8 @@
     Observation::JobCancelSent { job: job.to_owned() }
 }
 
-/// Returns a run with a step of which one item is finished, while the other one is at no server when the trainer abandons
-/// the step at 60 s.
+/// Returns a run with a step of which one item is finished, while the other one is at no server when the trainer
+/// abandons the step at 60 s.
 fn run_with_an_idle_item() -> ObservedRun {
     let mut observed = correct_run();
     let job = |status| Observation::JobSendEnded { job: STEP.to_owned(), status };
--- a/crates/testbed/tests/launch.rs
+++ b/crates/testbed/tests/launch.rs
@@ -1,5 +1,5 @@
-//! Processes that are started, signalled, restarted and killed. A shell replaces the program: it runs the script that is
-//! named like the role.
+//! Processes that are started, signalled, restarted and killed. A shell replaces the program: it runs the script that
+//! is named like the role.
 
 use std::fs;
 use std::net::SocketAddrV4;
@@ -38,7 +38,8 @@
     until(text, || launcher.log_tail(id).contains(text));
 }
 
-/// Waits until all running processes are up. A process that is killed while it creates its pipe leaves the pipe behind.
+/// Waits until all running processes are up. A process that is killed while it creates its pipe leaves the pipe
+/// behind.
 fn wait_until_up(launcher: &Launcher) {
     for id in launcher.ids().into_iter().filter(|id| launcher.is_running(*id)) {
         wait_for_log(launcher, id, "boot");
--- a/crates/testbed/tests/support/planted_violations.rs
+++ b/crates/testbed/tests/support/planted_violations.rs
@@ -378,7 +378,8 @@
     read_back(observed, 2);
 }
 
-/// A valid change gets no conclusive response within the time bound of a stable control plane, although it is retried.
+/// A valid change gets no conclusive response within the time bound of a stable control plane, although it is
+/// retried.
 pub fn never_acknowledged(observed: &mut ObservedRun) {
     insert(observed, 4_020, configuration_sent(2, 1, true));
     insert(observed, 7_000, response_lost(2, 503));
--- a/crates/testbed/tests/support/recording.rs
+++ b/crates/testbed/tests/support/recording.rs
@@ -368,7 +368,8 @@
         self.step(|service, now, out| service.request(now, key, request, out));
     }
 
-    /// Passes the head of a request to the service, and then the complete request according to the service's response.
+    /// Passes the head of a request to the service, and then the complete request according to the service's
+    /// response.
     pub fn send_in_parts(&mut self, key: ConnectionKey, bytes: &[u8]) {
         let head = http::parse_request_head(bytes).unwrap().unwrap();
         let mut answered = false;
@@ -395,8 +396,8 @@
     }
 }
 
-/// Runs a caller until `until`. Its calls end with the outcomes that `answer` draws, after random times. Returns the hash
-/// of all actions of the caller.
+/// Runs a caller until `until`. Its calls end with the outcomes that `answer` draws, after random times. Returns the
+/// hash of all actions of the caller.
 pub fn run_caller(
     caller: &mut dyn Caller,
     directory: &mut Directory,
--- a/crates/testbed/tests/support/reference.rs
+++ b/crates/testbed/tests/support/reference.rs
@@ -130,8 +130,8 @@
 }
 
 impl Reference {
-    /// Returns a system with its servers. `event_ms` is the interval between events, and `failures_per_10_000` the number of
-    /// reward calls out of 10,000 that fail.
+    /// Returns a system with its servers. `event_ms` is the interval between events, and `failures_per_10_000` the
+    /// number of reward calls out of 10,000 that fail.
     pub fn new(defect: Defect, event_ms: u64, failures_per_10_000: u64) -> Reference {
         let (jobs, tasks, waiting, versions, observations) = Default::default();
         Reference {
--- a/crates/testbed/tests/trainer.rs
+++ b/crates/testbed/tests/trainer.rs
@@ -1,5 +1,5 @@
-//! A trainer, servers and the invariant checker around a minimal system, in virtual time: a correct system violates no
-//! invariant, and the violations of a system with a defect are reported.
+//! A trainer, servers and the invariant checker around a minimal system, in virtual time: a correct system violates
+//! no invariant, and the violations of a system with a defect are reported.
 
 mod support {
     pub mod recording;
@@ -65,7 +65,8 @@
     assert!(stats.steps_done > 0 && stats.steps_done < stats.steps_submitted, "{stats:?}");
 }
 
-/// Returns settings with overlapping steps, so that versions change during runs and items are left at the end of a step.
+/// Returns settings with overlapping steps, so that versions change during runs and items are left at the end of a
+/// step.
 fn busy() -> TrainerSettings {
     let mut settings = settings();
     settings.steps.interval_ms = 1_000;
