--- a/crates/frontnode/tests/search.rs
+++ b/crates/frontnode/tests/search.rs
@@ -222,7 +222,7 @@
         harness
             .wait_until("its shard requests are sent", |harness| harness.shard_requests() == before + SHARDS);
         drop(leaver);
-        harness.wait_until("its responses are drained", |harness| {
+        harness.wait_until("its connections are draining", |harness| {
             harness.counter("links_read_out") == (round * SHARDS) as u64
         });
         let next = harness.send("POST", "/jobs/_search", "", "{\"size\":50}");
