--- a/crates/cli/src/rehearse.rs
+++ b/crates/cli/src/rehearse.rs
@@ -1,4 +1,4 @@
-//! `orchidvalve rehearse`: a bad day on this machine, with real front nodes, and what it showed.
+//! `orchidvalve rehearse`: runs a fault scenario on this machine and reports the results.
 
 use std::collections::BTreeMap;
 use std::io::{IsTerminal, Write};
@@ -20,54 +20,54 @@
 
 #[derive(Args)]
 pub struct RehearseArgs {
-    /// The scenario, such as deploy/rehearsals/moving-weekend.toml
+    /// The scenario file, such as deploy/rehearsals/moving-weekend.toml
     scenario: PathBuf,
-    /// Draws arrivals, and stores where the scenario draws them
+    /// Seed for drawing arrivals, and stores where the scenario draws them
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// Where report.md, report.json and service.svg go, and the front nodes' files and logs
+    /// Directory for report.md, report.json and service.svg, and for the front nodes' files and logs
     #[arg(long, value_name = "DIR", default_value = "rehearsal")]
     out: PathBuf,
-    /// The load is what these files recorded, one of each front node, instead of the scenario's
+    /// Replay these recordings, one of each front node, instead of the scenario's load
     #[arg(long, value_name = "FILE", num_args = 1..)]
     replay: Vec<PathBuf>,
-    /// Times as fast as it was recorded
+    /// Speed of the replay relative to the recording
     #[arg(long, default_value_t = 1.0, requires = "replay")]
     speed: f64,
-    /// A recorded grade or tenant, and what the scenario calls it
+    /// Map a recorded service class or tenant to the scenario's name for it
     #[arg(long, value_name = "FROM=TO", requires = "replay", value_parser = renamed)]
     rename: Vec<(String, String)>,
     /// Print the report as JSON
     #[arg(long)]
     json: bool,
-    /// In virtual time: the real decisions, no processes, no sockets and no clock
+    /// Run in virtual time: the front nodes' real decision code without processes, sockets and clocks
     #[arg(long = "virtual")]
     emulate: bool,
-    /// Who decides in virtual time: ours, random, round-robin, fewest, oracle
+    /// Policy of the front nodes in virtual time: ours, random, round-robin, fewest, oracle
     #[arg(long, default_value = "ours", requires = "emulate", value_parser = policy)]
     policy: Policy,
-    /// In virtual time: write why each decision fell, a file a front node, for `orchidvalve why`
+    /// In virtual time: write the reason of each decision, one file per front node, for `orchidvalve why`
     #[arg(long, value_name = "DIR", requires = "emulate")]
     trace: Option<PathBuf>,
-    /// Only read and check the scenario, and draw its troubles
+    /// Only check the scenario and draw its faults
     #[arg(long)]
     check: bool,
 }
 
-/// Clap prints the text of a value that can't be used.
+/// Parses a policy. Clap prints the returned text if the value is invalid.
 fn policy(word: &str) -> Result<Policy, String> {
     let found = Policy::ALL.into_iter().find(|policy| policy.name() == word);
     found.ok_or_else(|| format!("should be one of {}", Policy::ALL.map(Policy::name).join(", ")))
 }
 
-/// Clap prints the text of a value that can't be used.
+/// Parses FROM=TO. Clap prints the returned text if the value is invalid.
 fn renamed(word: &str) -> Result<(String, String), String> {
     let (from, to) = word.split_once('=').ok_or("should be FROM=TO")?;
     Ok((from.to_owned(), to.to_owned()))
 }
 
-/// Runs the scenario, and tells the exit status: 0 service held, 1 it fell short of the aim, 2 a rule was broken, 3 it
-/// could not run, as after an error.
+/// Runs the scenario and returns the exit status: 0 if the service target was reached, 1 if it was not, 2 if a rule was
+/// violated, 3 if the scenario could not be run; 3 also stands for errors.
 pub fn run(args: &RehearseArgs) -> Result<u8, CommandError> {
     let name = args.scenario.display();
     let text = std::fs::read_to_string(&args.scenario).map_err(CommandError::about(&name))?;
@@ -92,7 +92,7 @@
     }
 }
 
-/// The scenario's own load, or what was recorded.
+/// Returns the scenario's own load, or the recorded one.
 fn load(scenario: &Scenario, args: &RehearseArgs) -> Result<Vec<PlannedQuery>, CommandError> {
     if args.replay.is_empty() {
         return Ok(arrivals(scenario, args.seed));
@@ -103,14 +103,14 @@
         let bytes = std::fs::read(path).map_err(CommandError::about(&name))?;
         let recording = orchidvalve_request_recording::read(&bytes).map_err(CommandError::about(&name))?;
         if recording.torn_bytes > 0 {
-            eprintln!("{name}: its last {} bytes are no whole record", recording.torn_bytes);
+            eprintln!("{name}: ignoring the last {} bytes, an incomplete record", recording.torn_bytes);
         }
         recordings.push((name, recording));
     }
     let options = ReplayOptions {
         speed: args.speed,
         renamed: args.rename.iter().cloned().collect(),
-        at_most: Some((scenario.lasts() as f64 * args.speed) as i64),
+        at_most: Some((scenario.duration() as f64 * args.speed) as i64),
     };
     let planned = replayed(scenario, &recordings, &options, args.seed)?;
     if planned.is_empty() {
@@ -119,7 +119,7 @@
     Ok(planned)
 }
 
-/// In virtual time.
+/// Runs the scenario in virtual time.
 fn emulate(
     scenario: &Scenario,
     args: &RehearseArgs,
@@ -146,7 +146,7 @@
     Ok(report)
 }
 
-/// With front nodes as processes.
+/// Runs the scenario with front nodes as processes.
 fn play(
     scenario: &Scenario,
     args: &RehearseArgs,
@@ -174,7 +174,7 @@
     Ok(report)
 }
 
-/// Traces by front node, kept until the run is over: its time is not the disk's.
+/// The trace lines by front node. They are kept until the run is over, so that disk writes do not slow it down.
 #[derive(Default)]
 struct TraceFiles {
     texts: BTreeMap<usize, String>,
@@ -207,7 +207,7 @@
     Ok(report.verdict.exit())
 }
 
-/// The exit status after an error.
-pub fn exit_of_error() -> u8 {
+/// Returns the exit status after an error.
+pub fn error_status() -> u8 {
     Verdict::CouldNotRun.exit()
 }
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -1,4 +1,4 @@
-//! A small rehearsal for real: front nodes as processes, stores that die, stall and slow down, and the rules audited.
+//! The `rehearse` command with real processes: front nodes, and stub stores that die, stall and slow down.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn every_ready_scenario_can_be_read_and_its_troubles_drawn() {
+fn every_deployed_scenario_is_valid_and_its_faults_can_be_drawn() {
     let all = std::fs::read_dir(scenario("small").parent().unwrap()).unwrap();
     let mut count = 0;
     for file in all.map(|f| f.unwrap().path()) {
@@ -28,10 +28,10 @@
 }
 
 #[test]
-fn a_small_rehearsal_breaks_no_rule_and_reports_what_it_saw() {
+fn a_small_scenario_violates_no_rule_and_writes_its_report() {
     let done = rehearse(&scenario("small"), "small").arg("--json").output().unwrap();
     let report: Value = serde_json::from_slice(&done.stdout).unwrap();
-    // Whether this machine was quick enough for the aim, or at all, is not this story's; where it was, no rule is broken.
+    // This machine may be too slow for the service target, or for the load; unless it is, no rule may be violated.
     assert!(matches!(done.status.code(), Some(0 | 1 | 3)), "{report}");
     assert_eq!(report["crashed"], Value::Array(vec![]));
     assert!(done.status.code() == Some(3) || report["breaches"] == Value::Array(vec![]), "{report}");
@@ -43,9 +43,9 @@
     }
 }
 
-/// What the nodes recorded, asked again in virtual time, twice as fast: every want once, none of the clients' repetitions.
+/// Replays the front nodes' recordings in virtual time at twice the speed: every query once, without the clients' retries.
 #[test]
-fn what_front_nodes_recorded_is_asked_again() {
+fn recorded_load_can_be_replayed() {
     let done = rehearse(&scenario("small"), "recorded").arg("--json").output().unwrap();
     let first: Value = serde_json::from_slice(&done.stdout).unwrap();
     let nodes = Path::new(env!("CARGO_TARGET_TMPDIR")).join("recorded/nodes");
@@ -57,21 +57,21 @@
     let second: Value = serde_json::from_slice(&again.stdout).unwrap();
     assert_eq!(second["all"]["asked"], first["all"]["asked"], "{}", String::from_utf8_lossy(&again.stderr));
     let late = |r: &Value| r["seconds"].as_array().unwrap().iter().rposition(|s| s["asked"] != 0).unwrap();
-    assert!(late(&second) < late(&first), "twice as fast");
+    assert!(late(&second) < late(&first), "the replay at speed 2 must end earlier");
     let mut wrong = rehearse(&scenario("month-end"), "wrong");
     let wrong = wrong.args(["--virtual", "--replay"]).arg(nodes.join("front-0.arrivals")).output().unwrap();
-    let told = String::from_utf8_lossy(&wrong.stderr).into_owned();
+    let stderr = String::from_utf8_lossy(&wrong.stderr).into_owned();
     assert!(
-        wrong.status.code() == Some(3) && told.contains("is none of the scenario's: rename it"),
-        "{told}"
+        wrong.status.code() == Some(3) && stderr.contains("; map it to one of the scenario's with --rename"),
+        "{stderr}"
     );
 }
 
 #[test]
-fn a_rehearsal_that_is_stopped_says_so_and_leaves_no_process() {
+fn a_stopped_run_reports_it_and_leaves_no_process() {
     let mut child = rehearse(&scenario("month-end"), "stopped").stdout(Stdio::null()).spawn().unwrap();
     let nodes = Path::new(env!("CARGO_TARGET_TMPDIR")).join("stopped/nodes");
-    let ours = || {
+    let node_processes = || {
         let all = std::fs::read_dir("/proc").unwrap().flatten();
         all.filter(|p| {
             let line = std::fs::read(p.path().join("cmdline")).unwrap_or_default();
@@ -79,12 +79,12 @@
         })
         .count()
     };
-    while ours() < 4 {
-        assert!(child.try_wait().unwrap().is_none(), "it ended before its front nodes ran");
+    while node_processes() < 4 {
+        assert!(child.try_wait().unwrap().is_none(), "the run ended before its front nodes were started");
         std::thread::yield_now();
     }
     let stopped = Command::new("kill").args(["-TERM", &child.id().to_string()]).status().unwrap();
     assert!(stopped.success());
-    assert_eq!(child.wait().unwrap().code(), Some(3), "it could not run to its end");
-    assert_eq!(ours(), 0);
+    assert_eq!(child.wait().unwrap().code(), Some(3), "a stopped run has status 3");
+    assert_eq!(node_processes(), 0);
 }
--- a/crates/fault-injection/examples/speed.rs
+++ b/crates/fault-injection/examples/speed.rs
@@ -1,6 +1,6 @@
-//! How fast the emulator is: queries a second on one core against the number of stores, 50 front nodes, ten queries of six
-//! shard requests a second for each store, one store in ten slow. `cargo run --release -p orchidvalve-fault-injection --example speed -- DIR`:
-//! a table to standard output and a chart in DIR.
+//! Measures the speed of the emulator: queries per second on one core against the number of stores, with 50 front nodes, ten
+//! queries of six shard requests per second for each store, and one store in ten slow.
+//! `cargo run --release -p orchidvalve-fault-injection --example speed -- DIR` prints a table and writes a chart to DIR.
 
 use std::time::Instant;
 
@@ -20,7 +20,7 @@
         rate = stores * 10,
         slow = (stores / 10).max(1)
     );
-    Scenario::read(&text).expect("it can be read")
+    Scenario::read(&text).expect("the scenario is valid")
 }
 
 fn main() {
@@ -33,7 +33,7 @@
     for stores in [10, 30, 100, 300, 1000] {
         let scenario = scenario(stores);
         let began = Instant::now();
-        let (report, _) = play(&scenario, 1, Policy::Aggregator).expect("it can be played");
+        let (report, _) = play(&scenario, 1, Policy::Aggregator).expect("the run completes");
         let took = began.elapsed().as_secs_f64();
         let (asked, launches) = (report.all.queries as f64, report.attempts as f64);
         println!(
--- a/crates/fault-injection/src/discovery.rs
+++ b/crates/fault-injection/src/discovery.rs
@@ -1,71 +1,71 @@
-//! What discovery says, and how late: each store as it is, and the list as it was told. Free of I/O and clocks.
+//! A model of discovery: it receives each store's changes and publishes them with a delay. It has no I/O and no clock.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::Nanos;
 
-/// What discovery says of a store.
+/// The state of a store that discovery publishes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It serves.
+    /// The store serves requests.
     Up,
-    /// It takes nothing new.
+    /// The store accepts no new requests.
     Draining,
-    /// It is not there any more.
+    /// The store has been removed.
     Gone,
 }
 
-/// A store as the list has it.
+/// A store in the published list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedStore {
-    /// The store's place; its name may be another one after it was replaced.
+    /// Index of the store. Its name changes when it is replaced by another store.
     pub store: usize,
-    /// What discovery says of it.
+    /// The published state of the store.
     pub phase: Phase,
-    /// When it last started; none for long ago.
+    /// When the store last started; `None` if it had run for long before the run began.
     pub started_at: Option<Nanos>,
 }
 
-/// The list as discovery tells it.
+/// The list of stores that discovery publishes.
 #[derive(Debug, Default)]
 pub struct Discovery {
     list: BTreeMap<String, ListedStore>,
-    /// Changes that discovery has not told yet, and when it will.
+    /// Changes that are not published yet, with the times at which they will be.
     pending: VecDeque<(Nanos, String, ListedStore)>,
     lag: Nanos,
-    /// Changes that come now wait for the end of a silence.
+    /// Whether discovery is unresponsive; changes are published only when this ends.
     pub unresponsive: bool,
-    /// Stores that died go on being named.
-    pub lies: bool,
+    /// Whether discovery keeps publishing stores that died.
+    pub keeps_dead_stores: bool,
 }
 
 impl Discovery {
-    /// Discovery that names these stores.
+    /// Returns a model of discovery that publishes the given stores.
     pub fn new(stores: impl Iterator<Item = (String, ListedStore)>) -> Discovery {
         Discovery { list: stores.collect(), ..Discovery::default() }
     }
 
-    /// Changes from now on are told so much later.
-    pub fn lag_by(&mut self, by: Nanos) {
+    /// Delays the publication of changes from now on by `by`.
+    pub fn set_lag(&mut self, by: Nanos) {
         self.lag = by;
     }
 
-    /// Something became of a store, that discovery notices after `notice`.
-    pub fn changed(&mut self, now: Nanos, notice: Nanos, name: String, listed: ListedStore) {
+    /// Records a change of a store, which discovery notices `notice` nanoseconds later.
+    pub fn record_change(&mut self, now: Nanos, notice: Nanos, name: String, listed: ListedStore) {
         let due = now + notice + self.lag;
-        // One store's changes are told in their order, whatever the lag was when each came.
+        // The changes of one store are published in their order, even if the lag has become shorter.
         let last_of_store = self.pending.iter().filter(|(_, n, _)| *n == name).map(|(at, ..)| *at).max();
         let due = due.max(last_of_store.unwrap_or(due));
         let position = self.pending.partition_point(|(at, ..)| *at <= due);
         self.pending.insert(position, (due, name, listed));
     }
 
-    /// Takes back what was noticed of a store and not told: it is as it was again.
-    pub fn forget(&mut self, name: &str) {
+    /// Drops the unpublished changes of a store that has returned before they were published.
+    pub fn drop_pending(&mut self, name: &str) {
         self.pending.retain(|(_, n, _)| n != name);
     }
 
-    /// The list, where it changed by now.
+    /// Publishes the changes that are due and returns the list if it changed.
     pub fn round(&mut self, now: Nanos) -> Option<&BTreeMap<String, ListedStore>> {
         if self.unresponsive {
             return None;
@@ -82,12 +82,12 @@
         changed.then_some(&self.list)
     }
 
-    /// The list as it was told.
+    /// Returns the published list.
     pub fn list(&self) -> &BTreeMap<String, ListedStore> {
         &self.list
     }
 
-    /// When the next change will be told.
+    /// Returns when the next change will be published; `None` if there is none or discovery is unresponsive.
     pub fn next_due(&self) -> Option<Nanos> {
         self.pending.front().map(|(at, ..)| *at).filter(|_| !self.unresponsive)
     }
--- a/crates/fault-injection/src/emulator/clients.rs
+++ b/crates/fault-injection/src/emulator/clients.rs
@@ -1,25 +1,25 @@
-//! Emulated clients: what they ask, what they hear, and when they leave.
+//! Emulated clients: the queries that they send, the responses that they receive, and when they stop waiting.
 
 use orchidvalve::interface::QueryIndex;
 
 use super::front_nodes::Input;
 use super::world::{ScheduledEvent, World, request_id};
-use super::{BEGINS, DELAY};
+use super::{DELAY, SETUP_TIME};
 use crate::invariants::Event;
 use crate::load::{ClientRetries, NextStep, PlannedQuery, Reply};
 use crate::scenario::{Effect, Scenario, ms};
 use crate::statistics::QueryOutcome;
 
-/// The try of a client that is in flight.
+/// A client's try that is in flight.
 #[derive(Clone, Copy)]
 pub struct ClientTry {
-    /// Its number among those of all clients.
+    /// Number of the try, counted over all clients.
     pub number: usize,
-    /// Its query at the front node, once that took it.
+    /// Index of the query at the front node, once the front node has received it.
     pub query: Option<QueryIndex>,
 }
 
-/// A client with one query.
+/// A client with its one query.
 pub struct EmulatedClient {
     pub query: PlannedQuery,
     pub retries: ClientRetries,
@@ -32,7 +32,7 @@
 impl EmulatedClient {
     pub fn new(scenario: &Scenario, query: PlannedQuery) -> EmulatedClient {
         let class = &scenario.classes[query.class];
-        let began = BEGINS + query.at;
+        let began = SETUP_TIME + query.at;
         let retries = ClientRetries::new(&scenario.clients, class.effect, began, ms(class.deadline_ms));
         let front_node = query.front_node;
         EmulatedClient { query, retries, front_node, tries: 0, in_flight: None, ended: false }
@@ -40,7 +40,7 @@
 }
 
 impl World<'_> {
-    pub fn client_asks(&mut self, client_index: usize) {
+    pub fn client_sends(&mut self, client_index: usize) {
         let count = self.front_nodes.len();
         let first = self.clients[client_index].front_node;
         let up = (0..count).map(|n| (first + n) % count).find(|n| self.front_nodes[*n].is_up);
@@ -53,7 +53,7 @@
         self.statistics.record_delay(1);
         let Some(front_node) = up else {
             let (reply, outcome) = (Reply::Lost, QueryOutcome::Lost);
-            let lost = ScheduledEvent::ClientHears { client: client_index, number, reply, outcome };
+            let lost = ScheduledEvent::ClientReceives { client: client_index, number, reply, outcome };
             return self.schedule(self.now + DELAY, lost);
         };
         let client = &mut self.clients[client_index];
@@ -74,7 +74,7 @@
         is_receipted.then(|| format!("{client:032x}"))
     }
 
-    pub fn client_hears(&mut self, index: usize, number: usize, reply: Reply, outcome: QueryOutcome) {
+    pub fn client_receives(&mut self, index: usize, number: usize, reply: Reply, outcome: QueryOutcome) {
         let client = &mut self.clients[index];
         if client.ended || client.in_flight.is_none_or(|in_flight| in_flight.number != number) {
             return;
@@ -83,11 +83,11 @@
         match client.retries.next_step(self.now, reply) {
             NextStep::Ends => {
                 client.ended = true;
-                self.statistics.record(&client.query, self.now - BEGINS, outcome, client.tries);
+                self.statistics.record(&client.query, self.now - SETUP_TIME, outcome, client.tries);
             }
             NextStep::Again { at, elsewhere } => {
                 client.front_node = (client.front_node + usize::from(elsewhere)) % self.front_nodes.len();
-                self.schedule(at, ScheduledEvent::ClientAsks { client: index });
+                self.schedule(at, ScheduledEvent::ClientSends { client: index });
             }
         }
     }
@@ -99,6 +99,6 @@
         if let Some(query) = in_flight.query {
             self.deliver(self.clients[index].front_node, Input::ClientLeft { query });
         }
-        self.client_hears(index, number, Reply::Late, QueryOutcome::Late);
+        self.client_receives(index, number, Reply::Late, QueryOutcome::Late);
     }
 }
--- a/crates/fault-injection/src/emulator/front_nodes.rs
+++ b/crates/fault-injection/src/emulator/front_nodes.rs
@@ -1,4 +1,4 @@
-//! Emulated front nodes: what they hear, their rounds, and what becomes of their decisions.
+//! Emulated front nodes: their inputs, their decision rounds, and the execution of their decisions.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 
@@ -17,14 +17,14 @@
 use crate::scenario::Scenario;
 use crate::statistics::QueryOutcome;
 
-/// A connection that is not taken is known as such after this long where the machine does not respond.
+/// Time after which a health check of an unresponsive store counts as unanswered.
 const HEALTH_CHECK_TIMEOUT: Nanos = SECOND;
-/// Shard requests that a front node remembers before those of ended queries are forgotten.
+/// The number of shard requests that a front node remembers before it forgets those of ended queries.
 const REMEMBERED_REQUESTS: usize = 100_000;
 /// Spreads the seeds of front nodes (2^64 divided by the golden ratio).
 const SEED_SPREAD: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// What came to a front node since its last round.
+/// An input of a front node since its last round.
 pub enum Input {
     Query { client: usize },
     AttemptEnded { request: ShardRequestIndex, attempt: usize, outcome: AttemptOutcome, took: Nanos },
@@ -33,45 +33,45 @@
     ClientLeft { query: QueryIndex },
 }
 
-/// A query without a final answer.
+/// A query without a final response.
 pub struct OpenQuery {
     pub client: usize,
     pub id: String,
-    /// Values by shard.
+    /// The values received so far, by shard.
     pub values: BTreeMap<usize, String>,
 }
 
-/// An attempt that a front node waits for.
+/// An attempt that a front node has in flight.
 #[derive(Clone, Copy)]
 pub struct InFlight {
     pub store: usize,
     pub sent_at: Nanos,
 }
 
-/// One emulated front node.
+/// An emulated front node.
 pub struct FrontNode {
-    /// Away only while it decides.
+    /// `None` only while the front node runs a round.
     pub decider: Option<Decider>,
     pub incarnation: u32,
     pub is_up: bool,
     inbox: Vec<Input>,
-    /// When its next round is set for.
+    /// Time of the next scheduled round.
     next_round: Option<Nanos>,
     last_round: Nanos,
     wake_at: Nanos,
     pub queries: HashMap<QueryIndex, OpenQuery>,
-    /// Query and shard of each shard request.
+    /// The query and shard of each shard request.
     pub requests: HashMap<ShardRequestIndex, (QueryIndex, usize)>,
     attempt_counts: HashMap<ShardRequestIndex, usize>,
     pub in_flight: HashMap<(ShardRequestIndex, usize), InFlight>,
     replicas: BTreeMap<String, ReplicaIndex>,
     stores: HashMap<ReplicaIndex, usize>,
-    /// Replicas that the trace has named.
+    /// Replicas whose names the trace already contains.
     traced_replicas: BTreeSet<ReplicaIndex>,
 }
 
 impl FrontNode {
-    /// Its process ends, and nothing that it held goes on.
+    /// Ends the front node's process; its inputs, attempts in flight and open queries are lost.
     pub fn kill(&mut self) {
         self.is_up = false;
         self.incarnation += 1;
@@ -120,7 +120,7 @@
         self.queries.insert(query, OpenQuery { client: client_index, id, values: BTreeMap::new() });
     }
 
-    /// Learns the list as discovery tells it, and what the order of work closes.
+    /// Passes the membership that discovery publishes to the aggregator, without the machines that maintenance closes.
     fn receive_membership(&mut self, world: &Surroundings, state: &mut AggregatorState) {
         state.membership_update_begins(true);
         for (name, listed) in world.list {
@@ -143,7 +143,7 @@
         absent.for_each(|(_, replica)| state.replica_removed(*replica));
     }
 
-    /// What is over and will not be asked for any more is let go now and then.
+    /// Forgets the shard requests of ended queries once there are too many.
     fn forget_ended(&mut self) {
         if self.attempt_counts.len() > REMEMBERED_REQUESTS {
             let queries = &self.queries;
@@ -154,7 +154,7 @@
     }
 }
 
-/// What a front node sees of the world while it records its inputs.
+/// The parts of the run's state that a front node reads while it processes its inputs.
 struct Surroundings<'a> {
     index: usize,
     clients: &'a mut [EmulatedClient],
@@ -163,7 +163,7 @@
     scenario: &'a Scenario,
 }
 
-/// What a front node decided.
+/// A decision of a front node.
 enum Action {
     StartAttempt { request: ShardRequestIndex, replica: ReplicaIndex, limit: Nanos },
     CancelAttempt { request: ShardRequestIndex, attempt: usize },
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Something for a front node's next round, which is a tick after its last one at the earliest.
+    /// Adds an input for a front node's next round, which runs at least one tick after the last one.
     pub fn deliver(&mut self, index: usize, input: Input) {
         let front_node = &mut self.front_nodes[index];
         if !front_node.is_up {
@@ -252,14 +252,14 @@
             return;
         }
         let Some(mut decider) = front_node.decider.take() else { return };
-        // An alarm stands until it has fallen, whatever rounds come before it: it is told once.
+        // A timer stays set until it is due, even if earlier rounds run in between: the decider sets it only once.
         let wake_at = if front_node.wake_at <= now { Nanos::MAX } else { front_node.wake_at };
         (front_node.next_round, front_node.last_round, front_node.wake_at) = (None, now, wake_at);
         let buffer = self.decide(index, &mut decider);
         self.write_trace(index, &mut decider);
         self.front_nodes[index].decider = Some(decider);
         for action in buffer.actions {
-            self.carry_out(index, action);
+            self.execute(index, action);
         }
         if let Some(wake_at) = buffer.wake_at {
             self.front_nodes[index].wake_at = wake_at.max(now + self.settings.tick);
@@ -278,7 +278,7 @@
             Policy::Oracle => front_node.stores.clone(),
             _ => HashMap::new(),
         };
-        let foresight = |replica: ReplicaIndex| stores[*by_replica.get(&replica)?].foresight(now);
+        let response_time = |replica: ReplicaIndex| stores[*by_replica.get(&replica)?].response_time(now);
         let inbox = std::mem::take(&mut front_node.inbox);
         let mut world = Surroundings {
             index,
@@ -291,7 +291,7 @@
         let receive = |state: &mut AggregatorState| {
             inbox.into_iter().for_each(|input| front_node.receive(input, &mut world, state));
         };
-        decider.round(now, receive, &foresight, &mut buffer);
+        decider.round(now, receive, &response_time, &mut buffer);
         buffer
     }
 
@@ -312,7 +312,7 @@
         }
     }
 
-    fn carry_out(&mut self, index: usize, action: Action) {
+    fn execute(&mut self, index: usize, action: Action) {
         match action {
             Action::StartAttempt { request, replica, limit } => {
                 self.start_attempt(index, request, replica, limit);
@@ -379,7 +379,8 @@
     fn check_health(&mut self, index: usize, replica: ReplicaIndex) {
         let front_node = &self.front_nodes[index];
         let Some(&store) = front_node.stores.get(&replica) else { return };
-        let wait = if self.stores[store].is_mute(self.now) { HEALTH_CHECK_TIMEOUT } else { 2 * DELAY };
+        let wait =
+            if self.stores[store].is_unresponsive(self.now) { HEALTH_CHECK_TIMEOUT } else { 2 * DELAY };
         let incarnation = front_node.incarnation;
         let check = EmulatedHealthCheck { front_node: index, incarnation, replica, store };
         self.schedule(self.now + wait, ScheduledEvent::HealthCheckDone(check));
@@ -392,7 +393,7 @@
         let parts = if status == 200 { open.values.into_iter().collect() } else { Vec::new() };
         self.observe(&Event::Answered { id: open.id, status, complete, parts });
         let (client, number) = (open.client, in_flight.number);
-        self.schedule(self.now + DELAY, ScheduledEvent::ClientHears { client, number, reply, outcome });
+        self.schedule(self.now + DELAY, ScheduledEvent::ClientReceives { client, number, reply, outcome });
     }
 
     pub fn health_check_done(&mut self, check: EmulatedHealthCheck) {
@@ -406,7 +407,7 @@
     }
 }
 
-/// A final answer to a client.
+/// A final response to a client.
 struct Answer {
     status: u16,
     complete: bool,
--- a/crates/fault-injection/src/emulator/maintenance.rs
+++ b/crates/fault-injection/src/emulator/maintenance.rs
@@ -1,4 +1,4 @@
-//! The order of work among emulated front nodes: one order that all follow.
+//! The maintenance queue of emulated front nodes: one queue that all of them follow.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,38 +11,39 @@
 use crate::scenario::{ms, seconds};
 use crate::{MS, Nanos, SECOND};
 
-/// The order of work is looked at, and learned by the front nodes, this often.
-const LOOK_EVERY: Nanos = 50 * MS;
-/// How long a look at the stores is valid.
-const LOOK_LASTS: Nanos = 3 * SECOND;
+/// Interval at which the maintenance queue observes the stores and the front nodes learn its decisions.
+const OBSERVATION_INTERVAL: Nanos = 50 * MS;
+/// How long an observation of the stores remains valid.
+const OBSERVATION_VALIDITY: Nanos = 3 * SECOND;
 
 impl World<'_> {
-    pub fn look_at_maintenance(&mut self) {
-        let Some(told) = &self.scenario.order else { return };
+    pub fn observe_maintenance(&mut self) {
+        let Some(order) = &self.scenario.order else { return };
         let now = self.now;
         let stores = &self.scenario.stores;
         let rule = DisruptionBudget {
             cells: stores.cells as u32,
             reach: stores.reach as u32,
-            share: told.share,
+            share: order.share,
             zone_share: 1.0,
             ..DisruptionBudget::default()
         };
-        let pace = Timing { drain: ms(told.drain_ms), look_lasts: LOOK_LASTS };
+        let pace = Timing { drain: ms(order.drain_ms), look_lasts: OBSERVATION_VALIDITY };
         let seen: BTreeMap<String, ObservedMachine> =
-            self.list.iter().map(|(name, listed)| (name.clone(), self.seen(listed))).collect();
-        if self.order.needs_observation(&seen, &rule, pace, now) {
-            self.order.apply(&LoggedCommand { at: now, command: Command::Observe { seen, rule, pace } });
+            self.list.iter().map(|(name, listed)| (name.clone(), self.observed_machine(listed))).collect();
+        if self.maintenance_queue.needs_observation(&seen, &rule, pace, now) {
+            self.maintenance_queue
+                .apply(&LoggedCommand { at: now, command: Command::Observe { seen, rule, pace } });
         }
-        let closed: BTreeSet<String> = self.order.closed().map(str::to_owned).collect();
+        let closed: BTreeSet<String> = self.maintenance_queue.closed().map(str::to_owned).collect();
         if closed != self.closed {
             self.closed = closed;
             (0..self.front_nodes.len()).for_each(|n| self.deliver(n, Input::Membership));
         }
-        self.schedule(now + LOOK_EVERY, ScheduledEvent::Maintenance);
+        self.schedule(now + OBSERVATION_INTERVAL, ScheduledEvent::Maintenance);
     }
 
-    fn seen(&self, listed: &ListedStore) -> ObservedMachine {
+    fn observed_machine(&self, listed: &ListedStore) -> ObservedMachine {
         let stores = &self.scenario.stores;
         let warming_up = listed.started_at.is_some_and(|at| self.now - at < seconds(stores.cold_s));
         let health = match (listed.phase, warming_up) {
--- a/crates/fault-injection/src/emulator/mod.rs
+++ b/crates/fault-injection/src/emulator/mod.rs
@@ -1,9 +1,10 @@
-//! A run in virtual time: the same scenario, the same stores, discovery and clients as on sockets, the real decisions,
-//! no sockets and no clock. The same seed gives the same run to the last event; a thousand stores run on one core.
+//! Runs a scenario in virtual time: the scenario, store model, discovery and clients are the same as on sockets, and
+//! front nodes use their real decision code, but there are no sockets and no clock. A seed determines the run down to
+//! the last event; a thousand stores run on one core.
 //!
-//! The network is a fixed delay. What it leaves out against the real one: connections and their handshakes, the
-//! processor time of front nodes, shard requests that share a call, and the talk among front nodes; the order of work
-//! is one order that all follow.
+//! The network is a fixed delay. Compared with a run on sockets, the emulator leaves out connections and their
+//! handshakes, the processor time of front nodes, shard requests batched in one call, and the messages among front
+//! nodes: all of them follow a single maintenance queue.
 
 mod clients;
 mod front_nodes;
@@ -24,39 +25,40 @@
 use crate::{MS, Nanos, SECOND};
 use world::{ScheduledEvent, World};
 
-/// One way between any two.
+/// Network delay from any process to any other, one way.
 const DELAY: Nanos = MS / 10;
-/// Time before the first query, in which front nodes learn the list.
-const BEGINS: Nanos = SECOND;
-/// Time after the last client's deadline in which the last events fall due.
-const SETTLES: Nanos = 200 * MS;
-/// After the last client has asked, maintenance under way is waited for no longer than this.
-const MAINTENANCE_MOST: Nanos = 20 * SECOND;
+/// Time before the first query, in which front nodes learn the membership.
+const SETUP_TIME: Nanos = SECOND;
+/// Time after the last client's deadline in which the remaining events are processed.
+const SETTLING_TIME: Nanos = 200 * MS;
+/// The longest time that a run waits for maintenance in progress after the last client's deadline.
+const MAX_MAINTENANCE_WAIT: Nanos = 20 * SECOND;
 
-/// What a run in virtual time took.
+/// The amount of work of a run in virtual time.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Effort {
-    /// Events that fell due.
+    /// The number of processed events.
     pub events: u64,
-    /// Rounds of front nodes.
+    /// The number of rounds of front nodes.
     pub rounds: u64,
 }
 
-/// Plays a scenario in virtual time under a policy.
+/// Runs a scenario in virtual time under a policy.
 ///
 /// # Errors
 ///
-/// The scenario's faults can't be drawn, or front nodes can't be told its settings.
+/// Returns an error if the affected stores of a fault cannot be drawn, or if the scenario does not yield valid
+/// settings for front nodes.
 pub fn play(scenario: &Scenario, seed: u64, policy: Policy) -> Result<(Report, Effort), RunError> {
     play_amended(scenario, seed, policy, arrivals(scenario, seed), |_| {})
 }
 
-/// The same under that load, with what the front nodes are told amended, while the invariant checker goes by the
-/// scenario.
+/// Runs a scenario like [`play`], with the given load, and with front nodes whose settings are changed by `amend`. The
+/// invariant checker uses the scenario's unchanged rules, so it reports front nodes that run with wrong settings.
 ///
 /// # Errors
 ///
-/// As of [`play`].
+/// Returns an error in the same cases as [`play`].
 pub fn play_amended(
     scenario: &Scenario,
     seed: u64,
@@ -67,14 +69,15 @@
     play_traced(scenario, seed, (policy, planned), amend, None)
 }
 
-/// Takes the lines of a front node's trace: why each decision of the aggregator fell, as `orchidvalve why` reads them.
+/// Receives the lines of a front node's trace with the index of the front node. The trace explains each decision of the
+/// aggregator, in the format that `orchidvalve why` reads.
 pub type TraceLines<'a> = &'a mut dyn FnMut(usize, String);
 
-/// The same, traced.
+/// Runs a scenario like [`play_amended`] and passes the front nodes' traces to `trace`.
 ///
 /// # Errors
 ///
-/// As of [`play`].
+/// Returns an error in the same cases as [`play`].
 pub fn play_traced<'a>(
     scenario: &'a Scenario,
     seed: u64,
@@ -84,7 +87,7 @@
 ) -> Result<(Report, Effort), RunError> {
     let timeline = Timeline::new(scenario, seed)?;
     let events = timeline.events().to_vec();
-    let mut injector = FaultInjector::new(scenario, timeline, BEGINS);
+    let mut injector = FaultInjector::new(scenario, timeline, SETUP_TIME);
     let mut world = World::new(scenario, seed, policy, planned, injector.list().clone(), amend)?;
     if trace.is_some() {
         world.front_nodes.iter_mut().for_each(|f| f.decider.iter_mut().for_each(Decider::start_trace));
@@ -94,7 +97,7 @@
     let World { checker, statistics, now, attempts, shard_requests, .. } = world;
     let events_checked = checker.events();
     let mut violations = checker.end(now);
-    violations.iter_mut().for_each(|violation| violation.at_ms -= BEGINS / MS);
+    violations.iter_mut().for_each(|violation| violation.at_ms -= SETUP_TIME / MS);
     let facts = RunFacts {
         seed,
         attempts,
@@ -110,14 +113,14 @@
 impl World<'_> {
     fn run(&mut self, injector: &mut FaultInjector) -> Result<Effort, RunError> {
         let mut effort = Effort::default();
-        let end = BEGINS + self.scenario.lasts() + self.scenario.longest() + SETTLES;
-        self.schedule(BEGINS, ScheduledEvent::Faults);
+        let end = SETUP_TIME + self.scenario.duration() + self.scenario.longest_deadline() + SETTLING_TIME;
+        self.schedule(SETUP_TIME, ScheduledEvent::Faults);
         if self.scenario.order.is_some() {
-            self.schedule(BEGINS, ScheduledEvent::Maintenance);
+            self.schedule(SETUP_TIME, ScheduledEvent::Maintenance);
         }
         while let Some((at, event)) = self.next_event() {
             let Some(event) = event else { continue };
-            if at > end && (!injector.is_busy() || at > end + MAINTENANCE_MOST) {
+            if at > end && (!injector.is_busy() || at > end + MAX_MAINTENANCE_WAIT) {
                 break;
             }
             self.now = at;
--- a/crates/fault-injection/src/emulator/stores.rs
+++ b/crates/fault-injection/src/emulator/stores.rs
@@ -1,4 +1,4 @@
-//! Emulated stores: attempts that reach them, and what comes of those.
+//! Emulated stores: the attempts that reach them, and how these end.
 
 use std::collections::BTreeSet;
 
@@ -10,20 +10,20 @@
 use super::world::{EmulatedAttempt, ScheduledEvent, World};
 use crate::invariants::Event;
 use crate::scenario::Scenario;
-use crate::store_model::{StoreModel, Taken};
+use crate::store_model::{RequestOutcome, StoreModel};
 
-/// One emulated store.
+/// An emulated store.
 pub struct EmulatedStore {
     pub model: StoreModel,
     pub name: String,
     pub is_off: bool,
-    /// Which of its processes runs.
+    /// Number of the store's current process.
     pub process: u32,
-    /// Attempts that it works on, or that wait there.
+    /// Attempts that the store processes or that wait there.
     in_flight: BTreeSet<EmulatedAttempt>,
 }
 
-/// Whose an attempt is, while its query is open.
+/// The query, shard and client that an attempt belongs to, while its query is open.
 struct Owner {
     id: String,
     shard: usize,
@@ -40,22 +40,22 @@
         !self.is_off && self.model.is_up(now)
     }
 
-    /// Whether it takes connections and answers nothing.
-    pub fn is_mute(&self, now: Nanos) -> bool {
+    /// Returns whether the store accepts connections but does not respond.
+    pub fn is_unresponsive(&self, now: Nanos) -> bool {
         self.is_reachable(now) && (self.model.condition.unresponsive || self.model.condition.stalled)
     }
 
-    /// How long a shard request would take there from now; none where it would not be answered.
-    pub fn foresight(&self, now: Nanos) -> Option<Nanos> {
+    /// Returns how long a shard request sent now would take; `None` if the store would not respond.
+    pub fn response_time(&self, now: Nanos) -> Option<Nanos> {
         let condition = self.model.condition;
         let answers = !condition.unresponsive && !condition.stalled && !condition.draining;
-        (self.is_reachable(now) && answers).then(|| self.model.time_to_answer(now))
+        (self.is_reachable(now) && answers).then(|| self.model.time_to_respond(now))
     }
 
-    /// What a health check is told: shard requests that wait, and those done in a second. None where it is not
-    /// answered.
+    /// Returns the store's load report for a health check: the number of shard requests that wait, and the number that
+    /// it can process per second. `None` if the health check receives no response.
     pub fn report(&mut self, now: Nanos) -> Option<(f64, f64)> {
-        (self.is_reachable(now) && !self.is_mute(now))
+        (self.is_reachable(now) && !self.is_unresponsive(now))
             .then(|| (self.model.waiting(now) as f64, self.model.rate() as f64))
     }
 }
@@ -80,27 +80,27 @@
         {
             return self.attempt_ended(attempt, AttemptOutcome::ConnectionLost);
         }
-        // One whose query is over was cancelled on its way.
+        // An attempt whose query has ended was cancelled in transit.
         let Some(Owner { id, shard, client }) = self.owner(&attempt) else { return };
         let (store, key) = (store.name.clone(), self.idempotency_key(client));
         self.attempts += 1;
         self.observe(&Event::AttemptReceived { id: id.clone(), shard, store: store.clone(), key });
-        let (taken, overload) = self.stores[attempt.store].model.take(now, 1.0, attempt.front_node);
+        let (outcome, overload) = self.stores[attempt.store].model.receive(now, 1.0, attempt.front_node);
         self.stores[attempt.store].in_flight.insert(attempt);
         if let Some(overload) = overload {
             self.observe(&Event::Overloaded { store, overload });
             return self.break_connections(attempt.store);
         }
-        match taken {
-            Taken::Unheard => {}
-            Taken::Rejected => {
+        match outcome {
+            RequestOutcome::Unanswered => {}
+            RequestOutcome::Rejected => {
                 self.observe(&Event::Rejected { id, shard, store });
                 self.schedule(now + DELAY, ScheduledEvent::AttemptDone(attempt, AttemptOutcome::Rejected));
             }
-            Taken::Failed(at) => {
+            RequestOutcome::Failed(at) => {
                 self.schedule(at + DELAY, ScheduledEvent::AttemptDone(attempt, AttemptOutcome::Failed));
             }
-            Taken::Served(at) => {
+            RequestOutcome::Served(at) => {
                 self.schedule(at + DELAY, ScheduledEvent::AttemptDone(attempt, AttemptOutcome::Answered));
             }
         }
@@ -125,7 +125,7 @@
         self.attempt_ended(attempt, outcome);
     }
 
-    /// The first value of a shard counts, where its attempt is still waited for.
+    /// Keeps the first value of a shard, if the front node still waits for the attempt that returned it.
     fn keep_value(&mut self, attempt: &EmulatedAttempt, shard: usize, value: &str) {
         let front_node = &mut self.front_nodes[attempt.front_node];
         let Some((query, _)) = front_node.requests.get(&attempt.request) else { return };
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Every connection of a store breaks.
+    /// Breaks every connection of a store, which ends its attempts in flight.
     pub fn break_connections(&mut self, store: usize) {
         let emulated = &mut self.stores[store];
         let (in_flight, name) = (std::mem::take(&mut emulated.in_flight), emulated.name.clone());
--- a/crates/fault-injection/src/emulator/target.rs
+++ b/crates/fault-injection/src/emulator/target.rs
@@ -1,4 +1,4 @@
-//! What faults do to the emulated world.
+//! The effects of faults on the emulated run.
 
 use std::collections::BTreeMap;
 
@@ -17,10 +17,10 @@
 use crate::timeline::Condition;
 use crate::{Nanos, SECOND};
 
-/// Time that a machine may be away beyond what was asked for.
+/// Time that a machine may be under maintenance beyond the requested duration.
 const MAINTENANCE_MARGIN: Nanos = 60 * SECOND;
-/// How long a request for maintenance waits to be granted.
-const MAINTENANCE_WAITS: Nanos = 3600 * SECOND;
+/// How long a request for maintenance waits to be granted before it expires.
+const MAINTENANCE_REQUEST_VALIDITY: Nanos = 3600 * SECOND;
 
 impl FaultTarget for World<'_> {
     fn now(&self) -> Nanos {
@@ -57,7 +57,7 @@
             .collect();
         for (client, number) in asking {
             let (reply, outcome) = (Reply::Lost, QueryOutcome::Lost);
-            let lost = ScheduledEvent::ClientHears { client, number, reply, outcome };
+            let lost = ScheduledEvent::ClientReceives { client, number, reply, outcome };
             self.schedule(self.now + DELAY, lost);
         }
     }
@@ -79,13 +79,13 @@
             by: "rehearsal".to_owned(),
             why: String::new(),
             lasts: lasts + MAINTENANCE_MARGIN,
-            waits: MAINTENANCE_WAITS,
+            waits: MAINTENANCE_REQUEST_VALIDITY,
             nonce: self.nonce,
         };
-        self.order.apply(&LoggedCommand { at: self.now, command });
+        self.maintenance_queue.apply(&LoggedCommand { at: self.now, command });
         true
     }
     fn is_under_maintenance(&mut self, machine: &str) -> bool {
-        self.order.entries.iter().any(|e| e.machine == machine && e.stage == Stage::Out)
+        self.maintenance_queue.entries.iter().any(|e| e.machine == machine && e.stage == Stage::Out)
     }
 }
--- a/crates/fault-injection/src/emulator/world.rs
+++ b/crates/fault-injection/src/emulator/world.rs
@@ -1,4 +1,4 @@
-//! The emulated world and its schedule of events.
+//! The state of an emulated run and its schedule of events.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, HashMap};
@@ -11,7 +11,7 @@
 use super::clients::EmulatedClient;
 use super::front_nodes::{FrontNode, Input};
 use super::stores::EmulatedStore;
-use super::{BEGINS, TraceLines};
+use super::{SETUP_TIME, TraceLines};
 use crate::discovery::ListedStore;
 use crate::error::RunError;
 use crate::invariants::{Event, InvariantChecker};
@@ -22,44 +22,44 @@
 use crate::statistics::{OutcomeStatistics, QueryOutcome};
 use crate::{Nanos, store_name};
 
-/// What falls due at a moment.
+/// An event that is processed at its scheduled time.
 pub enum ScheduledEvent {
-    /// A client asks, for the first time or again.
-    ClientAsks { client: usize },
-    /// A front node decides.
+    /// A client sends its query, for the first time or as a retry.
+    ClientSends { client: usize },
+    /// A front node runs a decision round.
     Round { front_node: usize },
     /// An attempt reaches its store.
     AttemptArrives(EmulatedAttempt),
-    /// A store's work on an attempt is done.
+    /// The response of a store to an attempt reaches the front node.
     AttemptDone(EmulatedAttempt, AttemptOutcome),
     /// The time limit of an attempt has passed.
     AttemptLimit(EmulatedAttempt),
-    /// The answer to a health check reaches its front node, or is known not to come.
+    /// The response to a health check reaches its front node, or the health check times out.
     HealthCheckDone(EmulatedHealthCheck),
-    /// An answer reaches a client.
-    ClientHears { client: usize, number: usize, reply: Reply, outcome: QueryOutcome },
-    /// A client's time is up.
+    /// A response or the loss of its connection reaches a client.
+    ClientReceives { client: usize, number: usize, reply: Reply, outcome: QueryOutcome },
+    /// A client's deadline has passed, with the tolerance of the rules.
     ClientLeaves { client: usize, number: usize },
-    /// The faults go on.
+    /// Faults that are due begin or end.
     Faults,
-    /// The order of work is looked at.
+    /// The maintenance queue observes the stores.
     Maintenance,
 }
 
-/// An attempt on its way, at a store, or on its way back.
+/// An attempt in transit, at a store, or with its response in transit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct EmulatedAttempt {
     pub front_node: usize,
-    /// Which of the front node's processes it is of.
+    /// Number of the front node's process that sent the attempt.
     pub incarnation: u32,
     pub request: ShardRequestIndex,
     pub number: usize,
     pub store: usize,
-    /// Which of the store's processes it went to.
+    /// Number of the store's process that the attempt was sent to.
     pub process: u32,
 }
 
-/// A health check on its way.
+/// A health check in transit.
 #[derive(Clone, Copy)]
 pub struct EmulatedHealthCheck {
     pub front_node: usize,
@@ -68,7 +68,7 @@
     pub store: usize,
 }
 
-/// The world in virtual time.
+/// The state of an emulated run in virtual time.
 pub struct World<'a> {
     pub scenario: &'a Scenario,
     pub policy: Policy,
@@ -77,26 +77,26 @@
     pub now: Nanos,
     schedule: BinaryHeap<Reverse<(Nanos, u64)>>,
     events: HashMap<u64, ScheduledEvent>,
-    /// Events that were ever scheduled.
+    /// The number of events scheduled so far, which numbers them.
     scheduled: u64,
     pub front_nodes: Vec<FrontNode>,
     pub stores: Vec<EmulatedStore>,
     pub clients: Vec<EmulatedClient>,
-    /// The list as discovery tells it.
+    /// The stores as discovery currently publishes them.
     pub list: BTreeMap<String, ListedStore>,
-    /// The order of work that the front nodes agree on.
-    pub order: MaintenanceQueue,
-    /// Number of the last request to that order.
+    /// The maintenance queue that the front nodes agree on.
+    pub maintenance_queue: MaintenanceQueue,
+    /// Nonce of the latest maintenance request.
     pub nonce: u64,
-    /// Machines that the order closes, as the front nodes know it.
+    /// Machines that the maintenance queue closes for new attempts, as the front nodes know them.
     pub closed: BTreeSet<String>,
     pub checker: InvariantChecker,
     pub statistics: OutcomeStatistics,
-    /// Attempts that reached a store.
+    /// The number of attempts that reached a store.
     pub attempts: u64,
-    /// Shard requests that clients asked for, all tries together.
+    /// The number of shard requests of all queries, including those of retries.
     pub shard_requests: u64,
-    /// Tries of all clients.
+    /// The number of tries of all clients.
     pub tries: usize,
     pub trace: Option<TraceLines<'a>>,
 }
@@ -128,7 +128,7 @@
             stores: (0..scenario.stores.count()).map(store).collect(),
             clients: planned.into_iter().map(|query| EmulatedClient::new(scenario, query)).collect(),
             list,
-            order: MaintenanceQueue::default(),
+            maintenance_queue: MaintenanceQueue::default(),
             nonce: 0,
             closed: BTreeSet::new(),
             checker: InvariantChecker::new(scenario),
@@ -144,49 +144,49 @@
             world.deliver(n, Input::Membership);
         }
         for client in 0..world.clients.len() {
-            let at = BEGINS + world.clients[client].query.at;
-            world.schedule(at, ScheduledEvent::ClientAsks { client });
+            let at = SETUP_TIME + world.clients[client].query.at;
+            world.schedule(at, ScheduledEvent::ClientSends { client });
         }
         Ok(world)
     }
 
-    /// Events of one moment fall due in the order in which they were scheduled.
+    /// Schedules an event. Events of the same time are processed in the order in which they were scheduled.
     pub fn schedule(&mut self, at: Nanos, event: ScheduledEvent) {
         self.scheduled += 1;
         self.schedule.push(Reverse((at, self.scheduled)));
         self.events.insert(self.scheduled, event);
     }
 
-    /// The next event and its time.
+    /// Returns the next event and its time.
     pub fn next_event(&mut self) -> Option<(Nanos, Option<ScheduledEvent>)> {
         let Reverse((at, number)) = self.schedule.pop()?;
         Some((at, self.events.remove(&number)))
     }
 
-    /// Something that the invariant checker sees.
+    /// Passes an event at the current time to the invariant checker.
     pub fn observe(&mut self, event: &Event) {
         self.checker.observe(self.now, event);
     }
 
     pub fn dispatch(&mut self, event: ScheduledEvent) {
         match event {
-            ScheduledEvent::ClientAsks { client } => self.client_asks(client),
+            ScheduledEvent::ClientSends { client } => self.client_sends(client),
             ScheduledEvent::Round { front_node } => self.round(front_node),
             ScheduledEvent::AttemptArrives(attempt) => self.attempt_arrives(attempt),
             ScheduledEvent::AttemptDone(attempt, outcome) => self.attempt_done(attempt, outcome),
             ScheduledEvent::AttemptLimit(attempt) => self.attempt_ended(attempt, AttemptOutcome::TimedOut),
             ScheduledEvent::HealthCheckDone(check) => self.health_check_done(check),
-            ScheduledEvent::ClientHears { client, number, reply, outcome } => {
-                self.client_hears(client, number, reply, outcome);
+            ScheduledEvent::ClientReceives { client, number, reply, outcome } => {
+                self.client_receives(client, number, reply, outcome);
             }
             ScheduledEvent::ClientLeaves { client, number } => self.client_leaves(client, number),
-            ScheduledEvent::Maintenance => self.look_at_maintenance(),
+            ScheduledEvent::Maintenance => self.observe_maintenance(),
             ScheduledEvent::Faults => {}
         }
     }
 }
 
-/// The request id of a client's try at a front node.
+/// Returns the request id of a client's try at a front node.
 pub fn request_id(front_node: usize, number: usize) -> String {
     format!("{front_node:04x}{number:012x}")
 }
--- a/crates/fault-injection/src/error.rs
+++ b/crates/fault-injection/src/error.rs
@@ -1,25 +1,25 @@
-//! Why a run can't be made.
+//! Errors of scenarios, plans, replays and runs.
 
 use std::path::{Path, PathBuf};
 
 use derive_more::{Display, Error, From};
 
-/// Why a scenario, or a plan of many runs, can't be used.
+/// Why a scenario, or a plan of many runs, is invalid.
 #[derive(Debug, Display, Error, From)]
 pub enum ScenarioError {
-    /// It isn't TOML, or a key is missing, unknown or of another type.
+    /// The text is not TOML, or a key is missing, unknown or of the wrong type.
     #[display("{_0}")]
     Toml(toml::de::Error),
-    /// A value can't be used; the key's path says where it stands.
+    /// A value is out of bounds or refers to an unknown name.
     #[display("{key}: {reason}")]
     #[from(ignore)]
     Value {
-        /// The path of the key.
+        /// The path of the key in the file.
         key: String,
-        /// What it should be.
+        /// The expected value, and the actual one where it is short.
         reason: String,
     },
-    /// A scenario with keys of a plan set can't be written again.
+    /// A scenario with keys set by a plan cannot be serialized to TOML again.
     #[display("{_0}")]
     Unwritable(toml::ser::Error),
 }
@@ -30,108 +30,112 @@
     }
 }
 
-/// Why recordings can't be laid over a scenario.
+/// Why recordings cannot be replayed on a scenario.
 #[derive(Clone, Debug, PartialEq, Display, Error)]
 pub enum ReplayError {
-    /// The speed isn't above 0.
+    /// The speed is not above 0.
     #[display("speed: should be above 0, not {speed}")]
     Speed {
-        /// What was asked for.
+        /// The requested speed.
         speed: f64,
     },
     /// The scenario has no service class of a recorded name.
-    #[display("{recording}: grade '{class}' is none of the scenario's: rename it")]
+    #[display(
+        "{recording}: the scenario has no grade '{class}'; map it to one of the scenario's with --rename"
+    )]
     UnknownClass {
-        /// The recording's file.
+        /// Name of the recording's file.
         recording: String,
-        /// The recorded name.
+        /// The recorded name of the service class.
         class: String,
     },
     /// The scenario has no tenant of a recorded name.
-    #[display("{recording}: tenant '{tenant}' is none of the scenario's: rename it")]
+    #[display(
+        "{recording}: the scenario has no tenant '{tenant}'; map it to one of the scenario's with --rename"
+    )]
     UnknownTenant {
-        /// The recording's file.
+        /// Name of the recording's file.
         recording: String,
-        /// The recorded name.
+        /// The recorded name of the tenant.
         tenant: String,
     },
 }
 
-/// Why a run can't be made or its report can't be written.
+/// Why a run cannot be started or completed, or its report cannot be written.
 #[derive(Debug, Display, Error, From)]
 pub enum RunError {
-    /// The scenario can't be used.
+    /// The scenario is invalid.
     #[display("{_0}")]
     Scenario(ScenarioError),
-    /// What the scenario tells front nodes can't be used by them.
+    /// The scenario does not yield valid settings for front nodes.
     #[display("{fault}")]
     #[from(ignore)]
     Settings {
-        /// The key and what is wrong with it.
+        /// The key and the reason.
         #[error(not(source))]
         fault: String,
     },
-    /// The scenario has more front nodes than one machine is asked to run.
-    #[display("fronts: {most} at most as processes; more in virtual time only")]
+    /// The scenario has more front nodes than can run as processes on one machine.
+    #[display("fronts: at most {most} front nodes can run as processes; run more in virtual time")]
     #[from(ignore)]
     TooManyFrontNodes {
-        /// How many it is asked to run.
+        /// The maximum number of front nodes.
         most: usize,
     },
-    /// A file or directory can't be read or written.
+    /// A file or directory cannot be read or written.
     #[display("{}: {source}", path.display())]
     #[from(ignore)]
     File {
-        /// Which one.
+        /// Path of the file or directory.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A part of the test bed can't be started.
+    /// A component of the test bed cannot be started.
     #[display("{what}: {source}")]
     #[from(ignore)]
     Start {
-        /// Which part.
+        /// Name of the component.
         what: String,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// A front node ended before it listened.
+    /// A front node ended before it listened for clients.
     #[display("front node {index} did not start: {log}")]
     #[from(ignore)]
     FrontNodeEnded {
-        /// Which one.
+        /// Index of the front node.
         index: usize,
-        /// What it said.
+        /// The lines that the front node logged.
         log: String,
     },
     /// A front node has no standard error to read its address from.
-    #[display("front node {index}: no log")]
+    #[display("front node {index}: its standard error cannot be read")]
     #[from(ignore)]
     NoLog {
-        /// Which one.
+        /// Index of the front node.
         index: usize,
     },
-    /// The front nodes weren't ready in time.
+    /// The front nodes were not ready in time.
     #[display("the front nodes were not ready within {seconds} s")]
     #[from(ignore)]
     NotReady {
-        /// How long they had.
+        /// The time limit, in seconds.
         seconds: u64,
     },
-    /// Whoever started the run stopped it.
+    /// The run was stopped from outside.
     #[display("it was stopped")]
     Stopped,
-    /// The report can't be written as JSON.
+    /// The report cannot be serialized as JSON.
     #[display("{_0}")]
     Json(serde_json::Error),
-    /// The chart can't be drawn.
+    /// The chart cannot be drawn.
     #[display("{}: {reason}", path.display())]
     #[from(ignore)]
     Chart {
-        /// Its file.
+        /// Path of the chart's directory.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         reason: String,
     },
 }
--- a/crates/fault-injection/src/experiment.rs
+++ b/crates/fault-injection/src/experiment.rs
@@ -1,13 +1,13 @@
-//! Many runs in virtual time: a grid of scenario keys, seeds and policies, each cell with a name of its own so that a
-//! plan broken off goes on where it was, and what came of them, paired by seed.
+//! Experiments: many runs of a scenario in virtual time over a grid of scenario keys, seeds and policies. Each run has a
+//! unique name, so that an interrupted experiment can be resumed. Results are compared in pairs of the same seed.
 //!
 //! ```
 //! use orchidvalve_fault_injection::experiment::Plan;
 //!
 //! let plan = "scenario = 'x.toml'\nseeds = 3\npolicies = ['ours', 'random']\n[[grid]]\nkey = 'stores.work_ms'\nvalues = [4.0, 8.0]\n";
 //! assert_eq!(Plan::read(plan).unwrap().cells().len(), 12);
-//! let fault = Plan::read(&plan.replace("'random'", "'chance'")).unwrap_err();
-//! assert!(fault.to_string().contains("unknown variant `chance`"), "{fault}");
+//! let error = Plan::read(&plan.replace("'random'", "'chance'")).unwrap_err();
+//! assert!(error.to_string().contains("unknown variant `chance`"), "{error}");
 //! ```
 
 use std::collections::BTreeMap;
@@ -24,78 +24,79 @@
 use crate::policy::Policy;
 use crate::scenario::Scenario;
 
-/// Many runs of one scenario.
+/// The plan of an experiment: many runs of one scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Plan {
-    /// The scenario's file, relative to the plan's file.
+    /// Path of the scenario's file, relative to the plan's file.
     pub scenario: String,
-    /// How many seeds, from 1.
+    /// The number of seeds; the seeds are 1 to this number.
     pub seeds: u64,
-    /// Who decides; the first one is compared with.
+    /// The policies; the others are compared with the first one.
     #[serde(default = "Plan::policies")]
     pub policies: Vec<Policy>,
-    /// Keys of the scenario with their values, all combined.
+    /// Keys of the scenario with their values; all combinations are run.
     #[serde(default)]
     pub grid: Vec<Axis>,
 }
 
-/// A key of the scenario and what it is to be.
+/// A key of the scenario and its values.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Axis {
-    /// Such as `stores.work_ms`, or `load.0.rate` for the first stretch of load; `load.*.rate` for all of them.
+    /// Path of the key, such as `stores.work_ms`, `load.0.rate` for the first period of load, or `load.*.rate` for all
+    /// periods.
     pub key: String,
-    /// What it is to be, one after another.
+    /// The values of the key.
     pub values: Vec<toml::Value>,
 }
 
 /// One run of a plan.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cell {
-    /// Who decides.
+    /// Policy of the front nodes.
     pub policy: Policy,
-    /// What arrivals and stores are drawn from.
+    /// The seed that arrivals and affected stores are drawn from.
     pub seed: u64,
     /// Keys and their values, in the plan's order.
     pub set: Vec<(String, toml::Value)>,
 }
 
 impl Cell {
-    /// Where it stands in the grid, in words: all but policy and seed.
+    /// Returns the position in the grid, as text: all keys and values, without policy and seed.
     pub fn point(&self) -> String {
         let words: Vec<String> = self.set.iter().map(|(key, value)| format!("{key}={value}")).collect();
         words.join(" ")
     }
 
-    /// Its name among all of its plan's scenario: what a record of it is kept under.
+    /// Returns the name of the run, which is unique within its plan and identifies its stored outcome.
     pub fn name(&self) -> String {
         format!("{}|{}|{}", self.policy.name(), self.seed, self.point())
     }
 }
 
-/// What came of a cell.
+/// The results of one run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Outcome {
-    /// Who decides.
+    /// Policy of the front nodes.
     pub policy: Policy,
-    /// What arrivals and stores are drawn from.
+    /// The seed that arrivals and affected stores were drawn from.
     pub seed: u64,
-    /// Where it stands in the grid.
+    /// The position in the grid, as text.
     pub point: String,
-    /// Share that was answered in time.
+    /// The fraction of queries that were answered before their deadline, 0 to 1.
     pub service: f64,
-    /// Share of what was asked that was answered whole within its latency target.
+    /// The fraction of queries that had a complete response within their latency target, 0 to 1.
     pub soft: f64,
-    /// Latency at the half, 0.9, 0.99 and 0.999, milliseconds.
+    /// Latency at the quantiles 0.5, 0.9, 0.99 and 0.999, in milliseconds.
     pub latency_ms: [f64; 4],
-    /// Attempts for each shard request.
+    /// The number of attempts per shard request.
     #[serde(rename = "launches_a_part")]
     pub attempts_per_request: f64,
-    /// How often rules were broken.
+    /// The number of violations of rules.
     #[serde(rename = "breaches")]
     pub violations: u64,
-    /// Rules that were broken.
+    /// Numbers of the violated rules, ascending.
     pub rules: Vec<u8>,
 }
 
@@ -104,11 +105,11 @@
         vec![Policy::Aggregator]
     }
 
-    /// Reads and checks a plan.
+    /// Parses and checks a plan.
     ///
     /// # Errors
     ///
-    /// It is no TOML, or a key or value of it can't be used.
+    /// Returns an error if the text is not TOML, or if a key is missing or unknown or its value is out of bounds.
     pub fn read(text: &str) -> Result<Plan, ScenarioError> {
         let plan: Plan = toml::from_str(text)?;
         if !(1..=10_000).contains(&plan.seeds) {
@@ -116,16 +117,19 @@
         }
         for (n, axis) in plan.grid.iter().enumerate() {
             if axis.values.is_empty() {
-                return Err(ScenarioError::value(format!("grid[{n}].values"), "should be one at least"));
+                return Err(ScenarioError::value(
+                    format!("grid[{n}].values"),
+                    "should have at least one entry",
+                ));
             }
         }
         if plan.policies.is_empty() {
-            return Err(ScenarioError::value("policies", "should be one at least"));
+            return Err(ScenarioError::value("policies", "should have at least one entry"));
         }
         Ok(plan)
     }
 
-    /// All runs, in an order in which early ones already tell something of every point.
+    /// Returns all runs, ordered by seed, so that the early runs already cover every point of the grid.
     pub fn cells(&self) -> Vec<Cell> {
         let points = self.points();
         let mut cells = Vec::new();
@@ -138,7 +142,7 @@
         cells
     }
 
-    /// The points of the grid: every value of each key with every value of the others.
+    /// Returns the points of the grid: every combination of the keys' values.
     fn points(&self) -> Vec<Vec<(String, toml::Value)>> {
         let mut points: Vec<Vec<(String, toml::Value)>> = vec![Vec::new()];
         for axis in &self.grid {
@@ -156,8 +160,8 @@
     }
 }
 
-/// The scenario with a cell's keys set. `text`: as its file has it.
-pub fn amended(text: &str, cell: &Cell) -> Result<Scenario, ScenarioError> {
+/// Returns the scenario with the keys of a run set; `text` is the content of the scenario's file.
+pub fn with_keys_set(text: &str, cell: &Cell) -> Result<Scenario, ScenarioError> {
     let mut table = toml::Value::Table(toml::from_str::<toml::Table>(text)?);
     for (key, value) in &cell.set {
         let steps: Vec<&str> = key.split('.').collect();
@@ -167,8 +171,8 @@
     Scenario::read(&toml::to_string(&table)?)
 }
 
-/// Only keys that are there, or could be beside others of their table, are set: a word misspelt is told by the
-/// scenario's own check.
+/// Sets the key whose path is `steps`. The table that contains the key must exist, the key itself need not: the
+/// scenario's own check reports a misspelt key. Returns `None` if the path does not exist.
 fn set(at: &mut toml::Value, steps: &[&str], value: &toml::Value) -> Option<()> {
     let Some((first, rest)) = steps.split_first() else {
         *at = value.clone();
@@ -188,9 +192,9 @@
     }
 }
 
-/// Plays a cell.
+/// Executes one run of a plan.
 pub fn run(text: &str, cell: &Cell) -> Result<Outcome, RunError> {
-    let scenario = amended(text, cell)?;
+    let scenario = with_keys_set(text, cell)?;
     let (report, _) = play(&scenario, cell.seed, cell.policy)?;
     let mut rules: Vec<u8> = report.violations.iter().map(|b| b.rule).collect();
     rules.sort_unstable();
@@ -208,18 +212,18 @@
     })
 }
 
-/// A mean over seeds, and how far the true one may be from it in 95 of 100 plans.
+/// A mean over seeds with its 95% confidence interval.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct Mean {
     /// The mean.
     pub mean: f64,
-    /// How far off it may be.
+    /// Half the width of the 95% confidence interval; NaN if there are fewer than two values.
     pub within: f64,
-    /// Of how many.
+    /// The number of values.
     pub n: usize,
 }
 
-/// Student's factor for 95 in 100 at so many degrees of freedom.
+/// Returns the two-sided 95% quantile of Student's t-distribution for the given degrees of freedom.
 fn student(freedom: usize) -> f64 {
     const TABLE: [f64; 15] =
         [12.71, 4.30, 3.18, 2.78, 2.57, 2.45, 2.36, 2.31, 2.26, 2.23, 2.20, 2.18, 2.16, 2.14, 2.13];
@@ -231,7 +235,7 @@
     }
 }
 
-/// The mean of some outcomes.
+/// Returns the mean of the values and its confidence interval.
 pub fn mean(of: &[f64]) -> Mean {
     let n = of.len();
     let mean = of.iter().sum::<f64>() / n.max(1) as f64;
@@ -242,32 +246,32 @@
     Mean { mean, within: student(n - 1) * (spread / n as f64).sqrt(), n }
 }
 
-/// A point of the grid under one policy.
+/// The results of one policy at one point of the grid.
 #[derive(Clone, Debug, Serialize)]
 pub struct Row {
-    /// Where it stands in the grid.
+    /// The position in the grid, as text.
     pub point: String,
-    /// Who decides.
+    /// Policy of the front nodes.
     pub policy: Policy,
-    /// Share that was answered in time.
+    /// The fraction of queries that were answered before their deadline, 0 to 1.
     pub service: Mean,
-    /// Share that was answered whole within its latency target.
+    /// The fraction of queries that had a complete response within their latency target, 0 to 1.
     pub soft: Mean,
-    /// Against the first policy of the plan, seed by seed.
+    /// Mean difference of `soft` to the plan's first policy, seed by seed; `None` for the first policy itself.
     pub against: Option<Mean>,
-    /// Latency at 0.99, milliseconds.
+    /// Latency at the quantile 0.99, in milliseconds.
     pub p99_ms: Mean,
-    /// Attempts for each shard request.
+    /// The number of attempts per shard request.
     #[serde(rename = "launches_a_part")]
     pub attempts_per_request: Mean,
-    /// How often rules were broken.
+    /// The number of violations of rules.
     #[serde(rename = "breaches")]
     pub violations: u64,
-    /// Rules that were broken.
+    /// Numbers of the violated rules, ascending.
     pub rules: Vec<u8>,
 }
 
-/// A row for each point and policy, in the order of the plan.
+/// Returns a row for each point and policy, in the order of the plan.
 pub fn rows(plan: &Plan, outcomes: &[Outcome]) -> Vec<Row> {
     let mut points: Vec<String> = Vec::new();
     for cell in plan.cells() {
@@ -291,10 +295,10 @@
     rows
 }
 
-/// Outcomes of one point and policy.
+/// The outcomes of one point and policy, by seed.
 type BySeed<'a> = BTreeMap<u64, &'a Outcome>;
 
-/// `first`: the outcomes to compare with.
+/// Returns the row of one point and policy; `first` holds the outcomes of the first policy to compare with.
 fn row(point: &str, policy: Policy, outcomes: &BySeed, first: Option<&BySeed>) -> Row {
     let over = |pick: fn(&Outcome) -> f64| mean(&outcomes.values().map(|o| pick(o)).collect::<Vec<_>>());
     let mut rules: Vec<u8> = outcomes.values().flat_map(|o| o.rules.clone()).collect();
@@ -313,13 +317,14 @@
     }
 }
 
-/// How much more was answered within the latency target than in `first`, over the seeds that both have.
+/// Returns the mean difference to `first` in the fraction of complete responses within the latency target, over the
+/// seeds that both have.
 fn mean_difference(outcomes: &BySeed, first: &BySeed) -> Mean {
     let difference = |(seed, o): (&u64, &&Outcome)| Some(o.soft - first.get(seed)?.soft);
     mean(&outcomes.iter().filter_map(difference).collect::<Vec<_>>())
 }
 
-/// The rows as a table.
+/// Returns the rows as a Markdown table.
 pub fn page(plan: &Plan, rows: &[Row]) -> String {
     let mut page = format!("# Experiment on {}\n\n", plan.scenario);
     let first = plan.policies[0].name();
@@ -360,7 +365,8 @@
     }
 }
 
-/// Share answered within the latency target over the grid's points, a line a policy, with what the true means may be.
+/// Draws the fraction of complete responses within the latency target over the points of the grid, with a line for each
+/// policy and confidence intervals as bars.
 pub fn chart(plan: &Plan, rows: &[Row], path: &Path) -> Result<(), Box<dyn std::error::Error>> {
     let mut points: Vec<&str> = Vec::new();
     for r in rows {
@@ -392,14 +398,14 @@
     Ok(())
 }
 
-/// Where the chart's vertical axis begins: a little below the lowest mean and what it may be off by.
+/// Returns the start of the chart's vertical axis: slightly below the lowest end of all confidence intervals.
 fn lowest_share(rows: &[Row]) -> f64 {
     let low = rows.iter().map(|r| r.soft.mean - if r.soft.within.is_nan() { 0.0 } else { r.soft.within });
     (low.fold(1.0, f64::min) - 0.05).max(0.0)
 }
 
-/// Draws the line of the policy with number `n`, and a bar at each point for what the true mean may be. Bars of several
-/// policies stand beside each other.
+/// Draws the line of the policy with number `n`, and a bar at each point for the confidence interval. Bars of different
+/// policies are drawn side by side.
 fn draw_policy<DB: DrawingBackend>(
     chart: &mut ChartContext<'_, DB, Cartesian2d<RangedCoordf64, RangedCoordf64>>,
     n: usize,
--- a/crates/fault-injection/src/injector.rs
+++ b/crates/fault-injection/src/injector.rs
@@ -1,5 +1,5 @@
-//! How a run goes on: faults befall stores, discovery hears of it, machines are taken out for maintenance step by step.
-//! The same for real processes and in virtual time; what is done to them is behind [`FaultTarget`].
+//! Injects the faults of a scenario: changes the condition of stores, notifies discovery, and takes machines through
+//! maintenance step by step. The same code runs with real processes and in virtual time, behind [`FaultTarget`].
 
 use std::collections::BTreeMap;
 
@@ -10,41 +10,42 @@
 use crate::timeline::{ActiveFaults, Condition, FaultEvent, Timeline};
 use crate::{MS, Nanos, store_name};
 
-/// What a run does to the world.
+/// The operations of a run that faults need, implemented for real processes and for the emulator.
 pub trait FaultTarget {
-    /// The time since the run's clock began.
+    /// Returns the time since the run's clock started.
     fn now(&self) -> Nanos;
-    /// Something that the invariant checker sees.
+    /// Passes an event to the invariant checker.
     fn observe(&mut self, event: Event);
-    /// A store is like that from now on.
+    /// Sets the combined effect of faults on a store.
     fn set_condition(&mut self, store: usize, condition: Condition);
-    /// A store's process ends: its connections break and none is taken.
+    /// Stops a store's process: its connections break and new ones are refused.
     fn stop_store(&mut self, store: usize);
-    /// Another process of that name takes its place, warming up; when it began.
+    /// Starts another process with the given name in a store's place, warming up. Returns when it started.
     fn start_store(&mut self, store: usize, name: String) -> Nanos;
-    /// Discovery tells that list from now on.
+    /// Sets the list of stores that discovery publishes.
     fn publish_list(&mut self, list: &BTreeMap<String, ListedStore>);
-    /// Discovery answers nothing, or answers again.
+    /// Makes discovery unresponsive, or responsive again.
     fn set_discovery_unresponsive(&mut self, unresponsive: bool);
-    /// A front node's process is killed.
+    /// Kills a front node's process.
     fn kill_front_node(&mut self, front_node: usize);
-    /// Another process takes its place.
+    /// Starts another process in a killed front node's place.
     ///
     /// # Errors
     ///
-    /// It can't be started.
+    /// Returns an error if the process cannot be started.
     fn restart_front_node(&mut self, front_node: usize) -> Result<(), RunError>;
-    /// A front node reads its configuration again.
+    /// Makes a front node reload its configuration.
     fn reload_front_node(&mut self, front_node: usize);
-    /// The first so many front nodes hear nothing of the others; none: all links are whole.
+    /// Separates the first `first` front nodes from the others by a network partition; `None` ends the partition.
     fn partition_front_nodes(&mut self, first: Option<usize>);
-    /// Asks the front nodes to let a machine go; false where none took the request.
+    /// Requests maintenance of a machine from the front nodes. Returns whether a front node accepted the request; `lasts` is
+    /// the duration of the maintenance.
     fn request_maintenance(&mut self, machine: &str, lasts: Nanos) -> bool;
-    /// Whether the front nodes have let it go.
+    /// Returns whether the front nodes' maintenance queue has taken the machine out of service.
     fn is_under_maintenance(&mut self, machine: &str) -> bool;
 }
 
-/// A machine that is taken out for maintenance, step by step.
+/// A machine's maintenance and its current step.
 #[derive(Clone, Copy)]
 struct Maintenance {
     store: usize,
@@ -54,17 +55,17 @@
 
 #[derive(Clone, Copy, PartialEq)]
 enum Step {
-    /// Asked of the front nodes, which have not let it go yet; looked at again then.
+    /// Requested from the front nodes, which have not granted it yet; checked again at this time.
     Requested(Nanos),
     Draining(Nanos),
     Off(Nanos),
     Done,
 }
 
-/// Pause between two looks at whether a machine was let go.
-const MAINTENANCE_LOOK: Nanos = 40 * MS;
+/// Interval at which the injector checks whether maintenance of a machine was granted.
+const MAINTENANCE_POLL_INTERVAL: Nanos = 40 * MS;
 
-/// Plays the faults of a scenario.
+/// Injects the faults of a scenario.
 pub struct FaultInjector<'a> {
     scenario: &'a Scenario,
     timeline: Timeline,
@@ -77,7 +78,7 @@
 }
 
 impl<'a> FaultInjector<'a> {
-    /// Times of the scenario count from `begins` on.
+    /// Returns an injector whose scenario times count from `begins`.
     pub fn new(scenario: &'a Scenario, timeline: Timeline, begins: Nanos) -> FaultInjector<'a> {
         let count = scenario.stores.count();
         let listed = |n| (store_name(n), ListedStore { store: n, phase: Phase::Up, started_at: None });
@@ -92,22 +93,22 @@
         }
     }
 
-    /// Times of the scenario count from then on.
+    /// Sets the time from which scenario times count.
     pub fn begin(&mut self, at: Nanos) {
         self.begins = at;
     }
 
-    /// The list as discovery tells it.
+    /// Returns the list of stores that discovery publishes.
     pub fn list(&self) -> &BTreeMap<String, ListedStore> {
         self.discovery.list()
     }
 
-    /// Whether machines are still out for maintenance, or wait for it.
+    /// Returns whether machines are under maintenance or wait for it.
     pub fn is_busy(&self) -> bool {
         !self.maintenance.is_empty()
     }
 
-    /// When something falls due by itself; machines out for maintenance are looked at every so often.
+    /// Returns when the next fault, publication of discovery, or maintenance step is due.
     pub fn next_due(&self) -> Option<Nanos> {
         let event = self.timeline.next_due().map(|at| self.begins + at);
         let maintenance = self.maintenance.iter().map(|m| match m.step {
@@ -117,17 +118,17 @@
         event.into_iter().chain(self.discovery.next_due()).chain(maintenance).min()
     }
 
-    /// Does what has fallen due.
+    /// Processes everything that is due.
     ///
     /// # Errors
     ///
-    /// A front node can't be started again.
+    /// Returns an error if a front node cannot be restarted.
     pub fn round(&mut self, target: &mut dyn FaultTarget) -> Result<(), RunError> {
         let now = target.now();
         while let Some(event) = self.timeline.due(now - self.begins) {
             match event.store {
-                Some(store) => self.befalls_store(event, store, target),
-                None => self.befalls_front_nodes(event, target)?,
+                Some(store) => self.apply_to_store(event, store, target),
+                None => self.apply_to_front_nodes(event, target)?,
             }
         }
         self.advance_maintenance(now, target);
@@ -135,7 +136,7 @@
         Ok(())
     }
 
-    /// What discovery calls a store now.
+    /// Returns the current name of a store in discovery.
     pub fn name(&self, store: usize) -> String {
         match self.generations[store] {
             0 => store_name(store),
@@ -143,20 +144,27 @@
         }
     }
 
-    fn changed(&mut self, now: Nanos, notice: Nanos, store: usize, phase: Phase, started_at: Option<Nanos>) {
+    fn record_change(
+        &mut self,
+        now: Nanos,
+        notice: Nanos,
+        store: usize,
+        phase: Phase,
+        started_at: Option<Nanos>,
+    ) {
         let name = self.name(store);
-        self.discovery.changed(now, notice, name, ListedStore { store, phase, started_at });
+        self.discovery.record_change(now, notice, name, ListedStore { store, phase, started_at });
     }
 
-    /// It starts, and warms up.
-    fn starts(&mut self, store: usize, target: &mut dyn FaultTarget) {
+    /// Starts a store's process, which warms up.
+    fn restart_store(&mut self, store: usize, target: &mut dyn FaultTarget) {
         let name = self.name(store);
-        self.discovery.forget(&name);
+        self.discovery.drop_pending(&name);
         let at = target.start_store(store, name);
-        self.changed(at, 0, store, Phase::Up, Some(at));
+        self.record_change(at, 0, store, Phase::Up, Some(at));
     }
 
-    fn befalls_store(&mut self, event: FaultEvent, store: usize, target: &mut dyn FaultTarget) {
+    fn apply_to_store(&mut self, event: FaultEvent, store: usize, target: &mut dyn FaultTarget) {
         let now = target.now();
         let before = self.active[store].condition();
         self.active[store].apply(&event);
@@ -165,21 +173,21 @@
         match event.kind {
             FaultKind::Die if after.down && !before.down => {
                 target.stop_store(store);
-                if !self.discovery.lies {
-                    self.changed(now, ms(self.scenario.stores.notice_ms), store, Phase::Gone, None);
+                if !self.discovery.keeps_dead_stores {
+                    self.record_change(now, ms(self.scenario.stores.notice_ms), store, Phase::Gone, None);
                 }
             }
-            FaultKind::Die if before.down && !after.down => self.starts(store, target),
+            FaultKind::Die if before.down && !after.down => self.restart_store(store, target),
             FaultKind::Drain if after.draining != before.draining => {
                 let phase = if after.draining { Phase::Draining } else { Phase::Up };
-                self.changed(now, 0, store, phase, None);
+                self.record_change(now, 0, store, phase, None);
             }
             FaultKind::Replace if event.begins => {
-                // Its predecessor is gone for good; another one takes its place and its port, under a new name.
-                self.changed(now, 0, store, Phase::Gone, None);
+                // The replaced store is gone for good; the new one uses its index and port under a new name.
+                self.record_change(now, 0, store, Phase::Gone, None);
                 target.stop_store(store);
                 self.generations[store] += 1;
-                self.starts(store, target);
+                self.restart_store(store, target);
             }
             FaultKind::Patch { drain_ms } if event.begins => {
                 self.start_maintenance(event, store, ms(drain_ms), target);
@@ -202,27 +210,27 @@
         let step = if agreed {
             Step::Requested(now)
         } else {
-            self.changed(now, 0, store, Phase::Draining, None);
+            self.record_change(now, 0, store, Phase::Draining, None);
             Step::Draining(now + drain)
         };
         self.maintenance.push(Maintenance { store, off_for, step });
     }
 
-    fn befalls_front_nodes(
+    fn apply_to_front_nodes(
         &mut self,
         event: FaultEvent,
         target: &mut dyn FaultTarget,
     ) -> Result<(), RunError> {
         match event.kind {
             FaultKind::RosterLag { by_ms } => {
-                self.discovery.lag_by(if event.begins { ms(by_ms) } else { 0 });
+                self.discovery.set_lag(if event.begins { ms(by_ms) } else { 0 });
             }
             FaultKind::RosterSilent => {
                 self.discovery.unresponsive = event.begins;
                 target.observe(Event::DiscoveryUnresponsive(event.begins));
                 target.set_discovery_unresponsive(event.begins);
             }
-            FaultKind::RosterLies => self.discovery.lies = event.begins,
+            FaultKind::RosterLies => self.discovery.keeps_dead_stores = event.begins,
             FaultKind::FrontKilled { front } if event.begins => {
                 target.kill_front_node(front);
                 target.observe(Event::FrontNodeKilled { front_node: front });
@@ -238,18 +246,18 @@
         Ok(())
     }
 
-    /// Machines out for maintenance go their next steps.
+    /// Advances the maintenance of machines to their next steps.
     fn advance_maintenance(&mut self, now: Nanos, target: &mut dyn FaultTarget) {
         for index in 0..self.maintenance.len() {
             let Maintenance { store, off_for, step } = self.maintenance[index];
             let next = match step {
                 Step::Requested(look) if now >= look => {
                     if target.is_under_maintenance(&self.name(store)) {
-                        // The front nodes send it nothing new by now; discovery is told as by any crew.
-                        self.changed(now, 0, store, Phase::Draining, None);
+                        // The front nodes send the machine no new attempts any more; discovery is notified as for unmanaged maintenance.
+                        self.record_change(now, 0, store, Phase::Draining, None);
                         Step::Draining(now)
                     } else {
-                        Step::Requested(now + MAINTENANCE_LOOK)
+                        Step::Requested(now + MAINTENANCE_POLL_INTERVAL)
                     }
                 }
                 Step::Draining(until) if now >= until => {
@@ -257,7 +265,7 @@
                     Step::Off(now + off_for)
                 }
                 Step::Off(until) if now >= until => {
-                    self.starts(store, target);
+                    self.restart_store(store, target);
                     Step::Done
                 }
                 other => other,
@@ -267,7 +275,7 @@
         self.maintenance.retain(|m| m.step != Step::Done);
     }
 
-    /// Discovery tells what has changed.
+    /// Publishes the changes that discovery has noticed.
     fn publish(&mut self, target: &mut dyn FaultTarget) {
         let before = self.discovery.list().clone();
         let Some(after) = self.discovery.round(target.now()) else { return };
--- a/crates/fault-injection/src/invariants/event.rs
+++ b/crates/fault-injection/src/invariants/event.rs
@@ -1,147 +1,147 @@
-//! What is observed, and what is said of it.
+//! The events that the invariant checker observes, and the violations that it reports.
 
 use serde::Serialize;
 
 use crate::Nanos;
 use crate::store_model::Overload;
 
-/// One thing that happened.
+/// One observed event of a run.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A client sent a query to a front node. `until`: when it stops waiting.
+    /// A client sent a query to a front node.
     QuerySent {
         /// Request id of the query.
         id: String,
-        /// The front node.
+        /// Index of the front node.
         front_node: usize,
-        /// Its service class.
+        /// Index of the query's service class in the scenario.
         class: usize,
-        /// Its tenant.
+        /// Index of the query's tenant in the scenario; `None` if the scenario has no tenants.
         tenant: Option<usize>,
-        /// The shards that it asks.
+        /// The shards that the query reads.
         shards: Vec<usize>,
-        /// Its idempotency key.
+        /// The idempotency key of the query, if its service class has one.
         key: Option<String>,
-        /// When its client has gone.
+        /// When the client stops waiting for the response.
         until: Nanos,
     },
-    /// A front node's final answer: status, shard requests with their values, and whether it is marked complete.
+    /// A client received the final response of a front node.
     Answered {
         /// Request id of the query.
         id: String,
-        /// HTTP status.
+        /// HTTP status of the response.
         status: u16,
-        /// Whether the answer is marked complete.
+        /// Whether the response is marked complete.
         complete: bool,
-        /// Shards with their values.
+        /// The shards in the response, each with its value.
         parts: Vec<(usize, String)>,
     },
-    /// Its connection ended without one.
+    /// A client's connection ended without a response.
     Unanswered {
         /// Request id of the query.
         id: String,
     },
-    /// A store read an attempt.
+    /// A store received an attempt.
     AttemptReceived {
         /// Request id of the query.
         id: String,
-        /// The shard.
+        /// The shard that the attempt reads.
         shard: usize,
-        /// The store.
+        /// Name of the store.
         store: String,
-        /// Its idempotency key.
+        /// The idempotency key that the attempt carries.
         key: Option<String>,
     },
     /// A store served an attempt.
     Served {
         /// Request id of the query.
         id: String,
-        /// The shard.
+        /// The shard that the attempt reads.
         shard: usize,
-        /// The store.
+        /// Name of the store.
         store: String,
-        /// The value that it served.
+        /// The value that the store served.
         value: String,
     },
-    /// A store answered an attempt with an error.
+    /// A store responded to an attempt with an error, after it may have executed the attempt.
     Failed {
         /// Request id of the query.
         id: String,
-        /// The shard.
+        /// The shard that the attempt reads.
         shard: usize,
-        /// The store.
+        /// Name of the store.
         store: String,
     },
-    /// A store rejected an attempt unread.
+    /// A store rejected an attempt without executing it.
     Rejected {
         /// Request id of the query.
         id: String,
-        /// The shard.
+        /// The shard that the attempt reads.
         shard: usize,
-        /// The store.
+        /// Name of the store.
         store: String,
     },
-    /// A store read that an attempt is cancelled.
+    /// A store received the cancellation of an attempt.
     Cancelled {
         /// Request id of the query.
         id: String,
-        /// The shard.
+        /// The shard that the attempt reads.
         shard: usize,
-        /// The store.
+        /// Name of the store.
         store: String,
     },
-    /// The connection that a store had its attempts on broke.
+    /// A store lost the connections that its attempts arrived on. Attempts in flight there may have been executed.
     ConnectionsLost {
-        /// The store.
+        /// Name of the store.
         store: String,
     },
-    /// Discovery told the front nodes of a store: draining or gone, or in use with the time of its start.
+    /// Discovery published the state of a store to the front nodes.
     Listed {
-        /// The store.
+        /// Name of the store.
         store: String,
-        /// Whether it is draining or gone.
+        /// Whether the store is draining or gone, so that it must receive no new attempts.
         closed: bool,
-        /// When its process started.
+        /// When the store's process started, if it is in use.
         started_at: Option<Nanos>,
     },
-    /// Discovery answers nothing from now on, or answers again.
+    /// Discovery stopped responding (`true`) or responds again (`false`).
     DiscoveryUnresponsive(bool),
-    /// A warming store fell over.
+    /// A store that is warming up was overloaded and failed.
     Overloaded {
-        /// The store.
+        /// Name of the store.
         store: String,
-        /// By how much.
+        /// The number of shard requests in the window and its limit.
         overload: Overload,
     },
     /// A front node was killed.
     FrontNodeKilled {
-        /// The front node.
+        /// Index of the front node.
         front_node: usize,
     },
-    /// A front node was started again.
+    /// A front node was restarted.
     FrontNodeStarted {
-        /// The front node.
+        /// Index of the front node.
         front_node: usize,
     },
 }
 
-/// A rule that was broken.
+/// A violation of one of the six rules.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize)]
 pub struct Violation {
-    /// Number of the rule.
+    /// Number of the violated rule, 1 to 6.
     pub rule: u8,
-    /// Name of the rule.
+    /// Name of the violated rule.
     pub name: &'static str,
-    /// Request id of the query.
+    /// Request id of the query, if the violation concerns one.
     #[serde(rename = "retrieval")]
     pub query: Option<String>,
-    /// The shard.
+    /// The shard, if the violation concerns one shard request.
     #[serde(rename = "part")]
     pub shard: Option<usize>,
-    /// The store.
+    /// Name of the store, if the violation concerns one.
     pub store: Option<String>,
-    /// Since the run began.
+    /// When the violation was observed, in milliseconds since the run began.
     pub at_ms: i64,
-    /// The events that prove it.
+    /// The events that show the violation, in words.
     pub proof: Vec<String>,
 }
--- a/crates/fault-injection/src/invariants/mod.rs
+++ b/crates/fault-injection/src/invariants/mod.rs
@@ -1,6 +1,7 @@
-//! The six rules, each a small state machine over one stream of events: what clients sent and got, what stores received
-//! and said, and what discovery told. A broken rule is named with the query, shard, store and time, and the events that
-//! prove it. Free of I/O and clocks; events come in the order of their times.
+//! The six rules that a run must keep, each checked by a small state machine over one stream of events: the queries
+//! that clients sent and the responses they received, the attempts that stores received and how they ended, and the
+//! membership that discovery published. A violation names the query, shard, store and time, and lists the events that
+//! show it. The checker has no I/O and no clock; events must be observed in the order of their times.
 
 mod event;
 mod observed;
@@ -14,46 +15,46 @@
 use crate::scenario::{Effect, Rules, Scenario, ms};
 use observed::{AttemptName, AttemptState, ObservedAttempt, ObservedQuery, QueryEnd};
 
-/// What the rules say of a service class.
+/// The settings of a service class that the rules depend on.
 #[derive(Clone, Copy)]
 struct ClassRules {
     effect: Effect,
     min_completeness: f64,
-    /// How long a repeated key is known.
+    /// How long stores remember an idempotency key.
     window: Nanos,
 }
 
-/// What counts for a front node's budget of further attempts.
+/// An event that counts towards a front node's budget of further attempts.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum BudgetEvent {
-    /// A query or a shard request came in.
+    /// The front node received a query or a shard request, which adds to the budget.
     Received,
-    /// An attempt beyond a shard request's first.
+    /// The front node sent an attempt of a shard request after its first, which uses the budget.
     FurtherAttempt,
 }
 
-/// Checks the six rules.
+/// Checks the six rules over the events of one run.
 pub struct InvariantChecker {
     rules: Rules,
     classes: Vec<ClassRules>,
     queries: BTreeMap<String, ObservedQuery>,
-    /// When discovery closed a store.
+    /// When discovery published that a store is draining or gone, by store.
     closed: BTreeMap<String, Nanos>,
-    /// When each store last started, as discovery told.
+    /// When each store last started, as discovery published it.
     started: BTreeMap<String, Nanos>,
-    /// Values that stores served, by query and shard.
+    /// The values that stores served, by query and shard.
     values: BTreeMap<(String, usize), BTreeSet<String>>,
-    /// When front nodes last started, where they did so in the run.
+    /// When front nodes were last restarted during the run.
     front_node_started: BTreeMap<usize, Nanos>,
     discovery_is_unresponsive: bool,
-    /// What counted for the budget of each front node within the window.
+    /// The events of the last window that count towards the budget, by front node.
     budgets: BTreeMap<usize, VecDeque<(Nanos, BudgetEvent)>>,
     violations: Vec<Violation>,
     events: u64,
 }
 
 impl InvariantChecker {
-    /// Nothing was seen yet.
+    /// Returns a checker that has observed no events.
     pub fn new(scenario: &Scenario) -> InvariantChecker {
         let classes = scenario.classes.iter().map(|class| ClassRules {
             effect: class.effect,
@@ -75,7 +76,7 @@
         }
     }
 
-    /// Something happened.
+    /// Processes an event that happened at `at`.
     pub fn observe(&mut self, at: Nanos, event: &Event) {
         self.events += 1;
         match event {
@@ -93,8 +94,8 @@
                 self.query_sent(id, query);
             }
             Event::Answered { id, status, complete, parts } => {
-                self.check_one_answer(at, id, *status);
-                self.check_honest(at, id, *status, *complete, parts);
+                self.check_final_response(at, id, *status);
+                self.check_response_content(at, id, *status, *complete, parts);
                 self.check_rejection(at, id, *status);
             }
             Event::Unanswered { id } => self.query_unanswered(at, id),
@@ -127,7 +128,7 @@
         }
     }
 
-    /// A query and each of its shard requests add to the budget of its front node.
+    /// Records a query. The query and each of its shard requests add to the budget of its front node.
     fn query_sent(&mut self, id: &str, query: ObservedQuery) {
         let budget = self.budgets.entry(query.front_node).or_default();
         (0..=query.shards.len()).for_each(|_| budget.push_back((query.sent_at, BudgetEvent::Received)));
@@ -178,19 +179,19 @@
         }
     }
 
-    /// Its open queries end with it, which breaks no rule.
+    /// Ends the open queries of a killed front node: a query without a response breaks no rule in this case.
     fn front_node_killed(&mut self, at: Nanos, front_node: usize) {
         let open = self.queries.values_mut().filter(|q| q.front_node == front_node && q.end.is_none());
         open.for_each(|query| query.end = Some(QueryEnd { at, status: None }));
     }
 
-    /// All is over: what was asked and never answered is a violation.
+    /// Ends the run at `at` and returns all violations, including one for each query that is still without a response.
     pub fn end(mut self, at: Nanos) -> Vec<Violation> {
         self.check_all_answered(at);
         self.violations
     }
 
-    /// How many events it saw.
+    /// Returns the number of observed events.
     pub fn events(&self) -> u64 {
         self.events
     }
--- a/crates/fault-injection/src/invariants/observed.rs
+++ b/crates/fault-injection/src/invariants/observed.rs
@@ -1,21 +1,21 @@
-//! What is known of the queries.
+//! The state that the invariant checker keeps of each query and its attempts.
 
 use std::collections::BTreeMap;
 
 use crate::{MS, Nanos};
 
-/// What is known of a query.
+/// A query that a client sent, and what was observed of it.
 #[derive(Clone, Debug)]
 pub struct ObservedQuery {
     pub front_node: usize,
     pub class: usize,
     pub shards: Vec<usize>,
     pub key: Option<String>,
-    /// When its client has gone.
+    /// When the client stops waiting for the response.
     pub until: Nanos,
     pub sent_at: Nanos,
     pub end: Option<QueryEnd>,
-    /// Attempts by shard, in the order in which stores read them.
+    /// The attempts by shard, in the order in which stores received them.
     pub attempts: BTreeMap<usize, Vec<ObservedAttempt>>,
 }
 
@@ -23,11 +23,11 @@
 #[derive(Clone, Copy, Debug)]
 pub struct QueryEnd {
     pub at: Nanos,
-    /// HTTP status; none where the connection ended without an answer.
+    /// HTTP status of the response; `None` if the connection ended without one.
     pub status: Option<u16>,
 }
 
-/// An attempt that a store read.
+/// An attempt that a store received.
 #[derive(Clone, Debug)]
 pub struct ObservedAttempt {
     pub at: Nanos,
@@ -35,16 +35,16 @@
     pub state: AttemptState,
 }
 
-/// An attempt as events and rules name it.
+/// Identifies an attempt in events and rules.
 #[derive(Clone, Copy)]
 pub struct AttemptName<'a> {
-    /// Id of its query.
+    /// Request id of the attempt's query.
     pub query: &'a str,
     pub shard: usize,
     pub store: &'a str,
 }
 
-/// What became of an attempt.
+/// The state of an attempt.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AttemptState {
     InFlight,
@@ -58,7 +58,7 @@
         self.attempts.get(&shard).map_or(&[], Vec::as_slice)
     }
 
-    /// The first attempt of that name in flight ended.
+    /// Sets the state of the first attempt with this name that is in flight.
     pub fn attempt_ended(&mut self, name: AttemptName, state: AttemptState) {
         let in_flight = |attempt: &&mut ObservedAttempt| {
             attempt.store == name.store && attempt.state == AttemptState::InFlight
@@ -75,7 +75,7 @@
     }
 }
 
-/// The attempts as a proof names them.
+/// Describes the attempts for the proof of a violation.
 pub fn describe<'a>(attempts: impl IntoIterator<Item = &'a ObservedAttempt>) -> Vec<String> {
     let one = |attempt: &ObservedAttempt| {
         format!("attempted at {} ms at {}: {:?}", attempt.at / MS, attempt.store, attempt.state)
--- a/crates/fault-injection/src/invariants/rules.rs
+++ b/crates/fault-injection/src/invariants/rules.rs
@@ -1,4 +1,4 @@
-//! The six rules.
+//! The checks of the six rules.
 
 use std::collections::BTreeSet;
 
@@ -8,10 +8,10 @@
 use crate::store_model::Overload;
 use crate::{MS, Nanos};
 
-/// Shares that differ by less than this are equal.
+/// Fractions that differ by less than this are considered equal.
 const ROUNDING: f64 = 1e-9;
 
-/// A rule by its number, and what of it was broken. The names are published in reports.
+/// One aspect of a rule: the rule's number and the published name of the aspect in reports.
 #[derive(Clone, Copy)]
 struct Rule {
     number: u8,
@@ -29,7 +29,7 @@
 const WITHIN_CAP: Rule = Rule { number: 6, name: "launches within the cap" };
 const WITHIN_BUDGET: Rule = Rule { number: 6, name: "further launches within budget" };
 
-/// What a violation is about.
+/// The query, shard and store that a violation concerns.
 #[derive(Clone, Copy, Default)]
 struct Subject<'a> {
     query: Option<&'a str>,
@@ -60,8 +60,8 @@
         ms(self.rules.slack_ms)
     }
 
-    /// Rule 1: one final answer, in time.
-    pub(super) fn check_one_answer(&mut self, at: Nanos, id: &str, status: u16) {
+    /// Rule 1: a query receives exactly one final response, before its deadline.
+    pub(super) fn check_final_response(&mut self, at: Nanos, id: &str, status: u16) {
         let slack = self.slack();
         let Some(query) = self.queries.get_mut(id) else {
             let proof = vec![format!("answered {status} at {} ms, and nobody asked", at / MS)];
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Rule 1: what was asked and never answered.
+    /// Rule 1: every query receives a response.
     pub(super) fn check_all_answered(&mut self, at: Nanos) {
         let slack = self.slack();
         let open = self.queries.iter().filter(|(_, q)| q.end.is_none() && at > q.until + slack);
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Rule 1: no attempt after the answer, nor of what nobody asked.
+    /// Rule 1: no attempt is sent after the response, nor for a query or shard that no client requested.
     pub(super) fn check_after_end(&mut self, at: Nanos, attempt: AttemptName) {
         let slack = self.slack();
         let proof = match self.queries.get(attempt.query) {
@@ -103,7 +103,7 @@
                 vec![format!("asked for shards {:?} only", query.shards)]
             }
             Some(query) => match query.end {
-                // What was under way when it ended arrives a little later.
+                // An attempt that was in transit when the query ended is received a little later.
                 Some(QueryEnd { at: ended, status: Some(status) }) if at > ended + slack => vec![
                     format!("answered {status} at {} ms", ended / MS),
                     format!("attempted at {} ms", at / MS),
@@ -114,8 +114,8 @@
         self.violated(NOTHING_AFTER_ANSWER, at, Subject::attempt(attempt), proof);
     }
 
-    /// Rule 2: effectful shard requests are attempted again only where the earlier attempts never ran, receipted ones
-    /// only within the window, under their key.
+    /// Rule 2: effectful shard requests are attempted again only if no earlier attempt was executed; receipted ones only
+    /// within the window and with the query's idempotency key.
     pub(super) fn check_repeated(&mut self, at: Nanos, attempt: AttemptName, key: Option<&str>) {
         let Some(query) = self.queries.get(attempt.query) else { return };
         let class = self.classes[query.class];
@@ -137,7 +137,7 @@
         self.violated(NO_EFFECT_TWICE, at, Subject::attempt(attempt), proof);
     }
 
-    /// Rule 2: an effectful query is rejected only where nothing of it may have run.
+    /// Rule 2: an effectful query is rejected only if none of its attempts may have been executed.
     pub(super) fn check_rejection(&mut self, at: Nanos, id: &str, status: u16) {
         if status != 429 && status != 503 {
             return;
@@ -152,7 +152,7 @@
         }
     }
 
-    /// Rule 2: the one attempt of an effectful shard request isn't cancelled while its query is open.
+    /// Rule 2: the only attempt of an effectful shard request is not cancelled while its query is open.
     pub(super) fn check_cancel(&mut self, at: Nanos, attempt: AttemptName) {
         let Some(query) = self.queries.get(attempt.query) else { return };
         let is_open = query.end.is_none() && at < query.until - self.slack();
@@ -163,10 +163,11 @@
         }
     }
 
-    /// Rule 3: nothing new to a store that discovery closed, after the grace.
+    /// Rule 3: a store that discovery closed receives no new attempts after the grace period.
     pub(super) fn check_closed(&mut self, at: Nanos, attempt: AttemptName) {
         let Some(&closed) = self.closed.get(attempt.store) else { return };
-        // A front node that started since knew from its first moment; one whose discovery does not respond learns later.
+        // A front node that was restarted later knows the closed store from its start. While discovery is unresponsive,
+        // front nodes learn of a closed store later, which is no violation.
         let started =
             self.queries.get(attempt.query).and_then(|query| self.front_node_started.get(&query.front_node));
         let known_since = closed.max(started.copied().unwrap_or(closed));
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Rule 4: a warming store is not overloaded by front nodes that were told of its start.
+    /// Rule 4: front nodes that know the start of a store from discovery do not overload it while it warms up.
     pub(super) fn check_overload(&mut self, at: Nanos, store: &str, overload: &Overload) {
         if !self.started.contains_key(store) {
             return;
@@ -191,8 +192,9 @@
         self.violated(NO_OVERLOAD, at, subject, proof);
     }
 
-    /// Rule 5: values come from stores, the least completeness holds, and an answer marked complete is complete.
-    pub(super) fn check_honest(
+    /// Rule 5: the values of a response come from stores, the response reaches the minimum completeness of its service
+    /// class, and a response that is marked complete is complete.
+    pub(super) fn check_response_content(
         &mut self,
         at: Nanos,
         id: &str,
@@ -227,7 +229,7 @@
         }
     }
 
-    /// Rule 6: no more attempts of a shard request than the cap.
+    /// Rule 6: a shard request has no more attempts than the cap.
     pub(super) fn check_cap(&mut self, at: Nanos, attempt: AttemptName) {
         let Some(query) = self.queries.get(attempt.query) else { return };
         let (earlier, cap) = (query.attempts_of(attempt.shard), self.rules.attempts_cap);
@@ -238,7 +240,7 @@
         }
     }
 
-    /// Rule 6: further attempts of a front node within its budget, where there is one.
+    /// Rule 6: a front node sends further attempts within its budget, if the scenario sets one.
     pub(super) fn check_budget(&mut self, at: Nanos, front_node: usize, attempt: AttemptName) {
         let Some(reserve) = self.rules.further_free else { return };
         let window = ms(self.rules.further_window_ms) + self.slack();
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -1,10 +1,10 @@
-//! Rehearsals of bad days on one machine: a scenario says what the fleet is, who asks, and which faults come when; real
-//! front nodes run as processes among stub stores; an invariant checker reads one stream of events and names every
-//! broken rule.
+//! Fault injection on one machine: a scenario describes the fleet, the load, and the faults over time; real front
+//! nodes run as processes with stub stores as their back ends; an invariant checker observes one stream of events and
+//! reports every violated rule.
 //!
-//! What decides or keeps state is free of I/O and clocks: [`scenario`], [`timeline`], [`injector`], [`store_model`],
-//! [`discovery`], [`load`], [`invariants`], [`statistics`], and [`emulator`], which plays the same scenarios in virtual
-//! time with the real decisions. Only [`real`] touches sockets, processes and time.
+//! The modules that decide or keep state have no I/O and no clock: [`scenario`], [`timeline`], [`injector`],
+//! [`store_model`], [`discovery`], [`load`], [`invariants`], [`statistics`], and [`emulator`], which runs the same
+//! scenarios in virtual time with the front nodes' real decision code. Only [`real`] uses sockets, processes and clocks.
 
 pub mod discovery;
 pub mod emulator;
@@ -23,15 +23,15 @@
 pub mod store_model;
 pub mod timeline;
 
-/// Nanoseconds, of a time or since a run began.
+/// A duration, or a time since the run began, in nanoseconds.
 pub type Nanos = i64;
 
-/// One millisecond.
+/// One millisecond in nanoseconds.
 pub const MS: Nanos = 1_000_000;
-/// One second.
+/// One second in nanoseconds.
 pub const SECOND: Nanos = 1_000 * MS;
 
-/// Store `n` as its first process and discovery name it.
+/// Returns the name of store `n`, under which discovery lists its first process.
 pub fn store_name(n: usize) -> String {
     format!("s-{n}")
 }
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -1,5 +1,5 @@
-//! Who asks what, and when: arrivals drawn from the seed before the run begins, so that a slow node never slows the
-//! load down, and what a client does with each answer. Free of I/O and clocks.
+//! The load of a run: arrivals are drawn from the seed before the run begins, so that a slow front node never slows the
+//! load down. Also the retries of clients. This module has no I/O and no clock.
 
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -7,22 +7,22 @@
 use crate::scenario::{Clients, Effect, Scenario, ms, seconds};
 use crate::{Nanos, SECOND};
 
-/// A query that a client will ask, for the first time.
+/// The first try of a query.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PlannedQuery {
-    /// When, since the run began.
+    /// The planned time, since the run began.
     pub at: Nanos,
-    /// Its service class.
+    /// Index of the service class.
     pub class: usize,
-    /// Its tenant.
+    /// Index of the tenant, if the scenario has tenants.
     pub tenant: Option<usize>,
-    /// The shards that it asks.
+    /// The shards that the query reads.
     pub shards: Vec<usize>,
-    /// The front node that is asked first.
+    /// The front node of the first try.
     pub front_node: usize,
 }
 
-fn weighted(weights: impl Iterator<Item = f64> + Clone, drawn: f64) -> usize {
+fn weighted_index(weights: impl Iterator<Item = f64> + Clone, drawn: f64) -> usize {
     let all: f64 = weights.clone().sum();
     let mut left = drawn * all;
     let position = weights.clone().position(|w| {
@@ -32,7 +32,7 @@
     position.unwrap_or(weights.count().saturating_sub(1))
 }
 
-/// All that is asked, in the order of time.
+/// Draws all queries of a scenario's load, in the order of their times.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<PlannedQuery> {
     let mut rng = Pcg64Mcg::seed_from_u64(seed ^ 0x6f72_6368_6964);
     let mut planned = Vec::new();
@@ -46,7 +46,7 @@
             continue;
         }
         loop {
-            // Thinned: gaps of the highest rate, each kept with the share that its moment has of it.
+            // Thinning: gaps are drawn at the highest rate, and each arrival is kept with probability current rate / highest rate.
             let gap = -(1.0 - rng.random::<f64>()).ln() / highest;
             at += (gap * SECOND as f64) as Nanos + 1;
             if at >= to {
@@ -56,10 +56,10 @@
             if rng.random::<f64>() * highest > rate {
                 continue;
             }
-            let class = weighted(scenario.classes.iter().map(|g| g.weight), rng.random());
+            let class = weighted_index(scenario.classes.iter().map(|g| g.weight), rng.random());
             let drawn = rng.random();
             let drawn_tenant = (!scenario.tenants.is_empty())
-                .then(|| weighted(scenario.tenants.iter().map(|t| t.weight), drawn));
+                .then(|| weighted_index(scenario.tenants.iter().map(|t| t.weight), drawn));
             let cells = scenario.stores.cells;
             let shard_count = scenario.classes[class].shards;
             let mut shards: Vec<usize> = (0..cells).collect();
@@ -76,36 +76,36 @@
     planned
 }
 
-/// What a front node's answer means to a client.
+/// The result of a try, as its client sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reply {
-    /// An answer, whole or not.
+    /// A complete or partial response.
     Answered,
-    /// Rejected, with the time that it was told to stay away.
+    /// A rejection, with the time to wait before a retry if the response has one.
     Rejected(Option<Nanos>),
-    /// Given up, or an answer that no front node makes.
+    /// The query expired, or the response is unreadable or has an unexpected status.
     Expired,
-    /// The connection ended without an answer.
+    /// The connection ended without a response.
     Lost,
-    /// Its time was up.
+    /// The client's deadline passed.
     Late,
 }
 
-/// What a client does after an answer.
+/// A client's decision after a try.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NextStep {
-    /// It asks no more.
+    /// The query has ended for the client.
     Ends,
-    /// Asks again at that time, of another front node where this one was lost.
+    /// The client sends the query again.
     Again {
-        /// When it asks again.
+        /// Time of the next try.
         at: Nanos,
-        /// Whether of another front node.
+        /// Whether the next try goes to another front node, because the connection to this one was lost.
         elsewhere: bool,
     },
 }
 
-/// One client's retries of one query, each pause twice the last, all within its deadline.
+/// The retries of one query: each pause is twice the last one, up to a maximum, and all tries are within the deadline.
 #[derive(Clone, Debug)]
 pub struct ClientRetries {
     tries: u32,
@@ -116,22 +116,22 @@
 }
 
 impl ClientRetries {
-    /// Its retries from the moment it first asks.
+    /// Returns the retries of a query that is first sent at `began` and has a deadline `abandon` nanoseconds later.
     pub fn new(clients: &Clients, effect: Effect, began: Nanos, abandon: Nanos) -> ClientRetries {
         let (wait, most) = (ms(clients.wait_ms), ms(clients.most_ms));
         ClientRetries { tries: clients.tries, wait, most, until: began + abandon, effect }
     }
 
-    /// When it has gone.
+    /// Returns the deadline, when the client stops waiting.
     pub fn until(&self) -> Nanos {
         self.until
     }
 
-    /// What it does after that answer.
+    /// Returns what the client does after a try.
     pub fn next_step(&mut self, now: Nanos, reply: Reply) -> NextStep {
         let may_retry = match reply {
             Reply::Answered | Reply::Late => false,
-            // Whoever was rejected knows that nothing of it was done.
+            // A rejected query was not executed, so it can be sent again.
             Reply::Rejected(_) => true,
             Reply::Expired | Reply::Lost => self.effect != Effect::Effectful,
         };
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -1,5 +1,5 @@
-//! Who decides in an emulated front node: the aggregator, as it is in service, or one of the textbook policies beside
-//! it, to compare with. Those go by the same state; none of them hedges, checks health, ejects or rejects.
+//! The decision code of an emulated front node: the aggregator as it runs in production, or a textbook policy to compare
+//! it with. Textbook policies use the same state; none of them hedges, checks health, ejects or rejects.
 
 use orchidvalve::Aggregator;
 use orchidvalve::interface::{
@@ -10,28 +10,28 @@
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
-/// How long the textbook policies remember times.
+/// How long textbook policies remember attempts and latencies.
 const MEMORY: Nanos = 10_000_000_000;
-/// Ticks kept free before a client's time is up.
+/// The number of ticks before a client's deadline at which textbook policies end a query.
 const MARGIN_TICKS: Nanos = 3;
-/// Weights sum to 1 but for this.
+/// Tolerance of the sum of a query's weights.
 const ROUNDING: f64 = 1e-9;
 
-/// Who decides; the words are those of the command line and of plans.
+/// A policy of front nodes. The serialized names are used on the command line and in plans.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, serde::Deserialize, serde::Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Policy {
     /// The aggregator.
     #[serde(rename = "ours")]
     Aggregator,
-    /// Any replica of the shard.
+    /// A random replica of the shard.
     Random,
-    /// The replicas of a shard in turn.
+    /// The replicas of the shard in turn.
     RoundRobin,
-    /// The replica with fewest of this front node's attempts in flight.
+    /// The replica with the fewest attempts of this front node in flight.
     #[serde(rename = "fewest")]
     LeastInFlight,
-    /// The replica that will be done first, as only one who sees all can know.
+    /// The replica that will respond first; this requires knowledge that only the emulator has.
     Oracle,
 }
 
@@ -40,7 +40,7 @@
     pub const ALL: [Policy; 5] =
         [Policy::Aggregator, Policy::Random, Policy::RoundRobin, Policy::LeastInFlight, Policy::Oracle];
 
-    /// Its word on the command line and in plans.
+    /// Returns the name of the policy on the command line and in plans.
     pub fn name(self) -> &'static str {
         match self {
             Policy::Aggregator => "ours",
@@ -52,10 +52,11 @@
     }
 }
 
-/// How long a shard request would take at a replica from now; none where it is down. Only the oracle looks.
-pub type Foresight<'a> = &'a dyn Fn(ReplicaIndex) -> Option<Nanos>;
+/// Returns how long a shard request sent now would take at a replica; `None` if the replica would not respond. Only
+/// the oracle uses it.
+pub type ResponseTime<'a> = &'a dyn Fn(ReplicaIndex) -> Option<Nanos>;
 
-/// What decides in one emulated front node.
+/// The decision code of one emulated front node.
 pub enum Decider {
     /// The aggregator.
     Aggregator(Box<Aggregator>),
@@ -64,7 +65,7 @@
 }
 
 impl Decider {
-    /// A decider that knows of no replica yet.
+    /// Returns a decider that knows no replicas yet.
     pub fn new(policy: Policy, settings: AggregatorSettings, seed: u64) -> Decider {
         match policy {
             Policy::Aggregator => Decider::Aggregator(Box::new(Aggregator::new(settings, seed))),
@@ -72,14 +73,14 @@
         }
     }
 
-    /// From now on reasons are kept. Only the aggregator has any.
+    /// Starts to keep a trace of decisions; only the aggregator supports this.
     pub fn start_trace(&mut self) {
         if let Decider::Aggregator(aggregator) = self {
             aggregator.set_tracing(true);
         }
     }
 
-    /// Those kept since they were last taken.
+    /// Returns the trace records kept since the last call.
     pub fn take_trace(&mut self) -> Vec<TraceRecord> {
         match self {
             Decider::Aggregator(aggregator) => aggregator.take_trace(),
@@ -87,22 +88,22 @@
         }
     }
 
-    /// Decides once: `receive` records what happened since the last round.
+    /// Runs one decision round; `receive` records the inputs since the last round in the state.
     pub fn round(
         &mut self,
         now: Nanos,
         receive: impl FnOnce(&mut AggregatorState),
-        foresight: Foresight,
+        response_time: ResponseTime,
         sink: &mut dyn ActionSink,
     ) {
         match self {
             Decider::Aggregator(aggregator) => aggregator.round(now, receive, sink),
-            Decider::Baseline(baseline) => baseline.round(now, receive, foresight, sink),
+            Decider::Baseline(baseline) => baseline.round(now, receive, response_time, sink),
         }
     }
 }
 
-/// A textbook policy.
+/// A textbook policy with its state.
 pub struct Baseline {
     policy: Policy,
     settings: AggregatorSettings,
@@ -134,12 +135,12 @@
         &mut self,
         now: Nanos,
         receive: impl FnOnce(&mut AggregatorState),
-        foresight: Foresight,
+        response_time: ResponseTime,
         sink: &mut dyn ActionSink,
     ) {
         self.state.begin_round(now);
         receive(&mut self.state);
-        self.start_attempts(now, foresight, sink);
+        self.start_attempts(now, response_time, sink);
         let next = self.finish_queries(now, sink);
         self.cancel_superfluous(sink);
         if let Some(next) = next {
@@ -148,20 +149,20 @@
         self.state.prune(now - MEMORY);
     }
 
-    fn start_attempts(&mut self, now: Nanos, foresight: Foresight, sink: &mut dyn ActionSink) {
+    fn start_attempts(&mut self, now: Nanos, response_time: ResponseTime, sink: &mut dyn ActionSink) {
         let pending: Vec<ShardRequestIndex> = self.state.pending_requests().map(|(ix, _)| ix).collect();
         for request in pending {
-            if let Some(replica) = self.choose(request, foresight) {
+            if let Some(replica) = self.choose(request, response_time) {
                 let until = self.state.query(self.state.request(request).query).client_deadline;
                 self.state.attempt_started(request, replica, false);
-                // Half of what is left: an unresponsive replica leaves time for another one.
+                // Half of the remaining time, so that an unresponsive replica leaves time for another one.
                 let limit = ((until - now) / 2).max(1);
                 sink.start_attempt(request, replica, limit, limit);
             }
         }
     }
 
-    /// Ends the queries whose time has come, and tells when that of the next one does.
+    /// Ends the queries that are due and returns when the next one must end.
     fn finish_queries(&mut self, now: Nanos, sink: &mut dyn ActionSink) -> Option<Nanos> {
         let open: Vec<QueryIndex> = self.state.open_queries().map(|(ix, _)| ix).collect();
         let mut next = None;
@@ -176,8 +177,8 @@
                     sink.expire(query);
                 }
                 None => {
-                    let last_moment = self.last_moment(query);
-                    next = Some(next.map_or(last_moment, |next: Nanos| next.min(last_moment)));
+                    let cutoff = self.cutoff(query);
+                    next = Some(next.map_or(cutoff, |next: Nanos| next.min(cutoff)));
                 }
             }
         }
@@ -198,12 +199,13 @@
         self.settings.classes[self.state.query(request.query).class].idempotence
     }
 
-    fn last_moment(&self, query: QueryIndex) -> Nanos {
+    fn cutoff(&self, query: QueryIndex) -> Nanos {
         self.state.query(query).client_deadline - MARGIN_TICKS * self.settings.tick
     }
 
-    /// Where a shard request goes now; none where it is in flight, out of attempts, or must not go again.
-    fn choose(&mut self, ix: ShardRequestIndex, foresight: Foresight) -> Option<ReplicaIndex> {
+    /// Chooses the replica for a shard request; `None` if the shard request is in flight, has no attempts left, or must not
+    /// be attempted again.
+    fn choose(&mut self, ix: ShardRequestIndex, response_time: ResponseTime) -> Option<ReplicaIndex> {
         let request = self.state.request(ix);
         if !self.may_attempt(request) {
             return None;
@@ -225,7 +227,7 @@
                 Some(ties[self.rng.random_range(0..ties.len())])
             }
             Policy::Oracle => {
-                let up = choices.iter().filter_map(|ix| Some((foresight(*ix)?, in_flight(ix), *ix)));
+                let up = choices.iter().filter_map(|ix| Some((response_time(*ix)?, in_flight(ix), *ix)));
                 up.min().map(|(_, _, ix)| ix)
             }
             Policy::Aggregator | Policy::Random => Some(choices[self.rng.random_range(0..choices.len())]),
@@ -247,7 +249,7 @@
             }
     }
 
-    /// Replicas of its shard that it did not try yet, or all of them where it tried all.
+    /// Returns the replicas of the shard that were not tried yet, or all of them if all were tried.
     fn choices(&self, request: &ShardRequest) -> Vec<ReplicaIndex> {
         let cells =
             (0..self.settings.cells_per_shard).map(|step| (request.shard + step) % self.settings.cells);
@@ -270,14 +272,14 @@
         let lost: f64 = requests.iter().filter(|r| self.is_lost(r)).map(|r| r.weight).sum();
         let is_hopeless = all > 0.0 && 1.0 - lost / all < class.min_completeness - ROUNDING;
         let no_more = requests.iter().filter(|r| !r.answered).all(|r| self.is_lost(r));
-        if is_hopeless || no_more || now >= self.last_moment(ix) {
+        if is_hopeless || no_more || now >= self.cutoff(ix) {
             let is_enough = completeness >= class.min_completeness - ROUNDING;
             return Some(if is_enough { Ending::Answered { complete: false } } else { Ending::Expired });
         }
         None
     }
 
-    /// No attempt is in flight and none may follow.
+    /// Returns whether the shard request is unanswered with no attempt in flight, and no further attempt is allowed.
     fn is_lost(&self, request: &ShardRequest) -> bool {
         let may_have_run = request.attempts.iter().any(|a| a.outcome.is_some_and(|o| !o.never_ran()));
         let is_over = request.attempts.len() >= self.settings.max_attempts
--- a/crates/fault-injection/src/real/clients.rs
+++ b/crates/fault-injection/src/real/clients.rs
@@ -1,5 +1,5 @@
-//! The clients: threads that ask what is due, each on a connection of its own, whatever the front nodes make of what
-//! was asked before. What each does with its answer is [`crate::load`]'s.
+//! The clients: threads that send queries when they are due, regardless of how the front nodes handle earlier queries.
+//! What a client does after each response is decided in [`crate::load`].
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap};
@@ -20,13 +20,14 @@
 use crate::statistics::{OutcomeStatistics, QueryOutcome};
 use crate::{MS, Nanos};
 
-/// Clients that may wait for an answer at once; where all do, the load itself is late, which is counted.
+/// The number of clients that may wait for a response at once. If all of them wait, the load is sent late, which the
+/// statistics record.
 const CLIENTS: usize = 192;
 const STACK_BYTES: usize = 128 << 10;
-/// The longest pause of a client without a try that is due.
+/// The longest pause of a client while no try is due.
 const PAUSE: Nanos = 50 * MS;
 
-/// A query with its tries.
+/// A query and the state of its tries.
 struct ClientQuery {
     planned: PlannedQuery,
     retries: ClientRetries,
@@ -36,7 +37,7 @@
     last_outcome: QueryOutcome,
 }
 
-/// Tries that are not due yet, by their times and numbers.
+/// Tries that are not due yet, by time and number.
 #[derive(Default)]
 struct Queue {
     due: BinaryHeap<Reverse<(Nanos, u64)>>,
@@ -108,12 +109,13 @@
         Clients { shared, threads }
     }
 
-    /// Front nodes as they are now; none where one is down.
+    /// Sets the addresses of the front nodes; `None` for a front node that is down.
     pub fn set_front_nodes(&self, front_nodes: Vec<Option<SocketAddr>>) {
         *locked(&self.shared.front_nodes) = front_nodes;
     }
 
-    /// All queries have ended by now; what has not is counted by its last try.
+    /// Ends the clients and returns the statistics. Queries that have not ended are counted by the outcome of their last
+    /// try.
     pub fn end(self) -> OutcomeStatistics {
         self.shared.over.store(true, Relaxed);
         self.shared.more.notify_all();
@@ -130,7 +132,7 @@
     }
 }
 
-/// The body of an answer.
+/// The body of a response.
 #[derive(Deserialize)]
 struct Body {
     entire: bool,
@@ -177,11 +179,11 @@
         locked(&self.statistics).record(&query.planned, now - self.begins, outcome, query.tries);
     }
 
-    /// One try; when the next one is due, where there is one.
+    /// Makes one try and returns when the next one is due, if there is one.
     fn try_once(&self, query: &mut ClientQuery) -> Option<Nanos> {
         let front_nodes = locked(&self.front_nodes).clone();
         let count = front_nodes.len();
-        // Whoever finds a front node down goes to the next one.
+        // A client whose front node is down uses the next one.
         let up = (0..count)
             .map(|n| (query.front_node + n) % count)
             .find_map(|n| front_nodes[n].map(|address| (n, address)));
@@ -224,12 +226,12 @@
             key: query.key.clone(),
             until,
         });
-        // The rule has slack, and an answer within it is one.
+        // The rule tolerates a response within the slack, so the client waits that long.
         let latest = until + ms(self.scenario.rules.slack_ms) * 2;
         match self.connections.exchange(&self.log, address, &request, latest) {
             Ok(response) => self.response_received(id, response),
             Err(ExchangeError::TimedOut) => (Reply::Late, QueryOutcome::Late),
-            Err(ExchangeError::NoAnswer | ExchangeError::Torn) => {
+            Err(ExchangeError::NoResponse | ExchangeError::Truncated) => {
                 self.log.observe(Event::Unanswered { id });
                 (Reply::Lost, QueryOutcome::Lost)
             }
--- a/crates/fault-injection/src/real/front_nodes.rs
+++ b/crates/fault-injection/src/real/front_nodes.rs
@@ -1,5 +1,5 @@
-//! Front nodes as processes: started with files of their own, killed, started again, cut off from each other, and ended
-//! with whoever holds them.
+//! Front nodes as processes: they are started with their own files, killed, restarted, separated by network partitions,
+//! and ended when their owner is dropped.
 
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -18,9 +18,9 @@
 use crate::settings::settings;
 use crate::{MS, Nanos};
 
-const READY_WITHIN: Duration = Duration::from_secs(30);
-/// A node waits a second for more connections after it was told to stop.
-const STOP_WITHIN: Duration = Duration::from_secs(3);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
+/// A front node waits one second for more connections after SIGTERM; it is killed after this time.
+const STOP_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// What front nodes are started with.
 pub struct Setup<'a> {
@@ -34,7 +34,7 @@
 struct FrontNode {
     child: Child,
     address: SocketAddr,
-    /// Killed by the run, and not started again.
+    /// Killed by the run and not restarted yet.
     killed: bool,
 }
 
@@ -77,10 +77,10 @@
             maintenance,
             members,
         };
-        // All at once, as after a release: each is waited for only once all run.
+        // All front nodes start at the same time, as after a release; each is waited for only when all run.
         let children: Result<Vec<Child>, RunError> = (0..count).map(|n| all.run(n)).collect();
         for (n, child) in children?.into_iter().enumerate() {
-            let front_node = all.listening(n, child)?;
+            let front_node = all.wait_until_listening(n, child)?;
             all.front_nodes.push(front_node);
         }
         Ok(all)
@@ -92,8 +92,8 @@
         command.stderr(Stdio::piped()).spawn().map_err(RunError::file(&self.program))
     }
 
-    /// Waits until it listens; its log goes on to a file beside its configuration.
-    fn listening(&self, n: usize, mut child: Child) -> Result<FrontNode, RunError> {
+    /// Waits until a front node listens; its log is then written to a file beside its configuration.
+    fn wait_until_listening(&self, n: usize, mut child: Child) -> Result<FrontNode, RunError> {
         let Some(log) = child.stderr.take() else { return Err(RunError::NoLog { index: n }) };
         let mut log = BufReader::new(log);
         let address = match self.listen_address(n, &mut log) {
@@ -108,8 +108,8 @@
         Ok(FrontNode { child, address, killed: false })
     }
 
-    /// Reads the log up to the line with the address at which clients connect; relays get the addresses of datagrams
-    /// that stand before it.
+    /// Reads the log up to the line with the address for clients. The addresses for datagrams, which are logged before it,
+    /// are passed to the relays.
     fn listen_address(&self, n: usize, log: &mut impl BufRead) -> Result<SocketAddr, RunError> {
         let mut output = String::new();
         loop {
@@ -131,19 +131,20 @@
         }
     }
 
-    /// Waits until each has a list to serve by, and the group of the order a leader.
+    /// Waits until each front node has a membership to serve with, and the maintenance group has a leader.
     pub fn wait_ready(&self, stop: &AtomicBool) -> Result<(), RunError> {
-        let end = Instant::now() + READY_WITHIN;
+        let end = Instant::now() + READY_TIMEOUT;
         let serves =
             |n: usize| self.exchange(n, "GET", "/_health", "").is_some_and(|(status, _)| status == 200);
-        let leads = || (0..self.members).any(|n| self.order_at(n).is_some_and(|v| v["leads"] == true));
+        let leads =
+            || (0..self.members).any(|n| self.maintenance_view(n).is_some_and(|v| v["leads"] == true));
         let ready = || (0..self.front_nodes.len()).all(serves) && (self.members == 0 || leads());
         while !ready() {
             if stop.load(Relaxed) {
                 return Err(RunError::Stopped);
             }
             if Instant::now() > end {
-                return Err(RunError::NotReady { seconds: READY_WITHIN.as_secs() });
+                return Err(RunError::NotReady { seconds: READY_TIMEOUT.as_secs() });
             }
             std::thread::sleep(Duration::from_millis(10));
         }
@@ -166,7 +167,7 @@
             return Ok(());
         }
         let child = self.run(n)?;
-        self.front_nodes[n] = self.listening(n, child)?;
+        self.front_nodes[n] = self.wait_until_listening(n, child)?;
         Ok(())
     }
 
@@ -174,7 +175,7 @@
         self.signal(n, Signal::HUP);
     }
 
-    /// The first so many hear nothing of the others, nor they of them; none: all links are whole.
+    /// Separates the first `first` front nodes from the others by a network partition; `None` ends the partition.
     pub fn partition(&self, first: Option<usize>) {
         for relay in [&self.fleet, &self.maintenance].into_iter().flatten() {
             relay.faults().partitions.clear();
@@ -184,7 +185,7 @@
         }
     }
 
-    /// Front nodes that ended without being told to.
+    /// Returns the front nodes that ended although the run did not stop them.
     pub fn crashed(&mut self) -> Vec<usize> {
         let ended = |(n, f): (usize, &mut FrontNode)| {
             (!f.killed && f.child.try_wait().is_ok_and(|status| status.is_some())).then_some(n)
@@ -192,9 +193,9 @@
         self.front_nodes.iter_mut().enumerate().filter_map(ended).collect()
     }
 
-    /// Ends all: told to, so that what they record is whole, and killed where they take too long.
+    /// Ends all front nodes: SIGTERM first, so that their recordings are complete, and a kill if they take too long.
     pub fn end(&mut self) {
-        let end = Instant::now() + STOP_WITHIN;
+        let end = Instant::now() + STOP_TIMEOUT;
         (0..self.front_nodes.len()).for_each(|n| self.signal(n, Signal::TERM));
         while Instant::now() < end
             && self.front_nodes.iter_mut().any(|f| f.child.try_wait().is_ok_and(|s| s.is_none()))
@@ -211,23 +212,23 @@
         }
     }
 
-    /// Asks the first front node that answers to let a machine go.
+    /// Requests maintenance of a machine from the first front node that accepts the request.
     pub fn request_maintenance(&self, machine: &str, lasts: Nanos) -> bool {
         let request =
             json!({"machine": machine, "by": "rehearsal", "lasts_ms": lasts / MS + 60_000}).to_string();
-        // From the last on: a follower takes it as well as a member.
+        // Starts with the last front node, since followers accept requests as well as members of the group.
         let accepted =
             |n: usize| self.exchange(n, "POST", "/_maintenance/ask", &request).is_some_and(|(s, _)| s == 202);
         (0..self.front_nodes.len()).rev().any(accepted)
     }
 
-    fn order_at(&self, n: usize) -> Option<Value> {
+    fn maintenance_view(&self, n: usize) -> Option<Value> {
         serde_json::from_str(&self.exchange(n, "GET", "/_maintenance", "")?.1).ok()
     }
 
-    /// Whether the first front node that answers knows a machine as out.
+    /// Returns whether the first front node that responds lists a machine as out of service.
     pub fn is_under_maintenance(&self, machine: &str) -> bool {
-        let order = (0..self.front_nodes.len()).rev().find_map(|n| self.order_at(n));
+        let order = (0..self.front_nodes.len()).rev().find_map(|n| self.maintenance_view(n));
         let entries = order.as_ref().and_then(|o| o["entries"].as_array()).into_iter().flatten();
         entries.into_iter().any(|e| e["machine"] == machine && e["stage"] == "out")
     }
@@ -249,12 +250,12 @@
     }
 }
 
-/// The address that follows `prefix` in a line of a log.
+/// Returns the address that follows `prefix` in a line of a log.
 fn address_after(line: &str, prefix: &str) -> Option<SocketAddr> {
     line.split(prefix).nth(1)?.split(',').next()?.trim().parse().ok()
 }
 
-/// Appends the rest of a log to a file, as it comes.
+/// Appends the rest of a log to a file as it is received.
 fn append_log(mut log: impl Read + Send + 'static, path: PathBuf) {
     std::thread::spawn(move || {
         let file = std::fs::OpenOptions::new().create(true).append(true).open(path);
@@ -264,7 +265,7 @@
     });
 }
 
-/// The configuration of one front node, and the files that it names.
+/// The configuration of one front node, and the files that it refers to.
 struct NodeFiles<'a> {
     setup: &'a Setup<'a>,
     index: usize,
@@ -281,7 +282,7 @@
         Ok(path)
     }
 
-    /// Writes the configuration, and the files that it names; the path of the first.
+    /// Writes the configuration and the files that it refers to. Returns the path of the configuration.
     fn configure(&self, fleet: Option<&Relay>, maintenance: Option<&Relay>) -> Result<PathBuf, RunError> {
         let (scenario, n) = (self.setup.scenario, self.index);
         let seed = self.setup.seed.wrapping_mul(0x9e37_79b9_7f4a_7c15).wrapping_add(n as u64);
@@ -334,7 +335,7 @@
         )
     }
 
-    /// The log of a run before this one is removed, so that nothing of it is recovered.
+    /// Writes the settings of an empty log store; the log of an earlier run is removed, so that it is not recovered.
     fn write_empty_logbook(&self) -> Result<PathBuf, RunError> {
         let dir = self.path("book");
         let _ = std::fs::remove_dir_all(&dir);
--- a/crates/fault-injection/src/real/mod.rs
+++ b/crates/fault-injection/src/real/mod.rs
@@ -1,5 +1,5 @@
-//! A run for real: front nodes as processes, stores, discovery and clients as threads of this one, on loopback. All
-//! that was started ends with the run, however it ends.
+//! Runs a scenario with real processes: front nodes are processes; stores, discovery and clients are threads of this
+//! process, on the loopback interface. Everything that was started ends with the run, even if the run fails.
 
 mod clients;
 mod exchange;
@@ -33,7 +33,7 @@
     of.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// All that happened, in the order of its times.
+/// All events of a run, in the order of their times.
 pub struct EventLog {
     began: Instant,
     unix_ms: i64,
@@ -57,7 +57,7 @@
         at
     }
 
-    /// What the invariant checker makes of all that happened; takes it out.
+    /// Runs the invariant checker over all events, which are removed, and returns its results.
     fn facts(&self, scenario: &Scenario, begins: Nanos) -> RunFacts {
         let events = std::mem::take(&mut *locked(&self.events));
         let mut checker = InvariantChecker::new(scenario);
@@ -78,30 +78,30 @@
     }
 }
 
-/// How far a run is: time gone by, and in all.
+/// Reports the progress of a run: the elapsed time and the total time, in nanoseconds.
 pub type Progress<'a> = &'a mut dyn FnMut(Nanos, Nanos);
 
-/// Pause between two rounds of the faults.
-const LOOK: Duration = Duration::from_millis(4);
-/// Time after the last client's deadline in which the last answers come.
-const SETTLES: Nanos = 200 * MS;
-/// After the last client has asked, maintenance under way is waited for no longer than this.
-const MAINTENANCE_MOST: Nanos = 20 * SECOND;
-/// Front nodes that one machine is asked to run.
-const FRONT_NODES_MOST: usize = 64;
+/// Interval of the fault injector's rounds.
+const POLL_INTERVAL: Duration = Duration::from_millis(4);
+/// Time after the last client's deadline in which the last responses are received.
+const SETTLING_TIME: Nanos = 200 * MS;
+/// The longest time that a run waits for maintenance in progress after the last client's deadline.
+const MAX_MAINTENANCE_WAIT: Nanos = 20 * SECOND;
+/// The maximum number of front nodes that run as processes on one machine.
+const MAX_FRONT_NODES: usize = 64;
 
 /// How front nodes are started.
 #[derive(Clone, Copy)]
 pub struct Program<'a> {
-    /// The program of a front node,
+    /// Path of the front node's executable.
     pub path: &'a Path,
-    /// and what stands before the path of its configuration.
+    /// Arguments before the path of the configuration.
     pub args: &'a [&'a str],
-    /// Where the files of the front nodes go.
+    /// Directory for the files of the front nodes.
     pub dir: &'a Path,
 }
 
-/// The world as it is on this machine.
+/// The processes and threads of a run on this machine.
 struct World<'a> {
     scenario: &'a Scenario,
     log: Arc<EventLog>,
@@ -110,11 +110,11 @@
     front_nodes: FrontNodes,
 }
 
-/// Plays a scenario under that load. `stop` ends it early.
+/// Runs a scenario with the given load. Setting `stop` ends the run early.
 ///
 /// # Errors
 ///
-/// The scenario can't be used, or a part of the test bed can't be started.
+/// Returns an error if the scenario is invalid, or if a component of the test bed cannot be started.
 pub fn play(
     scenario: &Scenario,
     (seed, planned): (u64, Vec<PlannedQuery>),
@@ -122,8 +122,8 @@
     stop: &AtomicBool,
     progress: Progress,
 ) -> Result<Report, RunError> {
-    if scenario.front_nodes > FRONT_NODES_MOST {
-        return Err(RunError::TooManyFrontNodes { most: FRONT_NODES_MOST });
+    if scenario.front_nodes > MAX_FRONT_NODES {
+        return Err(RunError::TooManyFrontNodes { most: MAX_FRONT_NODES });
     }
     let timeline = Timeline::new(scenario, seed)?;
     let faults = timeline.events().to_vec();
@@ -131,12 +131,12 @@
     let log = Arc::new(EventLog::start());
     let mut world = World::start(scenario, seed, program, injector.list(), &log)?;
     world.front_nodes.wait_ready(stop)?;
-    // What follows is timed from here on.
+    // The time of the run starts here.
     let begins = log.now();
     injector.begin(begins);
     let clients = Clients::start(scenario, log.clone(), world.front_nodes.addresses(), planned, begins);
-    let lasts = scenario.lasts();
-    let end = begins + lasts + scenario.longest() + SETTLES;
+    let lasts = scenario.duration();
+    let end = begins + lasts + scenario.longest_deadline() + SETTLING_TIME;
     let mut broken_off = None;
     loop {
         let now = log.now();
@@ -144,13 +144,13 @@
             broken_off = Some(RunError::Stopped.to_string());
             break;
         }
-        if now >= end && (!injector.is_busy() || now >= end + MAINTENANCE_MOST) {
+        if now >= end && (!injector.is_busy() || now >= end + MAX_MAINTENANCE_WAIT) {
             break;
         }
         injector.round(&mut world)?;
         clients.set_front_nodes(world.front_nodes.addresses());
         progress((now - begins).clamp(0, lasts), lasts);
-        std::thread::sleep(LOOK);
+        std::thread::sleep(POLL_INTERVAL);
     }
     let statistics = clients.end();
     let crashed = world.front_nodes.crashed();
--- a/crates/fault-injection/src/real/stub_store.rs
+++ b/crates/fault-injection/src/real/stub_store.rs
@@ -1,5 +1,5 @@
-//! A stub store on a socket that works as `service` says: shard requests come in over frames, answers go out when their
-//! work is done.
+//! A stub store on a socket that behaves like [`StoreModel`]: it receives shard requests in frames and sends the responses
+//! at the times that the model gives.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -14,25 +14,25 @@
 use crate::Nanos;
 use crate::invariants::Event;
 use crate::scenario::Scenario;
-use crate::store_model::{StoreModel, Taken};
+use crate::store_model::{RequestOutcome, StoreModel};
 use crate::timeline::Condition;
 
-/// How soon a listener is looked at again.
-const LOOK: Duration = Duration::from_millis(2);
+/// Interval at which a closed or idle listener is checked again.
+const POLL_INTERVAL: Duration = Duration::from_millis(2);
 
-struct Answer {
+struct Response {
     connection: u64,
-    /// Query and shard as the front node wrote them.
+    /// Query and shard in the notation of the front node.
     request: String,
     frame: Vec<u8>,
     event: Event,
 }
 
 #[derive(Default)]
-struct PendingAnswers {
-    /// By when it is due, and the order in which it came.
+struct PendingResponses {
+    /// Responses by due time, then in the order in which they were scheduled.
     due: BinaryHeap<Reverse<(Nanos, u64)>>,
-    answers: HashMap<u64, Answer>,
+    responses: HashMap<u64, Response>,
     cancelled: HashSet<(u64, String)>,
     count: u64,
 }
@@ -45,7 +45,7 @@
     is_over: AtomicBool,
     connections: Mutex<HashMap<u64, TcpStream>>,
     next_connection: AtomicU64,
-    pending: Mutex<PendingAnswers>,
+    pending: Mutex<PendingResponses>,
     more: Condvar,
     log: Arc<EventLog>,
 }
@@ -74,7 +74,7 @@
         });
         let (listening, sending) = (store.clone(), store.clone());
         thread::spawn(move || listening.listen(listener));
-        thread::spawn(move || sending.send_answers());
+        thread::spawn(move || sending.send_responses());
         Ok(store)
     }
 
@@ -82,13 +82,13 @@
         locked(&self.model).condition = condition;
     }
 
-    /// Its process ends: every connection breaks, and none is taken.
+    /// Stops the store's process: all connections break and new ones are refused.
     pub fn stop(&self) {
         self.is_off.store(true, Relaxed);
         self.break_connections();
     }
 
-    /// Another process, warming, under that name; when it began.
+    /// Starts another process under a name, warming up. Returns when it started.
     pub fn start_again(&self, name: String) -> Nanos {
         *locked(&self.name) = name;
         let now = self.log.now();
@@ -104,7 +104,7 @@
     }
 
     fn break_connections(&self) {
-        locked(&self.pending).answers.clear();
+        locked(&self.pending).responses.clear();
         let connections: Vec<TcpStream> =
             locked(&self.connections).drain().map(|(_, socket)| socket).collect();
         connections.iter().for_each(|socket| drop(socket.shutdown(Shutdown::Both)));
@@ -116,7 +116,7 @@
         while !self.is_over.load(Relaxed) {
             let up = !self.is_off.load(Relaxed) && locked(&self.model).is_up(self.log.now());
             if !up {
-                // So that new connections are refused, as where no process listens.
+                // Closes the listener, so that new connections are refused as if no process listened.
                 open = None;
             } else if open.is_none() {
                 open = TcpListener::bind(self.address).ok();
@@ -126,7 +126,7 @@
                 listener.accept().ok()
             });
             let Some((socket, _)) = accepted else {
-                thread::sleep(LOOK);
+                thread::sleep(POLL_INTERVAL);
                 continue;
             };
             let _ = socket.set_nonblocking(false);
@@ -193,58 +193,58 @@
             let store = locked(&self.name).clone();
             let now =
                 self.log.observe(Event::AttemptReceived { id: id.clone(), shard, store: store.clone(), key });
-            // The first digits of an id are the front node that it was asked of.
+            // The first four digits of a request id are the front node that received the query.
             let front_node = id.get(..4).and_then(|d| usize::from_str_radix(d, 16).ok()).unwrap_or(0);
-            let (taken, overload) = locked(&self.model).take(now, 1.0, front_node);
+            let (outcome, overload) = locked(&self.model).receive(now, 1.0, front_node);
             if let Some(overload) = overload {
                 self.log.observe(Event::Overloaded { store: store.clone(), overload });
                 self.break_connections();
                 return Err(ErrorKind::ConnectionAborted.into());
             }
-            let answer = |at, ending: &str, value: &str, event| {
+            let response = |at, ending: &str, value: &str, event| {
                 let frame = encode_frame(b'5', format!("{request} {ending} 1 -\n{value}").as_bytes());
-                self.schedule(at, Answer { connection, request: request.to_owned(), frame, event });
+                self.schedule(at, Response { connection, request: request.to_owned(), frame, event });
             };
-            match taken {
-                Taken::Unheard => {}
-                Taken::Rejected => answer(now, "B", "", Event::Rejected { id, shard, store }),
-                Taken::Failed(at) => answer(at, "E", "", Event::Failed { id, shard, store }),
-                Taken::Served(at) => {
+            match outcome {
+                RequestOutcome::Unanswered => {}
+                RequestOutcome::Rejected => response(now, "B", "", Event::Rejected { id, shard, store }),
+                RequestOutcome::Failed(at) => response(at, "E", "", Event::Failed { id, shard, store }),
+                RequestOutcome::Served(at) => {
                     let value = format!("{:016x}", value(&id, shard, &store));
-                    answer(at, "S", &value.clone(), Event::Served { id, shard, store, value });
+                    response(at, "S", &value.clone(), Event::Served { id, shard, store, value });
                 }
             }
         }
         Ok(())
     }
 
-    fn schedule(&self, at: Nanos, answer: Answer) {
+    fn schedule(&self, at: Nanos, response: Response) {
         let mut pending = locked(&self.pending);
         pending.count += 1;
         let count = pending.count;
         pending.due.push(Reverse((at, count)));
-        pending.answers.insert(count, answer);
+        pending.responses.insert(count, response);
         self.more.notify_all();
     }
 
-    fn send_answers(&self) {
+    fn send_responses(&self) {
         let mut pending = locked(&self.pending);
         while !self.is_over.load(Relaxed) {
             let now = self.log.now();
             match pending.due.peek().copied() {
                 Some(Reverse((at, count))) if at <= now => {
                     pending.due.pop();
-                    let Some(answer) = pending.answers.remove(&count) else { continue };
-                    if pending.cancelled.remove(&(answer.connection, answer.request.clone())) {
+                    let Some(response) = pending.responses.remove(&count) else { continue };
+                    if pending.cancelled.remove(&(response.connection, response.request.clone())) {
                         continue;
                     }
                     drop(pending);
                     let socket =
-                        locked(&self.connections).get(&answer.connection).and_then(|s| s.try_clone().ok());
+                        locked(&self.connections).get(&response.connection).and_then(|s| s.try_clone().ok());
                     if let Some(mut socket) = socket {
-                        // Told before it goes out: nobody can have heard of it earlier.
-                        self.log.observe(answer.event);
-                        let _ = socket.write_all(&answer.frame);
+                        // Recorded before it is sent, so that no later event can depend on an unrecorded response.
+                        self.log.observe(response.event);
+                        let _ = socket.write_all(&response.frame);
                     }
                     pending = locked(&self.pending);
                 }
@@ -270,13 +270,13 @@
     frame
 }
 
-/// A shard request's id: the query's, a dot and the shard.
+/// Splits a shard request's id into the query's id and the shard, which are separated by a dot.
 fn split_id(request: &str) -> Option<(String, usize)> {
     let (id, shard) = request.rsplit_once('.')?;
     Some((id.to_owned(), shard.parse().ok()?))
 }
 
-/// What that store serves for that shard request: no two alike.
+/// Returns the value that a store serves for a shard request: a hash that differs for each of them.
 fn value(id: &str, shard: usize, store: &str) -> u64 {
     let words = id.bytes().chain(shard.to_le_bytes()).chain(store.bytes());
     words.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
--- a/crates/fault-injection/src/replay.rs
+++ b/crates/fault-injection/src/replay.rs
@@ -1,5 +1,6 @@
-//! Recorded load: what front nodes were asked, as it came, faster or slower, laid over a scenario's fleet. Times are
-//! the recording's, so a slow node never slows it down. Free of I/O.
+//! Replay of recorded load: the requests that front nodes received are replayed on a scenario's fleet, at the recorded
+//! speed, faster or slower. The times are those of the recording, so that a slow front node never slows the load down. This
+//! module has no I/O.
 
 use std::collections::BTreeMap;
 
@@ -12,14 +13,14 @@
 use crate::scenario::Scenario;
 use crate::{MS, Nanos};
 
-/// How recordings are laid over a scenario.
+/// How recordings are replayed on a scenario.
 #[derive(Clone, Debug)]
 pub struct ReplayOptions {
-    /// Times as fast as recorded.
+    /// Speed relative to the recording; 2 replays it twice as fast.
     pub speed: f64,
-    /// Names of the recording's service classes and tenants, and what the scenario calls them; the others keep theirs.
+    /// The scenario's names for recorded service classes and tenants; those not listed keep their recorded names.
     pub renamed: BTreeMap<String, String>,
-    /// Only so much of it, from its beginning, in the recording's own time.
+    /// Length of the replayed part, from the first arrival, in the recording's own time; `None`: all of it.
     pub at_most: Option<Nanos>,
 }
 
@@ -29,13 +30,14 @@
     }
 }
 
-/// What is asked, in the order of time, from the first arrival of all recordings on. Recordings of one fleet share a
-/// clock: each keeps its distance to the others. A recording is one front node's: its arrivals go to one of the
-/// scenario's, in turn. Clients' own retries are left out, as the scenario's clients retry by themselves.
+/// Returns the recorded queries in the order of their times, counted from the first arrival of all recordings.
+/// Recordings of one fleet share a clock, so the offsets between them are kept. A single recording is spread over the
+/// scenario's front nodes by chance; several are assigned to front nodes in turn, one each. Recorded client retries
+/// are left out, since the scenario's clients retry by themselves.
 ///
 /// # Errors
 ///
-/// The speed isn't above 0, or a recorded class or tenant is unknown to the scenario.
+/// Returns an error if the speed is not above 0, or if the scenario has no service class or tenant of a recorded name.
 pub fn replayed(
     scenario: &Scenario,
     recordings: &[(String, Recording)],
@@ -56,7 +58,7 @@
                 continue;
             }
             let (class, tenant) = (names.class(arrival)?, names.tenant(arrival)?);
-            // Laid over a ring of another size, shards keep their distances as far as it goes.
+            // On a ring with fewer cells, shard numbers wrap around.
             let cells = scenario.stores.cells;
             let mut shards: Vec<usize> = arrival.shards.iter().map(|s| *s as usize % cells).collect();
             shards.sort_unstable();
@@ -82,14 +84,14 @@
     Ok(all.into_iter().filter(|(at, _)| within(*at)).map(timed).collect())
 }
 
-/// What the scenario has for the names of a recording.
+/// Maps the service classes and tenants of a recording to those of the scenario.
 struct Names<'a> {
     recording_name: &'a str,
     recording: &'a Recording,
     classes: Vec<Option<usize>>,
     tenants: Vec<Option<usize>>,
-    /// Without tenants in the scenario, or at the node, nobody is told apart; with some, a stranger would be counted as
-    /// another.
+    /// Whether both the scenario and the recording have tenants. If either has none, all queries are without a tenant; if
+    /// both have, an unknown tenant is an error, since it would be counted as another one.
     has_tenants: bool,
 }
 
--- a/crates/fault-injection/src/report/chart.rs
+++ b/crates/fault-injection/src/report/chart.rs
@@ -1,4 +1,4 @@
-//! The report's chart: service by second, with the faults behind it.
+//! The chart of a report: the service of each second as a line, with the faults as bands behind it.
 
 use std::path::Path;
 
--- a/crates/fault-injection/src/report/mod.rs
+++ b/crates/fault-injection/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! What a run showed, as JSON, as a page with tables, and as a chart.
+//! The report of a run, as JSON, as a Markdown page with tables, and as a chart.
 
 mod chart;
 mod page;
@@ -14,22 +14,22 @@
 use crate::timeline::FaultEvent;
 use crate::{MS, SECOND, store_name};
 
-/// What a run says of the front nodes.
+/// The verdict of a run on the front nodes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Verdict {
     /// The service reached the target of the scenario.
     Held,
-    /// It fell short of the target.
+    /// The service fell short of the target.
     FellShort,
-    /// A rule was broken.
+    /// A rule was violated, or a front node ended by itself.
     RuleBroken,
-    /// Never a verdict on the front nodes: this machine, or something else here, was not up to it.
+    /// The run says nothing about the front nodes: it was stopped, or this machine could not sustain the load.
     CouldNotRun,
 }
 
 impl Verdict {
-    /// The exit status of the command line.
+    /// Returns the exit status of the command line for this verdict.
     pub fn exit(self) -> u8 {
         match self {
             Verdict::Held => 0,
@@ -40,89 +40,91 @@
     }
 }
 
-/// What a run showed. The names in JSON are published in `docs/rehearsal-operators.md`.
+/// The results of a run. The names in JSON are published in `docs/rehearsal-operators.md`.
 #[derive(Serialize)]
 pub struct Report {
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// What arrivals and stores were drawn from.
+    /// The seed that arrivals and affected stores were drawn from.
     pub seed: u64,
-    /// What it says of the front nodes,
+    /// The verdict on the front nodes.
     pub verdict: Verdict,
-    /// and why.
+    /// The reason for the verdict, in words.
     pub why: String,
-    /// The share that was to be answered in time.
+    /// The target of the scenario: the fraction of queries to be answered before their deadline, 0 to 1.
     #[serde(rename = "aim")]
     pub service_target: f64,
-    /// The share that was.
+    /// The fraction of queries that were answered before their deadline, 0 to 1.
     pub service: f64,
     /// Outcomes of all queries.
     pub all: OutcomeCounts,
-    /// By the name of their service class.
+    /// Outcomes by name of the service class.
     #[serde(rename = "grades")]
     pub classes: Vec<(String, OutcomeCounts)>,
-    /// By the name of their tenant.
+    /// Outcomes by name of the tenant.
     pub tenants: Vec<(String, OutcomeCounts)>,
-    /// By the second for which they were planned.
+    /// Outcomes by the second in which the query was planned.
     pub seconds: Vec<OutcomeCounts>,
-    /// Milliseconds from the intended moment to the answer, at the half, 0.9, 0.99 and 0.999.
+    /// Latency from the planned time of a query to its response, in milliseconds, at the quantiles 0.5, 0.9, 0.99 and
+    /// 0.999.
     pub latency_ms: [f64; 4],
-    /// How late the load itself was at 0.99, milliseconds.
+    /// Delay of the load generator itself at the quantile 0.99, in milliseconds.
     #[serde(rename = "load_late_ms")]
     pub load_delay_ms: f64,
-    /// Attempts that reached a store.
+    /// The number of attempts that reached a store.
     #[serde(rename = "launches")]
     pub attempts: u64,
-    /// Shard requests asked for, all tries together.
+    /// The number of shard requests of all queries, including those of retries.
     #[serde(rename = "parts")]
     pub shard_requests: u64,
-    /// Events that the invariant checker saw.
+    /// The number of events that the invariant checker observed.
     pub events: u64,
-    /// Front nodes that ended by themselves.
+    /// Indices of front nodes that ended by themselves.
     pub crashed: Vec<usize>,
-    /// The faults as they were drawn.
+    /// The faults, with the stores that were drawn for them.
     #[serde(rename = "troubles")]
     pub faults: Vec<DrawnFault>,
-    /// Rules that were broken.
+    /// The violations of rules.
     #[serde(rename = "breaches")]
     pub violations: Vec<Violation>,
 }
 
-/// A fault as it was drawn.
+/// A fault of the scenario, with the stores that were drawn for it.
 #[derive(Serialize)]
 pub struct DrawnFault {
-    /// When it began, seconds.
+    /// Start of the fault, in seconds since the run began.
     pub from_s: f64,
-    /// When it ended, seconds.
+    /// End of the fault, in seconds since the run began.
     pub to_s: f64,
-    /// Its kind, as scenarios write it but for its case.
+    /// Kind of the fault in its `Debug` form: the name in scenarios in another case, with its parameters.
     pub what: String,
-    /// The stores that it befell.
+    /// Names of the affected stores.
     pub stores: Vec<String>,
 }
 
-/// Load that went out later than this at 0.99 says nothing about the front nodes.
-pub const LOAD_DELAY_MOST_MS: f64 = 100.0;
+/// The maximum delay of the load generator at the quantile 0.99, in milliseconds. A run whose load was sent later
+/// than this says nothing about the front nodes.
+pub const MAX_LOAD_DELAY_MS: f64 = 100.0;
 
-/// What is known of a run beside its statistics.
+/// The results of a run apart from its statistics.
 pub struct RunFacts {
-    /// What arrivals and stores were drawn from.
+    /// The seed that arrivals and affected stores were drawn from.
     pub seed: u64,
-    /// Attempts that reached a store.
+    /// The number of attempts that reached a store.
     pub attempts: u64,
-    /// Shard requests asked for, all tries together.
+    /// The number of shard requests of all queries, including those of retries.
     pub shard_requests: u64,
-    /// Events that the invariant checker saw.
+    /// The number of events that the invariant checker observed.
     pub events: u64,
-    /// Front nodes that ended by themselves.
+    /// Indices of front nodes that ended by themselves.
     pub crashed: Vec<usize>,
-    /// Rules that were broken.
+    /// The violations of rules.
     pub violations: Vec<Violation>,
-    /// Why it could not run to its end.
+    /// Why the run ended early; `None` if it was completed.
     pub broken_off: Option<String>,
 }
 
-/// Puts together what a run showed.
+/// Builds the report of a run and decides its verdict.
 pub fn report(
     scenario: &Scenario,
     events: &[FaultEvent],
@@ -131,7 +133,7 @@
 ) -> Report {
     let load_delay_ms = statistics.load_delay(0.99) as f64 / MS as f64;
     let service = statistics.all.service();
-    let (verdict, why) = judge(scenario, service, load_delay_ms, &facts);
+    let (verdict, why) = decide_verdict(scenario, service, load_delay_ms, &facts);
     Report {
         scenario: scenario.name.clone(),
         seed: facts.seed,
@@ -154,11 +156,16 @@
     }
 }
 
-fn judge(scenario: &Scenario, service: f64, load_delay_ms: f64, facts: &RunFacts) -> (Verdict, String) {
+fn decide_verdict(
+    scenario: &Scenario,
+    service: f64,
+    load_delay_ms: f64,
+    facts: &RunFacts,
+) -> (Verdict, String) {
     let against_target = || format!("service {service:.3}, {:.3} was the aim", scenario.service_target);
     if let Some(reason) = &facts.broken_off {
         (Verdict::CouldNotRun, reason.clone())
-    } else if load_delay_ms > LOAD_DELAY_MOST_MS {
+    } else if load_delay_ms > MAX_LOAD_DELAY_MS {
         let why =
             format!("the load itself went out {load_delay_ms:.0} ms late: this machine is too slow for it");
         (Verdict::CouldNotRun, why)
@@ -180,17 +187,17 @@
         let mine = events.iter().filter(|a| a.fault == n && a.begins);
         let stores = mine.filter_map(|a| a.store).map(store_name).collect();
         let words = format!("{:?}", t.kind);
-        DrawnFault { from_s: s(t.at()), to_s: s(t.until(scenario.lasts())), what: words, stores }
+        DrawnFault { from_s: s(t.at()), to_s: s(t.until(scenario.duration())), what: words, stores }
     };
     scenario.faults.iter().enumerate().map(of).collect()
 }
 
 impl Report {
-    /// `report.json`, `report.md` and `service.svg`.
+    /// Writes `report.json`, `report.md` and `service.svg` to `dir`, which is created if it is missing.
     ///
     /// # Errors
     ///
-    /// A file can't be written.
+    /// Returns an error if a file cannot be written or the chart cannot be drawn.
     pub fn write(&self, dir: &Path) -> Result<(), RunError> {
         std::fs::create_dir_all(dir).map_err(RunError::file(dir))?;
         let json = serde_json::to_string_pretty(self)?;
--- a/crates/fault-injection/src/report/page.rs
+++ b/crates/fault-injection/src/report/page.rs
@@ -1,10 +1,10 @@
-//! The report as a page, in the words of `docs/rehearsal-operators.md`.
+//! The report as a Markdown page. Its terms are those of `docs/rehearsal-operators.md`.
 
 use super::Report;
 use crate::invariants::Violation;
 use crate::statistics::OutcomeCounts;
 
-/// A day can break one rule ten thousand times; the first of each kind tell what there is to know.
+/// The number of violations listed on the page. A run can violate one rule ten thousand times; the first ones suffice.
 const VIOLATIONS_SHOWN: usize = 50;
 
 const OUTCOMES_HEAD: &str = "| | asked | answered | in soft limit | short | dismissed | given up | lost | late | service |\n\
@@ -12,7 +12,7 @@
 const FAULTS_HEAD: &str = "\n## Troubles\n\n| from s | to s | what | stores |\n| --- | --- | --- | --- |\n";
 
 impl Report {
-    /// The report as a page with tables.
+    /// Returns the report as a Markdown page with tables.
     pub fn page(&self) -> String {
         let mut page = self.summary();
         page += &self.outcomes();
--- a/crates/fault-injection/src/scenario/check.rs
+++ b/crates/fault-injection/src/scenario/check.rs
@@ -1,9 +1,9 @@
-//! Checks of scenarios: every value in its bounds, every name known.
+//! Checks that every value of a scenario is within its bounds and that every referenced name exists.
 
 use super::{Fault, FaultKind, Load, Scenario, ServiceClass, Stores};
 use crate::error::ScenarioError;
 
-const KNOWN: [&str; 9] = ["at_s", "for_s", "stores", "zone", "draw", "share", "kind", "factor", "by_ms"];
+const FAULT_KEYS: [&str; 9] = ["at_s", "for_s", "stores", "zone", "draw", "share", "kind", "factor", "by_ms"];
 
 impl Scenario {
     pub(super) fn check(&self) -> Result<(), ScenarioError> {
@@ -14,10 +14,10 @@
         within("rules.cold_share", self.rules.cold_share, 0.01, 1.0)?;
         within("rules.cold_multiple", self.rules.cold_multiple, 0.1, 1000.0)?;
         if self.stores.zones.is_empty() {
-            return Err(ScenarioError::value("stores.zones", "should name one at least"));
+            return Err(ScenarioError::value("stores.zones", "should name at least one failure domain"));
         }
         if self.classes.is_empty() {
-            return Err(ScenarioError::value("grade", "should be one at least"));
+            return Err(ScenarioError::value("grade", "should have at least one entry"));
         }
         for (n, class) in self.classes.iter().enumerate() {
             class.check(&format!("grade[{n}]"), &self.stores)?;
@@ -63,11 +63,11 @@
             return Err(ScenarioError::value(format!("{key}.zone"), reason));
         }
         let selectors = [!fault.stores.is_empty(), fault.zone.is_some(), fault.draw > 0];
-        match (fault.kind.of_stores(), selectors.iter().filter(|is_set| **is_set).count()) {
+        match (fault.kind.affects_stores(), selectors.iter().filter(|is_set| **is_set).count()) {
             (true, 1) | (false, 0) => {}
             (true, _) => return Err(ScenarioError::value(key, "should have one of stores, zone and draw")),
             (false, _) => {
-                let reason = "befalls no store; stores, zone and draw are out of place";
+                let reason = "does not affect stores: remove stores, zone and draw";
                 return Err(ScenarioError::value(key, reason));
             }
         }
@@ -122,14 +122,15 @@
     Err(ScenarioError::value(key, format!("should be {least} to {most}, not {found}")))
 }
 
-/// A tagged kind lets unknown keys of a fault pass: they are looked for here, by hand.
+/// Rejects unknown keys of faults: serde cannot combine `deny_unknown_fields` with the flattened, tagged kind of a
+/// fault, so the keys are checked here.
 pub(super) fn unknown_keys(text: &str) -> Result<(), ScenarioError> {
     let table: toml::Table = toml::from_str(text)?;
     let faults = table.get("trouble").and_then(toml::Value::as_array);
     for (n, fault) in faults.into_iter().flatten().enumerate() {
         for key in fault.as_table().into_iter().flat_map(|t| t.keys()) {
             let more = ["drain_ms", "front", "first", "lost", "part"];
-            if !KNOWN.contains(&key.as_str()) && !more.contains(&key.as_str()) {
+            if !FAULT_KEYS.contains(&key.as_str()) && !more.contains(&key.as_str()) {
                 return Err(ScenarioError::value(format!("trouble[{n}].{key}"), "no such key"));
             }
         }
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -1,4 +1,4 @@
-//! What a run plays, as an operator writes it: TOML, every key checked, faults named by their path.
+//! The scenario of a run: a TOML file written by an operator. Every key is checked, and an error names the key's path.
 //!
 //! ```
 //! use orchidvalve_fault_injection::scenario::Scenario;
@@ -6,8 +6,8 @@
 //! let text = "name = 'quiet'\nlasts_s = 2.0\nfronts = 1\n[stores]\ncells = 2\n[[grade]]\nname = 'look'\n\
 //!             effect = 'pure'\nsoft_ms = 300\nabandon_ms = 1000\n[[load]]\nfrom_s = 0.0\nto_s = 2.0\nrate = 20.0\n";
 //! assert_eq!(Scenario::read(text).unwrap().stores.count(), 2);
-//! let fault = Scenario::read(&text.replace("lasts_s = 2.0", "lasts_s = 2000.0")).unwrap_err();
-//! assert_eq!(fault.to_string(), "lasts_s: should be 0.1 to 600, not 2000");
+//! let error = Scenario::read(&text.replace("lasts_s = 2.0", "lasts_s = 2000.0")).unwrap_err();
+//! assert_eq!(error.to_string(), "lasts_s: should be 0.1 to 600, not 2000");
 //! ```
 
 mod check;
@@ -21,70 +21,72 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// Its name.
+    /// Name of the scenario.
     pub name: String,
-    /// How long clients ask.
+    /// How long clients send queries, in seconds.
     pub lasts_s: f64,
-    /// The share of what was asked in time that is to be answered in time.
+    /// The fraction of queries, 0 to 1, that must receive a response before their deadline for the run to pass.
     #[serde(rename = "aim", default = "Scenario::default_service_target")]
     pub service_target: f64,
-    /// Front nodes.
+    /// The number of front nodes.
     #[serde(rename = "fronts")]
     pub front_nodes: usize,
-    /// The stores.
+    /// The stores and their layout.
     pub stores: Stores,
-    /// The service classes.
+    /// The service classes; at least one.
     #[serde(rename = "grade")]
     pub classes: Vec<ServiceClass>,
-    /// The tenants; none where nobody is told apart.
+    /// The tenants; empty if queries belong to no tenant.
     #[serde(default, rename = "tenant")]
     pub tenants: Vec<Tenant>,
-    /// Left out where the load is a recording's.
+    /// The load over time; left out if a recording is replayed instead.
     #[serde(default)]
     pub load: Vec<Load>,
-    /// What clients do with answers.
+    /// How clients retry.
     #[serde(default)]
     pub clients: Clients,
-    /// What front nodes are told and the invariant checker goes by.
+    /// The limits that front nodes are configured with and the invariant checker enforces.
     #[serde(default)]
     pub rules: Rules,
-    /// The order of work on machines among the front nodes; left out: each machine is taken out on its own.
+    /// The maintenance queue among the front nodes; left out: each machine is taken out of service on its own.
     #[serde(default)]
     pub order: Option<Order>,
-    /// Limits and verdicts shared among the front nodes; left out: each decides alone.
+    /// The limits and verdicts that front nodes share; left out: each front node decides alone.
     #[serde(default)]
     pub fleet: Option<Fleet>,
-    /// Whether each front node, where it is a process, records what it is asked, beside its configuration.
+    /// Whether each front node that runs as a process records its requests, in a file beside its configuration.
     #[serde(default)]
     pub record: bool,
-    /// What goes wrong.
+    /// The faults that are injected.
     #[serde(default, rename = "trouble")]
     pub faults: Vec<Fault>,
 }
 
-/// The stores and how they work.
+/// The stores: their layout, capacity and timing.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Stores {
-    /// Cells of the ring: a shard is held by its cell and the `reach - 1` after it. As many shards as cells.
+    /// The number of cells in the ring, which is also the number of shards: a shard is held by its own cell and the
+    /// `reach - 1` cells after it.
     pub cells: usize,
-    /// Cells in a row that hold a shard.
+    /// The number of consecutive cells that hold a shard.
     pub reach: usize,
-    /// Stores of a cell.
+    /// The number of stores in a cell.
     pub per_cell: usize,
-    /// Names of the failure domains, which the stores of a cell are spread over.
+    /// Names of the failure domains; the stores of a cell are spread over them.
     pub zones: Vec<String>,
-    /// Parts that a store works on at once, and how long one takes.
+    /// The number of shard requests that a store processes at once.
     pub cores: usize,
-    /// Work of a shard request, milliseconds.
+    /// Processing time of a shard request, in milliseconds.
     pub work_ms: f64,
-    /// Parts that may wait for a core; beyond that a shard request is rejected.
+    /// The number of shard requests that may wait for a core; further ones are rejected.
     pub queue: usize,
-    /// How long a store that just started is warming: it does `rules.cold_share` of its work at first, all of it then.
+    /// How long a store warms up after its start, in seconds: its capacity grows from `rules.cold_share` of the full
+    /// capacity to all of it.
     pub cold_s: f64,
-    /// How long a store is down that fell over from too much while it was warming.
+    /// How long a store is down after it was overloaded while warming up, in seconds.
     pub fall_s: f64,
-    /// How late discovery notices that a store died.
+    /// The delay until discovery notices that a store died, in milliseconds.
     pub notice_ms: u64,
 }
 
@@ -106,41 +108,41 @@
 }
 
 impl Stores {
-    /// How many stores there are.
+    /// Returns the number of stores.
     pub fn count(&self) -> usize {
         self.cells * self.per_cell
     }
 
-    /// The cell of store `n`, and its zone.
+    /// Returns the cell of store `n`.
     pub fn cell(&self, n: usize) -> usize {
         n % self.cells
     }
 
-    /// The failure domain of store `n`.
+    /// Returns the failure domain of store `n`.
     pub fn zone(&self, n: usize) -> &str {
         &self.zones[n / self.cells % self.zones.len()]
     }
 
-    /// Whether the stores of a cell hold a shard.
+    /// Returns whether the stores of a cell hold a shard.
     pub fn holds(&self, cell: usize, shard: usize) -> bool {
         (cell + self.cells - shard) % self.cells < self.reach
     }
 
-    /// Stores that hold a shard.
+    /// Returns the stores that hold a shard.
     pub fn stores_of(&self, shard: usize) -> impl Iterator<Item = usize> {
         (0..self.count()).filter(move |n| self.holds(self.cell(*n), shard))
     }
 }
 
-/// What a second run of a shard request would do, in the words of scenarios.
+/// The effect of a repeated execution of a shard request, under its name in scenarios.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// Nothing: it may run any number of times.
+    /// No effect: the shard request may be executed any number of times.
     Pure,
-    /// Nothing within a window: repeats are dropped by their key.
+    /// No effect within a window: stores drop repetitions by their idempotency key.
     Receipted,
-    /// It has an effect each time it runs.
+    /// Each execution has an effect.
     Effectful,
 }
 
@@ -148,71 +150,73 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ServiceClass {
-    /// Its name.
+    /// Name of the service class.
     pub name: String,
-    /// What a second run would do.
+    /// The effect of a repeated execution.
     pub effect: Effect,
-    /// Latency target, milliseconds.
+    /// Latency target, in milliseconds.
     #[serde(rename = "soft_ms")]
     pub latency_target_ms: u64,
-    /// Time after which clients have gone, milliseconds.
+    /// Deadline of queries, in milliseconds after they are sent; clients stop waiting then.
     #[serde(rename = "abandon_ms")]
     pub deadline_ms: u64,
-    /// Of what is asked, by weight.
+    /// Weight of this service class in the mix of queries.
     #[serde(default = "one")]
     pub weight: f64,
-    /// Shards that a query touches; 0: all of them.
+    /// The number of shards that a query reads; 0: all of them.
     #[serde(default)]
     pub shards: usize,
-    /// The least share that an answer may have; below 1 it may be short, and says so.
+    /// The minimum completeness of a response, 0 to 1. Below 1, a response may be partial if it is not marked
+    /// complete.
     #[serde(default = "one")]
     pub floor: f64,
-    /// How long a repeated receipt is known, where the service class is receipted.
+    /// How long stores remember an idempotency key, in milliseconds, if the service class is receipted.
     #[serde(default = "ServiceClass::window_ms")]
     pub window_ms: u64,
 }
 
-/// A tenant.
+/// A tenant of the scenario.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Of what is asked, by weight.
+    /// Weight of this tenant in the mix of queries.
     #[serde(default = "one")]
     pub weight: f64,
-    /// Queries a second within its share, over all front nodes.
+    /// Quota of the tenant over all front nodes, in queries per second; left out: unlimited.
     #[serde(default)]
     pub share: Option<f64>,
 }
 
-/// A stretch of load; stretches add up where they overlap.
+/// A period of load. Where periods overlap, their rates add up.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Load {
-    /// When it begins, seconds.
+    /// Start of the period, in seconds since the run began.
     pub from_s: f64,
-    /// When it ends, seconds.
+    /// End of the period, in seconds since the run began.
     pub to_s: f64,
-    /// Queries a second at its beginning and at its end.
+    /// Queries per second at the start of the period.
     pub rate: f64,
-    /// Queries a second at its end; left out: as at its beginning.
+    /// Queries per second at the end of the period, reached linearly; left out: same as `rate`.
     #[serde(default)]
     pub rate_end: Option<f64>,
-    /// Only of that tenant.
+    /// Name of the only tenant that sends these queries; left out: all tenants, by their weights.
     #[serde(default)]
     pub tenant: Option<String>,
 }
 
-/// What clients do with answers.
+/// How clients retry.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Clients {
-    /// Further tries after a rejection, or a failure where a repetition is harmless.
+    /// The maximum number of retries after a rejection, or after a failure if the query can be repeated safely.
     pub tries: u32,
-    /// Pause before the first retry, milliseconds.
+    /// Pause before the first retry, in milliseconds.
     pub wait_ms: u64,
-    /// Of tries, twice as long each time; a told time goes before it.
+    /// The maximum pause between tries, in milliseconds; the pause doubles with each try. A `Retry-After` of the
+    /// response takes precedence.
     pub most_ms: u64,
 }
 
@@ -222,29 +226,30 @@
     }
 }
 
-/// What the front nodes are told and the invariant checker goes by.
+/// The limits that front nodes are configured with and the invariant checker enforces.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Rules {
-    /// Most attempts of a shard request.
+    /// The maximum number of attempts of a shard request.
     pub attempts_cap: usize,
-    /// Nothing new to a store so long after it was told of as draining or gone.
+    /// Time after which a store receives no new attempts once discovery published it as draining or gone, in
+    /// milliseconds.
     pub grace_ms: u64,
-    /// A warming store can do this share of its work at first, and falls over from more than the multiple of what it
-    /// can do for that long.
+    /// Fraction of its full capacity that a store has at the start of its warm-up, 0 to 1. A warming store fails when
+    /// it receives more than `cold_multiple` times its current capacity during `cold_window_ms`.
     pub cold_share: f64,
-    /// See `cold_share`.
+    /// Multiple of the current capacity; see `cold_share`.
     pub cold_multiple: f64,
-    /// See `cold_share`, milliseconds.
+    /// Length of the window, in milliseconds; see `cold_share`.
     pub cold_window_ms: u64,
-    /// Launches beyond shard requests' first that a front node may make in a window: so many, and so much of what it
-    /// took.
+    /// The number of further attempts (beyond the first of a shard request) that a front node may always send in a
+    /// window; left out: no budget is configured or checked.
     pub further_free: Option<f64>,
-    /// See `further_free`.
+    /// Further attempts per received query or shard request in a window, in addition to `further_free`.
     pub further_share: f64,
-    /// See `further_free`, milliseconds.
+    /// Length of the window, in milliseconds; see `further_free`.
     pub further_window_ms: u64,
-    /// How much later than a rule says something may be seen on this machine before it counts as broken.
+    /// Tolerance of the checker's time limits, in milliseconds, for delays of the machine that runs the scenario.
     pub slack_ms: u64,
 }
 
@@ -264,100 +269,101 @@
     }
 }
 
-/// `crates/maintenance` among the front nodes.
+/// The maintenance queue that front nodes agree on (`crates/maintenance`).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Order {
-    /// Front nodes that agree on the order, the first so many.
+    /// The number of front nodes, the first ones, that are members of the group.
     pub members: usize,
-    /// How long a machine drains, milliseconds.
+    /// How long a machine drains before it is taken out of service, in milliseconds.
     #[serde(default = "Order::drain_ms")]
     pub drain_ms: u64,
-    /// Most of a shard's stores that may be away, as a share.
+    /// The maximum fraction of a shard's stores that may be out of service at once, 0 to 1.
     #[serde(default = "Order::share")]
     pub share: f64,
 }
 
-/// `crates/fleet` among the front nodes.
+/// The state that front nodes share (`crates/fleet`).
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Fleet {
-    /// Attempts in a window that the fleet sends a warming store at least.
+    /// The minimum number of attempts in a window that the fleet sends to a warming store.
     #[serde(default = "one")]
     pub cold_floor: f64,
-    /// Further attempts a second of the whole fleet.
+    /// Budget of further attempts of the whole fleet, per second; left out: no shared budget.
     #[serde(default)]
     pub retries_a_second: Option<f64>,
 }
 
-/// What goes wrong.
+/// The kind of a fault, under its name in scenarios.
 #[derive(Clone, Copy, Debug, PartialEq, Deserialize)]
 #[serde(rename_all = "kebab-case", tag = "kind")]
 pub enum FaultKind {
-    /// The process ends: connections are reset, new ones refused; it starts again warming.
+    /// The process ends: connections are reset and new ones refused. It restarts at the end of the fault, warming up.
     Die,
-    /// Answers begin and do not end.
+    /// Responses begin and never end.
     Stall,
-    /// Connections are accepted, and nothing is ever answered.
+    /// Connections are accepted, and no request receives a response.
     Silent,
-    /// Work takes so many times as long.
+    /// Shard requests take longer.
     Slow {
-        /// Times as long.
+        /// Factor of the processing time, at least 1.
         factor: f64,
     },
-    /// That share of its cores is lost.
+    /// The store loses a fraction of its cores.
     Cpu {
-        /// Share of its cores.
+        /// The lost fraction of the cores, 0 to 1.
         lost: f64,
     },
-    /// That share of shard requests is rejected.
+    /// The store rejects a fraction of its shard requests.
     Refuse {
-        /// Share of the shard requests.
+        /// The fraction of shard requests, 0 to 1.
         part: f64,
     },
-    /// That share of shard requests ends in an error.
+    /// The store fails a fraction of its shard requests with an error.
     Spoil {
-        /// Share of the shard requests.
+        /// The fraction of shard requests, 0 to 1.
         part: f64,
     },
-    /// Discovery says that it drains.
+    /// Discovery publishes the store as draining.
     Drain,
-    /// Drained and gone for good; another one takes its place at once, warming.
+    /// The store drains and is removed for good; a new one replaces it at once and warms up.
     Replace,
-    /// Taken out for work: drained, off, and back warming; by the order of the front nodes where there is one.
+    /// Maintenance of the store's machine: it drains, is off, and returns warming up. The front nodes' maintenance
+    /// queue orders it, if the scenario has one.
     Patch {
-        /// How long it drains, milliseconds.
+        /// How long the store drains, in milliseconds.
         drain_ms: u64,
     },
-    /// Discovery tells all changes so much later.
+    /// Discovery publishes all changes with a delay.
     RosterLag {
-        /// How much later, milliseconds.
+        /// The delay, in milliseconds.
         by_ms: u64,
     },
-    /// Discovery answers nothing.
+    /// Discovery is unresponsive.
     RosterSilent,
-    /// Discovery goes on naming dead stores as running.
+    /// Discovery keeps publishing dead stores as running.
     RosterLies,
-    /// A front node is killed, and started again at the end.
+    /// A front node is killed, and restarted at the end of the fault.
     FrontKilled {
-        /// Which one.
+        /// Index of the front node.
         front: usize,
     },
-    /// A front node reads its configuration again.
+    /// A front node reloads its configuration.
     FrontReload {
-        /// Which one.
+        /// Index of the front node.
         front: usize,
     },
-    /// Datagrams between these front nodes and the others are lost.
+    /// A network partition between front nodes: datagrams between the first ones and the others are lost.
     FrontsCut {
-        /// How many stand on the one side: the first so many.
+        /// The number of front nodes on the first side of the partition.
         first: usize,
     },
 }
 
 impl FaultKind {
-    /// Whether it befalls stores.
-    pub fn of_stores(self) -> bool {
+    /// Returns whether the fault affects stores.
+    pub fn affects_stores(self) -> bool {
         use FaultKind::{Cpu, Die, Drain, Patch, Refuse, Replace, Silent, Slow, Spoil, Stall};
         matches!(
             self,
@@ -374,27 +380,29 @@
     }
 }
 
-/// A fault and whom it befalls.
+/// A fault, its time, and the stores that it affects.
 #[derive(Clone, Debug, Deserialize)]
 pub struct Fault {
-    /// When it begins, seconds.
+    /// Start of the fault, in seconds since the run began.
     pub at_s: f64,
-    /// How long; left out: a moment, or to the end where it has a length.
+    /// Duration, in seconds; left out: the fault has none, or lasts until the end of the run if its kind has a
+    /// duration.
     #[serde(default)]
     pub for_s: Option<f64>,
-    /// Stores by name, a zone's, or so many drawn from the seed.
+    /// Names of the affected stores. A fault of stores sets exactly one of `stores`, `zone` and `draw`.
     #[serde(default)]
     pub stores: Vec<String>,
-    /// See `stores`.
+    /// The failure domain whose stores are all affected.
     #[serde(default)]
     pub zone: Option<String>,
-    /// See `stores`.
+    /// The number of affected stores, drawn from the seed.
     #[serde(default)]
     pub draw: usize,
-    /// Drawn ones are never more than this share of a shard's replicas at fault at once, one at least.
+    /// For `draw`: the maximum fraction of a shard's replicas that are faulty at once, 0 to 1; one replica is always
+    /// allowed.
     #[serde(default = "Fault::share")]
     pub share: f64,
-    /// What goes wrong.
+    /// The kind of the fault.
     #[serde(flatten)]
     pub kind: FaultKind,
 }
@@ -429,33 +437,33 @@
         0.5
     }
 
-    /// When it begins.
+    /// Returns the start of the fault.
     pub fn at(&self) -> Nanos {
         seconds(self.at_s)
     }
 
-    /// When it ends; at the end of the run at the latest.
+    /// Returns the end of the fault, at the latest the end of the run at `lasts`.
     pub fn until(&self, lasts: Nanos) -> Nanos {
         self.for_s.map_or(lasts, |s| (self.at() + seconds(s)).min(lasts)).max(self.at())
     }
 }
 
-/// Seconds in nanoseconds.
+/// Converts seconds to nanoseconds.
 pub fn seconds(s: f64) -> Nanos {
     (s * SECOND as f64) as Nanos
 }
 
-/// Milliseconds in nanoseconds.
+/// Converts milliseconds to nanoseconds.
 pub fn ms(ms: u64) -> Nanos {
     ms as Nanos * MS
 }
 
 impl Scenario {
-    /// Reads and checks a scenario.
+    /// Parses and checks a scenario.
     ///
     /// # Errors
     ///
-    /// It is no TOML, or a key or value of it can't be used.
+    /// Returns an error if the text is not TOML, or if a key is missing or unknown or its value is out of bounds.
     pub fn read(text: &str) -> Result<Scenario, ScenarioError> {
         let scenario: Scenario = toml::from_str(text)?;
         check::unknown_keys(text)?;
@@ -463,13 +471,13 @@
         Ok(scenario)
     }
 
-    /// How long clients ask.
-    pub fn lasts(&self) -> Nanos {
+    /// Returns how long clients send queries.
+    pub fn duration(&self) -> Nanos {
         seconds(self.lasts_s)
     }
 
-    /// The longest that a client waits.
-    pub fn longest(&self) -> Nanos {
+    /// Returns the longest deadline of all service classes.
+    pub fn longest_deadline(&self) -> Nanos {
         self.classes.iter().map(|g| ms(g.deadline_ms)).max().unwrap_or(SECOND)
     }
 }
--- a/crates/fault-injection/src/settings.rs
+++ b/crates/fault-injection/src/settings.rs
@@ -1,10 +1,10 @@
-//! What a scenario tells front nodes, in the words of their configuration.
+//! The settings of front nodes that a scenario implies, in the format of their configuration.
 
 use serde_json::{Value, json};
 
 use crate::scenario::{Effect, Scenario, ms, seconds};
 
-/// The settings object of front nodes.
+/// Returns the settings object of the front nodes' configuration.
 pub fn settings(scenario: &Scenario) -> Value {
     let effect = |e: Effect| match e {
         Effect::Pure => "pure",
