--- a/crates/fault-injection/src/statistics.rs
+++ b/crates/fault-injection/src/statistics.rs
@@ -1,6 +1,6 @@
-//! Service counted: of what was asked for the first time, how much was answered within its latency target and its
-//! deadline, by service class, tenant and second, with latencies from the intended moment, so that a slow node hides
-//! nothing.
+//! Statistics of a run: which queries were answered within their latency target and their deadline, by service class,
+//! tenant and second. Latencies count from the planned time of a query, so that delays of a slow front node are not hidden
+//! by a slower load.
 
 use std::collections::BTreeMap;
 
@@ -11,53 +11,53 @@
 use crate::scenario::{Scenario, ms};
 use crate::{MS, Nanos, SECOND};
 
-/// How a query ended, all its tries together.
+/// The final outcome of a query, after all its tries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum QueryOutcome {
-    /// Answered, marked complete.
+    /// The response was marked complete.
     Complete,
-    /// Answered, not marked complete.
+    /// The response was not marked complete.
     Partial,
-    /// Rejected.
+    /// The query was rejected.
     Rejected,
-    /// Expired at the front node.
+    /// The query expired at the front node.
     Expired,
-    /// The connection ended without an answer.
+    /// The connection ended without a response.
     Lost,
-    /// No answer before the client's deadline.
+    /// There was no response before the client's deadline.
     Late,
 }
 
-/// Queries counted by how they ended.
+/// The numbers of queries by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct OutcomeCounts {
-    /// All of them.
+    /// All queries.
     #[serde(rename = "asked")]
     pub queries: u64,
-    /// Answered, whole or not, before their deadline.
+    /// Queries with a complete or partial response before their deadline.
     pub answered: u64,
-    /// Answered whole within the latency target.
+    /// Queries with a complete response within the latency target.
     #[serde(rename = "in_soft_limit")]
     pub within_target: u64,
-    /// Answered, not marked whole.
+    /// Queries with a response that was not marked complete.
     #[serde(rename = "short")]
     pub partial: u64,
-    /// Rejected.
+    /// Queries that were rejected.
     #[serde(rename = "dismissed")]
     pub rejected: u64,
-    /// Expired at the front node.
+    /// Queries that expired at the front node.
     #[serde(rename = "given_up")]
     pub expired: u64,
-    /// The connection ended without an answer.
+    /// Queries whose connection ended without a response.
     pub lost: u64,
-    /// No answer before the client's deadline.
+    /// Queries without a response before the client's deadline.
     pub late: u64,
-    /// Tries of their clients.
+    /// Tries of the clients for all these queries.
     pub tries: u64,
 }
 
 impl OutcomeCounts {
-    /// Share of what was asked that was answered in time.
+    /// Returns the fraction of queries that were answered before their deadline; 1 if there were none.
     pub fn service(&self) -> f64 {
         if self.queries == 0 { 1.0 } else { self.answered as f64 / self.queries as f64 }
     }
@@ -80,22 +80,22 @@
 
 /// Outcomes and latencies of a run.
 pub struct OutcomeStatistics {
-    /// Of all queries.
+    /// Outcomes of all queries.
     pub all: OutcomeCounts,
-    /// By the name of the service class.
+    /// Outcomes by name of the service class.
     pub classes: BTreeMap<String, OutcomeCounts>,
-    /// By the name of the tenant.
+    /// Outcomes by name of the tenant.
     pub tenants: BTreeMap<String, OutcomeCounts>,
-    /// By the second in which it was wanted.
+    /// Outcomes by the second in which the query was planned.
     pub seconds: Vec<OutcomeCounts>,
     latency: Histogram<u64>,
-    /// How late the load itself was, which says whether this machine could carry the run.
+    /// Delays of the load generator itself, which show whether this machine could sustain the load.
     load_delay: Histogram<u64>,
     targets: Vec<(String, Nanos)>,
     tenant_names: Vec<String>,
 }
 
-/// Histograms keep microseconds up to two minutes, to three digits.
+/// Returns a histogram of microseconds up to two minutes, with three significant digits.
 fn histogram() -> Histogram<u64> {
     Histogram::new_with_bounds(1, 120_000_000, 3).unwrap_or_else(|_| unreachable!("the bounds are good"))
 }
@@ -105,14 +105,14 @@
 }
 
 impl OutcomeStatistics {
-    /// Nothing was asked yet.
+    /// Returns statistics without any query.
     pub fn new(scenario: &Scenario) -> OutcomeStatistics {
         let targets = scenario.classes.iter().map(|g| (g.name.clone(), ms(g.latency_target_ms))).collect();
         OutcomeStatistics {
             all: OutcomeCounts::default(),
             classes: BTreeMap::new(),
             tenants: BTreeMap::new(),
-            seconds: vec![OutcomeCounts::default(); (scenario.lasts() / SECOND + 1) as usize],
+            seconds: vec![OutcomeCounts::default(); (scenario.duration() / SECOND + 1) as usize],
             latency: histogram(),
             load_delay: histogram(),
             targets,
@@ -120,7 +120,7 @@
         }
     }
 
-    /// A planned query ended after all its tries; `ended` counts as its planned time does.
+    /// Records a query that ended after all its tries; `ended` has the same origin as the query's planned time.
     pub fn record(&mut self, query: &PlannedQuery, ended: Nanos, outcome: QueryOutcome, tries: u32) {
         let took = ended - query.at;
         let (name, target) = self.targets[query.class].clone();
@@ -138,17 +138,17 @@
         }
     }
 
-    /// A try went out so much after it was due.
+    /// Records that a try was sent `by` nanoseconds after it was due.
     pub fn record_delay(&mut self, by: Nanos) {
         self.load_delay.saturating_record(micros(by.max(1)));
     }
 
-    /// Milliseconds by quantile.
+    /// Returns the latency at a quantile, in milliseconds.
     pub fn latency(&self, quantile: f64) -> f64 {
         self.latency.value_at_quantile(quantile) as f64 / 1000.0
     }
 
-    /// How late tries went out, by quantile.
+    /// Returns the delay of the load generator at a quantile, in nanoseconds.
     pub fn load_delay(&self, quantile: f64) -> Nanos {
         self.load_delay.value_at_quantile(quantile) as Nanos * (MS / 1000)
     }
--- a/crates/fault-injection/src/store_model.rs
+++ b/crates/fault-injection/src/store_model.rs
@@ -1,5 +1,5 @@
-//! How a store works: a bounded queue before some cores, slower while it is warming, and down for a while after it got
-//! more than a warming one bears. Free of I/O and clocks; the stub on sockets runs on it.
+//! The model of a store: a bounded queue in front of a number of cores, slower while the store warms up, and down for a
+//! while after an overload during the warm-up. It has no I/O and no clock; the stub store on sockets uses it too.
 
 use std::collections::VecDeque;
 
@@ -10,55 +10,55 @@
 use crate::timeline::Condition;
 use crate::{Nanos, SECOND};
 
-/// What becomes of a shard request that arrived.
+/// The result of a shard request that arrived at a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Taken {
-    /// Turned away, and never run.
+pub enum RequestOutcome {
+    /// The store rejects it without executing it.
     Rejected,
-    /// Run until then, and answered.
+    /// The store executes it and responds at this time.
     Served(Nanos),
-    /// An error, then.
+    /// The store responds with an error at this time.
     Failed(Nanos),
-    /// It runs, and nobody hears of it.
-    Unheard,
+    /// The store sends no response. The shard request may have been executed.
+    Unanswered,
 }
 
-/// A store as it works.
+/// The state of a store.
 pub struct StoreModel {
     core_free_at: Vec<Nanos>,
-    /// When shard requests that wait for a core get one.
+    /// The times at which waiting shard requests get a core, ascending.
     starts: VecDeque<Nanos>,
     work: Nanos,
     queue: usize,
     warm_up: Nanos,
     cold_share: f64,
     down_for: Nanos,
-    /// Parts that came within the window while it is warming, and how many it bears.
+    /// Length of the window in which shard requests are counted during the warm-up.
     window: Nanos,
     recent: VecDeque<(Nanos, usize)>,
     overload_limit_warm: f64,
-    /// When its process started; none for long ago.
+    /// When the store's process started; `None` if it had run for long before the run began.
     pub started_at: Option<Nanos>,
-    /// What its faults make of it.
+    /// The combined effect of the store's active faults.
     pub condition: Condition,
-    /// Under a fall until then.
+    /// End of the downtime after an overload.
     down_until: Nanos,
     rng: Pcg64Mcg,
 }
 
-/// A warming store fell over: of the shard requests in the window, so many came from each front node.
+/// An overload of a store during its warm-up.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Overload {
-    /// Shard requests in the window.
+    /// The number of shard requests in the window.
     pub requests: usize,
-    /// How many it bears.
+    /// The number of shard requests above which the store fails.
     pub limit: usize,
-    /// How many came from each front node.
+    /// The number of shard requests in the window by front node.
     pub by_front_node: Vec<(usize, usize)>,
 }
 
 impl StoreModel {
-    /// A store that has run for long.
+    /// Returns a store that has been running for long and is warm.
     pub fn new(stores: &Stores, rules: &Rules, seed: u64) -> StoreModel {
         let work = seconds(stores.work_ms / 1000.0).max(1);
         let window = ms(rules.cold_window_ms).max(1);
@@ -81,7 +81,7 @@
         }
     }
 
-    /// It begins anew: nothing is under way, and it is warming for its time.
+    /// Restarts the store with no work in progress and at the start of its warm-up.
     pub fn start(&mut self, now: Nanos) {
         self.core_free_at.iter_mut().for_each(|at| *at = now);
         (self.started_at, self.down_until) = (Some(now), Nanos::MIN);
@@ -89,23 +89,24 @@
         self.recent.clear();
     }
 
-    /// What it can do of what it can when warm: from its warming share on, growing evenly until its time is over.
-    pub fn warmth(&self, now: Nanos) -> f64 {
+    /// Returns the current capacity as a fraction of the full capacity: it grows linearly from `cold_share` to 1 during the
+    /// warm-up.
+    pub fn capacity_fraction(&self, now: Nanos) -> f64 {
         let Some(at) = self.started_at else { return 1.0 };
         let age = (now - at).max(0) as f64 / self.warm_up.max(1) as f64;
         if age >= 1.0 { 1.0 } else { self.cold_share + (1.0 - self.cold_share) * age }
     }
 
     fn is_warming_up(&self, now: Nanos) -> bool {
-        self.warmth(now) < 1.0
+        self.capacity_fraction(now) < 1.0
     }
 
-    /// Whether it takes connections.
+    /// Returns whether the store accepts connections.
     pub fn is_up(&self, now: Nanos) -> bool {
         !self.condition.down && now >= self.down_until
     }
 
-    /// Parts that wait for a core.
+    /// Returns the number of shard requests that wait for a core.
     pub fn waiting(&mut self, now: Nanos) -> usize {
         while self.starts.front().is_some_and(|at| *at <= now) {
             self.starts.pop_front();
@@ -113,17 +114,22 @@
         self.starts.len()
     }
 
-    /// More than `N + 3 root N + 3` shard requests in the window fell it, `N` being the rule's multiple of what it can
-    /// do then.
+    /// Returns the number of shard requests in the window that the store tolerates: `N + 3 sqrt(N) + 3`, where `N` is the
+    /// rule's multiple of the store's current capacity.
     fn overload_limit(&self, now: Nanos) -> usize {
-        let bears = self.overload_limit_warm * self.warmth(now);
+        let bears = self.overload_limit_warm * self.capacity_fraction(now);
         (bears + 3.0 * bears.sqrt() + 3.0) as usize
     }
 
-    /// A shard request of the size of `size` means came, from that front node.
-    pub fn take(&mut self, now: Nanos, size: f64, front_node: usize) -> (Taken, Option<Overload>) {
+    /// Processes a shard request from a front node; `size` is its work relative to the mean.
+    pub fn receive(
+        &mut self,
+        now: Nanos,
+        size: f64,
+        front_node: usize,
+    ) -> (RequestOutcome, Option<Overload>) {
         if !self.is_up(now) || self.condition.unresponsive {
-            return (Taken::Unheard, None);
+            return (RequestOutcome::Unanswered, None);
         }
         if self.is_warming_up(now) {
             while self.recent.front().is_some_and(|(at, _)| now - at >= self.window) {
@@ -131,20 +137,20 @@
             }
             self.recent.push_back((now, front_node));
             if self.recent.len() > self.overload_limit(now) {
-                return (Taken::Unheard, Some(self.overload(now)));
+                return (RequestOutcome::Unanswered, Some(self.overload(now)));
             }
         }
         let (waiting, drawn) = (self.waiting(now), self.rng.random::<f64>());
-        if self.condition.draining || waiting >= self.queue || drawn < self.condition.refuses {
-            return (Taken::Rejected, None);
+        if self.condition.draining || waiting >= self.queue || drawn < self.condition.rejected_fraction {
+            return (RequestOutcome::Rejected, None);
         }
         let cores = ((self.core_free_at.len() as f64 * self.condition.cores_left).ceil() as usize).max(1);
-        // What a share of one core cannot give is time.
+        // A remaining fraction of a core makes the work slower.
         let starved = (self.core_free_at.len() as f64 * self.condition.cores_left / cores as f64).max(0.01);
-        let warm = 1.0 / self.warmth(now).max(0.01);
-        let duration = (self.work as f64 * size * warm * self.condition.slower / starved) as Nanos;
+        let warm = 1.0 / self.capacity_fraction(now).max(0.01);
+        let duration = (self.work as f64 * size * warm * self.condition.slowdown / starved) as Nanos;
         let Some(core) = (0..cores).min_by_key(|c| self.core_free_at[*c]) else {
-            return (Taken::Rejected, None);
+            return (RequestOutcome::Rejected, None);
         };
         let starts_at = self.core_free_at[core].max(now);
         self.core_free_at[core] = starts_at + duration;
@@ -154,9 +160,11 @@
         }
         let done = starts_at + duration;
         match () {
-            () if self.condition.stalled => (Taken::Unheard, None),
-            () if self.rng.random::<f64>() < self.condition.spoils => (Taken::Failed(done), None),
-            () => (Taken::Served(done), None),
+            () if self.condition.stalled => (RequestOutcome::Unanswered, None),
+            () if self.rng.random::<f64>() < self.condition.failed_fraction => {
+                (RequestOutcome::Failed(done), None)
+            }
+            () => (RequestOutcome::Served(done), None),
         }
     }
 
@@ -175,15 +183,16 @@
         overload
     }
 
-    /// From now until a shard request of mean work that came now would be done.
-    pub fn time_to_answer(&self, now: Nanos) -> Nanos {
+    /// Returns how long a shard request of mean size would take if it arrived now.
+    pub fn time_to_respond(&self, now: Nanos) -> Nanos {
         let starts_at = self.core_free_at.iter().min().copied().unwrap_or(now).max(now);
-        let warm = 1.0 / self.warmth(now).max(0.01);
+        let warm = 1.0 / self.capacity_fraction(now).max(0.01);
         starts_at - now
-            + (self.work as f64 * warm * self.condition.slower / self.condition.cores_left.max(0.01)) as Nanos
+            + (self.work as f64 * warm * self.condition.slowdown / self.condition.cores_left.max(0.01))
+                as Nanos
     }
 
-    /// Parts a second that it serves when warm.
+    /// Returns the number of shard requests per second that the store can process when warm.
     pub fn rate(&self) -> u64 {
         (self.core_free_at.len() as Nanos * SECOND / self.work) as u64
     }
--- a/crates/fault-injection/src/timeline.rs
+++ b/crates/fault-injection/src/timeline.rs
@@ -1,5 +1,5 @@
-//! What happens when: the scenario's faults with their stores drawn, as a list of beginnings and ends, and what several
-//! faults at once make of a store. No clock: the host asks for what has fallen due.
+//! The timeline of a run: the scenario's faults with the stores drawn for them, as a list of start and end events, and
+//! the combined effect of simultaneous faults on a store. It has no clock: the caller requests the events that are due.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,22 +12,22 @@
 use crate::error::ScenarioError;
 use crate::scenario::{Fault, FaultKind, Scenario, Stores};
 
-/// A fault that begins or ends, by its place in the scenario.
+/// The start or end of a fault, for one store if the fault affects stores.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FaultEvent {
-    /// When, since the run began.
+    /// Time since the run began.
     pub at: Nanos,
-    /// Its position in the scenario.
+    /// Index of the fault in the scenario.
     pub fault: usize,
-    /// What goes wrong.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Whether it begins or ends.
+    /// Whether the fault begins (`true`) or ends.
     pub begins: bool,
-    /// The store that it befalls, where it befalls one.
+    /// The affected store; `None` if the fault does not affect stores.
     pub store: Option<usize>,
 }
 
-/// The run's faults in the order of time.
+/// The events of a run's faults, in the order of their times.
 #[derive(Clone, Debug)]
 pub struct Timeline {
     events: Vec<FaultEvent>,
@@ -35,21 +35,22 @@
 }
 
 impl Timeline {
-    /// Drawn stores come from the seed, the same for the same scenario and seed.
+    /// Returns the timeline of a scenario. Affected stores are drawn from the seed: the same scenario and seed give the same
+    /// stores. Returns an error if too few stores may be faulty at once for a draw.
     pub fn new(scenario: &Scenario, seed: u64) -> Result<Timeline, ScenarioError> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let lasts = scenario.lasts();
+        let lasts = scenario.duration();
         let mut faulted: Vec<FaultedStore> = Vec::new();
         let mut events = Vec::new();
         for (n, fault) in scenario.faults.iter().enumerate() {
             let (at, until) = (fault.at(), fault.until(lasts));
             let event = |at, begins, store| FaultEvent { at, fault: n, kind: fault.kind, begins, store };
-            if !fault.kind.of_stores() {
+            if !fault.kind.affects_stores() {
                 events.push(event(at, true, None));
                 events.push(event(until, false, None));
                 continue;
             }
-            let stores = chosen(&scenario.stores, fault, at, until, &faulted, &mut rng)
+            let stores = affected_stores(&scenario.stores, fault, at, until, &faulted, &mut rng)
                 .map_err(|error| ScenarioError::value(format!("trouble[{n}].draw"), error.to_string()))?;
             for store in stores {
                 faulted.push(FaultedStore { at, until, store });
@@ -57,47 +58,47 @@
                 events.push(event(until, false, Some(store)));
             }
         }
-        // Ends before beginnings of the same moment: one that hands over to the next is not two at once.
+        // A fault that ends when another begins does not overlap with it, so ends are processed first.
         events.sort_by_key(|a| (a.at, a.begins, a.fault, a.store));
         Ok(Timeline { events, next: 0 })
     }
 
-    /// The next event that has fallen due.
+    /// Returns the next event if it is due.
     pub fn due(&mut self, now: Nanos) -> Option<FaultEvent> {
         let event = self.events.get(self.next).copied().filter(|a| a.at <= now)?;
         self.next += 1;
         Some(event)
     }
 
-    /// When the next one falls due.
+    /// Returns the time of the next event.
     pub fn next_due(&self) -> Option<Nanos> {
         self.events.get(self.next).map(|a| a.at)
     }
 
-    /// All events, in the order of their times.
+    /// Returns all events, in the order of their times.
     pub fn events(&self) -> &[FaultEvent] {
         &self.events
     }
 }
 
-/// A store that a fault was given to, and when.
+/// A store that is affected by a fault, and the time of the fault.
 struct FaultedStore {
     at: Nanos,
     until: Nanos,
     store: usize,
 }
 
-/// A fault is to strike more stores than may be in fault at once.
+/// A fault requires more stores than may be faulty at once.
 #[derive(Debug, Display, Error)]
-#[display("only {drawn} of {wanted} can be in trouble at once with share {share}")]
+#[display("only {drawn} of {wanted} stores may be faulty at once with share {share}")]
 struct TooFewStores {
     drawn: usize,
     wanted: usize,
     share: f64,
 }
 
-/// The stores that a fault strikes: those of its zone, those that it names, or some drawn by chance.
-fn chosen(
+/// Returns the stores that a fault affects: those of its zone, those that it names, or a random draw.
+fn affected_stores(
     stores: &Stores,
     fault: &Fault,
     at: Nanos,
@@ -112,7 +113,7 @@
         let named = |n: &usize| fault.stores.contains(&crate::store_name(*n));
         return Ok((0..stores.count()).filter(named).collect());
     }
-    // Those in fault at some moment of this one's time.
+    // Stores that are faulty at some time during this fault.
     let mut out: BTreeSet<usize> = faulted
         .iter()
         .filter(|other| other.at < until && at < other.until)
@@ -144,25 +145,25 @@
     Ok(drawn)
 }
 
-/// What a store is like under all its faults together.
+/// The combined effect of all active faults of a store.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Condition {
-    /// Its process has ended.
+    /// The store's process has ended.
     pub down: bool,
-    /// It takes connections and answers nothing.
+    /// The store accepts connections and does not respond.
     pub unresponsive: bool,
-    /// Its answers begin and do not end.
+    /// The store's responses begin and never end.
     pub stalled: bool,
-    /// It takes nothing new.
+    /// The store accepts no new requests.
     pub draining: bool,
-    /// Times as long that its work takes.
-    pub slower: f64,
-    /// Share of its cores that it has.
+    /// Factor of the processing time, at least 1.
+    pub slowdown: f64,
+    /// The remaining fraction of the cores, 0 to 1.
     pub cores_left: f64,
-    /// Share of shard requests that it rejects.
-    pub refuses: f64,
-    /// Share of shard requests that it answers with an error.
-    pub spoils: f64,
+    /// The fraction of shard requests that the store rejects, 0 to 1.
+    pub rejected_fraction: f64,
+    /// The fraction of shard requests that the store fails with an error, 0 to 1.
+    pub failed_fraction: f64,
 }
 
 impl Default for Condition {
@@ -172,44 +173,48 @@
             unresponsive: false,
             stalled: false,
             draining: false,
-            slower: 1.0,
+            slowdown: 1.0,
             cores_left: 1.0,
-            refuses: 0.0,
-            spoils: 0.0,
+            rejected_fraction: 0.0,
+            failed_fraction: 0.0,
         }
     }
 }
 
-/// The faults that a store is under, by their places: whichever ends first takes only its own shard request away.
+/// The active faults of a store, by their index in the scenario. A fault that ends removes only its own effect.
 #[derive(Clone, Debug, Default)]
 pub struct ActiveFaults {
-    under: BTreeMap<usize, FaultKind>,
+    by_index: BTreeMap<usize, FaultKind>,
 }
 
 impl ActiveFaults {
-    /// A fault begins or ends.
+    /// Adds a fault that begins, or removes one that ends.
     pub fn apply(&mut self, event: &FaultEvent) {
         if event.begins {
-            self.under.insert(event.fault, event.kind);
+            self.by_index.insert(event.fault, event.kind);
         } else {
-            self.under.remove(&event.fault);
+            self.by_index.remove(&event.fault);
         }
     }
 
-    /// What they make of the store.
+    /// Returns the combined effect of the active faults.
     pub fn condition(&self) -> Condition {
         let mut c = Condition::default();
-        for kind in self.under.values() {
+        for kind in self.by_index.values() {
             match *kind {
                 FaultKind::Die => c.down = true,
                 FaultKind::Stall => c.stalled = true,
                 FaultKind::Silent => c.unresponsive = true,
-                FaultKind::Slow { factor } => c.slower *= factor,
+                FaultKind::Slow { factor } => c.slowdown *= factor,
                 FaultKind::Cpu { lost } => c.cores_left *= 1.0 - lost,
-                FaultKind::Refuse { part } => c.refuses = 1.0 - (1.0 - c.refuses) * (1.0 - part),
-                FaultKind::Spoil { part } => c.spoils = 1.0 - (1.0 - c.spoils) * (1.0 - part),
+                FaultKind::Refuse { part } => {
+                    c.rejected_fraction = 1.0 - (1.0 - c.rejected_fraction) * (1.0 - part);
+                }
+                FaultKind::Spoil { part } => {
+                    c.failed_fraction = 1.0 - (1.0 - c.failed_fraction) * (1.0 - part);
+                }
                 FaultKind::Drain => c.draining = true,
-                // Their steps are the host's: what they make of the store comes from its stage.
+                // Other faults do not change the condition: the fault injector carries out their steps.
                 _ => {}
             }
         }
--- a/crates/fault-injection/tests/golden_virtual.rs
+++ b/crates/fault-injection/tests/golden_virtual.rs
@@ -1,6 +1,6 @@
-//! Runs in virtual time, compared with those recorded: the report as machines read it (without the wording of its verdict
-//! and proofs), the lines of the front nodes' traces, and what a grid of them comes to. Keys of objects are hashed in their
-//! alphabetical order, since `serde_json` keeps another order where some package of the build asks for it.
+//! Golden traces of runs in virtual time: the report as JSON (without the wording of its verdict and proofs), the lines of the
+//! front nodes' traces, and the results of an experiment. Object keys are hashed in alphabetical order, because the order that
+//! `serde_json` keeps depends on the features that other packages of the build enable.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -19,7 +19,7 @@
 use orchidvalve_request_recording::{Arrival, Header, Recording};
 use serde_json::Value;
 
-/// Every fault, tenants, a budget and the agreed order of work, within three seconds.
+/// A scenario with every kind of fault, tenants, a budget and the maintenance queue, within three seconds.
 const EVERYTHING: &str = r#"
 name = "everything"
 lasts_s = 3.0
@@ -162,7 +162,7 @@
 for_s = 0.2
 "#;
 
-/// Far more than the stores can do, warming ones among them, and no agreed order.
+/// A scenario with far more load than the stores can process, with stores that warm up, and without the maintenance queue.
 const CROWDED: &str = r#"
 name = "crowded"
 lasts_s = 2.0
@@ -205,16 +205,16 @@
 }
 
 fn scenario(name: &str) -> Scenario {
-    let small = || std::fs::read_to_string(golden("small.toml")).expect("the scenario is there");
+    let small = || std::fs::read_to_string(golden("small.toml")).expect("the scenario file is readable");
     let text = match name {
         "everything" => EVERYTHING.to_owned(),
         "crowded" => CROWDED.to_owned(),
         _ => small(),
     };
-    Scenario::read(&text).expect("it can be used")
+    Scenario::read(&text).expect("the scenario or plan is valid")
 }
 
-/// Adds a value with the keys of its objects in alphabetical order, without texts for people.
+/// Adds a value to the trace, with object keys in alphabetical order and without the texts `why` and `proof`.
 fn hash(value: &Value, trace: &mut Trace) {
     match value {
         Value::Object(fields) => {
@@ -237,26 +237,26 @@
 
 fn hash_of(value: &impl serde::Serialize) -> u64 {
     let mut trace = Trace::new();
-    hash(&serde_json::to_value(value).expect("it can be written"), &mut trace);
+    hash(&serde_json::to_value(value).expect("the value can be serialized"), &mut trace);
     trace.finish()
 }
 
 fn hash_report(report: &Report) -> u64 {
     let mut trace = Trace::new();
     trace.add_number(u64::from(report.verdict.exit()));
-    hash(&serde_json::to_value(report).expect("a report can be written"), &mut trace);
+    hash(&serde_json::to_value(report).expect("the report can be serialized"), &mut trace);
     trace.finish()
 }
 
-/// The hashes of a report and of the traces.
-fn played(scenario: &Scenario, seed: u64, policy: Policy, planned: Vec<PlannedQuery>) -> [u64; 2] {
+/// Runs a scenario and returns the hashes of its report and of its trace lines.
+fn run_hashes(scenario: &Scenario, seed: u64, policy: Policy, planned: Vec<PlannedQuery>) -> [u64; 2] {
     let mut lines = Trace::new();
     let mut line = |front: usize, line: String| {
         lines.add_number(front as u64);
         lines.add(line.as_bytes());
     };
     let (report, effort) =
-        play_traced(scenario, seed, (policy, planned), |_| {}, Some(&mut line)).expect("it plays");
+        play_traced(scenario, seed, (policy, planned), |_| {}, Some(&mut line)).expect("the run completes");
     assert!(report.all.queries > 50 && report.attempts > 50, "{}: nearly nothing happened", scenario.name);
     lines.add_number(effort.events);
     lines.add_number(effort.rounds);
@@ -264,7 +264,7 @@
 }
 
 #[test]
-fn rehearsals_in_virtual_time_come_out_as_recorded() {
+fn runs_in_virtual_time_match_the_golden_hashes() {
     let plays = ["everything", "crowded", "small"].into_iter().flat_map(|name| {
         let seeds = if name == "everything" { 6 } else { 3 };
         Policy::ALL.into_iter().flat_map(move |policy| {
@@ -279,20 +279,20 @@
                 scope.spawn(move || {
                     let scenario = scenario(name);
                     let planned = arrivals(&scenario, *seed);
-                    let [report, lines] = played(&scenario, *seed, *policy, planned);
+                    let [report, lines] = run_hashes(&scenario, *seed, *policy, planned);
                     let name = format!("{name}-{}-{seed}", policy.name());
                     [(format!("{name}-report"), report), (format!("{name}-lines"), lines)]
                 })
             })
             .collect();
-        running.into_iter().flat_map(|run| run.join().expect("a rehearsal ends")).collect()
+        running.into_iter().flat_map(|run| run.join().expect("the run completes")).collect()
     });
     check_hashes(&golden("virtual.txt"), &hashes);
 }
 
-/// Front nodes that are told wrong break rules: which, when, and of what, is as recorded.
+/// Front nodes with wrong settings violate the same rules at the same times as recorded.
 #[test]
-fn rules_broken_by_front_nodes_told_wrong_are_those_recorded() {
+fn violations_with_wrong_settings_match_the_golden_hashes() {
     type Amend = fn(&mut AggregatorSettings);
     let amends: [(&str, Amend); 3] = [
         ("pure", |o| {
@@ -303,23 +303,23 @@
         ("cap", |o| o.max_attempts += 8),
         ("budget", |o| o.retry_budget = None),
     ];
-    let mut broken = 0;
+    let mut violations = 0;
     let hashes: Vec<(String, u64)> = amends
         .into_iter()
         .map(|(name, amend)| {
             let scenario = scenario("everything");
             let (report, _) = play_amended(&scenario, 3, Policy::Aggregator, arrivals(&scenario, 3), amend)
-                .expect("it plays");
-            broken += report.violations.len();
+                .expect("the run completes");
+            violations += report.violations.len();
             (format!("told-wrong-{name}"), hash_report(&report))
         })
         .collect();
-    assert!(broken > 0, "no rule was broken: nothing is compared");
+    assert!(violations > 0, "no rule was violated, so nothing is compared");
     check_hashes(&golden("breaches.txt"), &hashes);
 }
 
 #[test]
-fn a_recording_laid_over_a_scenario_is_asked_as_recorded() {
+fn replayed_recordings_match_the_golden_hashes() {
     let arrival = |n: u64| Arrival {
         gap_us: 3_000 + n % 7 * 4_000,
         class: (n % 3) as u32,
@@ -346,27 +346,28 @@
     let renamed = BTreeMap::from([("view".to_owned(), "look".to_owned())]);
     let mut hashes = Vec::new();
     for (name, recordings, speed) in [("two-fronts", &two[..], 1.0), ("one-front-faster", &two[..1], 1.7)] {
-        let laid = ReplayOptions { speed, renamed: renamed.clone(), at_most: Some(1_800 * MS) };
-        let planned = replayed(&scenario, recordings, &laid, 5).expect("it can be laid over");
-        let [report, lines] = played(&scenario, 5, Policy::Aggregator, planned);
+        let options = ReplayOptions { speed, renamed: renamed.clone(), at_most: Some(1_800 * MS) };
+        let planned =
+            replayed(&scenario, recordings, &options, 5).expect("the recordings match the scenario");
+        let [report, lines] = run_hashes(&scenario, 5, Policy::Aggregator, planned);
         hashes.extend([(format!("{name}-report"), report), (format!("{name}-lines"), lines)]);
     }
     check_hashes(&golden("replayed.txt"), &hashes);
 }
 
 #[test]
-fn what_front_nodes_are_told_and_what_a_plan_comes_to_is_as_recorded() {
+fn settings_and_experiment_results_match_the_golden_hashes() {
     let mut hashes: Vec<(String, u64)> = ["everything", "crowded", "small"]
         .map(|name| (format!("settings-{name}"), hash_of(&settings(&scenario(name)))))
         .into();
     let plan = "scenario = 'crowded.toml'\nseeds = 2\npolicies = ['ours', 'round-robin']\n\
                 [[grid]]\nkey = 'load.*.rate'\nvalues = [60.0, 140.0]\n[[grid]]\nkey = 'stores.queue'\nvalues = [3]\n";
-    let plan = Plan::read(plan).expect("it can be used");
+    let plan = Plan::read(plan).expect("the scenario or plan is valid");
     let cells = plan.cells();
     let mut names = Trace::new();
     cells.iter().for_each(|cell| names.add(cell.name().as_bytes()));
     hashes.push(("cell-names".to_owned(), names.finish()));
-    let outcomes: Vec<_> = cells.iter().map(|cell| run(CROWDED, cell).expect("it plays")).collect();
+    let outcomes: Vec<_> = cells.iter().map(|cell| run(CROWDED, cell).expect("the run completes")).collect();
     hashes.extend(cells.iter().zip(&outcomes).map(|(cell, outcome)| {
         let name: String = cell.name().chars().map(|c| if c == ' ' { '_' } else { c }).collect();
         (name, hash_of(outcome))
--- a/crates/fault-injection/tests/invariants.rs
+++ b/crates/fault-injection/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! Each auditor hears a stream that breaks exactly its rule, and the same stream put right, of which it says nothing.
+//! Each rule of the invariant checker: a stream of events that violates exactly this rule, and a similar stream that
+//! violates none.
 
 use orchidvalve_fault_injection::invariants::{Event, InvariantChecker, Violation};
 use orchidvalve_fault_injection::scenario::Scenario;
@@ -38,13 +39,13 @@
 rate = 1.0
 "#;
 
-fn broken(stream: &[(Nanos, Event)]) -> Vec<Violation> {
-    let mut auditors = InvariantChecker::new(&Scenario::read(TEXT).unwrap());
-    stream.iter().for_each(|(at, event)| auditors.observe(*at, event));
-    auditors.end(10 * SECOND)
+fn violations_of(stream: &[(Nanos, Event)]) -> Vec<Violation> {
+    let mut checker = InvariantChecker::new(&Scenario::read(TEXT).unwrap());
+    stream.iter().for_each(|(at, event)| checker.observe(*at, event));
+    checker.end(10 * SECOND)
 }
 
-fn asked(id: &str, class: usize, shards: &[usize], until: Nanos) -> Event {
+fn query_sent(id: &str, class: usize, shards: &[usize], until: Nanos) -> Event {
     let key = (class == 1).then(|| "k1".to_owned());
     Event::QuerySent { id: id.into(), front_node: 0, class, tenant: None, shards: shards.into(), key, until }
 }
@@ -54,7 +55,7 @@
     Event::Answered { id: id.into(), status, complete, parts }
 }
 
-fn launched(id: &str, shard: usize, store: &str) -> Event {
+fn attempt_received(id: &str, shard: usize, store: &str) -> Event {
     Event::AttemptReceived { id: id.into(), shard, store: store.into(), key: Some("k1".into()) }
 }
 
@@ -62,10 +63,10 @@
     Event::Served { id: id.into(), shard, store: store.into(), value: value.into() }
 }
 
-/// The good stream is silent, the bad one names that rule alone.
-fn tells(rule: u8, good: &[(Nanos, Event)], bad: &[(Nanos, Event)]) -> Vec<Violation> {
-    assert_eq!(broken(good), Vec::new());
-    let violations = broken(bad);
+/// Asserts that `good` violates no rule and `bad` violates only `rule`; returns the violations of `bad`.
+fn assert_violates(rule: u8, good: &[(Nanos, Event)], bad: &[(Nanos, Event)]) -> Vec<Violation> {
+    assert_eq!(violations_of(good), Vec::new());
+    let violations = violations_of(bad);
     assert!(
         !violations.is_empty() && violations.iter().all(|b| b.rule == rule),
         "rule {rule}: {violations:#?}"
@@ -74,11 +75,11 @@
     violations
 }
 
-/// One query of one shard request, served in time, with what is put in its place.
+/// The events of a query with one shard request that is served before its deadline.
 fn complete(class: usize) -> Vec<(Nanos, Event)> {
     vec![
-        (0, asked("a", class, &[0], SECOND)),
-        (MS, launched("a", 0, "s-0")),
+        (0, query_sent("a", class, &[0], SECOND)),
+        (MS, attempt_received("a", 0, "s-0")),
         (5 * MS, served("a", 0, "s-0", "v")),
         (6 * MS, answered("a", 200, true, &[(0, "v")])),
     ]
@@ -91,53 +92,57 @@
 }
 
 #[test]
-fn one_answer_in_time_and_no_attempt_after_it() {
+fn each_query_gets_one_response_in_time_and_no_attempt_after_it() {
     let good = complete(0);
-    tells(1, &good, &good[..3]);
-    tells(1, &good, &with(good[..3].to_vec(), &[(2 * SECOND, answered("a", 200, true, &[(0, "v")]))]));
-    tells(1, &good, &with(good.clone(), &[(9 * MS, answered("a", 503, false, &[]))]));
-    let late = tells(1, &good, &with(good.clone(), &[(900 * MS, launched("a", 0, "s-1"))]));
+    assert_violates(1, &good, &good[..3]);
+    assert_violates(
+        1,
+        &good,
+        &with(good[..3].to_vec(), &[(2 * SECOND, answered("a", 200, true, &[(0, "v")]))]),
+    );
+    assert_violates(1, &good, &with(good.clone(), &[(9 * MS, answered("a", 503, false, &[]))]));
+    let late = assert_violates(1, &good, &with(good.clone(), &[(900 * MS, attempt_received("a", 0, "s-1"))]));
     assert_eq!((late[0].shard, late[0].store.as_deref(), late[0].at_ms), (Some(0), Some("s-1"), 900));
-    tells(1, &good, &with(good.clone(), &[(2 * MS, launched("a", 1, "s-1"))]));
+    assert_violates(1, &good, &with(good.clone(), &[(2 * MS, attempt_received("a", 1, "s-1"))]));
 }
 
 #[test]
-fn what_a_killed_front_node_had_in_flight_is_no_violation() {
-    let stream = [(0, asked("a", 0, &[0], SECOND)), (MS, Event::FrontNodeKilled { front_node: 0 })];
-    assert_eq!(broken(&stream), Vec::new());
+fn open_queries_of_a_killed_front_node_are_no_violation() {
+    let stream = [(0, query_sent("a", 0, &[0], SECOND)), (MS, Event::FrontNodeKilled { front_node: 0 })];
+    assert_eq!(violations_of(&stream), Vec::new());
 }
 
 #[test]
-fn no_effect_twice() {
-    let refused = Event::Rejected { id: "a".into(), shard: 0, store: "s-1".into() };
-    let again = [(0, launched("a", 0, "s-1")), (MS / 2, refused)];
+fn effectful_and_receipted_attempts_are_not_repeated() {
+    let rejected = Event::Rejected { id: "a".into(), shard: 0, store: "s-1".into() };
+    let again = [(0, attempt_received("a", 0, "s-1")), (MS / 2, rejected)];
     let good = with(complete(2), &again);
-    tells(2, &good, &with(complete(2), &again[..1]));
-    // Rejected, though an attempt may have run.
+    assert_violates(2, &good, &with(complete(2), &again[..1]));
+    // The query is rejected although an attempt may have been executed.
     let stream = [
-        (0, asked("a", 2, &[0], SECOND)),
-        (MS, launched("a", 0, "s-0")),
+        (0, query_sent("a", 2, &[0], SECOND)),
+        (MS, attempt_received("a", 0, "s-0")),
         (9 * MS, answered("a", 503, false, &[])),
     ];
-    tells(2, &complete(2), &stream);
-    // Receipted: again within the window, and beyond it; and under another key.
+    assert_violates(2, &complete(2), &stream);
+    // Receipted: attempted again within the window, after the window, and without the idempotency key.
     let long = |at| {
         vec![
-            (0, asked("a", 1, &[0], 4 * SECOND)),
-            (MS, launched("a", 0, "s-0")),
-            (at, launched("a", 0, "s-1")),
+            (0, query_sent("a", 1, &[0], 4 * SECOND)),
+            (MS, attempt_received("a", 0, "s-0")),
+            (at, attempt_received("a", 0, "s-1")),
             (at + MS, served("a", 0, "s-1", "v")),
             (at + 2 * MS, answered("a", 200, true, &[(0, "v")])),
         ]
     };
-    tells(2, &long(900 * MS), &long(1500 * MS));
+    assert_violates(2, &long(900 * MS), &long(1500 * MS));
     let mut other = complete(1);
     other[1].1 = Event::AttemptReceived { id: "a".into(), shard: 0, store: "s-0".into(), key: None };
-    tells(2, &complete(1), &other);
+    assert_violates(2, &complete(1), &other);
 }
 
 #[test]
-fn nothing_new_to_a_closed_store_after_the_grace() {
+fn a_closed_store_receives_no_attempts_after_the_grace_period() {
     let closed = |at| (at, Event::Listed { store: "s-0".into(), closed: true, started_at: None });
     let late = |more: &[(Nanos, Event)]| {
         let later = complete(0).into_iter().map(|(at, e)| match e {
@@ -149,44 +154,52 @@
         });
         with(later.collect(), more)
     };
-    tells(3, &late(&[closed(2500 * MS)]), &late(&[closed(SECOND)]));
+    assert_violates(3, &late(&[closed(2500 * MS)]), &late(&[closed(SECOND)]));
     let back =
         (2 * SECOND, Event::Listed { store: "s-0".into(), closed: false, started_at: Some(2 * SECOND) });
-    assert_eq!(broken(&late(&[closed(SECOND), back])), Vec::new(), "it is in use again");
+    assert_eq!(violations_of(&late(&[closed(SECOND), back])), Vec::new(), "the store is in use again");
     let unresponsive = (SECOND / 2, Event::DiscoveryUnresponsive(true));
-    assert_eq!(broken(&late(&[closed(SECOND), unresponsive])), Vec::new(), "nobody was told");
+    assert_eq!(
+        violations_of(&late(&[closed(SECOND), unresponsive])),
+        Vec::new(),
+        "front nodes cannot know of it while discovery is unresponsive"
+    );
 }
 
 #[test]
-fn no_warming_store_is_overloaded() {
-    let fall = Overload { requests: 9, limit: 8, by_front_node: vec![(0, 9)] };
-    let fell = (2 * SECOND, Event::Overloaded { store: "s-1".into(), overload: fall });
-    let told = (SECOND, Event::Listed { store: "s-1".into(), closed: false, started_at: Some(SECOND) });
-    tells(4, &with(complete(0), std::slice::from_ref(&fell)), &with(complete(0), &[told, fell]));
+fn an_overload_counts_only_after_discovery_published_the_start() {
+    let overload = Overload { requests: 9, limit: 8, by_front_node: vec![(0, 9)] };
+    let overloaded = (2 * SECOND, Event::Overloaded { store: "s-1".into(), overload });
+    let listed = (SECOND, Event::Listed { store: "s-1".into(), closed: false, started_at: Some(SECOND) });
+    assert_violates(
+        4,
+        &with(complete(0), std::slice::from_ref(&overloaded)),
+        &with(complete(0), &[listed, overloaded]),
+    );
 }
 
 #[test]
-fn honest_answers() {
+fn responses_have_only_served_values_and_correct_completeness() {
     let pair = |complete, parts: &[(usize, &str)]| {
         vec![
-            (0, asked("a", 0, &[0, 1], SECOND)),
-            (MS, launched("a", 0, "s-0")),
+            (0, query_sent("a", 0, &[0, 1], SECOND)),
+            (MS, attempt_received("a", 0, "s-0")),
             (5 * MS, served("a", 0, "s-0", "v")),
             (6 * MS, answered("a", 200, complete, parts)),
         ]
     };
     let good = pair(false, &[(0, "v")]);
-    tells(5, &good, &pair(true, &[(0, "v")]));
-    tells(5, &good, &pair(false, &[(0, "w")]));
-    tells(5, &good, &pair(false, &[]));
-    tells(5, &good, &pair(false, &[(0, "v"), (0, "v")]));
+    assert_violates(5, &good, &pair(true, &[(0, "v")]));
+    assert_violates(5, &good, &pair(false, &[(0, "w")]));
+    assert_violates(5, &good, &pair(false, &[]));
+    assert_violates(5, &good, &pair(false, &[(0, "v"), (0, "v")]));
 }
 
 #[test]
-fn attempts_within_the_cap_and_the_budget() {
-    let again = |n: i64| (n * 2 * MS, launched("a", 0, "s-1"));
-    tells(6, &with(complete(0), &[again(1)]), &with(complete(0), &[again(1), again(2)]));
-    // Two queries of one shard request each allow one further attempt and four tenths of one.
+fn attempts_stay_within_the_cap_and_the_budget() {
+    let again = |n: i64| (n * 2 * MS, attempt_received("a", 0, "s-1"));
+    assert_violates(6, &with(complete(0), &[again(1)]), &with(complete(0), &[again(1), again(2)]));
+    // The budget of two queries with one shard request each is 1 + 0.1 * 4 = 1.4 further attempts.
     let second = |e: &Event| match e.clone() {
         Event::QuerySent { front_node, class, tenant, shards, key, until, .. } => {
             Event::QuerySent { id: "b".into(), front_node, class, tenant, shards, key, until }
@@ -203,5 +216,5 @@
     let two: Vec<_> =
         complete(0).into_iter().flat_map(|(at, e)| [(at, e.clone()), (at, second(&e))]).collect();
     let good = with(two.clone(), &[again(1)]);
-    tells(6, &good, &with(good.clone(), &[(3 * MS, launched("b", 0, "s-1"))]));
+    assert_violates(6, &good, &with(good.clone(), &[(3 * MS, attempt_received("b", 0, "s-1"))]));
 }
