--- a/crates/cli/src/error.rs
+++ b/crates/cli/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a command can't be carried out.
+//! Errors of the commands.
 
 use std::net::SocketAddr;
 
@@ -7,68 +7,68 @@
 
 use crate::why::WhyError;
 
-/// Whatever an error of a library is.
+/// An error of a library.
 type Cause = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a command can't be carried out, as `orchidvalve: FAULT` on standard error.
+/// Why a command failed. It is printed as `orchidvalve: ERROR` on standard error.
 #[derive(Debug, Display, Error, From)]
 pub enum CommandError {
-    /// Something is wrong with a file, a directory or an address.
+    /// A file, a directory, an address or a flag cannot be used.
     #[display("{subject}: {source}")]
     #[from(ignore)]
     About {
         /// The file, directory, address or flag.
         subject: String,
-        /// What is wrong with it.
+        /// The cause.
         source: Cause,
     },
-    /// A run can't be made, or its report can't be written.
+    /// A run cannot be started or completed, or its report cannot be written.
     #[display("{_0}")]
     Run(RunError),
-    /// Recordings can't be laid over a scenario.
+    /// Recordings cannot be replayed on a scenario.
     #[display("{_0}")]
     Replay(ReplayError),
-    /// A trace can't be told of.
+    /// A trace cannot be explained.
     #[display("{_0}")]
     Why(WhyError),
-    /// A front node answered with another status than the one that was expected.
-    #[display("{node}: {status}: {answer}")]
+    /// A front node responded with an unexpected status.
+    #[display("{node}: {status}: {response}")]
     #[from(ignore)]
-    Status { node: SocketAddr, status: u16, answer: String },
-    /// A front node's answer isn't one.
-    #[display("{node}: an answer that cannot be read")]
+    Status { node: SocketAddr, status: u16, response: String },
+    /// The response of a front node is malformed.
+    #[display("{node}: malformed HTTP response")]
     #[from(ignore)]
-    UnreadableAnswer { node: SocketAddr },
-    /// The order of work didn't show in time what was asked for.
+    MalformedResponse { node: SocketAddr },
+    /// The maintenance queue did not list a requested change in time.
     #[display(
-        "{node}: the order did not show it within {seconds} s; it may still be carried out: look with `list`"
+        "{node}: the maintenance queue did not list the change within {seconds} s; it may still be carried out: check with `list`"
     )]
     #[from(ignore)]
-    NotShown { node: SocketAddr, seconds: u64 },
-    /// A store's directory is damaged.
+    ChangeNotListed { node: SocketAddr, seconds: u64 },
+    /// The directory of a log store is damaged.
     #[display("{dir}: {}", faults.join("; "))]
     #[from(ignore)]
     Damaged { dir: String, faults: Vec<String> },
-    /// A segment of a store can't be read.
+    /// A segment of a log store cannot be read.
     #[display("{dir}: segment {number:016x} cannot be read; see logbook check")]
     #[from(ignore)]
     UnreadableSegment { dir: String, number: u64 },
-    /// A stub of a store listens on loopback only.
+    /// The address of a stub store is not on loopback.
     #[display("--listen: {address} is not on loopback")]
     #[from(ignore)]
     NotLoopback { address: SocketAddr },
-    /// No recording has a query in the time that was asked for.
-    #[display("nothing was recorded")]
+    /// The recordings contain no query in the duration of the scenario.
+    #[display("the recordings contain no query within the duration of the scenario")]
     NothingRecorded,
-    /// Many runs were stopped before the last one.
-    #[display("stopped with {done} of {all} on record: the same command goes on from there")]
+    /// The experiment was stopped before its last run.
+    #[display("stopped with {done} of {all} runs completed: run the same command again to resume")]
     #[from(ignore)]
     Stopped { done: usize, all: usize },
 }
 
 impl CommandError {
-    /// An error about a file, a directory, an address or a flag.
+    /// Returns a conversion of a cause to an error about a file, a directory, an address or a flag.
     pub fn about<E: Into<Cause>>(subject: impl std::fmt::Display) -> impl FnOnce(E) -> CommandError {
-        move |fault| CommandError::About { subject: subject.to_string(), source: fault.into() }
+        move |error| CommandError::About { subject: subject.to_string(), source: error.into() }
     }
 }
--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -1,4 +1,4 @@
-//! `orchidvalve experiment`: many rehearsals in virtual time, on all cores, kept in a log store as each ends.
+//! `orchidvalve experiment`: many runs in virtual time on all cores. Each outcome is stored in a log store when it is known.
 
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -6,13 +6,13 @@
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
 use clap::Args;
-use orchidvalve_fault_injection::experiment::{Cell, Outcome, Plan, chart, page, rows, run as play};
+use orchidvalve_fault_injection::experiment::{Cell, Outcome, Plan, chart, page, rows, run as run_one};
 use orchidvalve_log_store::disk::real::RealDisk;
 use orchidvalve_log_store::{Batch, LogStore, LogStoreOptions};
 
 use crate::error::CommandError;
 
-/// Outcomes by the names of their cells.
+/// Keyspace of the log store: outcomes by name of the run.
 const OUTCOMES: u16 = 1;
 
 /// Parameters of the 64-bit FNV-1a hash (RFC 9923).
@@ -23,10 +23,10 @@
 pub struct ExperimentArgs {
     /// The plan: a scenario, seeds, policies and a grid of the scenario's keys
     plan: PathBuf,
-    /// Where results.jsonl, summary.md and chart.svg go, and the records that a broken off plan goes on from
+    /// Directory for results.jsonl, summary.md and chart.svg, and for the records from which a stopped experiment resumes
     #[arg(long, value_name = "DIR", default_value = "experiment")]
     out: PathBuf,
-    /// Rehearsals at once; left out: one a core
+    /// The number of parallel runs; left out: one per core
     #[arg(long)]
     jobs: Option<usize>,
 }
@@ -38,22 +38,22 @@
     std::fs::create_dir_all(&args.out).map_err(CommandError::about(args.out.display()))?;
     let records = Records::open(args.out.join("records"), &text)?;
     let cells = plan.cells();
-    let (mut done, mut left) = (Vec::new(), Vec::new());
+    let (mut done, mut remaining) = (Vec::new(), Vec::new());
     for cell in &cells {
         match records.get(cell) {
             Some(outcome) => done.push(outcome),
-            None => left.push(cell),
+            None => remaining.push(cell),
         }
     }
-    eprintln!("{} rehearsals, {} of them on record", cells.len(), done.len());
+    eprintln!("{} runs, {} of them completed earlier", cells.len(), done.len());
     let stop = Arc::new(AtomicBool::new(false));
     for signal in [signal_hook::consts::SIGINT, signal_hook::consts::SIGTERM] {
         signal_hook::flag::register(signal, stop.clone()).map_err(CommandError::about("signals"))?;
     }
-    let work = Work {
+    let runs = Runs {
         scenario: &scenario,
         text: &text,
-        left,
+        remaining,
         all: cells.len(),
         next: AtomicUsize::new(0),
         stop: &stop,
@@ -62,7 +62,7 @@
         error: Mutex::new(None),
     };
     let cores = std::thread::available_parallelism().map_or(1, usize::from);
-    let mut outcomes = work.run(args.jobs.unwrap_or(cores).max(1))?;
+    let mut outcomes = runs.execute(args.jobs.unwrap_or(cores).max(1))?;
     outcomes.sort_by(|a, b| (&a.point, a.policy, a.seed).cmp(&(&b.point, b.policy, b.seed)));
     write_results(&plan, &outcomes, &args.out)
 }
@@ -71,10 +71,10 @@
     std::fs::read_to_string(path).map_err(CommandError::about(path.display()))
 }
 
-/// What a plan that was broken off goes on from.
+/// The stored outcomes, from which a stopped experiment resumes.
 struct Records {
     dir: PathBuf,
-    /// A record is of one scenario as it was: a file that has changed begins anew.
+    /// Hash of the scenario's text, part of every key: after a change of the scenario no stored outcome matches.
     scenario_hash: u64,
     store: Mutex<LogStore>,
 }
@@ -109,27 +109,27 @@
     }
 }
 
-/// The cells of a plan that are left, for all threads.
-struct Work<'a> {
+/// The remaining runs of a plan, shared by all threads.
+struct Runs<'a> {
     scenario: &'a Path,
     text: &'a str,
-    left: Vec<&'a Cell>,
-    /// Cells of the plan.
+    remaining: Vec<&'a Cell>,
+    /// The number of runs in the plan.
     all: usize,
     next: AtomicUsize,
     stop: &'a AtomicBool,
     records: Records,
     outcomes: Mutex<Vec<Outcome>>,
-    /// The first one ends the work.
+    /// The first error, which stops the other threads.
     error: Mutex<Option<CommandError>>,
 }
 
-impl Work<'_> {
-    /// Plays what is left in so many threads; the outcomes of the whole plan.
-    fn run(self, threads: usize) -> Result<Vec<Outcome>, CommandError> {
+impl Runs<'_> {
+    /// Executes the remaining runs with the given number of threads and returns the outcomes of the whole plan.
+    fn execute(self, threads: usize) -> Result<Vec<Outcome>, CommandError> {
         std::thread::scope(|scope| {
             for _ in 0..threads {
-                scope.spawn(|| self.play_cells());
+                scope.spawn(|| self.run_cells());
             }
         });
         if std::io::stderr().is_terminal() {
@@ -145,12 +145,12 @@
         Ok(outcomes)
     }
 
-    fn play_cells(&self) {
-        while let Some(cell) = self.left.get(self.next.fetch_add(1, Relaxed)) {
+    fn run_cells(&self) {
+        while let Some(cell) = self.remaining.get(self.next.fetch_add(1, Relaxed)) {
             if self.stop.load(Relaxed) || locked(&self.error).is_some() {
                 return;
             }
-            match self.play_cell(cell) {
+            match self.run_cell(cell) {
                 Ok(outcome) => {
                     let mut outcomes = locked(&self.outcomes);
                     outcomes.push(outcome);
@@ -163,8 +163,8 @@
         }
     }
 
-    fn play_cell(&self, cell: &Cell) -> Result<Outcome, CommandError> {
-        let outcome = play(self.text, cell).map_err(CommandError::about(self.scenario.display()))?;
+    fn run_cell(&self, cell: &Cell) -> Result<Outcome, CommandError> {
+        let outcome = run_one(self.text, cell).map_err(CommandError::about(self.scenario.display()))?;
         self.records.put(cell, &outcome)?;
         Ok(outcome)
     }
@@ -183,7 +183,7 @@
     print!("{page}");
     write("summary.md", page + "\n![chart](chart.svg)\n")?;
     let drawn = chart(plan, &rows, &out.join("chart.svg"));
-    drawn.map_err(|fault| CommandError::about(out.display())(fault.to_string()))
+    drawn.map_err(|error| CommandError::about(out.display())(error.to_string()))
 }
 
 fn locked<T>(of: &Mutex<T>) -> MutexGuard<'_, T> {
--- a/crates/cli/src/logbook.rs
+++ b/crates/cli/src/logbook.rs
@@ -1,4 +1,4 @@
-//! `orchidvalve logbook`: looking at a store's directory, and mending it. Looking takes nothing from its owner.
+//! `orchidvalve logbook`: inspects and repairs the directory of a log store. Inspection works while the store is in use.
 
 use std::io::{IsTerminal, Write};
 use std::sync::Arc;
@@ -15,23 +15,23 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Read every byte and say what is damaged; status 2 if anything is. Works on a store in use
+    /// Read every byte and report damage; the exit status is 2 if there is any. Works on a log store in use
     Check(Dir),
-    /// List the live records, oldest first. Works on a store in use
+    /// List the live records, oldest first. Works on a log store in use
     Dump(Dir),
-    /// Segments, sizes and records. Works on a store in use
+    /// List segments with their sizes and records. Works on a log store in use
     Stats(Dir),
-    /// Merge all that is worth it. The store must not be in use
+    /// Merge all segments that are worth it. The log store must not be in use
     Compact(CompactArgs),
-    /// List all records that can be told in files kept aside, or in the one named
+    /// List all records that can be recovered from quarantined files, or from the named file
     Salvage(SalvageArgs),
 }
 
 #[derive(Args)]
 pub struct Dir {
-    /// The store's directory
+    /// The log store's directory
     dir: String,
-    /// As JSON: an object, or an object a line for records
+    /// Print JSON: one object, or one object per line for records
     #[arg(long)]
     json: bool,
 }
@@ -40,7 +40,7 @@
 pub struct CompactArgs {
     #[command(flatten)]
     dir: Dir,
-    /// What the store is for
+    /// Name of the log store, as its owner opens it
     #[arg(long, default_value = "orchidvalve-node")]
     name: String,
 }
@@ -49,15 +49,15 @@
 pub struct SalvageArgs {
     #[command(flatten)]
     dir: Dir,
-    /// A file in it, such as salvage-0000000000000007.seg; all that are kept aside where none is named
+    /// A file in the directory, such as salvage-0000000000000007.seg; left out: all quarantined files
     #[arg(long)]
     file: Option<String>,
 }
 
 pub fn run(command: Command) -> Result<(), CommandError> {
     match command {
-        Command::Check(dir) => checked(&dir, true),
-        Command::Stats(dir) => checked(&dir, false),
+        Command::Check(dir) => check_directory(&dir, true),
+        Command::Stats(dir) => check_directory(&dir, false),
         Command::Dump(dir) => {
             let records = live(&open(&dir)?).map_err(CommandError::about(&dir.dir))?;
             print(&records, dir.json)
@@ -71,7 +71,7 @@
     RealDisk::open(&dir.dir).map_err(CommandError::about(&dir.dir))
 }
 
-/// Prints the progress of long work, on a terminal only.
+/// Returns a progress callback that prints to standard error, if that is a terminal.
 fn progress() -> impl FnMut(u64, u64) {
     let (mut last_printed, is_terminal) = (Instant::now(), std::io::stderr().is_terminal());
     move |done, all| {
@@ -83,7 +83,7 @@
     }
 }
 
-fn checked(dir: &Dir, fail_on_damage: bool) -> Result<(), CommandError> {
+fn check_directory(dir: &Dir, fail_on_damage: bool) -> Result<(), CommandError> {
     let report = check(&open(dir)?, progress()).map_err(CommandError::about(&dir.dir))?;
     if dir.json {
         println!("{}", as_json(&report));
@@ -124,7 +124,7 @@
            "aside": report.quarantined, "faults": report.faults})
 }
 
-/// A key or a value as text where it is some, else as hex digits.
+/// Returns a key or value as text if it is printable, else as hexadecimal digits.
 fn printable(bytes: &[u8]) -> String {
     match std::str::from_utf8(bytes) {
         Ok(text) if !text.contains(char::is_control) => text.to_owned(),
@@ -143,7 +143,7 @@
         } else {
             format!("{:>12} {kind:<6} {:>5} {key} {value}", r.sequence, r.keyspace)
         };
-        // Who reads the list may have seen enough.
+        // The reader of the output may have closed it early, which is no error.
         if writeln!(out, "{line}").is_err() {
             return Ok(());
         }
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -19,65 +19,65 @@
 };
 use orchidvalve_frontnode::{log, node};
 
-/// What cannot be used: a file, a key or a query. Told as `FILE: PATH: reason`.
-pub const UNUSABLE: u8 = 2;
+/// Exit status for a file, key or query that cannot be used. The error is printed as `FILE: PATH: reason`.
+pub const UNUSABLE_INPUT: u8 = 2;
 
 #[derive(Parser)]
 #[command(name = "orchidvalve", version, about = "Co-ordinates queries over replicated shards")]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Command,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Run a front node until it is told to stop (SIGTERM)
+    /// Run a front node until SIGTERM
     Node(NodeArgs),
-    /// Look into queries and routes of the search door, without a node
+    /// Explain queries and check routes of the search gateway, without a node
     #[command(subcommand)]
     Search(search::Command),
-    /// Look at, compact or salvage the directory of a logbook
+    /// Inspect, compact or salvage the directory of a log store
     #[command(subcommand)]
     Logbook(logbook::Command),
-    /// Take machines out for work in the order that the front nodes agree on
+    /// Take machines out for maintenance in the order that the front nodes agree on
     Maintenance(maintenance::MaintenanceArgs),
-    /// Rehearse a bad day on this machine: front nodes as processes, stand-in stores, load, and troubles by a scenario
+    /// Run a error scenario on this machine: front nodes as processes, stub stores, load and faults
     Rehearse(rehearse::RehearseArgs),
-    /// Play many rehearsals in virtual time: a grid of scenario keys, seeds and policies
+    /// Run many scenarios in virtual time: a grid of scenario keys, seeds and policies
     Experiment(experiment::ExperimentArgs),
-    /// Tell from a trace why retrievals fared as they did
+    /// Explain from a trace why queries ended as they did
     Why(why::WhyArgs),
-    /// Run a stand-in for a store on loopback, with documents in memory
+    /// Run a stub store on loopback, with documents in memory
     Standin(standin::StandinArgs),
 }
 
 #[derive(Args)]
 struct NodeArgs {
-    /// The configuration
+    /// The configuration file
     #[arg(long, env = VARIABLE, value_name = "FILE")]
     config: String,
-    /// The routes of the search door, where the configuration does not name them
+    /// The file of search routes, if the configuration does not name it
     #[arg(long, env = ROUTES_VARIABLE, value_name = "FILE")]
     search: Option<String>,
-    /// The file of the logbook, where the configuration does not name it
+    /// The settings file of the log store, if the configuration does not name it
     #[arg(long, env = LOGBOOK_VARIABLE, value_name = "FILE")]
     logbook: Option<String>,
-    /// The file of the fleet of front nodes, where the configuration does not name it
+    /// The settings file of the fleet of front nodes, if the configuration does not name it
     #[arg(long, env = FLEET_VARIABLE, value_name = "FILE")]
     fleet: Option<String>,
-    /// The file of the cold start, where the configuration does not name it
+    /// The settings file of the cold start, if the configuration does not name it
     #[arg(long, env = COLDSTART_VARIABLE, value_name = "FILE")]
     coldstart: Option<String>,
-    /// The file on machines taken out for work, where the configuration does not name it
+    /// The settings file of machine maintenance, if the configuration does not name it
     #[arg(long, env = MAINTENANCE_VARIABLE, value_name = "FILE")]
     maintenance: Option<String>,
-    /// The file on recording what is asked, where the configuration does not name it
+    /// The settings file of request recording, if the configuration does not name it
     #[arg(long, env = RECORD_VARIABLE, value_name = "FILE")]
     record: Option<String>,
     /// Write the reason of each decision to this file, - for standard error; `orchidvalve why` reads it
     #[arg(long, env = TRACE_VARIABLE, value_name = "FILE")]
     trace: Option<String>,
-    /// How log lines are written on standard error
+    /// Format of the log lines on standard error
     #[arg(long, value_enum, default_value = "text")]
     log_format: LogFormat,
 }
@@ -89,7 +89,7 @@
 }
 
 fn main() -> ExitCode {
-    let done = match Line::parse().command {
+    let result = match CommandLine::parse().command {
         Command::Node(args) => {
             log::start(match args.log_format {
                 LogFormat::Text => log::Format::Text,
@@ -106,23 +106,29 @@
                 trace: args.trace,
             })
             .map_err(|error| error.to_string())
-            .map_err(|fault| (1, fault))
+            .map_err(|error| (1, error))
+        }
+        Command::Search(command) => search::run(command).map_err(|error| (UNUSABLE_INPUT, error.to_string())),
+        Command::Logbook(command) => {
+            logbook::run(command).map_err(|error| (UNUSABLE_INPUT, error.to_string()))
+        }
+        Command::Maintenance(args) => {
+            maintenance::run(&args).map_err(|error| (UNUSABLE_INPUT, error.to_string()))
         }
-        Command::Search(command) => search::run(command).map_err(|fault| (UNUSABLE, fault.to_string())),
-        Command::Logbook(command) => logbook::run(command).map_err(|fault| (UNUSABLE, fault.to_string())),
-        Command::Maintenance(args) => maintenance::run(&args).map_err(|fault| (UNUSABLE, fault.to_string())),
         Command::Rehearse(args) => match rehearse::run(&args) {
             Ok(status) => return ExitCode::from(status),
-            Err(fault) => Err((rehearse::exit_of_error(), fault.to_string())),
+            Err(error) => Err((rehearse::error_status(), error.to_string())),
         },
-        Command::Experiment(args) => experiment::run(&args).map_err(|fault| (UNUSABLE, fault.to_string())),
-        Command::Why(args) => why::run(&args).map_err(|fault| (UNUSABLE, fault.to_string())),
-        Command::Standin(args) => standin::run(args).map_err(|fault| (UNUSABLE, fault.to_string())),
+        Command::Experiment(args) => {
+            experiment::run(&args).map_err(|error| (UNUSABLE_INPUT, error.to_string()))
+        }
+        Command::Why(args) => why::run(&args).map_err(|error| (UNUSABLE_INPUT, error.to_string())),
+        Command::Standin(args) => standin::run(args).map_err(|error| (UNUSABLE_INPUT, error.to_string())),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err((status, fault)) => {
-            eprintln!("orchidvalve: {fault}");
+        Err((status, error)) => {
+            eprintln!("orchidvalve: {error}");
             ExitCode::from(status)
         }
     }
--- a/crates/cli/src/maintenance.rs
+++ b/crates/cli/src/maintenance.rs
@@ -1,4 +1,4 @@
-//! `orchidvalve maintenance`: machines taken out for work, asked of and read from any front node.
+//! `orchidvalve maintenance`: requests and lists the maintenance of machines through any front node.
 
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -9,42 +9,42 @@
 
 use crate::error::CommandError;
 
-const ANSWER_WITHIN: Duration = Duration::from_secs(5);
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(5);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 #[derive(Args)]
 pub struct MaintenanceArgs {
     #[command(subcommand)]
     command: Command,
-    /// A front node, any of them
+    /// Address of any front node
     #[arg(long, global = true, value_name = "ADDRESS", default_value = "127.0.0.1:8000")]
     node: SocketAddr,
-    /// Print the node's answer as JSON
+    /// Print the node's response as JSON
     #[arg(long, global = true)]
     json: bool,
 }
 
 #[derive(Subcommand)]
 enum Command {
-    /// Ask that a machine may go out; it goes when the order says so (see `list`)
+    /// Request maintenance of a machine; it may be taken out once the queue shows it (see `list`)
     Ask {
         machine: String,
-        /// Who asks
+        /// Who requests it
         #[arg(long, default_value = "")]
         by: String,
-        /// What for
+        /// Reason of the maintenance
         #[arg(long, default_value = "")]
         why: String,
-        /// Minutes for which it is out
+        /// Minutes for which the machine is out
         #[arg(long, value_name = "MINUTES", default_value_t = 60)]
         lasts: u64,
-        /// Minutes after which the ask lapses if it is not repeated
+        /// Minutes after which the request expires if it is not repeated
         #[arg(long, value_name = "MINUTES", default_value_t = 1440)]
         waits: u64,
         #[command(flatten)]
         wait: Wait,
     },
-    /// Take an ask back, or say that a machine that is out will not be waited for
+    /// Cancel a request, or stop waiting for a machine that is out
     Cancel {
         machine: String,
         #[arg(long, default_value = "")]
@@ -52,19 +52,19 @@
         #[command(flatten)]
         wait: Wait,
     },
-    /// The order as that node knows it
+    /// List the maintenance queue as the node knows it
     List {
-        /// What happened lately, too
+        /// List recent events, too
         #[arg(long)]
         events: bool,
     },
-    /// Why a machine is where it is
+    /// Explain the stage of a machine
     Explain { machine: String },
 }
 
 #[derive(Args)]
 struct Wait {
-    /// Seconds to wait until the order shows that it was carried out
+    /// Seconds to wait until the queue shows that the change was carried out
     #[arg(long = "within", value_name = "SECONDS", default_value_t = 15)]
     within: u64,
 }
@@ -102,7 +102,7 @@
     }
 }
 
-/// Sends a wish and waits until the order shows that it was carried out.
+/// Sends a change and waits until the maintenance queue shows that it was carried out.
 fn change(
     args: &MaintenanceArgs,
     what: &str,
@@ -110,12 +110,12 @@
     machine: &str,
     within: u64,
 ) -> Result<(), CommandError> {
-    let (status, answer) = call(args.node, "POST", &format!("/_maintenance/{what}"), &body.to_string())?;
+    let (status, response) = call(args.node, "POST", &format!("/_maintenance/{what}"), &body.to_string())?;
     if status != 202 {
-        return Err(CommandError::Status { node: args.node, status, answer: answer.trim().to_owned() });
+        return Err(CommandError::Status { node: args.node, status, response: response.trim().to_owned() });
     }
-    let answer: Value = serde_json::from_str(&answer).map_err(CommandError::about(args.node))?;
-    let nonce = text(&answer, "nonce").to_owned();
+    let response: Value = serde_json::from_str(&response).map_err(CommandError::about(args.node))?;
+    let nonce = text(&response, "nonce").to_owned();
     let end = Instant::now() + Duration::from_secs(within);
     loop {
         let view = view(args.node)?;
@@ -128,17 +128,17 @@
             return Ok(());
         }
         if Instant::now() >= end {
-            return Err(CommandError::NotShown { node: args.node, seconds: within });
+            return Err(CommandError::ChangeNotListed { node: args.node, seconds: within });
         }
-        std::thread::sleep(LOOK_EVERY);
+        std::thread::sleep(POLL_INTERVAL);
     }
 }
 
 fn view(node: SocketAddr) -> Result<Value, CommandError> {
     let (status, text) = call(node, "GET", "/_maintenance", "")?;
     if status != 200 {
-        let answer = "machines taken out for work are not switched on there".to_owned();
-        return Err(CommandError::Status { node, status, answer });
+        let response = "maintenance is not enabled on this node".to_owned();
+        return Err(CommandError::Status { node, status, response });
     }
     serde_json::from_str(&text).map_err(CommandError::about(node))
 }
@@ -179,16 +179,17 @@
 }
 
 fn call(node: SocketAddr, method: &str, path: &str, body: &str) -> Result<(u16, String), CommandError> {
-    let mut stream = TcpStream::connect_timeout(&node, ANSWER_WITHIN).map_err(CommandError::about(node))?;
-    stream.set_read_timeout(Some(ANSWER_WITHIN)).map_err(CommandError::about(node))?;
+    let mut stream =
+        TcpStream::connect_timeout(&node, RESPONSE_TIMEOUT).map_err(CommandError::about(node))?;
+    stream.set_read_timeout(Some(RESPONSE_TIMEOUT)).map_err(CommandError::about(node))?;
     let head = format!(
         "{method} {path} HTTP/1.1\r\nHost: {node}\r\nConnection: close\r\nContent-Length: {}\r\n\r\n",
         body.len()
     );
     stream.write_all(format!("{head}{body}").as_bytes()).map_err(CommandError::about(node))?;
-    let mut answer = String::new();
-    stream.read_to_string(&mut answer).map_err(CommandError::about(node))?;
-    let (head, body) = answer.split_once("\r\n\r\n").ok_or(CommandError::UnreadableAnswer { node })?;
+    let mut response = String::new();
+    stream.read_to_string(&mut response).map_err(CommandError::about(node))?;
+    let (head, body) = response.split_once("\r\n\r\n").ok_or(CommandError::MalformedResponse { node })?;
     let status = head.split(' ').nth(1).and_then(|s| s.parse().ok());
-    Ok((status.ok_or(CommandError::UnreadableAnswer { node })?, body.to_owned()))
+    Ok((status.ok_or(CommandError::MalformedResponse { node })?, body.to_owned()))
 }
--- a/crates/cli/src/search.rs
+++ b/crates/cli/src/search.rs
@@ -1,4 +1,4 @@
-//! `orchidvalve search`: what a query comes to, and whether a file of routes can be used.
+//! `orchidvalve search`: explains queries and checks files of search routes.
 
 use std::io::Read;
 use std::time::{SystemTime, UNIX_EPOCH};
@@ -12,18 +12,18 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Say where a query goes and what its parts carry, or why it is refused
+    /// Print where a query goes and what its shard requests carry, or why it is rejected
     Explain(ExplainArgs),
-    /// Check a file of routes, and list what it says
+    /// Check a file of routes, and list its indices
     CheckRoutes(CheckArgs),
 }
 
 #[derive(Args)]
-pub struct Settlement {
-    /// Slices that there are (the settings' extra.slices)
+pub struct RoutingContextArgs {
+    /// The number of shards (the settings' extra.slices)
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..))]
     slices: u32,
-    /// A node's configuration: its grades and slices are held against the routes
+    /// A front node's configuration; routes are checked against its service classes and shards
     #[arg(long, value_name = "FILE")]
     config: Option<String>,
 }
@@ -35,17 +35,17 @@
     routes: String,
     #[arg(long)]
     index: String,
-    /// Routing values, commas between
+    /// Routing values, separated by commas
     #[arg(long)]
     routing: Option<String>,
-    /// _shards:N,M
+    /// The search preference, _shards:N,M
     #[arg(long)]
     preference: Option<String>,
-    /// Milliseconds since 1970 that `now` means; this moment where none are given
+    /// Time that `now` stands for in the query, in milliseconds since 1970; left out: the current time
     #[arg(long, value_name = "MS")]
     now: Option<i64>,
     #[command(flatten)]
-    settled: Settlement,
+    context: RoutingContextArgs,
     /// The body of a _search, or - for standard input
     file: String,
 }
@@ -53,7 +53,7 @@
 #[derive(Args)]
 pub struct CheckArgs {
     #[command(flatten)]
-    settled: Settlement,
+    context: RoutingContextArgs,
     /// The file of routes
     file: String,
 }
@@ -74,10 +74,10 @@
     read.map_err(CommandError::about(path))
 }
 
-/// Without a configuration every grade that the file names is taken to be there.
-fn routes(path: &str, settled: &Settlement) -> Result<Routes, CommandError> {
+/// Reads a file of routes. Without a configuration, every service class that the file names is accepted.
+fn routes(path: &str, context: &RoutingContextArgs) -> Result<Routes, CommandError> {
     let text = read(path)?;
-    let settled = match &settled.config {
+    let context = match &context.config {
         Some(config) => {
             let text = read(config)?;
             let (plan, _) = orchidvalve_frontnode::config::read(
@@ -87,13 +87,13 @@
             .map_err(CommandError::about(config))?;
             RoutingContext { classes: plan.route_classes(), shards: plan.shards }
         }
-        None => RoutingContext { classes: Routes::classes_named(&text), shards: settled.slices as usize },
+        None => RoutingContext { classes: Routes::classes_named(&text), shards: context.slices as usize },
     };
-    Routes::read(&text, &settled).map_err(CommandError::about(path))
+    Routes::read(&text, &context).map_err(CommandError::about(path))
 }
 
 fn explain(args: &ExplainArgs) -> Result<(), CommandError> {
-    let routes = routes(&args.routes, &args.settled)?;
+    let routes = routes(&args.routes, &args.context)?;
     let index = routes.index(&args.index).map_err(CommandError::about(&args.routes))?;
     let now = args.now.unwrap_or_else(|| {
         let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
@@ -102,22 +102,22 @@
     let body = read(&args.file)?;
     let search = SearchRequest::read(body.as_bytes(), &index.name, &index.mapping, now)
         .map_err(CommandError::about(&args.file))?;
-    let parts = index
+    let shards = index
         .shard_weights(args.routing.as_deref(), args.preference.as_deref())
         .map_err(CommandError::about(&args.file))?;
     println!("grade      {}", index.class_name);
-    for part in &parts {
-        println!("slice      {}, {:.1}% of the whole", part.shard, part.weight * 100.0);
+    for shard in &shards {
+        println!("slice      {}, {:.1}% of the whole", shard.shard, shard.weight * 100.0);
     }
-    let looked_at: Vec<String> = field_usage(&search.query).into_keys().collect();
-    println!("fields     {}", if looked_at.is_empty() { "none".to_owned() } else { looked_at.join(", ") });
+    let fields: Vec<String> = field_usage(&search.query).into_keys().collect();
+    println!("fields     {}", if fields.is_empty() { "none".to_owned() } else { fields.join(", ") });
     println!("canonical  {}", search.canonical());
     println!("body       {}", search.body());
     Ok(())
 }
 
 fn check(args: &CheckArgs) -> Result<(), CommandError> {
-    let routes = routes(&args.file, &args.settled)?;
+    let routes = routes(&args.file, &args.context)?;
     for index in routes.indices.values() {
         let selection = match &index.selection {
             ShardSelection::Routing => "by routing".to_owned(),
--- a/crates/cli/src/standin.rs
+++ b/crates/cli/src/standin.rs
@@ -1,4 +1,4 @@
-//! `orchidvalve standin`: a store for a try by hand, on loopback.
+//! `orchidvalve standin`: a stub store on loopback for manual tests.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -13,35 +13,35 @@
 
 #[derive(Args)]
 pub struct StandinArgs {
-    /// Address to listen on: loopback only
+    /// Address to listen on, on loopback only
     #[arg(long, default_value = "127.0.0.1:0")]
     listen: SocketAddr,
-    /// The file of routes: its indices and their fields
+    /// The file of routes with its indices and their fields
     #[arg(long, value_name = "FILE")]
     routes: String,
-    /// Slices that there are
+    /// The number of shards
     #[arg(long, default_value_t = 1, value_parser = clap::value_parser!(u32).range(1..))]
     slices: u32,
-    /// Documents, an object a line: {"index": .., "id": .., "routing": .., "document": {..}}
+    /// Documents, one object per line: {"index": .., "id": .., "routing": .., "document": {..}}
     #[arg(long, value_name = "FILE")]
     documents: Option<String>,
-    /// What goes wrong: WORDS=TROUBLE for parts whose text has those words, TROUBLE for all others. One of silent,
+    /// Faults: WORDS=TROUBLE for shard requests whose text contains the words, TROUBLE for all others. One of silent,
     /// stall, trickle, slow, full, error, garbled, short, late, cut, dead
     #[arg(long = "trouble", value_name = "[WORDS=]TROUBLE")]
     faults: Vec<String>,
 }
 
-/// Why a line of the documents can't be used.
+/// Why a line of the documents file cannot be used.
 #[derive(Debug, Display, Error)]
 enum DocumentError {
     #[display("{_0}")]
     Json(serde_json::Error),
-    #[display("{field}: missing, or no text")]
-    NoText { field: &'static str },
+    #[display("{field}: missing or not a string")]
+    NotAString { field: &'static str },
     #[display("{_0}")]
     Rejected(#[error(not(source))] String),
-    #[display("id: '{id}' is there twice")]
-    Twice { id: String },
+    #[display("id: '{id}' is used twice")]
+    DuplicateId { id: String },
 }
 
 pub fn run(args: StandinArgs) -> Result<(), CommandError> {
@@ -74,18 +74,18 @@
 
 fn put(documents: &mut Documents, text: &str) -> Result<(), DocumentError> {
     let line: serde_json::Value = serde_json::from_str(text).map_err(DocumentError::Json)?;
-    let text_of = |field: &'static str| line[field].as_str().ok_or(DocumentError::NoText { field });
+    let text_of = |field: &'static str| line[field].as_str().ok_or(DocumentError::NotAString { field });
     let (name, id) = (text_of("index")?, text_of("id")?);
-    let rejected = |fault: &dyn std::fmt::Display| DocumentError::Rejected(fault.to_string());
+    let rejected = |error: &dyn std::fmt::Display| DocumentError::Rejected(error.to_string());
     let routes = documents.routes.clone();
-    let index = routes.index(name).map_err(|fault| rejected(&fault))?;
-    let home = index.document_shard(id, line["routing"].as_str()).map_err(|fault| rejected(&fault))?;
+    let index = routes.index(name).map_err(|error| rejected(&error))?;
+    let home = index.document_shard(id, line["routing"].as_str()).map_err(|error| rejected(&error))?;
     let document =
-        Document::new(id, line["document"].clone(), &index.mapping).map_err(|fault| rejected(&fault))?;
+        Document::new(id, line["document"].clone(), &index.mapping).map_err(|error| rejected(&error))?;
     if documents.insert(name, home, document) {
         Ok(())
     } else {
-        Err(DocumentError::Twice { id: id.to_owned() })
+        Err(DocumentError::DuplicateId { id: id.to_owned() })
     }
 }
 
--- a/crates/cli/src/why.rs
+++ b/crates/cli/src/why.rs
@@ -1,6 +1,6 @@
-//! `orchidvalve why`: what a node's trace says of one query, and why queries fared as they did over time.
+//! `orchidvalve why`: explains from a front node's trace what happened to one query, and why queries ended over time.
 //!
-//! What it prints is read by scripts: the words stay those of `docs/trace.md`.
+//! Scripts read the output, so its words stay those of `docs/trace.md`.
 
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::io::{BufRead, BufReader};
@@ -13,39 +13,39 @@
 
 #[derive(Args)]
 pub struct WhyArgs {
-    /// Traces, or logs with traces in them; - for standard input
+    /// Traces, or logs that contain traces; - for standard input
     #[arg(required = true)]
     files: Vec<String>,
-    /// Tell the story of one retrieval, by its request id or by its number
+    /// Print all events of one query, given by its request id or its number
     #[arg(long, value_name = "ID")]
     retrieval: Option<String>,
-    /// Leave out what is before that second of the trace
+    /// Ignore events before this second of the trace
     #[arg(long, value_name = "S", default_value_t = 0.0)]
     from: f64,
-    /// Leave out what is after that second
+    /// Ignore events after this second of the trace
     #[arg(long, value_name = "S", default_value_t = f64::INFINITY)]
     to: f64,
-    /// Seconds that a line of the table stands for
+    /// Seconds per line of the table
     #[arg(long, value_name = "S", default_value_t = 1.0)]
     every: f64,
-    /// List the ids of retrievals that ended for that reason, such as crowded-out
+    /// List the ids of queries that ended for this reason, such as crowded-out
     #[arg(long, value_name = "REASON")]
     list: Option<String>,
 }
 
-/// Why a trace can't be told of.
+/// Why a trace cannot be explained.
 #[derive(Debug, Display, Error)]
 pub enum WhyError {
-    /// The file can't be read.
+    /// The file cannot be read.
     #[display("{path}: {source}")]
     Unreadable { path: String, source: std::io::Error },
-    /// No line of the file is a trace's.
-    #[display("{path}: no notes of a trace in it; a node writes them with --trace FILE")]
+    /// The file has no trace lines.
+    #[display("{path}: contains no trace; a node writes one with --trace FILE")]
     NoTrace { path: String },
-    /// No query of the trace has that id or number.
-    #[display("{path}: no retrieval '{id}' was taken in it")]
+    /// The trace has no query with this id or number.
+    #[display("{path}: contains no retrieval '{id}'")]
     UnknownQuery { path: String, id: String },
-    /// The length of a line of the table isn't above 0.
+    /// The number of seconds per line of the table is not above 0.
     #[display("--every: should be above 0, not {seconds}")]
     Interval { seconds: f64 },
 }
@@ -65,18 +65,18 @@
     Ok(())
 }
 
-/// What a trace says of a shard request.
+/// The query and shard of a shard request in a trace.
 struct TracedShardRequest {
     query: QueryIndex,
     shard: usize,
 }
 
-/// A trace that was read.
+/// A parsed trace.
 #[derive(Default)]
 struct Trace {
     records: Vec<TraceRecord>,
     replica_names: HashMap<ReplicaIndex, String>,
-    /// Request ids by query, and the other way round.
+    /// Request ids by query. `queries` is the inverse map.
     ids: HashMap<QueryIndex, String>,
     queries: HashMap<String, QueryIndex>,
     requests: HashMap<ShardRequestIndex, TracedShardRequest>,
@@ -93,7 +93,7 @@
         for line in input.split(b'\n') {
             let line = line.map_err(unreadable)?;
             let Ok(line) = std::str::from_utf8(&line) else { continue };
-            // Logs are often prefixed by who keeps them.
+            // Log collectors often add a prefix to each line.
             if let Some((_, line)) = line.split_once(LINE_PREFIX).filter(|(prefix, _)| prefix.len() < 80) {
                 trace.add_line(line);
             }
@@ -140,14 +140,14 @@
         self.requests.get(&request).map_or("?".to_owned(), |request| request.shard.to_string())
     }
 
-    /// Records of the time that was asked for, with their seconds since the start.
+    /// Returns the records within the requested time, with their seconds since the start of the trace.
     fn within(&self, args: &WhyArgs) -> impl Iterator<Item = (f64, &TraceRecord)> {
         let (start, from, to) = (self.start(), args.from, args.to);
         let timed = self.records.iter().map(move |record| ((record.at - start) as f64 / 1e9, record));
         timed.filter(move |(at, _)| (from..=to).contains(at))
     }
 
-    /// The query that an event is about.
+    /// Returns the query that an event belongs to, if any.
     fn query_of(&self, event: TraceEvent) -> Option<QueryIndex> {
         match event {
             TraceEvent::QueryReceived { query, .. }
@@ -230,10 +230,10 @@
         .and_then(|query| received_at(query).map(|at| (query, at)))
         .ok_or_else(|| WhyError::UnknownQuery { path: path.to_owned(), id: id.to_owned() })?;
     let is_of_query = |record: &&TraceRecord| trace.query_of(record.event) == Some(query);
-    let over = trace.records.iter().filter(is_of_query).map(|record| record.at).max().unwrap_or(began);
+    let ended = trace.records.iter().filter(is_of_query).map(|record| record.at).max().unwrap_or(began);
     let name = trace.ids.get(&query).map_or(String::new(), |id| format!(", request {id}"));
     println!("retrieval {}{name}, {:.3} s into the trace", query.0, (began - trace.start()) as f64 / 1e9);
-    // Replicas that it had to do with: what became of them meanwhile belongs to the story.
+    // Replicas that the query used or excluded; their ejections and readmissions meanwhile are part of the story.
     let concerned: BTreeSet<ReplicaIndex> = trace
         .records
         .iter()
@@ -246,8 +246,8 @@
         })
         .collect();
     for record in &trace.records {
-        let is_its_own = is_of_query(&record);
-        let is_beside = (began..=over).contains(&record.at)
+        let is_of_this_query = is_of_query(&record);
+        let is_related = (began..=ended).contains(&record.at)
             && match record.event {
                 TraceEvent::ReplicaEjected { replica, .. } | TraceEvent::ReplicaReadmitted { replica } => {
                     concerned.contains(&replica)
@@ -255,8 +255,8 @@
                 TraceEvent::MembershipListUsed { .. } => true,
                 _ => false,
             };
-        if is_its_own || is_beside {
-            let marker = if is_its_own { ' ' } else { '*' };
+        if is_of_this_query || is_related {
+            let marker = if is_of_this_query { ' ' } else { '*' };
             let at = (record.at - began) as f64 / 1e6;
             println!("{at:>10.1} ms {marker} {}", trace.describe(record.event));
         }
@@ -274,7 +274,7 @@
     }
 }
 
-/// A column of the table; its group says where it stands.
+/// A column of the table. Columns are ordered by group.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Column {
     group: usize,
@@ -282,7 +282,7 @@
     help: &'static str,
 }
 
-/// What the lines below the table say of each group of columns.
+/// Labels of the groups of columns in the lines below the table.
 const GROUPS: [&str; 9] = [
     "",
     "launched",
@@ -296,7 +296,7 @@
 ];
 
 impl Column {
-    /// The column of an event, where it has one.
+    /// Returns the column that counts an event, if there is one.
     fn of(event: TraceEvent) -> Option<Column> {
         let (group, word, help) = match event {
             TraceEvent::QueryReceived { is_retry: false, .. } => (0, "taken", "retrievals taken"),
--- a/crates/cli/tests/golden_why.rs
+++ b/crates/cli/tests/golden_why.rs
@@ -1,5 +1,5 @@
-//! What `orchidvalve why` prints of a fixed trace is what it printed before, byte for byte; and the flags and variables of every
-//! command are those that it had.
+//! Golden tests: the output of `orchidvalve why` for a fixed trace, byte for byte, and the flags and environment variables of
+//! every command.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -11,7 +11,7 @@
     Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/golden").join(name)
 }
 
-/// Run where the trace is, so that no path of this machine is printed.
+/// Runs the program in the directory of the trace, so that its output contains no path of this machine.
 fn orchidvalve(args: &[&str]) -> Output {
     let mut command = Command::new(env!("CARGO_BIN_EXE_orchidvalve"));
     command.args(args).current_dir(golden("")).env_clear();
@@ -19,8 +19,8 @@
 }
 
 #[test]
-fn what_is_told_of_a_trace_is_what_was_told_before() {
-    let asked: [(&str, &[&str]); 11] = [
+fn the_output_for_a_trace_matches_the_golden_output() {
+    let invocations: [(&str, &[&str]); 11] = [
         ("totals", &["front.trace"]),
         ("totals-every-half-second", &["front.trace", "--every", "0.5"]),
         ("totals-of-a-stretch", &["front.trace", "--from", "0.05", "--to", "0.2", "--every", "0.01"]),
@@ -33,16 +33,16 @@
         ("story-of-one-answered-short", &["front.trace", "--retrieval", "feed"]),
         ("story-of-one-given-up", &["front.trace", "--retrieval", "5"]),
     ];
-    let told = |(name, args): (&'static str, &[&str])| {
+    let output_of = |(name, args): (&'static str, &[&str])| {
         let done = orchidvalve(&[&["why"], args].concat());
         assert!(done.status.success() && done.stderr.is_empty(), "{name}");
         (name, done.stdout)
     };
-    check_samples(&golden("why.txt"), &asked.map(told));
+    check_samples(&golden("why.txt"), &invocations.map(output_of));
 }
 
 #[test]
-fn a_trace_that_cannot_be_told_of_ends_with_the_status_for_what_cannot_be_used() {
+fn an_unusable_trace_or_option_ends_with_status_2() {
     let refused: [&[&str]; 4] = [
         &["front.trace", "--retrieval", "99"],
         &["front.trace", "--every", "0"],
@@ -56,7 +56,7 @@
     }
 }
 
-/// The flags and environment variables that a command's help names.
+/// Returns the flags and environment variables in the help of a command.
 fn flags(command: &[&str]) -> String {
     let done = orchidvalve(&[command, &["--help"]].concat());
     assert!(done.status.success(), "{command:?}");
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn every_command_has_the_flags_and_variables_that_it_had() {
+fn flags_and_variables_of_every_command_match_the_golden_list() {
     let mut samples = vec![("orchidvalve".to_owned(), flags(&[]))];
     for command in subcommands(&[]) {
         samples.push((command.clone(), flags(&[&command])));
