--- a/crates/cli/src/experiment.rs
+++ b/crates/cli/src/experiment.rs
@@ -1,4 +1,5 @@
-//! `orchidvalve experiment`: many runs in virtual time on all cores. Each outcome is stored in a log store when it is known.
+//! `orchidvalve experiment`: many runs in virtual time on all cores. Each outcome is stored in a log store when it is
+//! known.
 
 use std::io::{IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -23,7 +24,8 @@
 pub struct ExperimentArgs {
     /// The plan: a scenario, seeds, policies and a grid of the scenario's keys
     plan: PathBuf,
-    /// Directory for results.jsonl, summary.md and chart.svg, and for the records from which a stopped experiment resumes
+    /// Directory for results.jsonl, summary.md and chart.svg, and for the records from which a stopped experiment
+    /// resumes
     #[arg(long, value_name = "DIR", default_value = "experiment")]
     out: PathBuf,
     /// The number of parallel runs; left out: one per core
--- a/crates/cli/src/logbook.rs
+++ b/crates/cli/src/logbook.rs
@@ -1,4 +1,5 @@
-//! `orchidvalve logbook`: inspects and repairs the directory of a log store. Inspection works while the store is in use.
+//! `orchidvalve logbook`: inspects and repairs the directory of a log store. Inspection works while the store is in
+//! use.
 
 use std::io::{IsTerminal, Write};
 use std::sync::Arc;
--- a/crates/cli/tests/golden_why.rs
+++ b/crates/cli/tests/golden_why.rs
@@ -1,5 +1,5 @@
-//! Golden tests: the output of `orchidvalve why` for a fixed trace, byte for byte, and the flags and environment variables of
-//! every command.
+//! Golden tests: the output of `orchidvalve why` for a fixed trace, byte for byte, and the flags and environment
+//! variables of every command.
 
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
--- a/crates/cli/tests/rehearse.rs
+++ b/crates/cli/tests/rehearse.rs
@@ -43,7 +43,8 @@
     }
 }
 
-/// Replays the front nodes' recordings in virtual time at twice the speed: every query once, without the clients' retries.
+/// Replays the front nodes' recordings in virtual time at twice the speed: every query once, without the clients'
+/// retries.
 #[test]
 fn recorded_load_can_be_replayed() {
     let done = rehearse(&scenario("small"), "recorded").arg("--json").output().unwrap();
--- a/crates/ctl/src/check.rs
+++ b/crates/ctl/src/check.rs
@@ -72,8 +72,8 @@
     })
 }
 
-/// Returns candidate values for a correction, the ones that preserve the structure first. Removing the field comes last,
-/// since it can cause an error that the document does not have.
+/// Returns candidate values for a correction, the ones that preserve the structure first. Removing the field comes
+/// last, since it can cause an error that the document does not have.
 fn replacements(document: &Value, error: &ConfigurationError, unused: &str) -> Vec<Value> {
     let service = document.pointer("/services/0/name").cloned().unwrap_or_default();
     let prefix = format!("/{unused}/");
@@ -115,8 +115,8 @@
     name
 }
 
-/// Sets the value at a path such as `routes[3].timeout-ms`, even if nothing exists there yet. Returns `false` if the path
-/// leads nowhere.
+/// Sets the value at a path such as `routes[3].timeout-ms`, even if nothing exists there yet. Returns `false` if the
+/// path leads nowhere.
 fn set(document: &mut Value, path: &str, value: Value) -> bool {
     let steps = path.replace('[', ".").replace(']', "");
     let (parent, last) = steps.rsplit_once('.').unwrap_or(("", &steps));
--- a/crates/ctl/src/control_client.rs
+++ b/crates/ctl/src/control_client.rs
@@ -98,8 +98,8 @@
     ///
     /// # Errors
     ///
-    /// Returns an error if the request was rejected, if no control node gave a conclusive response, or if the node is not
-    /// empty in time.
+    /// Returns an error if the request was rejected, if no control node gave a conclusive response, or if the node is
+    /// not empty in time.
     pub fn retire(
         &self,
         node: &str,
--- a/crates/ctl/tests/command_line/main.rs
+++ b/crates/ctl/tests/command_line/main.rs
@@ -1,4 +1,5 @@
-//! Tests of the command line: checks without requests, each command against a stub server, and the program as a process.
+//! Tests of the command line: checks without requests, each command against a stub server, and the program as a
+//! process.
 
 mod check;
 mod commands;
--- a/crates/ctl/tests/command_line/stub_server.rs
+++ b/crates/ctl/tests/command_line/stub_server.rs
@@ -37,7 +37,8 @@
 }
 
 impl StubServer {
-    /// Starts a server that replies to one connection after another, in the order of `replies`; further ones are refused.
+    /// Starts a server that replies to one connection after another, in the order of `replies`; further ones are
+    /// refused.
     pub fn start(replies: Vec<Reply>) -> StubServer {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).unwrap();
         let address = address_of(&listener);
--- a/crates/fault-injection/examples/speed.rs
+++ b/crates/fault-injection/examples/speed.rs
@@ -1,6 +1,6 @@
-//! Measures the speed of the emulator: queries per second on one core against the number of stores, with 50 front nodes, ten
-//! queries of six shard requests per second for each store, and one store in ten slow.
-//! `cargo run --release -p orchidvalve-fault-injection --example speed -- DIR` prints a table and writes a chart to DIR.
+//! Measures the speed of the emulator: queries per second on one core against the number of stores, with 50 front
+//! nodes, ten queries of six shard requests per second for each store, and one store in ten slow. `cargo run
+//! --release -p orchidvalve-fault-injection --example speed -- DIR` prints a table and writes a chart to DIR.
 
 use std::time::Instant;
 
--- a/crates/fault-injection/src/experiment.rs
+++ b/crates/fault-injection/src/experiment.rs
@@ -1,5 +1,6 @@
-//! Experiments: many runs of a scenario in virtual time over a grid of scenario keys, seeds and policies. Each run has a
-//! unique name, so that an interrupted experiment can be resumed. Results are compared in pairs of the same seed.
+//! Experiments: many runs of a scenario in virtual time over a grid of scenario keys, seeds and policies. Each run
+//! has a unique name, so that an interrupted experiment can be resumed. Results are compared in pairs of the same
+//! seed.
 //!
 //! ```
 //! use orchidvalve_fault_injection::experiment::Plan;
--- a/crates/fault-injection/src/injector.rs
+++ b/crates/fault-injection/src/injector.rs
@@ -38,8 +38,8 @@
     fn reload_front_node(&mut self, front_node: usize);
     /// Separates the first `first` front nodes from the others by a network partition; `None` ends the partition.
     fn partition_front_nodes(&mut self, first: Option<usize>);
-    /// Requests maintenance of a machine from the front nodes. Returns whether a front node accepted the request; `lasts` is
-    /// the duration of the maintenance.
+    /// Requests maintenance of a machine from the front nodes. Returns whether a front node accepted the request;
+    /// `lasts` is the duration of the maintenance.
     fn request_maintenance(&mut self, machine: &str, lasts: Nanos) -> bool;
     /// Returns whether the front nodes' maintenance queue has taken the machine out of service.
     fn is_under_maintenance(&mut self, machine: &str) -> bool;
@@ -253,7 +253,8 @@
             let next = match step {
                 Step::Requested(look) if now >= look => {
                     if target.is_under_maintenance(&self.name(store)) {
-                        // The front nodes send the machine no new attempts any more; discovery is notified as for unmanaged maintenance.
+                        // The front nodes send the machine no new attempts any more; discovery is notified as for
+                        // unmanaged maintenance.
                         self.record_change(now, 0, store, Phase::Draining, None);
                         Step::Draining(now)
                     } else {
--- a/crates/fault-injection/src/invariants/observed.rs
+++ b/crates/fault-injection/src/invariants/observed.rs
@@ -77,8 +77,8 @@
 
 /// Describes the attempts for the proof of a violation.
 pub fn describe<'a>(attempts: impl IntoIterator<Item = &'a ObservedAttempt>) -> Vec<String> {
-    let one = |attempt: &ObservedAttempt| {
+    let text = |attempt: &ObservedAttempt| {
         format!("attempted at {} ms at {}: {:?}", attempt.at / MS, attempt.store, attempt.state)
     };
-    attempts.into_iter().map(one).collect()
+    attempts.into_iter().map(text).collect()
 }
--- a/crates/fault-injection/src/invariants/rules.rs
+++ b/crates/fault-injection/src/invariants/rules.rs
@@ -114,8 +114,8 @@
         self.violated(NOTHING_AFTER_ANSWER, at, Subject::attempt(attempt), proof);
     }
 
-    /// Rule 2: effectful shard requests are attempted again only if no earlier attempt was executed; receipted ones only
-    /// within the window and with the query's idempotency key.
+    /// Rule 2: effectful shard requests are attempted again only if no earlier attempt was executed; receipted ones
+    /// only within the window and with the query's idempotency key.
     pub(super) fn check_repeated(&mut self, at: Nanos, attempt: AttemptName, key: Option<&str>) {
         let Some(query) = self.queries.get(attempt.query) else { return };
         let class = self.classes[query.class];
--- a/crates/fault-injection/src/lib.rs
+++ b/crates/fault-injection/src/lib.rs
@@ -4,7 +4,8 @@
 //!
 //! The modules that decide or keep state have no I/O and no clock: [`scenario`], [`timeline`], [`injector`],
 //! [`store_model`], [`discovery`], [`load`], [`invariants`], [`statistics`], and [`emulator`], which runs the same
-//! scenarios in virtual time with the front nodes' real decision code. Only [`real`] uses sockets, processes and clocks.
+//! scenarios in virtual time with the front nodes' real decision code. Only [`real`] uses sockets, processes and
+//! clocks.
 
 pub mod discovery;
 pub mod emulator;
--- a/crates/fault-injection/src/load.rs
+++ b/crates/fault-injection/src/load.rs
@@ -46,7 +46,8 @@
             continue;
         }
         loop {
-            // Thinning: gaps are drawn at the highest rate, and each arrival is kept with probability current rate / highest rate.
+            // Thinning: gaps are drawn at the highest rate, and each arrival is kept with probability current rate /
+            // highest rate.
             let gap = -(1.0 - rng.random::<f64>()).ln() / highest;
             at += (gap * SECOND as f64) as Nanos + 1;
             if at >= to {
--- a/crates/fault-injection/src/policy.rs
+++ b/crates/fault-injection/src/policy.rs
@@ -1,5 +1,5 @@
-//! The decision code of an emulated front node: the aggregator as it runs in production, or a textbook policy to compare
-//! it with. Textbook policies use the same state; none of them hedges, checks health, ejects or rejects.
+//! The decision code of an emulated front node: the aggregator as it runs in production, or a textbook policy to
+//! compare it with. Textbook policies use the same state; none of them hedges, checks health, ejects or rejects.
 
 use orchidvalve::Aggregator;
 use orchidvalve::interface::{
@@ -203,8 +203,8 @@
         self.state.query(query).client_deadline - MARGIN_TICKS * self.settings.tick
     }
 
-    /// Chooses the replica for a shard request; `None` if the shard request is in flight, has no attempts left, or must not
-    /// be attempted again.
+    /// Chooses the replica for a shard request; `None` if the shard request is in flight, has no attempts left, or
+    /// must not be attempted again.
     fn choose(&mut self, ix: ShardRequestIndex, response_time: ResponseTime) -> Option<ReplicaIndex> {
         let request = self.state.request(ix);
         if !self.may_attempt(request) {
--- a/crates/fault-injection/src/real/clients.rs
+++ b/crates/fault-injection/src/real/clients.rs
@@ -114,8 +114,8 @@
         *locked(&self.shared.front_nodes) = front_nodes;
     }
 
-    /// Ends the clients and returns the statistics. Queries that have not ended are counted by the outcome of their last
-    /// try.
+    /// Ends the clients and returns the statistics. Queries that have not ended are counted by the outcome of their
+    /// last try.
     pub fn end(self) -> OutcomeStatistics {
         self.shared.over.store(true, Relaxed);
         self.shared.more.notify_all();
--- a/crates/fault-injection/src/real/front_nodes.rs
+++ b/crates/fault-injection/src/real/front_nodes.rs
@@ -108,8 +108,8 @@
         Ok(FrontNode { child, address, killed: false })
     }
 
-    /// Reads the log up to the line with the address for clients. The addresses for datagrams, which are logged before it,
-    /// are passed to the relays.
+    /// Reads the log up to the line with the address for clients. The addresses for datagrams, which are logged
+    /// before it, are passed to the relays.
     fn listen_address(&self, n: usize, log: &mut impl BufRead) -> Result<SocketAddr, RunError> {
         let mut output = String::new();
         loop {
--- a/crates/fault-injection/src/real/stub_store.rs
+++ b/crates/fault-injection/src/real/stub_store.rs
@@ -1,5 +1,5 @@
-//! A stub store on a socket that behaves like [`StoreModel`]: it receives shard requests in frames and sends the responses
-//! at the times that the model gives.
+//! A stub store on a socket that behaves like [`StoreModel`]: it receives shard requests in frames and sends the
+//! responses at the times that the model gives.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashMap, HashSet};
@@ -278,6 +278,6 @@
 
 /// Returns the value that a store serves for a shard request: a hash that differs for each of them.
 fn value(id: &str, shard: usize, store: &str) -> u64 {
-    let words = id.bytes().chain(shard.to_le_bytes()).chain(store.bytes());
-    words.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
+    let bytes = id.bytes().chain(shard.to_le_bytes()).chain(store.bytes());
+    bytes.fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
--- a/crates/fault-injection/src/replay.rs
+++ b/crates/fault-injection/src/replay.rs
@@ -1,6 +1,6 @@
-//! Replay of recorded load: the requests that front nodes received are replayed on a scenario's fleet, at the recorded
-//! speed, faster or slower. The times are those of the recording, so that a slow front node never slows the load down. This
-//! module has no I/O.
+//! Replay of recorded load: the requests that front nodes received are replayed on a scenario's fleet, at the
+//! recorded speed, faster or slower. The times are those of the recording, so that a slow front node never slows the
+//! load down. This module has no I/O.
 
 use std::collections::BTreeMap;
 
@@ -90,8 +90,8 @@
     recording: &'a Recording,
     classes: Vec<Option<usize>>,
     tenants: Vec<Option<usize>>,
-    /// Whether both the scenario and the recording have tenants. If either has none, all queries are without a tenant; if
-    /// both have, an unknown tenant is an error, since it would be counted as another one.
+    /// Whether both the scenario and the recording have tenants. If either has none, all queries are without a
+    /// tenant; if both have, an unknown tenant is an error, since it would be counted as another one.
     has_tenants: bool,
 }
 
--- a/crates/fault-injection/src/report/mod.rs
+++ b/crates/fault-injection/src/report/mod.rs
@@ -183,13 +183,13 @@
 
 fn drawn_faults(scenario: &Scenario, events: &[FaultEvent]) -> Vec<DrawnFault> {
     let s = |at: i64| at as f64 / SECOND as f64;
-    let of = |(n, t): (usize, &crate::scenario::Fault)| {
-        let mine = events.iter().filter(|a| a.fault == n && a.begins);
-        let stores = mine.filter_map(|a| a.store).map(store_name).collect();
-        let words = format!("{:?}", t.kind);
-        DrawnFault { from_s: s(t.at()), to_s: s(t.until(scenario.duration())), what: words, stores }
+    let drawn = |(n, fault): (usize, &crate::scenario::Fault)| {
+        let starts = events.iter().filter(|event| event.fault == n && event.begins);
+        let stores = starts.filter_map(|event| event.store).map(store_name).collect();
+        let what = format!("{:?}", fault.kind);
+        DrawnFault { from_s: s(fault.at()), to_s: s(fault.until(scenario.duration())), what, stores }
     };
-    scenario.faults.iter().enumerate().map(of).collect()
+    scenario.faults.iter().enumerate().map(drawn).collect()
 }
 
 impl Report {
--- a/crates/fault-injection/src/statistics.rs
+++ b/crates/fault-injection/src/statistics.rs
@@ -1,6 +1,6 @@
 //! Statistics of a run: which queries were answered within their latency target and their deadline, by service class,
-//! tenant and second. Latencies count from the planned time of a query, so that delays of a slow front node are not hidden
-//! by a slower load.
+//! tenant and second. Latencies count from the planned time of a query, so that delays of a slow front node are not
+//! hidden by a slower load.
 
 use std::collections::BTreeMap;
 
--- a/crates/fault-injection/src/store_model.rs
+++ b/crates/fault-injection/src/store_model.rs
@@ -89,8 +89,8 @@
         self.recent.clear();
     }
 
-    /// Returns the current capacity as a fraction of the full capacity: it grows linearly from `cold_share` to 1 during the
-    /// warm-up.
+    /// Returns the current capacity as a fraction of the full capacity: it grows linearly from `cold_share` to 1
+    /// during the warm-up.
     pub fn capacity_fraction(&self, now: Nanos) -> f64 {
         let Some(at) = self.started_at else { return 1.0 };
         let age = (now - at).max(0) as f64 / self.warm_up.max(1) as f64;
@@ -114,11 +114,11 @@
         self.starts.len()
     }
 
-    /// Returns the number of shard requests in the window that the store tolerates: `N + 3 sqrt(N) + 3`, where `N` is the
-    /// rule's multiple of the store's current capacity.
+    /// Returns the number of shard requests in the window that the store tolerates: `N + 3 sqrt(N) + 3`, where `N` is
+    /// the rule's multiple of the store's current capacity.
     fn overload_limit(&self, now: Nanos) -> usize {
-        let bears = self.overload_limit_warm * self.capacity_fraction(now);
-        (bears + 3.0 * bears.sqrt() + 3.0) as usize
+        let expected = self.overload_limit_warm * self.capacity_fraction(now);
+        (expected + 3.0 * expected.sqrt() + 3.0) as usize
     }
 
     /// Processes a shard request from a front node; `size` is its work relative to the mean.
@@ -146,9 +146,11 @@
         }
         let cores = ((self.core_free_at.len() as f64 * self.condition.cores_left).ceil() as usize).max(1);
         // A remaining fraction of a core makes the work slower.
-        let starved = (self.core_free_at.len() as f64 * self.condition.cores_left / cores as f64).max(0.01);
-        let warm = 1.0 / self.capacity_fraction(now).max(0.01);
-        let duration = (self.work as f64 * size * warm * self.condition.slowdown / starved) as Nanos;
+        let core_fraction =
+            (self.core_free_at.len() as f64 * self.condition.cores_left / cores as f64).max(0.01);
+        let warm_up_slowdown = 1.0 / self.capacity_fraction(now).max(0.01);
+        let duration =
+            (self.work as f64 * size * warm_up_slowdown * self.condition.slowdown / core_fraction) as Nanos;
         let Some(core) = (0..cores).min_by_key(|c| self.core_free_at[*c]) else {
             return (RequestOutcome::Rejected, None);
         };
@@ -170,10 +172,10 @@
 
     fn overload(&mut self, now: Nanos) -> Overload {
         let mut by_front_node: Vec<(usize, usize)> = Vec::new();
-        for (_, front) in &self.recent {
-            match by_front_node.iter_mut().find(|(f, _)| f == front) {
-                Some((_, parts)) => *parts += 1,
-                None => by_front_node.push((*front, 1)),
+        for (_, front_node) in &self.recent {
+            match by_front_node.iter_mut().find(|(f, _)| f == front_node) {
+                Some((_, count)) => *count += 1,
+                None => by_front_node.push((*front_node, 1)),
             }
         }
         let overload =
@@ -186,10 +188,10 @@
     /// Returns how long a shard request of mean size would take if it arrived now.
     pub fn time_to_respond(&self, now: Nanos) -> Nanos {
         let starts_at = self.core_free_at.iter().min().copied().unwrap_or(now).max(now);
-        let warm = 1.0 / self.capacity_fraction(now).max(0.01);
+        let warm_up_slowdown = 1.0 / self.capacity_fraction(now).max(0.01);
         starts_at - now
-            + (self.work as f64 * warm * self.condition.slowdown / self.condition.cores_left.max(0.01))
-                as Nanos
+            + (self.work as f64 * warm_up_slowdown * self.condition.slowdown
+                / self.condition.cores_left.max(0.01)) as Nanos
     }
 
     /// Returns the number of shard requests per second that the store can process when warm.
--- a/crates/fault-injection/src/timeline.rs
+++ b/crates/fault-injection/src/timeline.rs
@@ -35,8 +35,8 @@
 }
 
 impl Timeline {
-    /// Returns the timeline of a scenario. Affected stores are drawn from the seed: the same scenario and seed give the same
-    /// stores. Returns an error if too few stores may be faulty at once for a draw.
+    /// Returns the timeline of a scenario. Affected stores are drawn from the seed: the same scenario and seed give
+    /// the same stores. Returns an error if too few stores may be faulty at once for a draw.
     pub fn new(scenario: &Scenario, seed: u64) -> Result<Timeline, ScenarioError> {
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
         let lasts = scenario.duration();
--- a/crates/fault-injection/tests/emulator.rs
+++ b/crates/fault-injection/tests/emulator.rs
@@ -1,5 +1,5 @@
-//! Runs in virtual time: the scenarios of `deploy/rehearsals` violate no rule and are reproducible, and front nodes with wrong
-//! settings violate the expected rule.
+//! Runs in virtual time: the scenarios of `deploy/rehearsals` violate no rule and are reproducible, and front nodes
+//! with wrong settings violate the expected rule.
 
 use std::path::Path;
 
@@ -56,14 +56,15 @@
     assert!(agreed.service > alone.service + 0.03, "{} and {}", agreed.service, alone.service);
 }
 
-/// Settings with an effectful class as idempotent, or with a minimum completeness that is too low, violate only the rule that
-/// they concern.
+/// Settings with an effectful class as idempotent, or with a minimum completeness that is too low, violate only the
+/// rule that they concern.
 #[test]
 fn wrong_class_settings_violate_the_expected_rule() {
     let scenario = {
         let mut s = load_scenario("small");
         s.load.iter_mut().for_each(|load| load.rate = 150.0);
-        // Half of the shard requests of two of the three stores fail, so many are attempted again and some responses are partial.
+        // Half of the shard requests of two of the three stores fail, so many are attempted again and some responses
+        // are partial.
         let failing = Fault {
             at_s: 0.5,
             for_s: Some(3.0),
@@ -128,8 +129,8 @@
     );
 }
 
-/// Each front node receives a query about every two seconds, so while it waits for an unresponsive store only its own timer
-/// wakes it. A timer that an earlier round had dropped left 35 of 1,526 queries waiting until their deadline.
+/// Each front node receives a query about every two seconds, so while it waits for an unresponsive store only its own
+/// timer wakes it. A timer that an earlier round had dropped left 35 of 1,526 queries waiting until their deadline.
 #[test]
 fn a_timer_stays_set_until_it_is_due_without_further_inputs() {
     let scenario = {
--- a/crates/fault-injection/tests/golden_virtual.rs
+++ b/crates/fault-injection/tests/golden_virtual.rs
@@ -1,6 +1,6 @@
-//! Golden traces of runs in virtual time: the report as JSON (without the wording of its verdict and proofs), the lines of the
-//! front nodes' traces, and the results of an experiment. Object keys are hashed in alphabetical order, because the order that
-//! `serde_json` keeps depends on the features that other packages of the build enable.
+//! Golden traces of runs in virtual time: the report as JSON (without the wording of its verdict and proofs), the
+//! lines of the front nodes' traces, and the results of an experiment. Object keys are hashed in alphabetical order,
+//! because the order that `serde_json` keeps depends on the features that other packages of the build enable.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -162,7 +162,8 @@
 for_s = 0.2
 "#;
 
-/// A scenario with far more load than the stores can process, with stores that warm up, and without the maintenance queue.
+/// A scenario with far more load than the stores can process, with stores that warm up, and without the maintenance
+/// queue.
 const CROWDED: &str = r#"
 name = "crowded"
 lasts_s = 2.0
--- a/crates/fault-injection/tests/scenarios.rs
+++ b/crates/fault-injection/tests/scenarios.rs
@@ -47,31 +47,32 @@
 }
 
 proptest! {
-    /// Drawn faults never exceed the allowed fraction of faulty replicas of a shard, and a seed always draws the same stores.
+    /// Drawn faults never exceed the allowed fraction of faulty replicas of a shard, and a seed always draws the same
+    /// stores.
     #[test]
     fn drawn_faults_keep_the_share_of_each_shard(seed in 0u64..10_000, first in 1usize..3, second in 1usize..3) {
         let fault = |draw: usize, at: f64| format!("[[trouble]]\nkind = 'die'\nat_s = {at:.1}\nfor_s = 3.0\ndraw = {draw}\n");
-        let of = scenario(&format!("{}{}", fault(first, 1.0), fault(second, 2.0))).unwrap();
-        let drawn = |seed| Timeline::new(&of, seed).map(|t| t.events().to_vec()).map_err(|error| error.to_string());
+        let scenario = scenario(&format!("{}{}", fault(first, 1.0), fault(second, 2.0))).unwrap();
+        let drawn = |seed| Timeline::new(&scenario, seed).map(|t| t.events().to_vec()).map_err(|error| error.to_string());
         prop_assert_eq!(drawn(seed), drawn(seed));
         // If too few stores can be drawn, the timeline is an error.
         let Ok(events) = drawn(seed) else { return Ok(()) };
-        let out: Vec<usize> = events.iter().filter(|a| a.begins).filter_map(|a| a.store).collect();
-        prop_assert_eq!(out.len(), first + second);
+        let faulty: Vec<usize> = events.iter().filter(|a| a.begins).filter_map(|a| a.store).collect();
+        prop_assert_eq!(faulty.len(), first + second);
         for shard in 0..4 {
-            let replicas: Vec<usize> = of.stores.stores_of(shard).collect();
+            let replicas: Vec<usize> = scenario.stores.stores_of(shard).collect();
             prop_assert_eq!(replicas.len(), 4);
-            prop_assert!(replicas.iter().filter(|h| out.contains(*h)).count() <= 2, "shard {}: {:?}", shard, out);
+            prop_assert!(replicas.iter().filter(|h| faulty.contains(*h)).count() <= 2, "shard {}: {:?}", shard, faulty);
         }
     }
 
     /// The number of arrivals follows the rate, and a seed always draws the same arrivals.
     #[test]
     fn arrivals_follow_the_rate_and_the_seed(seed in 0u64..1000) {
-        let of = scenario("").unwrap();
-        let planned = arrivals(&of, seed);
+        let scenario = scenario("").unwrap();
+        let planned = arrivals(&scenario, seed);
         prop_assert!((300..500).contains(&planned.len()), "{} of 400", planned.len());
-        prop_assert_eq!(&planned, &arrivals(&of, seed));
+        prop_assert_eq!(&planned, &arrivals(&scenario, seed));
         prop_assert!(planned.windows(2).all(|w| w[0].at <= w[1].at) && planned.iter().all(|w| w.front_node < 2));
     }
 }
