--- a/crates/fault-injection/src/emulator/mod.rs
+++ b/crates/fault-injection/src/emulator/mod.rs
@@ -31,7 +31,7 @@
 const SETUP_TIME: Nanos = SECOND;
 /// Time after the last client's deadline in which the remaining events are processed.
 const SETTLING_TIME: Nanos = 200 * MS;
-/// The longest time that a run waits for maintenance in progress after the last client's deadline.
+/// The longest time that a run waits for maintenance in progress after [`SETTLING_TIME`].
 const MAX_MAINTENANCE_WAIT: Nanos = 20 * SECOND;
 
 /// The amount of work of a run in virtual time.
--- a/crates/fault-injection/src/real/mod.rs
+++ b/crates/fault-injection/src/real/mod.rs
@@ -85,7 +85,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(4);
 /// Time after the last client's deadline in which the last responses are received.
 const SETTLING_TIME: Nanos = 200 * MS;
-/// The longest time that a run waits for maintenance in progress after the last client's deadline.
+/// The longest time that a run waits for maintenance in progress after [`SETTLING_TIME`].
 const MAX_MAINTENANCE_WAIT: Nanos = 20 * SECOND;
 /// The maximum number of front nodes that run as processes on one machine.
 const MAX_FRONT_NODES: usize = 64;
--- a/crates/fault-injection/src/scenario/mod.rs
+++ b/crates/fault-injection/src/scenario/mod.rs
@@ -215,8 +215,8 @@
     pub tries: u32,
     /// Pause before the first retry, in milliseconds.
     pub wait_ms: u64,
-    /// The maximum pause between tries, in milliseconds; the pause doubles with each try. A `Retry-After` of the
-    /// response takes precedence.
+    /// The maximum pause between tries, in milliseconds; the pause doubles with each try. A longer
+    /// `Retry-After` of the response takes precedence.
     pub most_ms: u64,
 }
 
