--- a/crates/log-store/benches/log_store.rs
+++ b/crates/log-store/benches/log_store.rs
@@ -1,8 +1,8 @@
-//! What the store costs, on one disk in one run: durable and buffered appends against bare writes of the same bytes,
-//! recovery, memory, write amplification. `cargo bench -p orchidvalve-log-store -- DIR [MOST] [only=durable]
-//! [slower=US]`: DIR on the disk to be measured, MOST the largest count of records recovered (10,000,000); `only`
-//! measures durable appends alone; `slower` makes every sync take so many microseconds longer, ours and the bare one
-//! alike, for a disk slower than the one at hand. Tables go to standard output, charts to DIR/*.svg.
+//! The cost of the store, measured on one disk in one run: durable and buffered appends compared with bare writes of the
+//! same bytes, recovery, memory, write amplification. `cargo bench -p orchidvalve-log-store -- DIR [MOST] [only=durable]
+//! [slower=US]`: DIR is a directory on the disk to measure, MOST the largest number of records recovered (10,000,000).
+//! `only` measures durable appends alone. `slower` delays every sync, of the store and of the bare file alike, by this many
+//! microseconds, to simulate a slower disk. Tables go to standard output, charts to DIR/*.svg.
 
 use std::fs::{File, OpenOptions};
 use std::io;
@@ -30,37 +30,37 @@
 }
 
 fn open(path: &Path, checkpoints: bool) -> (LogStore, orchidvalve_log_store::RecoveryReport) {
-    open_slowed(path, checkpoints, Duration::ZERO)
+    open_slow(path, checkpoints, Duration::ZERO)
 }
 
-fn open_slowed(
+fn open_slow(
     path: &Path,
     checkpoints: bool,
     slower: Duration,
 ) -> (LogStore, orchidvalve_log_store::RecoveryReport) {
     let options = LogStoreOptions { checkpoints, ..LogStoreOptions::named("bench") };
-    let disk = Slowed { disk: RealDisk::open_or_create(path).unwrap(), slower };
+    let disk = SlowDisk { disk: RealDisk::open_or_create(path).unwrap(), slower };
     LogStore::open(Arc::new(disk), options).unwrap()
 }
 
-/// The disk at hand with syncs that take longer: a stand-in for a slower disk, paid by ours and the bare one alike.
-struct Slowed {
+/// A disk whose syncs take longer, to simulate a slower disk for both the store and the bare file.
+struct SlowDisk {
     disk: RealDisk,
     slower: Duration,
 }
 
-struct SlowedFile {
+struct SlowFile {
     file: Arc<dyn DiskFile>,
     slower: Duration,
 }
 
-impl Slowed {
+impl SlowDisk {
     fn wrap(&self, file: Arc<dyn DiskFile>) -> Arc<dyn DiskFile> {
-        if self.slower.is_zero() { file } else { Arc::new(SlowedFile { file, slower: self.slower }) }
+        if self.slower.is_zero() { file } else { Arc::new(SlowFile { file, slower: self.slower }) }
     }
 }
 
-impl DiskFile for SlowedFile {
+impl DiskFile for SlowFile {
     fn write_at(&self, at: u64, bytes: &[u8]) -> io::Result<()> {
         self.file.write_at(at, bytes)
     }
@@ -80,7 +80,7 @@
     }
 }
 
-impl Disk for Slowed {
+impl Disk for SlowDisk {
     fn list(&self) -> io::Result<Vec<String>> {
         self.disk.list()
     }
@@ -111,15 +111,15 @@
     Batch::new().put(1, &n.to_le_bytes(), &VALUE)
 }
 
-fn bare(dir: &Path) -> File {
+fn create_bare_file(dir: &Path) -> File {
     let mut how = OpenOptions::new();
     how.write(true).create(true).truncate(true).open(fresh(dir, "bare").join("bytes")).unwrap()
 }
 
-/// Records a second that so many writers could have at most: their bytes in one write, and a sync.
+/// Returns an upper bound of the records per second of this many writers: all their bytes in one write and one sync.
 fn bare_durable(dir: &Path, writers: usize, slower: Duration) -> f64 {
     use std::io::Write;
-    let (mut file, bytes) = (bare(dir), vec![7u8; record(0).size() as usize * writers]);
+    let (mut file, bytes) = (create_bare_file(dir), vec![7u8; record(0).size() as usize * writers]);
     let (began, mut done) = (Instant::now(), 0);
     while began.elapsed() < TURN {
         file.write_all(&bytes).unwrap();
@@ -133,7 +133,7 @@
 }
 
 fn durable(dir: &Path, writers: usize, slower: Duration) -> (f64, Histogram<u64>) {
-    let (store, _) = open_slowed(&fresh(dir, "durable"), true, slower);
+    let (store, _) = open_slow(&fresh(dir, "durable"), true, slower);
     let background = BackgroundWriter::start(store, WriterOptions::default()).unwrap();
     let began = Instant::now();
     let latencies_us: Vec<Vec<u64>> = std::thread::scope(|scope| {
@@ -167,7 +167,7 @@
 
 fn bare_buffered(dir: &Path) -> f64 {
     use std::io::Write;
-    let (mut file, bytes) = (bare(dir), vec![7u8; record(0).size() as usize]);
+    let (mut file, bytes) = (create_bare_file(dir), vec![7u8; record(0).size() as usize]);
     let (began, mut done) = (Instant::now(), 0u64);
     while began.elapsed() < TURN {
         for _ in 0..64 {
@@ -194,7 +194,7 @@
     done as f64 / began.elapsed().as_secs_f64()
 }
 
-fn resident() -> u64 {
+fn resident_bytes() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap();
     let line = status.lines().find(|l| l.starts_with("VmRSS:")).unwrap();
     line.split_whitespace().nth(1).unwrap().parse::<u64>().unwrap() << 10
@@ -209,7 +209,7 @@
     a_key: f64,
 }
 
-/// `dead`: of ten records, so many are superseded by a later one.
+/// `dead`: how many of every ten records are superseded by a later one.
 fn recovery(dir: &Path, records: u64, dead: u64) -> Recovered {
     let path = fresh(dir, "recovery");
     let (mut store, _) = open(&path, true);
@@ -226,7 +226,7 @@
     store.sync().unwrap();
     let bytes = store.size_bytes();
     drop(store);
-    // In a process of its own, whose memory nothing else has grown.
+    // Runs in its own process, whose memory is not affected by earlier measurements.
     let timed = |checkpoints: bool| {
         let mut child = std::process::Command::new(std::env::current_exe().unwrap());
         let argument = child.arg("recover").arg(&path).arg(checkpoints.to_string()).output().unwrap();
@@ -241,7 +241,7 @@
     Recovered { records, live, by_checkpoint, in_full, bytes, a_key }
 }
 
-/// Bytes written for each byte handed over, and the most that the store took, with keys overwritten evenly.
+/// Returns the bytes written per byte appended, and the maximum size of the store, with keys overwritten evenly.
 fn amplification(dir: &Path, keys: u64) -> (f64, f64) {
     let (mut store, _) = open(&fresh(dir, "amplification"), true);
     let (mut appended, mut written, mut most, mut mixed) = (0u64, 0u64, 0u64, 1u64);
@@ -299,10 +299,10 @@
     if let [first, path, checkpoints] = &words[..]
         && first == "recover"
     {
-        let (before, began) = (resident(), Instant::now());
+        let (before, began) = (resident_bytes(), Instant::now());
         let (store, found) = open(Path::new(path), checkpoints == "true");
         let seconds = began.elapsed().as_secs_f64();
-        println!("{seconds} {} {}", resident().saturating_sub(before), found.keys);
+        println!("{seconds} {} {}", resident_bytes().saturating_sub(before), found.keys);
         drop(store);
         return;
     }
--- a/crates/log-store/examples/fuzz.rs
+++ b/crates/log-store/examples/fuzz.rs
@@ -1,7 +1,7 @@
-//! Recovery of corrupt files, for longer than CI has time: `cargo run --release -p orchidvalve-log-store --example fuzz --
-//! SECONDS [SEED]`. A store that was worked on is copied, bytes of its files are changed, cut, doubled, moved between
-//! files, or replaced by chance; it must open, and each value read must be one that its key once had. Ends with status 1
-//! at the first that is not so.
+//! Recovery of corrupt files, for longer runs than CI: `cargo run --release -p orchidvalve-log-store --example fuzz --
+//! SECONDS [SEED]`. Copies a store with a history and changes, truncates, duplicates, or moves bytes of its files, or
+//! replaces them by random ones. The store must open, and each value read must be one that its key had at some time. Exits
+//! with status 1 at the first violation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 
 fn disk_with_history(random: &mut Pcg64) -> (SimulatedDisk, ValuesEver) {
     let (disk, mut values_ever) = (SimulatedDisk::new(1 << 24), ValuesEver::new());
-    let (mut store, _) = LogStore::open(Arc::new(disk.clone()), options(true)).expect("it begins");
+    let (mut store, _) = LogStore::open(Arc::new(disk.clone()), options(true)).expect("an empty store opens");
     for _ in 0..random.random_range(5..120) {
         let key = vec![random.random_range(0..12)];
         let batch = if random.random_range(0..5) == 0 {
@@ -35,12 +35,12 @@
             Batch::new().put(1, &key, &value).put(1, &[99], &key)
         };
         values_ever.entry(vec![99]).or_default().insert(key);
-        store.append(&batch).expect("it is taken");
+        store.append(&batch).expect("the batch is appended");
         if random.random_range(0..3) == 0 {
-            store.compact_step_unthrottled().expect("it is compacted");
+            store.compact_step_unthrottled().expect("a compaction step succeeds");
         }
     }
-    store.sync().expect("it is synced");
+    store.sync().expect("the store is synced");
     drop(store);
     (disk, values_ever)
 }
--- a/crates/log-store/fuzz/fuzz_targets/recovery.rs
+++ b/crates/log-store/fuzz/fuzz_targets/recovery.rs
@@ -1,5 +1,5 @@
-//! Recovery of arbitrary bytes: `cargo fuzz run recovery` in `crates/log-store`. The input is cut into the files of a
-//! store; it must open, or refuse for a reason that is no damage, and take a record that is there the next time.
+//! Recovery of arbitrary bytes: `cargo fuzz run recovery` in `crates/log-store`. The input is split into the files of a
+//! store. The store must open, or fail for a reason other than damage, and must keep a record appended after that.
 #![no_main]
 
 use std::sync::Arc;
@@ -36,9 +36,9 @@
     for (keyspace, key, _) in store.snapshot().entries() {
         let _ = store.snapshot().get(keyspace, key);
     }
-    store.append(&Batch::new().put(1, b"after", b"x")).expect("it is taken");
-    store.sync().expect("it is synced");
+    store.append(&Batch::new().put(1, b"after", b"x")).expect("the record is appended");
+    store.sync().expect("the store is synced");
     drop(store);
-    let (store, _) = open().expect("it opens again");
-    assert_eq!(store.snapshot().get(1, b"after").expect("it can be read").as_deref(), Some(&b"x"[..]));
+    let (store, _) = open().expect("the store reopens");
+    assert_eq!(store.snapshot().get(1, b"after").expect("the record is readable").as_deref(), Some(&b"x"[..]));
 });
--- a/crates/log-store/src/background_writer.rs
+++ b/crates/log-store/src/background_writer.rs
@@ -1,7 +1,7 @@
-//! The store on a thread of its own, behind a bounded queue, so that its callers never wait for a disk.
+//! Runs the store on its own thread behind a bounded queue, so that callers never wait for a disk.
 //!
-//! State is latest-wins: where the queue is full, records of state wait with their sender, one a key, and a later one
-//! takes an earlier one's place. Batches are never coalesced or dropped in silence: one that finds no room is rejected.
+//! Updates of state are latest-wins: while the queue is full, the sender buffers them, one per key, and a later update
+//! replaces an earlier one. Batches are never coalesced or silently dropped: a batch that does not fit is rejected.
 
 mod completion;
 mod writer_thread;
@@ -25,27 +25,27 @@
 use crate::snapshot::Snapshot;
 use crate::store::LogStore;
 
-/// How durable a batch is to be before it counts.
+/// When a batch has to be durable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Durability {
-    /// Answered once it is on the disk; those that come together share a sync.
+    /// The batch is acknowledged once it is durable; concurrent batches share a sync.
     Synced,
-    /// On the disk within the time and the bytes that the writer was given.
+    /// The batch becomes durable within the delay and the number of bytes set in [`WriterOptions`].
     Deferred,
 }
 
-/// What a writer goes by.
+/// Options of a background writer.
 #[derive(Clone, Copy, Debug)]
 pub struct WriterOptions {
-    /// Batches that may wait in the queue.
+    /// Capacity of the queue in requests.
     pub queue_capacity: usize,
-    /// Keys whose state may wait with a sender.
+    /// The maximum number of keys whose updates a sender buffers.
     pub max_buffered_keys: usize,
-    /// How long a deferred batch may go without a sync.
+    /// The maximum time that a deferred batch stays unsynced.
     pub max_sync_delay: Duration,
-    /// Bytes that may go without a sync.
+    /// The maximum number of bytes that stay unsynced.
     pub max_unsynced_bytes: u64,
-    /// Batches that may share a sync.
+    /// The maximum number of requests that share a sync.
     pub max_group_commit: usize,
 }
 
@@ -61,45 +61,45 @@
     }
 }
 
-/// What was counted since the start.
+/// Counters since the start of the writer.
 #[derive(Debug, Default)]
 pub struct WriterCounters {
     /// Batches written.
     pub batches: AtomicU64,
-    /// Syncs tried.
+    /// Syncs attempted.
     pub syncs: AtomicU64,
     /// Writes, syncs and merges that failed.
     pub errors: AtomicU64,
-    /// State that a later one took the place of before it was written.
+    /// Buffered updates that were replaced by a later one before they were written.
     pub coalesced: AtomicU64,
-    /// Batches and states that found no room.
+    /// Batches and updates that were rejected because the queue or buffer was full.
     pub rejected: AtomicU64,
     /// Runs of segments merged.
     pub compactions: AtomicU64,
 }
 
-/// A request to the thread.
+/// A request to the writer thread.
 enum Request {
-    /// Append the batch; the completion, where there is one, waits until it is durable.
+    /// Append the batch. The completion, if any, is completed once the batch is durable.
     Append(Batch, Option<Completion>),
     /// Merge all runs that the policy chooses.
     Compact(Completion),
-    /// Publish a snapshot of what was handed over before.
+    /// Publish a snapshot with all batches submitted before.
     Publish(Completion),
-    /// Write and sync what was handed over, and end.
+    /// Write and sync all batches submitted before, and stop.
     Stop,
 }
 
-/// The counts by which a reader knows whether the published snapshot holds all that was handed over.
+/// Counters from which a reader determines whether the published snapshot contains all submitted batches.
 #[derive(Debug, Default)]
 struct Progress {
-    /// Batches handed over by all handles.
-    handed_over: AtomicU64,
-    /// Those of them in the published snapshot.
+    /// Batches submitted through all handles.
+    submitted: AtomicU64,
+    /// Submitted batches that the published snapshot contains.
     published: AtomicU64,
 }
 
-/// What all ends of the queue share.
+/// State shared by the writer and its handles.
 #[derive(Clone)]
 struct Shared {
     waker: Arc<Waker>,
@@ -107,19 +107,19 @@
     progress: Arc<Progress>,
 }
 
-/// One sender's way to the store.
+/// A handle through which one sender submits batches and updates.
 pub struct WriterHandle {
     requests: Sender<Request>,
     shared: Shared,
     max_buffered_keys: usize,
-    /// State that waits for a place in the queue: by keyspace and key, the value or its deletion.
+    /// Updates that could not be sent yet: by keyspace and key, the value, or `None` for a delete.
     buffered: BTreeMap<(u16, Vec<u8>), Option<Vec<u8>>>,
 }
 
 impl WriterHandle {
-    /// Notes the state of a key, which goes with the next [`WriterHandle::flush`]: all that is noted between two of
-    /// them is one batch. Never waits. False where there is no room for it at all: then nothing of it is kept, and it
-    /// is counted.
+    /// Buffers an update of a key until the next [`WriterHandle::flush`], which sends all buffered updates as one batch.
+    /// Never blocks. Returns false if both the buffer and the queue are full; the update is then dropped and counted as
+    /// rejected.
     pub fn update(&mut self, keyspace: u16, key: &[u8], value: Option<&[u8]>) -> bool {
         let key = (keyspace, key.to_vec());
         let is_full = self.buffered.len() >= self.max_buffered_keys;
@@ -133,13 +133,13 @@
         true
     }
 
-    /// Passes on what waits here and waits for a place in the queue; false where the writer has ended.
+    /// Sends all buffered updates, blocking while the queue is full. Returns false if the writer has stopped.
     pub fn finish(self) -> bool {
         let batch = self.buffered_batch();
         batch.is_empty() || self.send(Request::Append(batch, None)).is_ok()
     }
 
-    /// All that waits here.
+    /// Returns all buffered updates as a batch.
     fn buffered_batch(&self) -> Batch {
         self.buffered.iter().fold(Batch::new(), |batch, ((keyspace, key), value)| match value {
             Some(value) => batch.put(*keyspace, key, value),
@@ -147,7 +147,7 @@
         })
     }
 
-    /// Passes on what waits here, all of it in one batch; false where the queue is still full.
+    /// Sends all buffered updates as one batch. Returns false if the queue is full or the writer has stopped.
     pub fn flush(&mut self) -> bool {
         if self.buffered.is_empty() {
             return true;
@@ -159,16 +159,16 @@
         is_sent
     }
 
-    /// Keys whose state waits here.
+    /// Returns the number of keys with buffered updates.
     pub fn buffered_keys(&self) -> usize {
         self.buffered.len()
     }
 
-    /// Hands over a batch that must not be coalesced; state that waits goes before it.
+    /// Submits a batch that must not be coalesced, after all buffered updates.
     ///
     /// # Errors
     ///
-    /// The queue is full, or the writer has ended: the batch is given back.
+    /// The queue is full, or the writer has stopped. The batch is returned.
     pub fn try_append(&mut self, batch: Batch) -> Result<PendingWrite, Batch> {
         if !self.flush() {
             self.shared.counters.rejected.fetch_add(1, Relaxed);
@@ -187,11 +187,11 @@
         }
     }
 
-    /// Hands over a batch, waiting for a place in the queue. Returns what a synced batch is waited for with.
+    /// Submits a batch, blocking while the queue is full. For [`Durability::Synced`], returns a handle to wait for it.
     ///
     /// # Errors
     ///
-    /// The writer has ended.
+    /// The writer has stopped.
     pub fn append(&self, batch: Batch, durability: Durability) -> Result<Option<PendingWrite>, WriteError> {
         let pair = (durability == Durability::Synced).then(|| PendingWrite::new(&self.shared.waker));
         let (completion, pending) = pair.unzip();
@@ -199,30 +199,30 @@
         Ok(pending)
     }
 
-    /// Counted before it is sent: a reader that counts after its own request went then counts all that are before it
-    /// in the queue.
+    /// Sends a request, counting it first: a reader that loads the counter after sending its own request then counts all
+    /// requests before it in the queue.
     fn send(&self, request: Request) -> Result<(), WriteError> {
-        let handed_over = &self.shared.progress.handed_over;
-        handed_over.fetch_add(1, Release);
+        let submitted = &self.shared.progress.submitted;
+        submitted.fetch_add(1, Release);
         self.requests.send(request).map_err(|_| {
-            handed_over.fetch_sub(1, Release);
+            submitted.fetch_sub(1, Release);
             WriteError::Stopped
         })
     }
 
-    /// As [`WriterHandle::send`], without waiting for a place: gives the request back where there is none.
+    /// Like [`WriterHandle::send`], but does not block: returns the request if the queue is full.
     fn try_send(&self, request: Request) -> Result<(), Request> {
-        let handed_over = &self.shared.progress.handed_over;
-        handed_over.fetch_add(1, Release);
+        let submitted = &self.shared.progress.submitted;
+        submitted.fetch_add(1, Release);
         self.requests.try_send(request).map_err(|error| {
-            handed_over.fetch_sub(1, Release);
+            submitted.fetch_sub(1, Release);
             let (TrySendError::Full(request) | TrySendError::Disconnected(request)) = error;
             request
         })
     }
 }
 
-/// A store on a thread of its own. Dropping it writes and syncs what was handed over.
+/// A store that runs on its own thread. Dropping it writes and syncs all submitted batches.
 pub struct BackgroundWriter {
     requests: Sender<Request>,
     shared: Shared,
@@ -232,11 +232,11 @@
 }
 
 impl BackgroundWriter {
-    /// Takes the store to a thread of its own.
+    /// Moves the store to its own thread.
     ///
     /// # Errors
     ///
-    /// The thread can't be started.
+    /// The thread cannot be started.
     pub fn start(store: LogStore, options: WriterOptions) -> io::Result<BackgroundWriter> {
         let (requests, queue) = bounded(options.queue_capacity);
         store.publish();
@@ -249,7 +249,7 @@
         Ok(BackgroundWriter { requests, shared, published, max_buffered_keys, thread })
     }
 
-    /// A way to the store for one more sender.
+    /// Creates a handle for another sender.
     pub fn handle(&self) -> WriterHandle {
         WriterHandle {
             requests: self.requests.clone(),
@@ -259,18 +259,18 @@
         }
     }
 
-    /// What was counted since the start.
+    /// Returns the counters since the start.
     pub fn counters(&self) -> &WriterCounters {
         &self.shared.counters
     }
 
-    /// The store with all that was handed over before: at once where nothing was handed over since the last one, else
-    /// after the thread's next round, never after a sync. Snapshots are published only when asked for, as each one
-    /// makes the next write copy the nodes of the index that it shares.
+    /// Returns a snapshot with all batches submitted before: immediately if none was submitted since the last snapshot,
+    /// else after the thread's next round, without waiting for a sync. Snapshots are published only on request, because
+    /// each one makes the next write copy the index nodes that it shares.
     pub fn snapshot(&self) -> Arc<Snapshot> {
-        // In this order: a snapshot read after the count of those published holds at least those.
+        // The order matters: a snapshot loaded after the `published` counter contains at least that many batches.
         let progress = &self.shared.progress;
-        if progress.published.load(Acquire) >= progress.handed_over.load(Acquire) {
+        if progress.published.load(Acquire) >= progress.submitted.load(Acquire) {
             return self.published.load_full();
         }
         let (completion, pending) = PendingWrite::new(&self.shared.waker);
@@ -280,18 +280,18 @@
         self.published.load_full()
     }
 
-    /// Merges all runs that the policy chooses, whatever the budget; returns the bytes of the store afterwards.
+    /// Merges all runs that the policy chooses, regardless of the budget. Returns the size of the store afterwards.
     ///
     /// # Errors
     ///
-    /// The disk fails, or the writer has ended.
+    /// The disk fails, or the writer has stopped.
     pub fn compact(&self) -> Result<u64, WriteError> {
         let (completion, pending) = PendingWrite::new(&self.shared.waker);
         self.requests.send(Request::Compact(completion)).map_err(|_| WriteError::Stopped)?;
         pending.wait()
     }
 
-    /// Writes and syncs what was handed over, and ends. None where the thread has panicked.
+    /// Writes and syncs all submitted batches, and stops. Returns `None` if the thread has panicked.
     pub fn stop(mut self) -> Option<LogStore> {
         let _ = self.requests.send(Request::Stop);
         self.thread.take()?.join().ok()
--- a/crates/log-store/src/background_writer/completion.rs
+++ b/crates/log-store/src/background_writer/completion.rs
@@ -1,37 +1,37 @@
-//! The results of requests, and how those who wait for them are woken.
+//! Results of requests, and waking the callers that wait for them.
 
 use std::sync::atomic::{AtomicU32, Ordering::Acquire, Ordering::Release};
 use std::sync::{Arc, OnceLock};
 
 use crate::error::WriteError;
 
-/// What became of a request: a sequence number, or the bytes of the store after compaction.
+/// The result of a request: a sequence number, or the size of the store in bytes after compaction.
 type WriteResult = Result<u64, WriteError>;
 
-/// Where those who wait for a sync are woken: all of them by one call, as one by one the last would wait for the rest.
-/// A count that each call moves on, waited on in place: a lock that each woken waiter took in turn to look at its
-/// result made 64 of them wait for one another longer than for the disk.
+/// Wakes all callers that wait for a sync with a single call. Waking them one by one would delay the last ones. The
+/// callers wait on a counter (a futex) that each call increments. With a lock that each woken caller acquired in turn to
+/// read its result, 64 callers waited longer for each other than for the disk.
 #[derive(Default)]
 pub(super) struct Waker {
     wake_count: AtomicU32,
 }
 
 impl Waker {
-    /// Wakes all who wait.
+    /// Wakes all waiting callers.
     pub fn wake_all(&self) {
         self.wake_count.fetch_add(1, Release);
         atomic_wait::wake_all(&self.wake_count);
     }
 }
 
-/// The writer's end of a pending write: one that is dropped without a result says that the writer has ended.
+/// The writer's end of a pending write. Dropping it without a result reports [`WriteError::Stopped`].
 pub(super) struct Completion {
     result: Arc<OnceLock<WriteResult>>,
     waker: Arc<Waker>,
 }
 
 impl Completion {
-    /// Sets the result. Those who wait see it once they are woken.
+    /// Sets the result. Waiting callers see it once they are woken.
     pub fn complete(self, result: WriteResult) {
         let _ = self.result.set(result);
     }
@@ -45,7 +45,7 @@
     }
 }
 
-/// A batch that isn't durable yet, for all that its sender knows.
+/// A submitted batch whose durability is not known yet.
 pub struct PendingWrite {
     result: Arc<OnceLock<WriteResult>>,
     waker: Arc<Waker>,
@@ -58,20 +58,20 @@
         (completion, PendingWrite { result, waker: waker.clone() })
     }
 
-    /// What became of the batch, once that is known: its last sequence number, or why it isn't durable. For callers
-    /// that must not wait.
+    /// Returns the result without blocking, or `None` while it is not known: the last sequence number of the batch, or why
+    /// the batch is not durable.
     pub fn result(&self) -> Option<Result<u64, WriteError>> {
         self.result.get().cloned()
     }
 
-    /// Waits until it is known what became of the batch.
+    /// Blocks until the result is known, and returns it.
     ///
     /// # Errors
     ///
-    /// It isn't durable.
+    /// The batch is not durable.
     pub fn wait(self) -> Result<u64, WriteError> {
         loop {
-            // Read before the result: a call between the two moves the count on, and the wait returns at once.
+            // Loaded before the result: a wake-up in between changes the counter, so that the wait returns at once.
             let seen = self.waker.wake_count.load(Acquire);
             if let Some(result) = self.result.get() {
                 return result.clone();
--- a/crates/log-store/src/background_writer/writer_thread.rs
+++ b/crates/log-store/src/background_writer/writer_thread.rs
@@ -1,4 +1,4 @@
-//! What runs on the thread: requests in groups, a sync for each group (group commit), and compaction beside them.
+//! The writer thread: handles requests in groups, with one sync per group (group commit), and compacts in between.
 
 use std::sync::Arc;
 use std::sync::atomic::{Ordering::Relaxed, Ordering::Release};
@@ -12,56 +12,56 @@
 use crate::error::WriteError;
 use crate::store::{CompactionStep, LogStore};
 
-/// Between two looks at whether a merge may go on.
+/// Interval between checks whether the I/O budget allows a merge to continue.
 const THROTTLED_WAIT: Duration = Duration::from_millis(20);
-/// Between two looks at whether the policy chooses a run.
+/// Interval between checks whether the policy chooses a run.
 const IDLE_WAIT: Duration = Duration::from_secs(1);
-/// Those who shared a sync are waited for no longer than this part of what it took.
+/// Waiting for the batches that shared the last sync takes at most the duration of that sync divided by this number.
 const GATHER_DIVISOR: u32 = 4;
 
-/// A batch that is written and waits for a sync.
+/// A batch that is written but not synced.
 struct UnsyncedBatch {
     completion: Completion,
     sequence: u64,
 }
 
-/// Requests of one round, and what is known of them.
+/// The state of one round of requests.
 #[derive(Default)]
 struct Round {
-    /// Batches that aren't written yet, with their completions.
+    /// Batches that are not written yet; `completions` holds the completion of each.
     batches: Vec<Batch>,
     completions: Vec<Option<Completion>>,
-    /// Whether anything was written.
+    /// Whether any batch was written in this round.
     has_written: bool,
     unsynced: Vec<UnsyncedBatch>,
     stops: bool,
 }
 
-/// When what is written has to be synced.
+/// When written batches have to be synced.
 struct SyncSchedule {
     due: Option<Instant>,
-    /// Bytes that were handed over since the last sync.
+    /// Bytes submitted since the last sync.
     bytes: u64,
-    /// Those who shared the last sync.
+    /// Number of batches that waited for the last sync.
     last_group: usize,
     last_duration: Duration,
 }
 
-/// When compaction goes on.
+/// When compaction continues.
 struct CompactionSchedule {
-    /// How soon where nothing else is to do.
+    /// The time until the next step if the thread is idle.
     wait: Duration,
-    /// When beside the work.
+    /// When the next step is due even if the thread is busy.
     due: Instant,
 }
 
-/// The state of the thread.
+/// State of the writer thread.
 pub(super) struct WriterThread {
     store: LogStore,
     options: WriterOptions,
     queue: Receiver<Request>,
     shared: Shared,
-    /// Batches taken from the queue.
+    /// Number of batches taken from the queue.
     received: u64,
     started: Instant,
     sync: SyncSchedule,
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Serves requests until it is requested to stop.
+    /// Handles requests until one of them is [`Request::Stop`]. Returns the store.
     pub fn run(mut self) -> LogStore {
         loop {
             let requests = self.next_requests();
@@ -109,14 +109,14 @@
             if round.stops {
                 return self.store;
             }
-            // A step where nothing else is to do, and one beside the work when its time has come.
+            // Compacts when idle, and between rounds once a step is due.
             if is_idle || Instant::now() >= self.compaction.due {
                 self.compact();
             }
         }
     }
 
-    /// The requests of one round; none where there are none in time.
+    /// Returns the requests of one round. Empty if none arrives before a sync or compaction step is due.
     fn next_requests(&mut self) -> Vec<Request> {
         let until_compaction = self.compaction.wait;
         let wait = self.sync.due.map_or(until_compaction, |due| {
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Those who were answered together write again together: a sync for the first of them alone would make the others
-    /// wait for two. They are waited for, no longer than a part of what a sync takes.
+    /// Waits for more requests. Callers whose batches were acknowledged together usually write again together; syncing
+    /// the first batch alone would make the others wait for two syncs. The wait is a fraction of the last sync's duration.
     fn gather(&self) {
         let started = Instant::now();
         let expected = self.sync.last_group.min(self.options.max_group_commit);
@@ -169,7 +169,7 @@
         }
     }
 
-    /// Appends the batches of this round that aren't written yet.
+    /// Appends the batches of this round that are not written yet.
     fn append(&mut self, round: &mut Round) {
         let batches = std::mem::take(&mut round.batches);
         self.shared.counters.batches.fetch_add(batches.len() as u64, Relaxed);
@@ -212,7 +212,7 @@
                 for batch in unsynced {
                     batch.completion.complete(Err(error.clone()));
                 }
-                // Tried again, and not at once: a disk that fails is not helped by haste.
+                // Retries after a delay, so as not to put more load on a failing disk.
                 self.sync.due = Some(Instant::now() + self.options.max_sync_delay);
             }
         }
@@ -223,7 +223,7 @@
         self.compaction.wait = match self.store.compact() {
             Ok(CompactionStep::Merged { .. }) => {
                 self.shared.counters.compactions.fetch_add(1, Relaxed);
-                // Readers let go of the segments merged away.
+                // Lets readers release the segments that were merged.
                 self.publish();
                 Duration::ZERO
             }
@@ -238,7 +238,7 @@
         self.compaction.due = Instant::now() + self.compaction.wait;
     }
 
-    /// Merges all runs that the policy chooses; returns the bytes of the store afterwards.
+    /// Merges all runs that the policy chooses. Returns the size of the store afterwards, in bytes.
     fn compact_all(&mut self) -> Result<u64, WriteError> {
         self.store.sync()?;
         loop {
@@ -254,7 +254,7 @@
         }
     }
 
-    /// Shows readers what was received so far.
+    /// Publishes a snapshot of all batches received so far.
     fn publish(&self) {
         self.store.publish();
         self.shared.progress.published.store(self.received, Release);
--- a/crates/log-store/src/batch.rs
+++ b/crates/log-store/src/batch.rs
@@ -11,19 +11,19 @@
     pub value: Vec<u8>,
 }
 
-/// Changes that are kept all together or not at all.
+/// Changes that are applied atomically: after a crash either all or none of them are kept.
 #[derive(Clone, Debug, Default)]
 pub struct Batch {
     pub(crate) records: Vec<BatchRecord>,
 }
 
 impl Batch {
-    /// A batch without changes.
+    /// Creates an empty batch.
     pub fn new() -> Batch {
         Batch::default()
     }
 
-    /// Gives a key a value.
+    /// Adds a change that sets the value of a key.
     #[must_use]
     pub fn put(mut self, keyspace: u16, key: &[u8], value: &[u8]) -> Batch {
         let (key, value) = (key.to_vec(), value.to_vec());
@@ -31,7 +31,7 @@
         self
     }
 
-    /// Takes the value of a key away.
+    /// Adds a change that deletes a key.
     #[must_use]
     pub fn delete(mut self, keyspace: u16, key: &[u8]) -> Batch {
         let (key, value) = (key.to_vec(), Vec::new());
@@ -39,27 +39,27 @@
         self
     }
 
-    /// Puts the changes of another batch behind those of this one.
+    /// Appends the changes of another batch after those of this one.
     pub fn append(&mut self, other: Batch) {
         self.records.extend(other.records);
     }
 
-    /// Number of changes.
+    /// Returns the number of changes.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Whether there are no changes.
+    /// Returns whether the batch has no changes.
     pub fn is_empty(&self) -> bool {
         self.records.is_empty()
     }
 
-    /// Bytes that it takes in a segment.
+    /// Returns the size of the encoded batch in a segment, in bytes.
     pub fn size(&self) -> u64 {
         self.records.iter().map(|record| encoded_length(record.key.len(), record.value.len()) as u64).sum()
     }
 
-    /// Whether each change is short enough to be read back.
+    /// Returns whether each change is short enough to be read back.
     pub(crate) fn has_valid_lengths(&self) -> bool {
         self.records.iter().all(|record| record.key.len() + record.value.len() <= MAX_KEY_AND_VALUE_BYTES)
     }
--- a/crates/log-store/src/checkpoint.rs
+++ b/crates/log-store/src/checkpoint.rs
@@ -1,5 +1,5 @@
-//! Checkpoints: what the index must know of a sealed segment, in a file beside it, so that a start reads no values
-//! (Bitcask's hint files: Sheehy and Smith 2010).
+//! Checkpoints: the index entries of a sealed segment, in a separate file, so that recovery reads no values (Bitcask's
+//! hint files: Sheehy and Smith 2010).
 
 use std::io;
 
@@ -8,16 +8,16 @@
 use crate::segment::{RecordLocation, SegmentHeader};
 
 const MAGIC: [u8; 8] = *b"OVLOGIDX";
-/// A checkpoint may be longer than its segment, where values are short, by this factor and these bytes.
+/// A checkpoint may be longer than its segment if values are short. This factor and a constant limit its length.
 const MAX_LENGTH_FACTOR: u64 = 2;
 const MAX_LENGTH_MARGIN: u64 = 4096;
 
-/// Name of the file of a segment's checkpoint.
+/// Returns the file name of a segment's checkpoint.
 pub(crate) fn file_name(segment: u64) -> String {
     format!("{segment:016x}.idx")
 }
 
-/// A record as the index needs it, without its value.
+/// A record as stored in the index, without its value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct IndexedRecord {
     pub kind: RecordKind,
@@ -27,15 +27,15 @@
     pub key: Vec<u8>,
 }
 
-/// All records of a segment. A checkpoint is never needed: where it is missing or damaged the segment itself is read.
+/// The index records of a segment. A checkpoint is optional: if it is missing or damaged, the segment itself is read.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Checkpoint {
     pub records: Vec<IndexedRecord>,
 }
 
 impl Checkpoint {
-    /// Writes it for a segment that was sealed at `length`. Not synced: a lost one costs time at the next start, and
-    /// nothing else.
+    /// Writes the checkpoint of a segment that was sealed at `length`. The file is not synced: losing it only makes the
+    /// next recovery slower.
     pub fn write(&self, disk: &dyn Disk, header: &SegmentHeader, length: u64) -> io::Result<()> {
         let mut out = MAGIC.to_vec();
         out.extend_from_slice(&header.encode());
@@ -54,7 +54,7 @@
         disk.create(&file_name(header.number))?.write_at(0, &out)
     }
 
-    /// None unless it is valid and of this segment, sealed at this length.
+    /// Reads the checkpoint of a segment. Returns `None` unless it is valid and of this segment, sealed at this length.
     pub fn read(disk: &dyn Disk, header: &SegmentHeader, length: u64) -> Option<Checkpoint> {
         let file = disk.open(&file_name(header.number)).ok()?;
         let max_length = length.saturating_mul(MAX_LENGTH_FACTOR) + MAX_LENGTH_MARGIN;
@@ -75,7 +75,7 @@
     }
 }
 
-/// The first record, and the bytes behind it.
+/// Decodes the first record and returns it with the remaining bytes.
 fn read_record(bytes: &[u8]) -> Option<(IndexedRecord, &[u8])> {
     let (kind, rest) = bytes.split_first()?;
     let (keyspace, rest) = rest.split_first_chunk::<2>()?;
--- a/crates/log-store/src/compaction_policy.rs
+++ b/crates/log-store/src/compaction_policy.rs
@@ -1,9 +1,9 @@
-//! What is compacted: which run of segments is merged. No I/O and no clock.
+//! Chooses which run of segments is merged. Performs no I/O and reads no clock.
 //!
-//! Only runs of sealed segments that follow one another are merged, and a record is dropped only where a later one of
-//! the same run supersedes it. So the segments up to any boundary are, at each moment, exactly the state at that
-//! boundary: a damaged segment costs what is behind it, and never mixes old values with new. A tombstone is dropped
-//! only in a run that begins with the oldest segment, where nothing older can come back.
+//! Only runs of consecutive sealed segments are merged, and a record is dropped only if a later record of the same run
+//! supersedes it. So the segments up to any boundary always hold exactly the state at that boundary: a damaged segment
+//! costs the records after it, but never mixes old values with new ones. A tombstone is dropped only in a run that begins
+//! with the oldest segment, because no older record can reappear there.
 
 #[cfg(test)]
 mod tests;
@@ -12,25 +12,25 @@
 
 use crate::garbage::Garbage;
 
-/// What a file costs beside its bytes, where runs are compared.
+/// The fixed cost of a file, in bytes, added to its size when runs are compared.
 const FILE_OVERHEAD_BYTES: u64 = 4096;
 
-/// When segments are merged, and how fast. Times in nanoseconds, sizes in bytes.
+/// When segments are merged, and at which rate. Times are in nanoseconds, sizes in bytes.
 #[derive(Clone, Copy, Debug)]
 pub struct CompactionOptions {
-    /// Least share of a run that must be garbage.
+    /// The minimum garbage fraction of a run, from 0 to 1.
     pub min_garbage_share: f64,
-    /// Where a segment is so old, the share that it takes falls to half.
+    /// The age of a run's oldest segment from which half of that fraction is enough.
     pub old_after_ns: i64,
-    /// Above so many segments, runs of small ones are merged whatever their garbage.
+    /// Above this number of segments, runs of small segments are merged regardless of their garbage.
     pub max_segments: usize,
-    /// Most bytes of one run.
+    /// The maximum size of a run.
     pub max_run_bytes: u64,
-    /// Under so much free space any garbage justifies a merge.
+    /// Below this amount of free disk space, any garbage justifies a merge.
     pub min_free_bytes: u64,
-    /// Bytes that may be read and written in a second.
+    /// Bytes that compaction may read and write per second.
     pub bytes_per_second: u64,
-    /// Bytes that may be saved up.
+    /// The capacity of the token bucket: bytes that an idle compaction may accumulate.
     pub burst_bytes: u64,
 }
 
@@ -48,19 +48,19 @@
     }
 }
 
-/// A sealed segment, as the policy sees it.
+/// The figures of a sealed segment that the policy uses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SealedSegmentStats {
     pub number: u64,
     pub bytes: u64,
-    /// Time since it was sealed, in nanoseconds. A clock that steps back makes it 0, never less.
+    /// Time since the segment was sealed, in nanoseconds; at least 0, even if the clock steps back.
     pub age_ns: i64,
-    /// It could not be read: nothing may be merged across it.
+    /// The segment could not be read, so no run may include it.
     pub is_corrupt: bool,
 }
 
-/// The run to merge next, as indices of sealed segments, if any has enough garbage. `free_bytes`: on the disk. Of
-/// several runs, the one that frees most for what it costs to write.
+/// Returns the run to merge next as indices of sealed segments, or `None` if no run has enough garbage. `free_bytes` is
+/// the free space on the disk. Of several runs, chooses the one that frees most relative to the cost of writing it.
 pub(crate) fn choose_run(
     options: &CompactionOptions,
     sealed: &[SealedSegmentStats],
@@ -76,19 +76,19 @@
         for (last, segment) in sealed.iter().enumerate().skip(first) {
             bytes += segment.bytes;
             age_ns = age_ns.max(segment.age_ns);
-            // One that is larger by itself may still be cleaned alone.
+            // A segment that exceeds the limit by itself may still be compacted alone.
             if segment.is_corrupt || bytes > options.max_run_bytes && last > first {
                 break;
             }
             run.push(segment.number);
             let freed = garbage.bytes_within(&run, first == 0).min(bytes);
             let written = bytes - freed;
-            // What is written must fit beside what is there.
+            // The output must fit on the disk next to the input.
             if written > free_bytes {
                 continue;
             }
             let share = freed as f64 / bytes.max(1) as f64;
-            // Few large files out of many small ones, so that the start opens few.
+            // Merges many small files into a few large ones, so that recovery opens fewer files.
             let gathers = are_segments_many && last > first;
             if share < min_garbage_share(options, is_disk_short, age_ns) && !gathers {
                 continue;
@@ -104,7 +104,7 @@
     best.map(|(_, run)| run)
 }
 
-/// Least share of a run that must be garbage, where its oldest segment is so old.
+/// Returns the minimum garbage fraction of a run whose oldest segment has this age.
 fn min_garbage_share(options: &CompactionOptions, is_disk_short: bool, age_ns: i64) -> f64 {
     if is_disk_short {
         f64::MIN_POSITIVE
--- a/crates/log-store/src/compaction_policy/tests.rs
+++ b/crates/log-store/src/compaction_policy/tests.rs
@@ -10,7 +10,7 @@
     sizes.iter().enumerate().map(stats).collect()
 }
 
-/// Bytes of the first segment of each pair that the second supersedes.
+/// Garbage in which the second segment of each pair supersedes this many bytes of the first.
 fn garbage(pairs: &[((u64, u64), u64)]) -> Garbage {
     let mut garbage = Garbage::default();
     pairs.iter().for_each(|((segment, by), bytes)| garbage.add_superseded(*segment, *by, *bytes));
--- a/crates/log-store/src/disk/mod.rs
+++ b/crates/log-store/src/disk/mod.rs
@@ -1,4 +1,4 @@
-//! All access to files goes through here, so that tests can lose, tear, fail and fill what a real disk rarely does.
+//! All file access goes through these traits, so that tests can simulate data loss, torn writes, errors and full disks.
 
 pub mod real;
 pub mod simulated;
@@ -6,86 +6,86 @@
 use std::io;
 use std::sync::Arc;
 
-/// One file. Writes are complete or an error; what was not synced may be lost by a crash, in any order. Every method
-/// fails where the system's call does.
+/// An open file. A write either completes or returns an error; data that is not synced may be lost in a crash, in any
+/// order. Every method fails if the underlying system call fails.
 pub trait DiskFile: Send + Sync {
     /// Writes all bytes at this offset.
     ///
     /// # Errors
     ///
-    /// The disk fails or is full; a part of the bytes may have been written.
+    /// The disk fails or is full; some of the bytes may have been written.
     fn write_at(&self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Reads bytes from this offset on; returns how many, which are fewer than asked for only at the end of the file.
+    /// Reads bytes at this offset and returns how many; fewer than requested only at the end of the file.
     ///
     /// # Errors
     ///
     /// The disk fails.
     fn read_at(&self, offset: u64, into: &mut [u8]) -> io::Result<usize>;
-    /// Bytes of the file.
+    /// Returns the size of the file in bytes.
     ///
     /// # Errors
     ///
     /// The disk fails.
     fn length(&self) -> io::Result<u64>;
-    /// Cuts the file off at this length.
+    /// Truncates the file to this length.
     ///
     /// # Errors
     ///
     /// The disk fails.
     fn truncate(&self, length: u64) -> io::Result<()>;
-    /// Returns once the data is durable, the length included.
+    /// Returns once the data and the length of the file are durable.
     ///
     /// # Errors
     ///
-    /// The disk fails: what of the data is durable isn't known.
+    /// The disk fails. It is then unknown which data is durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// One directory. Every method fails where the system's call does.
+/// A directory. Every method fails if the underlying system call fails.
 pub trait Disk: Send + Sync {
-    /// Names of all files, in order.
+    /// Returns the names of all files, sorted.
     ///
     /// # Errors
     ///
     /// The disk fails.
     fn list(&self) -> io::Result<Vec<String>>;
-    /// A new, empty file; one of that name is replaced.
+    /// Creates an empty file, replacing any file of that name.
     ///
     /// # Errors
     ///
     /// The disk fails.
     fn create(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
-    /// A file that is there.
+    /// Opens an existing file.
     ///
     /// # Errors
     ///
-    /// There is none of that name, or the disk fails.
+    /// No file has that name, or the disk fails.
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>>;
-    /// Gives a file another name; one of that name is replaced.
+    /// Renames a file, replacing any file of the new name.
     ///
     /// # Errors
     ///
-    /// There is none of the first name, or the disk fails.
+    /// No file has the old name, or the disk fails.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
-    /// Removes a file. What is open stays readable until it is closed.
+    /// Removes a file. Open handles stay readable.
     ///
     /// # Errors
     ///
-    /// There is none of that name, or the disk fails.
+    /// No file has that name, or the disk fails.
     fn remove(&self, name: &str) -> io::Result<()>;
-    /// Returns once names created, renamed and removed are durable.
+    /// Returns once all created, renamed and removed names are durable.
     ///
     /// # Errors
     ///
     /// The disk fails.
     fn sync_names(&self) -> io::Result<()>;
-    /// A lock that one owner holds at a time, until it is dropped or the process ends.
+    /// Acquires the exclusive lock of the directory, which is held until it is dropped or the process ends.
     ///
     /// # Errors
     ///
-    /// [`io::ErrorKind::ResourceBusy`] where another owner holds it, or the disk fails.
+    /// [`io::ErrorKind::ResourceBusy`] if another owner holds the lock, or the disk fails.
     fn lock(&self) -> io::Result<Box<dyn Send + Sync>>;
-    /// Bytes that may still be written, as far as the system tells.
+    /// Returns the free space in bytes, as reported by the system.
     ///
     /// # Errors
     ///
@@ -93,11 +93,11 @@
     fn free(&self) -> io::Result<u64>;
 }
 
-/// All of a file.
+/// Reads a complete file.
 ///
 /// # Errors
 ///
-/// The file has more than `max_bytes`, or the disk fails.
+/// The file is longer than `max_bytes`, or the disk fails.
 pub(crate) fn read_whole(file: &dyn DiskFile, max_bytes: u64) -> io::Result<Vec<u8>> {
     let length = file.length()?;
     if length > max_bytes {
--- a/crates/log-store/src/disk/real.rs
+++ b/crates/log-store/src/disk/real.rs
@@ -1,4 +1,4 @@
-//! A directory of the system.
+//! A directory of the file system.
 
 use std::fs::{File, OpenOptions, TryLockError};
 use std::io;
@@ -8,38 +8,38 @@
 
 use super::{Disk, DiskFile};
 
-/// Name of the file that the owner of a store holds a lock on.
+/// Name of the file that the owner of a store locks.
 const LOCK: &str = "LOCK";
 
-/// A directory of the system.
+/// A directory of the file system.
 pub struct RealDisk {
     path: PathBuf,
 }
 
 impl RealDisk {
-    /// The directory at this path, which is made where it is not there.
+    /// Opens the directory at this path, creating it if it does not exist.
     ///
     /// # Errors
     ///
-    /// It can't be made.
+    /// The directory cannot be created.
     pub fn open_or_create(path: impl Into<PathBuf>) -> io::Result<RealDisk> {
         let path = path.into();
         std::fs::create_dir_all(&path)?;
         Ok(RealDisk { path })
     }
 
-    /// The directory at this path, which must be there.
+    /// Opens the existing directory at this path.
     ///
     /// # Errors
     ///
-    /// There is none.
+    /// The directory does not exist.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<RealDisk> {
         let path = path.into();
         let metadata = std::fs::metadata(&path)?;
         if metadata.is_dir() { Ok(RealDisk { path }) } else { Err(io::ErrorKind::NotADirectory.into()) }
     }
 
-    /// Its path.
+    /// Returns the path of the directory.
     pub fn path(&self) -> &Path {
         &self.path
     }
@@ -96,7 +96,7 @@
 
     fn open(&self, name: &str) -> io::Result<Arc<dyn DiskFile>> {
         let file = OpenOptions::new().read(true).write(true).open(self.path.join(name));
-        // Those who only look may not be allowed to write.
+        // Read-only users, such as `repair`, may lack permission to write.
         let file = file.or_else(|_| File::open(self.path.join(name)))?;
         Ok(Arc::new(RealFile(file)))
     }
--- a/crates/log-store/src/disk/simulated.rs
+++ b/crates/log-store/src/disk/simulated.rs
@@ -1,5 +1,5 @@
-//! A disk in memory that knows what was synced. It may lose, tear and reorder what was not, lose names that were not
-//! synced, run full, and fail any call: what a machine that loses power may leave behind, made on purpose.
+//! An in-memory disk that tracks what has been synced. It can lose, tear and reorder unsynced writes, lose unsynced file
+//! names, run full, and fail any call: the states that a machine may be left in by a power loss, produced on demand.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind};
@@ -7,26 +7,26 @@
 
 use super::{Disk, DiskFile};
 
-/// Index of a file among all that were ever created.
+/// Index of a file among all files ever created.
 type FileIndex = usize;
 
-/// What was done to a file.
+/// A change to the content of a file.
 #[derive(Clone, Debug)]
 enum FileChange {
     Write { offset: u64, bytes: Vec<u8> },
     Truncate { length: u64 },
 }
 
-/// A file, as its readers see it and as a crash may leave it.
+/// The content of a file as readers see it, and the pending changes from which a crash may leave another content.
 #[derive(Clone, Debug, Default)]
 struct FileContent {
     current: Vec<u8>,
     synced: Vec<u8>,
-    /// What was done since the last sync.
+    /// Changes since the last sync.
     pending: Vec<FileChange>,
 }
 
-/// What was done to the names of files.
+/// A change to the file names.
 #[derive(Clone, Debug)]
 enum NameChange {
     Put(String, FileIndex),
@@ -42,45 +42,45 @@
     pending_names: Vec<NameChange>,
     locked: bool,
     capacity: u64,
-    /// Calls that change something, so far.
+    /// Number of calls so far that change something.
     calls: u64,
-    /// The call that fails once.
+    /// The index of the call that fails once.
     failing_call: Option<u64>,
-    /// From this call on all fail, as the machine has lost power.
+    /// From this call on all calls fail, as after a power loss.
     power_loss_at: Option<u64>,
-    /// The sync, counted by itself, that fails once: what it was to write is never written.
+    /// The index of the sync, counted separately, that fails once; its data is never written.
     failing_sync: Option<u64>,
     syncs: u64,
 }
 
-/// A simulated directory. It is shared by its clones, as a directory is by those who open it.
+/// A simulated directory. Clones share its content, as processes share a directory.
 #[derive(Clone)]
 pub struct SimulatedDisk(Arc<Mutex<State>>);
 
-/// What a crash leaves of what was not synced.
+/// Which unsynced changes survive a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CrashLoss {
-    /// Of the pending changes of each file.
+    /// Which pending changes of each file survive.
     pub files: Persisted,
-    /// Of the pending changes of names.
+    /// Which pending changes of names survive.
     pub names: Persisted,
 }
 
-/// Which of the pending changes are on the disk after a crash.
+/// Which of the pending changes are persisted in a crash.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Persisted {
     /// None.
     Nothing,
     /// All.
     All,
-    /// The first so many, in order; of the next write the first half.
+    /// This many changes in order, and the first half of the write after them.
     First(usize),
-    /// All but that one: written out of order.
+    /// All except the change of this index, as if written out of order.
     Without(usize),
 }
 
 impl Persisted {
-    /// Whether the whole of the pending change of this index is on the disk.
+    /// Returns whether the pending change of this index is persisted completely.
     fn contains(self, index: usize) -> bool {
         match self {
             Persisted::Nothing => false,
@@ -90,7 +90,7 @@
         }
     }
 
-    /// Whether half of the pending write of this index is on the disk.
+    /// Returns whether only half of the pending write of this index is persisted.
     fn tears(self, index: usize) -> bool {
         self == Persisted::First(index)
     }
@@ -112,13 +112,13 @@
 }
 
 impl FileContent {
-    /// Applies a change that isn't synced yet.
+    /// Applies a change that is not synced yet.
     fn change(&mut self, change: FileChange) {
         apply(&mut self.current, &change);
         self.pending.push(change);
     }
 
-    /// What a crash leaves.
+    /// Returns the content after a crash.
     fn after_crash(&self, persisted: Persisted) -> Vec<u8> {
         let mut content = self.synced.clone();
         for (index, change) in self.pending.iter().enumerate() {
@@ -135,7 +135,7 @@
 }
 
 impl State {
-    /// Counts a call that changes something.
+    /// Counts a mutating call, and returns an error if the call is set to fail.
     fn count_call(&mut self) -> io::Result<()> {
         let call = self.calls;
         if self.power_loss_at.is_some_and(|first| call >= first) {
@@ -176,7 +176,7 @@
 }
 
 impl SimulatedDisk {
-    /// An empty directory on a disk of so many bytes.
+    /// Creates an empty directory on a disk of this capacity in bytes.
     pub fn new(capacity: u64) -> SimulatedDisk {
         SimulatedDisk(Arc::new(Mutex::new(State { capacity, ..State::default() })))
     }
@@ -185,49 +185,50 @@
         self.0.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Calls so far that change something.
+    /// Returns the number of mutating calls so far.
     pub fn calls(&self) -> u64 {
         self.state().calls
     }
 
-    /// Syncs of files so far.
+    /// Returns the number of file syncs so far.
     pub fn syncs(&self) -> u64 {
         self.state().syncs
     }
 
-    /// From that call on nothing works any more.
+    /// Makes all mutating calls fail from this one on.
     pub fn die_at(&self, call: u64) {
         self.state().power_loss_at = Some(call);
     }
 
-    /// That call fails, once.
+    /// Makes this mutating call fail once.
     pub fn fail_at(&self, call: u64) {
         self.state().failing_call = Some(call);
     }
 
-    /// That sync of a file fails, once, and what it was to write is never written.
+    /// Makes this file sync fail once; its data is never written.
     pub fn fail_sync(&self, sync: u64) {
         self.state().failing_sync = Some(sync);
     }
 
-    /// The disk has so many bytes from now on.
+    /// Changes the capacity of the disk to this many bytes.
     pub fn resize(&self, capacity: u64) {
         self.state().capacity = capacity;
     }
 
-    /// Bytes of all files that have a name.
+    /// Returns the total size in bytes of all files that have a name.
     pub fn used(&self) -> u64 {
         self.state().used()
     }
 
-    /// Most pending changes of any file, and those of names: how far a [`CrashLoss`] has something to choose.
+    /// Returns the largest number of pending changes of any file, and the number of pending name changes: the range in
+    /// which a [`CrashLoss`] makes a difference.
     pub fn pending(&self) -> (usize, usize) {
         let state = self.state();
         let most_of_files = state.files.iter().map(|file| file.pending.len()).max();
         (most_of_files.unwrap_or(0), state.pending_names.len())
     }
 
-    /// The disk as it is found after power came back.
+    /// Returns the disk as it is found after a crash.
     #[must_use]
     pub fn after_crash(&self, loss: CrashLoss) -> SimulatedDisk {
         let state = self.state();
@@ -251,19 +252,19 @@
         SimulatedDisk(Arc::new(Mutex::new(after)))
     }
 
-    /// A copy that shares nothing, all of it synced.
+    /// Returns an independent copy with all changes synced.
     #[must_use]
     pub fn copy(&self) -> SimulatedDisk {
         self.after_crash(CrashLoss { files: Persisted::All, names: Persisted::All })
     }
 
-    /// The bytes of a file, for tests that damage them.
+    /// Returns the content of a file, for tests that damage it.
     pub fn bytes(&self, name: &str) -> Option<Vec<u8>> {
         let state = self.state();
         state.names.get(name).map(|&index| state.files[index].current.clone())
     }
 
-    /// Gives a file these bytes, synced; it is created where it is not there.
+    /// Sets the synced content of a file, creating it if it does not exist.
     pub fn set_bytes(&self, name: &str, bytes: Vec<u8>) {
         let mut state = self.state();
         let index = match state.names.get(name) {
@@ -279,7 +280,7 @@
         state.files[index] = FileContent { current: bytes.clone(), synced: bytes, pending: Vec::new() };
     }
 
-    /// Names of all files, in order.
+    /// Returns the names of all files, sorted.
     pub fn names(&self) -> Vec<String> {
         self.state().names.keys().cloned().collect()
     }
@@ -297,7 +298,7 @@
         let length = state.files[self.index].current.len() as u64;
         let grows = (offset + bytes.len() as u64).saturating_sub(length);
         let excess = (state.used() + grows).saturating_sub(state.capacity);
-        // A disk that runs full in the middle of a write keeps what went in.
+        // A disk that runs full during a write keeps the bytes that fit.
         let fits = bytes.len() - excess.min(bytes.len() as u64) as usize;
         state.files[self.index].change(FileChange::Write { offset, bytes: bytes[..fits].to_vec() });
         if excess > 0 { Err(ErrorKind::StorageFull.into()) } else { Ok(()) }
@@ -331,7 +332,7 @@
         let fails = state.failing_sync == Some(sync);
         let file = &mut state.files[self.index];
         if fails {
-            // What real systems do: the pages count as clean, and no later sync writes them.
+            // As on real systems: the pages are marked clean, and no later sync writes them.
             file.pending.clear();
             return Err(io::Error::other("a sync that fails"));
         }
--- a/crates/log-store/src/garbage.rs
+++ b/crates/log-store/src/garbage.rs
@@ -1,29 +1,29 @@
-//! How many bytes of which segment are of no more use.
+//! The number of bytes in each segment that are no longer needed.
 
 use std::collections::BTreeMap;
 
-/// Garbage by segment.
+/// Garbage bytes by segment.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Garbage {
-    /// Bytes of the first segment whose records are superseded by those of the second.
+    /// Bytes of records in the first segment that are superseded by records of the second.
     superseded: BTreeMap<(u64, u64), u64>,
-    /// Bytes of tombstones.
+    /// Bytes of tombstones by segment.
     tombstones: BTreeMap<u64, u64>,
 }
 
 impl Garbage {
-    /// So many bytes of a segment are superseded by records of another one, or of the same.
+    /// Adds bytes of `segment` that records of the segment `by`, which may be the same one, supersede.
     pub fn add_superseded(&mut self, segment: u64, by: u64, bytes: u64) {
         *self.superseded.entry((segment, by)).or_default() += bytes;
     }
 
-    /// A segment has a tombstone of so many bytes.
+    /// Adds the bytes of a tombstone in `segment`.
     pub fn add_tombstone(&mut self, segment: u64, bytes: u64) {
         *self.tombstones.entry(segment).or_default() += bytes;
     }
 
-    /// Bytes that merging these segments, which follow one another, would free. Tombstones count only in a run that
-    /// begins with the oldest segment.
+    /// Returns the number of bytes that merging these consecutive segments would free. Tombstones count only in a run
+    /// that begins with the oldest segment.
     pub fn bytes_within(&self, run: &[u64], begins_with_oldest: bool) -> u64 {
         let pairs =
             run.iter().flat_map(|segment| self.superseded.range((*segment, 0)..=(*segment, u64::MAX)));
@@ -32,7 +32,7 @@
         superseded + if begins_with_oldest { tombstones } else { 0 }
     }
 
-    /// A run has become one segment, with so many bytes of tombstones.
+    /// Replaces the segments of a run with the segment they were merged into, which has `tombstones` bytes of tombstones.
     pub fn merged(&mut self, run: &[u64], into: u64, tombstones: u64) {
         let renamed = |segment: u64| if run.contains(&segment) { into } else { segment };
         let before = std::mem::take(&mut self.superseded);
--- a/crates/log-store/src/index.rs
+++ b/crates/log-store/src/index.rs
@@ -1,4 +1,4 @@
-//! The index: where the latest record of each key is, and how many bytes of which segment are garbage.
+//! The index: the location of the latest record of each key, and the number of garbage bytes in each segment.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -15,12 +15,13 @@
 pub(crate) struct Index {
     pub snapshot: Snapshot,
     pub garbage: Garbage,
-    /// Entries that point into each segment of the snapshot; one that none points into leaves it.
+    /// The number of entries that point into each segment of the snapshot. A segment is removed from the snapshot when
+    /// its count drops to 0.
     entry_counts: BTreeMap<u64, usize>,
 }
 
 impl Index {
-    /// Applies a record, behind all that were applied before.
+    /// Applies a record, which must be later than all records applied before.
     pub fn apply(
         &mut self,
         kind: RecordKind,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Points the keys of a run at the segment that it was merged into: those whose record is still the latest.
+    /// Points keys of a merged run to the merged segment. Skips keys that have been superseded since.
     pub fn merged(
         &mut self,
         run: &[u64],
--- a/crates/log-store/src/io_budget.rs
+++ b/crates/log-store/src/io_budget.rs
@@ -1,4 +1,4 @@
-//! How fast segments are merged: a token bucket. No I/O and no clock.
+//! Limits the rate of compaction with a token bucket. Performs no I/O and reads no clock.
 
 #[cfg(test)]
 mod tests;
@@ -7,19 +7,19 @@
 
 const NANOSECONDS_PER_SECOND: u128 = 1_000_000_000;
 
-/// Bytes that compaction may read and write, given back with time, in whole bytes and nanoseconds.
+/// Bytes that compaction may read and write, refilled over time in integer arithmetic.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct IoBudget {
     bytes_per_second: u64,
     max_bytes: u64,
     available_bytes: u64,
     as_of_ns: i64,
-    /// Nanoseconds times bytes a second that did not make a whole byte yet.
+    /// The part of the refill that does not make up a byte yet, in nanoseconds times bytes per second.
     remainder: u64,
 }
 
 impl IoBudget {
-    /// A full budget.
+    /// Creates a full budget.
     pub fn new(options: &CompactionOptions, now_ns: i64) -> IoBudget {
         IoBudget {
             bytes_per_second: options.bytes_per_second,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Bytes that may be spent now. A clock that steps back gives nothing, and takes nothing.
+    /// Returns the number of bytes that may be spent now. A clock that steps back neither adds nor removes any.
     pub fn available(&mut self, now_ns: i64) -> u64 {
         let passed = now_ns.saturating_sub(self.as_of_ns).max(0) as u128;
         self.as_of_ns = now_ns;
@@ -41,7 +41,7 @@
         self.available_bytes
     }
 
-    /// Spends bytes, also such as weren't there.
+    /// Spends bytes. Spending more than is available empties the budget.
     pub fn spend(&mut self, bytes: u64) {
         self.available_bytes = self.available_bytes.saturating_sub(bytes);
     }
--- a/crates/log-store/src/key.rs
+++ b/crates/log-store/src/key.rs
@@ -1,4 +1,4 @@
-//! Keys as the index holds them.
+//! Keys as stored in the index.
 
 use std::borrow::Borrow;
 use std::cmp::Ordering;
@@ -7,14 +7,14 @@
 use std::ops::Deref;
 use std::sync::Arc;
 
-/// Bytes of a keyspace.
+/// Encoded size of a keyspace, in bytes.
 const KEYSPACE_BYTES: usize = 2;
-/// Bytes of a key, keyspace included, that are kept in place.
+/// The longest key, including its keyspace, that is stored inline, in bytes.
 const INLINE_BYTES: usize = 30;
 
-/// A key with its keyspace before it, high byte first, so that a keyspace is a range. A short one is kept in place: the
-/// nodes of the map that a write copies are then copied as bytes, where a shared one is counted up on each copy and
-/// down on each drop.
+/// A key prefixed by its big-endian keyspace, so that a keyspace is a contiguous range. A short key is stored inline:
+/// when a write copies nodes of the map, inline keys are copied as plain bytes, whereas each shared key costs a reference
+/// count increment per copy and a decrement per drop.
 #[derive(Clone)]
 pub(crate) enum IndexKey {
     Inline { length: u8, bytes: [u8; INLINE_BYTES] },
@@ -22,7 +22,7 @@
 }
 
 impl IndexKey {
-    /// The key of this name in a keyspace.
+    /// Creates the index key of a key in a keyspace.
     pub fn new(keyspace: u16, key: &[u8]) -> IndexKey {
         let length = KEYSPACE_BYTES + key.len();
         if length <= INLINE_BYTES {
@@ -37,12 +37,12 @@
         IndexKey::Shared(bytes.into())
     }
 
-    /// Its keyspace.
+    /// Returns the keyspace.
     pub fn keyspace(&self) -> u16 {
         u16::from_be_bytes([self[0], self[1]])
     }
 
-    /// Its name in the keyspace.
+    /// Returns the key without its keyspace.
     pub fn name(&self) -> &[u8] {
         &self[KEYSPACE_BYTES..]
     }
--- a/crates/log-store/src/lib.rs
+++ b/crates/log-store/src/lib.rs
@@ -1,10 +1,10 @@
-//! A small embedded store for what a program must remember over a restart: a log of records in segments, an index in
-//! memory, compaction, and a recovery that never invents a record and never refuses to start on damaged data.
+//! A small embedded store for the state that a program keeps across restarts: a log of records in segments, an index
+//! in memory, compaction, and a recovery that never invents a record and never refuses to start on damaged data.
 //!
-//! [`LogStore`] is the store itself, with one owner; [`background_writer`] puts it behind a queue on a thread of its
-//! own; [`repair`] looks at the files of a store without owning it; [`disk`] is all that touches files, real or
-//! simulated. A log with its index in memory is the design of Bitcask (Sheehy and Smith 2010). `docs/logbook.md` has
-//! the format byte by byte and what is promised.
+//! [`LogStore`] is the store itself, with one owner. [`background_writer`] runs it on its own thread behind a queue.
+//! [`repair`] reads the files of a store without owning it. [`disk`] contains all file access, real or simulated. A
+//! log with its index in memory is the design of Bitcask (Sheehy and Smith 2010). `docs/logbook.md` describes the
+//! format byte by byte and the guarantees.
 //!
 //! ```
 //! use std::sync::Arc;
--- a/crates/log-store/src/manifest.rs
+++ b/crates/log-store/src/manifest.rs
@@ -1,4 +1,4 @@
-//! The manifest: which segments are the store. One small file, replaced at once.
+//! The manifest: the list of segments that make up the store. A small file that is replaced atomically.
 
 use std::io;
 
@@ -7,45 +7,45 @@
 
 /// Name of the manifest's file.
 pub const MANIFEST: &str = "MANIFEST";
-/// Name under which a manifest is written before it takes the place of the old one.
+/// Name under which a new manifest is written before it is renamed to [`MANIFEST`].
 pub(crate) const NEW_MANIFEST: &str = "MANIFEST.new";
 const MAGIC: [u8; 8] = *b"OVLOGMAN";
-/// Far more than any sound one takes.
+/// The maximum size of a manifest in bytes, far above that of any valid one.
 const MAX_BYTES: u64 = 4 << 20;
-/// The sealed length of a segment that isn't sealed.
+/// The encoded sealed length of a segment that is not sealed.
 const NOT_SEALED: u64 = u64::MAX;
 
 /// One segment of the store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ManifestSegment {
     pub number: u64,
-    /// Bytes, where it is sealed; the last one is not.
+    /// The length in bytes of a sealed segment. `None` for the last segment, which is active.
     pub sealed_length: Option<u64>,
     pub is_merged: bool,
 }
 
-/// Which segments are the store.
+/// The list of segments that make up the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Manifest {
-    /// Identity of the store: 8 bytes of what it is for, 8 random ones.
+    /// Identity of the store: 8 bytes derived from its name, then 8 random bytes.
     pub identity: [u8; 16],
-    /// Rises with every manifest that is written.
+    /// Incremented with every manifest that is written.
     pub generation: u64,
-    /// Number that the next segment gets.
+    /// Number of the next segment to be created.
     pub next_number: u64,
-    /// In the order of sequence numbers.
+    /// The segments in the order of their sequence numbers.
     pub segments: Vec<ManifestSegment>,
-    /// Segments that are kept for repair and belong to the store no more.
+    /// Numbers of segments that are kept for repair and no longer belong to the store.
     pub quarantined: Vec<u64>,
 }
 
-/// What was found in the manifest's place.
+/// Result of loading a manifest.
 pub(crate) enum LoadedManifest {
     Missing,
     Valid(Manifest),
-    /// It cannot be read.
+    /// The manifest cannot be read.
     Corrupt,
-    /// It is sound, and of a format that is not known here.
+    /// The manifest is valid, but has this unsupported later format version.
     NewerFormat(u32),
 }
 
@@ -71,7 +71,7 @@
         out
     }
 
-    /// The manifest that the bytes stand for; None where they can't be read.
+    /// Decodes a manifest. Returns `None` if it is not valid.
     fn decode(bytes: &[u8]) -> Option<LoadedManifest> {
         let (body, checksum) = bytes.split_last_chunk::<4>()?;
         if crc32c::crc32c(body) != u32::from_le_bytes(*checksum) {
@@ -101,7 +101,7 @@
         Some(LoadedManifest::Valid(Manifest { identity, generation, next_number, segments, quarantined }))
     }
 
-    /// Reads the manifest of a directory.
+    /// Loads the manifest of a directory.
     pub fn load(disk: &dyn Disk) -> io::Result<LoadedManifest> {
         let file = match disk.open(MANIFEST) {
             Ok(file) => file,
@@ -112,7 +112,7 @@
         Ok(Manifest::decode(&bytes).unwrap_or(LoadedManifest::Corrupt))
     }
 
-    /// Takes the old one's place, at once and durably. What it lists must be durable before.
+    /// Replaces the manifest of a directory atomically and durably. The segments that it lists must already be durable.
     pub fn replace(&self, disk: &dyn Disk) -> io::Result<()> {
         let file = disk.create(NEW_MANIFEST)?;
         file.write_at(0, &self.encode())?;
@@ -122,7 +122,7 @@
     }
 }
 
-/// Takes so many bytes from the front.
+/// Takes the first `N` bytes off `rest`. Returns `None` if it is shorter.
 fn take<'a, const N: usize>(rest: &mut &'a [u8]) -> Option<&'a [u8; N]> {
     let (first, after) = rest.split_first_chunk::<N>()?;
     *rest = after;
--- a/crates/log-store/src/merge.rs
+++ b/crates/log-store/src/merge.rs
@@ -1,5 +1,5 @@
-//! One merge, in steps of bounded work: a run of sealed segments becomes one, with the latest record of each key in the
-//! run, in the order of sequence numbers.
+//! A merge in steps of bounded work. It replaces a run of sealed segments by one segment with the latest record of each
+//! key in the run, in the order of sequence numbers.
 
 use std::collections::HashMap;
 use std::io;
@@ -11,26 +11,26 @@
 use crate::record::{self, Record, RecordKind};
 use crate::segment::{self, RecordLocation, SEGMENT_HEADER_BYTES, Scan, Segment, SegmentHeader};
 
-/// A segment of the run.
+/// An input segment of a merge.
 #[derive(Clone)]
 pub(crate) struct MergeInput {
     pub segment: Arc<Segment>,
     pub sealed_length: u64,
 }
 
-/// How far a merge has come.
+/// Progress of a merge.
 enum Phase {
-    /// The latest record of each key is looked for; so many segments of the run are read.
+    /// Looking for the latest record of each key; this many segments of the run have been read.
     FindLatest(usize),
-    /// The latest records are written; so many segments of the run are done.
+    /// Writing the latest records; this many segments of the run are done.
     Write(usize),
     Done,
 }
 
-/// A merge that goes on.
+/// A merge in progress.
 pub(crate) struct Merge {
     run: Vec<MergeInput>,
-    /// Whether the run begins with the oldest segment, so that tombstones have nothing left to hide.
+    /// Whether the run begins with the oldest segment, so that tombstones are no longer needed.
     begins_with_oldest: bool,
     latest: HashMap<IndexKey, u64>,
     output: Segment,
@@ -41,28 +41,27 @@
     phase: Phase,
 }
 
-/// Result of a step.
+/// Result of one step of a merge.
 pub(crate) enum MergeStep {
-    /// So many bytes were read or written; there is more to do.
+    /// This many bytes were read or written, and the merge continues.
     Progressed(u64),
-    /// All is written and durable.
+    /// The merged segment is complete and durable.
     Done,
     /// The segment of this number cannot be read.
     Corrupt(u64),
 }
 
-/// What a merge has made.
+/// Result of a complete merge.
 pub(crate) struct MergeOutput {
     pub segment: Arc<Segment>,
     pub length: u64,
     pub checkpoint: Checkpoint,
-    /// Bytes of tombstones in it.
+    /// Bytes of tombstones in the merged segment.
     pub tombstone_bytes: u64,
 }
 
 impl Merge {
-    /// Begins to merge a run into a segment of this identity and number. `last`: the sequence number that the run ends
-    /// with.
+    /// Starts merging a run into a segment of this identity and number. `last` is the last sequence number of the run.
     pub fn begin(
         disk: &dyn Disk,
         run: Vec<MergeInput>,
@@ -74,7 +73,7 @@
         let first = run.first().map_or(0, |input| input.segment.header.first);
         let header = SegmentHeader { identity, number, first, merged_through: Some(last) };
         let file = disk.create(&segment::file_name(number))?;
-        // The header is written last, so that a segment that has one is complete.
+        // The header is written last, so that a segment with a header is complete.
         let checksum = SegmentHeader::read(&header.encode()).map_or(0, |found| found.checksum);
         Ok(Merge {
             run,
@@ -89,22 +88,22 @@
         })
     }
 
-    /// Number of the segment that is written.
+    /// Returns the number of the segment that is written.
     pub fn output_number(&self) -> u64 {
         self.output.header.number
     }
 
-    /// Numbers of the segments that are merged.
+    /// Returns the numbers of the segments that are merged.
     pub fn input_numbers(&self) -> Vec<u64> {
         self.run.iter().map(|input| input.segment.header.number).collect()
     }
 
-    /// Bytes of the segments that are merged.
+    /// Returns the total size of the segments that are merged, in bytes.
     pub fn input_bytes(&self) -> u64 {
         self.run.iter().map(|input| input.sealed_length).sum()
     }
 
-    /// One segment at a time: they are of bounded size.
+    /// Processes one segment, whose size is bounded.
     pub fn step(&mut self) -> io::Result<MergeStep> {
         match self.phase {
             Phase::FindLatest(index) if index == self.run.len() => {
@@ -174,7 +173,7 @@
         Ok(MergeStep::Progressed(sealed_length + bytes.len() as u64))
     }
 
-    /// The segment that the run has become.
+    /// Returns the merged segment.
     pub fn finish(self) -> MergeOutput {
         MergeOutput {
             segment: Arc::new(self.output),
--- a/crates/log-store/src/options.rs
+++ b/crates/log-store/src/options.rs
@@ -1,23 +1,23 @@
-//! What a store goes by.
+//! Options of a store.
 
 use crate::compaction_policy::CompactionOptions;
 
-/// What a store goes by.
+/// Options of a store.
 #[derive(Clone, Debug)]
 pub struct LogStoreOptions {
-    /// What the store is for: one made for something else is not opened.
+    /// The purpose of the store. Opening a store that was created under another name fails.
     pub name: String,
-    /// Bytes after which a segment is sealed; a batch is never split, nor longer than this.
+    /// The size in bytes at which a segment is sealed. A batch is never split across segments, so it cannot be longer.
     pub segment_bytes: u64,
-    /// Whether the start goes by checkpoints of sealed segments, and damage in their values shows when they are read.
-    /// Otherwise all of it is read and checked.
+    /// Whether recovery reads the checkpoints of sealed segments instead of their records. Damaged values are then only
+    /// detected when they are read. If false, recovery reads and checks every record.
     pub checkpoints: bool,
-    /// When segments are merged, and how fast.
+    /// When segments are merged, and at which rate.
     pub compaction: CompactionOptions,
 }
 
 impl LogStoreOptions {
-    /// The defaults for a store of this name.
+    /// Returns the default options for a store of this name.
     pub fn named(name: &str) -> LogStoreOptions {
         LogStoreOptions {
             name: name.to_owned(),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// The part of a store's identity that says what it is for.
+    /// Returns the first half of the store's identity, which is derived from its name.
     pub(crate) fn purpose(&self) -> [u8; 8] {
         const SECOND_SEED: u32 = 0x9e37;
         let name = self.name.as_bytes();
--- a/crates/log-store/src/record.rs
+++ b/crates/log-store/src/record.rs
@@ -1,10 +1,10 @@
-//! Records as bytes.
+//! Encoding of records.
 //!
-//! A record: length of key and value (4 bytes, low byte first), records of its batch still to come (4), kind (1),
+//! Layout of a record: length of key and value (4 bytes, little-endian), remaining records of its batch (4), kind (1),
 //! keyspace (2), length of the key (4), sequence number (8), key, value, checksum (4). The checksum is crc32c over all
-//! before it, seeded with the four bytes before the record: the checksum of the record or segment header before
-//! it. So an old record of a block that is used again is never taken for a new one, and whoever looks for records
-//! behind a damaged place can still recognise them.
+//! preceding bytes of the record, seeded with the four bytes before the record, which are the checksum of the previous
+//! record or of the segment header. So a stale record in a reused disk block is never accepted as a new one, and records
+//! after a damaged region can still be recognized.
 
 #[cfg(test)]
 mod tests;
@@ -12,9 +12,9 @@
 /// What a record does to its key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordKind {
-    /// The key has this value from now on.
+    /// Sets the value of the key.
     Put,
-    /// The key has no value any more: a tombstone.
+    /// Deletes the key: a tombstone.
     Delete,
 }
 
@@ -38,26 +38,26 @@
     }
 }
 
-/// Bytes of a record before its key.
+/// Size of a record before its key, in bytes.
 pub(crate) const RECORD_HEADER_BYTES: usize = 23;
-/// Bytes of a record's checksum.
+/// Size of a record's checksum, in bytes.
 pub(crate) const CHECKSUM_BYTES: usize = 4;
-/// Most bytes of key and value together: a length beyond it is damage, and nothing is allocated for it.
+/// The maximum length of key and value together, in bytes. A greater length is treated as damage before any allocation.
 pub(crate) const MAX_KEY_AND_VALUE_BYTES: usize = 16 << 20;
 
-/// A record in a buffer.
+/// A record that borrows from a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct Record<'a> {
     pub kind: RecordKind,
     pub keyspace: u16,
     pub sequence: u64,
-    /// Records of its batch that follow it.
+    /// Number of records of the same batch that follow this one.
     pub remaining_in_batch: u32,
     pub key: &'a [u8],
     pub value: &'a [u8],
 }
 
-/// A record that was read, the bytes that it takes, and its checksum.
+/// A decoded record with its encoded length in bytes and its checksum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ParsedRecord<'a> {
     pub record: Record<'a>,
@@ -65,12 +65,12 @@
     pub checksum: u32,
 }
 
-/// Bytes that a record takes.
+/// Returns the encoded size of a record in bytes.
 pub(crate) fn encoded_length(key_length: usize, value_length: usize) -> usize {
     RECORD_HEADER_BYTES + key_length + value_length + CHECKSUM_BYTES
 }
 
-/// Appends a record. `previous_checksum` is the checksum before it; returns its own.
+/// Appends an encoded record to `out` and returns its checksum. `previous_checksum` is the checksum before the record.
 pub(crate) fn write(out: &mut Vec<u8>, record: &Record, previous_checksum: u32) -> u32 {
     let start = out.len();
     out.extend_from_slice(&((record.key.len() + record.value.len()) as u32).to_le_bytes());
@@ -86,26 +86,26 @@
     checksum
 }
 
-/// Four bytes as a number; 0 where the buffer ends before.
+/// Reads a little-endian `u32` at `offset`. Returns 0 if the buffer is too short.
 pub(crate) fn u32_at(bytes: &[u8], offset: usize) -> u32 {
     bytes.get(offset..offset + 4).map_or(0, |b| u32::from_le_bytes([b[0], b[1], b[2], b[3]]))
 }
 
-/// Eight bytes as a number; 0 for those behind the end of the buffer.
+/// Reads a little-endian `u64` at `offset`. Bytes past the end of the buffer read as 0.
 pub(crate) fn u64_at(bytes: &[u8], offset: usize) -> u64 {
     u64::from(u32_at(bytes, offset)) | u64::from(u32_at(bytes, offset + 4)) << 32
 }
 
-/// Why no record was read.
+/// Why decoding a record failed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RecordError {
-    /// The buffer ends before the record may.
+    /// The buffer ends before the end of the record.
     Incomplete,
-    /// The bytes are no record, or none behind this checksum.
+    /// The bytes are not a valid record, or not one that follows the given checksum.
     Invalid,
 }
 
-/// Reads the record at the front of the buffer, behind `previous_checksum`.
+/// Decodes the record at the start of the buffer, which must follow `previous_checksum`.
 pub(crate) fn read(bytes: &[u8], previous_checksum: u32) -> Result<ParsedRecord<'_>, RecordError> {
     if bytes.len() < RECORD_HEADER_BYTES {
         return Err(RecordError::Incomplete);
--- a/crates/log-store/src/record/tests.rs
+++ b/crates/log-store/src/record/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_length_of_four_gigabytes_is_damage_and_costs_nothing() {
+fn a_length_of_four_gigabytes_is_rejected_without_allocation() {
     let mut bytes = Vec::new();
     write(&mut bytes, &RECORD, 0);
     bytes[..4].copy_from_slice(&u32::MAX.to_le_bytes());
--- a/crates/log-store/src/recovery.rs
+++ b/crates/log-store/src/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery: from the files of a directory to a store that is as it was after some batch.
+//! Recovery: rebuilds the state of the store after one of its batches from the files of a directory.
 
 mod manifest_rebuild;
 
@@ -22,48 +22,48 @@
 /// Prefix of the names of files that are kept for repair.
 pub(crate) const QUARANTINE_PREFIX: &str = "salvage-";
 
-/// A write that a crash cut short; its bytes were cut off.
+/// A write that was cut short by a crash. Recovery truncates it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TornTail {
     /// Number of the segment.
     pub segment: u64,
-    /// Byte from which on it was cut off.
+    /// Offset at which the segment was truncated.
     pub offset: u64,
-    /// Bytes that were cut off.
+    /// Number of bytes that were removed.
     pub bytes: u64,
 }
 
-/// The first damage. What is behind it was quarantined.
+/// The first damage that was found. All data after it was quarantined.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Corruption {
     /// Number of the segment.
     pub segment: u64,
-    /// Byte from which on it can't be read.
+    /// Offset from which the segment cannot be read.
     pub offset: u64,
 }
 
-/// What the start found.
+/// Result of a recovery.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
-    /// Records read.
+    /// Number of records read.
     pub records: u64,
-    /// Keys that have a value.
+    /// Number of keys that have a value.
     pub keys: u64,
-    /// Segments read.
+    /// Number of segments read.
     pub segments: usize,
-    /// Of those, read by their checkpoint.
+    /// Number of those segments whose checkpoint was used.
     pub segments_from_checkpoint: usize,
-    /// A write that a crash cut short.
+    /// A write that was cut short by a crash, if any.
     pub torn_tail: Option<TornTail>,
-    /// The first damage.
+    /// The first damage that was found, if any.
     pub corruption: Option<Corruption>,
-    /// Files kept for repair.
+    /// Names of the files kept for repair.
     pub quarantined: Vec<String>,
-    /// Whether the manifest had to be made anew from the segments.
+    /// Whether the manifest had to be rebuilt from the segments.
     pub manifest_rebuilt: bool,
 }
 
-/// The parts of a store that was read back. Its manifest isn't on disk yet where it is outdated there.
+/// The parts of a recovered store. If `is_manifest_outdated`, its manifest is not on disk yet.
 pub(crate) struct RecoveredStore {
     pub manifest: Manifest,
     pub sealed: Vec<SealedSegment>,
@@ -72,8 +72,8 @@
     pub is_manifest_outdated: bool,
 }
 
-/// Reads back the store of a directory, or begins one where nothing is. What is left to do once the store's manifest is
-/// durable is [`Recovery::finish`].
+/// Recovers the store of a directory, or creates a store if the directory is empty. The caller calls
+/// [`Recovery::finish`] once the manifest of the store is durable.
 pub(crate) fn recover(
     disk: Arc<dyn Disk>,
     options: &LogStoreOptions,
@@ -101,7 +101,7 @@
     Ok(recovery.run()?)
 }
 
-/// The identity of a new store: what it is for, and random bytes.
+/// Returns the identity of a new store: 8 bytes derived from its name, then 8 random bytes.
 fn random_identity(options: &LogStoreOptions, hashed: u8) -> [u8; 16] {
     let mut identity = [0; 16];
     identity[..8].copy_from_slice(&options.purpose());
@@ -109,7 +109,7 @@
     identity
 }
 
-/// A recovery that goes on.
+/// A recovery in progress.
 pub(crate) struct Recovery {
     disk: Arc<dyn Disk>,
     uses_checkpoints: bool,
@@ -119,37 +119,37 @@
     sealed: Vec<SealedSegment>,
 }
 
-/// A segment that was read to its end.
+/// A segment that was read completely.
 struct IntactSegment {
     segment: Arc<Segment>,
     length: u64,
-    /// Checksum of the last record; 0 where it was read by its checkpoint, as nothing is appended to it.
+    /// Checksum of the last record; 0 if a checkpoint was read, because such a segment is not appended to.
     checksum: u32,
-    /// The sequence number after its last.
+    /// The sequence number after the last record.
     next_sequence: u64,
     records: Vec<IndexedRecord>,
 }
 
-/// The sound part of a segment, before the damage.
-struct SoundPart {
+/// The valid part of a segment before the first damage.
+struct ValidPart {
     segment: Arc<Segment>,
     length: u64,
     records: Vec<IndexedRecord>,
 }
 
-/// How one segment was found.
+/// Result of reading one segment.
 enum SegmentState {
     Intact(IntactSegment),
-    /// Where the damage is, and the sound part before it where that can be used.
+    /// The offset of the damage, and the valid part before it if that is usable.
     Corrupt {
         offset: u64,
-        sound: Option<SoundPart>,
+        valid: Option<ValidPart>,
     },
 }
 
 impl SegmentState {
-    /// Nothing of the segment can be read.
-    const UNREADABLE: SegmentState = SegmentState::Corrupt { offset: 0, sound: None };
+    /// No part of the segment can be read.
+    const UNREADABLE: SegmentState = SegmentState::Corrupt { offset: 0, valid: None };
 }
 
 impl Recovery {
@@ -173,7 +173,7 @@
                 ActiveSegment::empty(segment, checksum, next_sequence)
             }
         };
-        // What the system has in memory only is durable before anything builds on it.
+        // Data that so far is only in the page cache must be durable before later writes depend on it.
         active.segment.file.sync()?;
         let snapshot = &mut self.index.snapshot;
         snapshot.sequence = snapshot.sequence.max(next_sequence - 1);
@@ -189,14 +189,15 @@
         Ok((recovered, self))
     }
 
-    /// The manifest of the recovered store, of these segments, is durable: removes what it doesn't name.
+    /// Removes files that the manifest of the recovered store does not list. Called once that manifest, which lists the
+    /// given segments, is durable.
     pub fn finish(mut self, segments: &BTreeSet<u64>) -> io::Result<RecoveryReport> {
         self.quarantine_files()?;
         self.remove_unnamed_files(segments)?;
         Ok(self.report)
     }
 
-    /// Numbers of files that a crash left are not used again: what is in them must not fit what is written.
+    /// Skips the numbers of files left by a crash, so that their content is never mistaken for that of a new segment.
     fn skip_used_numbers(&mut self) -> io::Result<()> {
         for name in self.disk.list()? {
             let stem = name.trim_start_matches(QUARANTINE_PREFIX).split('.').next().unwrap_or_default();
@@ -213,7 +214,7 @@
         number
     }
 
-    /// Reads the segments of the manifest up to the first damage; the active one, if that is sound.
+    /// Reads the segments of the manifest up to the first damage. Returns the active segment if it is intact.
     fn read_segments(&mut self) -> io::Result<Option<ActiveSegment>> {
         let listed = self.manifest.segments.clone();
         let mut active = None;
@@ -229,12 +230,12 @@
                         active = Some(active_segment(intact));
                     }
                 }
-                SegmentState::Corrupt { offset, sound } => {
+                SegmentState::Corrupt { offset, valid } => {
                     self.report.corruption = Some(Corruption { segment: entry.number, offset });
                     let lost = listed[index..].iter().map(|entry| entry.number);
                     self.manifest.quarantined.extend(lost);
-                    if let Some(sound) = sound {
-                        self.copy_sound_part(&sound)?;
+                    if let Some(valid) = valid {
+                        self.copy_valid_part(&valid)?;
                     }
                     break;
                 }
@@ -249,7 +250,7 @@
         self.sealed.push(sealed);
     }
 
-    /// Reads one segment, whose first sequence number has to be `expected`.
+    /// Reads one segment, whose first sequence number must be `expected`.
     fn read_segment(&mut self, entry: &ManifestSegment, expected: u64) -> io::Result<SegmentState> {
         let file = match self.disk.open(&segment::file_name(entry.number)) {
             Ok(file) => file,
@@ -299,8 +300,8 @@
                 let next_sequence = segment.header.merged_through.map_or(scan.next_sequence, |last| last + 1);
                 Ok(intact(segment, next_sequence, records))
             }
-            // What is before the damage in a merged segment is no state that the store ever had.
-            Some(_) if entry.is_merged => Ok(SegmentState::Corrupt { offset: scan.length, sound: None }),
+            // A prefix of a merged segment is not a state that the store ever had.
+            Some(_) if entry.is_merged => Ok(SegmentState::Corrupt { offset: scan.length, valid: None }),
             None if !scan.has_records_in_tail => {
                 if scan.has_tail {
                     let bytes = segment.file.length()? - scan.length;
@@ -311,8 +312,8 @@
                 Ok(intact(segment, scan.next_sequence, records))
             }
             Some(_) | None => {
-                let sound = SoundPart { segment, length: scan.length, records };
-                Ok(SegmentState::Corrupt { offset: scan.length, sound: Some(sound) })
+                let valid = ValidPart { segment, length: scan.length, records };
+                Ok(SegmentState::Corrupt { offset: scan.length, valid: Some(valid) })
             }
         }
     }
@@ -325,13 +326,13 @@
         self.report.records += records.len() as u64;
     }
 
-    /// The sound part of a damaged segment goes on as a segment of its own; the damaged file stays as it is.
-    fn copy_sound_part(&mut self, sound: &SoundPart) -> io::Result<()> {
-        let header = SegmentHeader { number: self.allocate_number(), ..sound.segment.header };
+    /// Copies the valid part of a damaged segment to a new segment. The damaged file stays unchanged.
+    fn copy_valid_part(&mut self, valid: &ValidPart) -> io::Result<()> {
+        let header = SegmentHeader { number: self.allocate_number(), ..valid.segment.header };
         let (segment, mut checksum) = segment::create(&*self.disk, header)?;
-        let (mut bytes, mut records) = (Vec::new(), Vec::with_capacity(sound.records.len()));
+        let (mut bytes, mut records) = (Vec::new(), Vec::with_capacity(valid.records.len()));
         let start = SEGMENT_HEADER_BYTES as u64;
-        segment::scan(&sound.segment, Some(sound.length), u64::MAX, |_, record| {
+        segment::scan(&valid.segment, Some(valid.length), u64::MAX, |_, record| {
             let offset = start + bytes.len() as u64;
             checksum = record::write(&mut bytes, record, checksum);
             let length = (start + bytes.len() as u64 - offset) as u32;
@@ -346,7 +347,7 @@
         Ok(())
     }
 
-    /// Gives segments that are kept for repair a name under which nothing takes them for the store's.
+    /// Renames segments that are kept for repair, so that they are no longer taken for segments of the store.
     fn quarantine_files(&mut self) -> io::Result<()> {
         let names = self.disk.list()?;
         let mut has_renamed = false;
@@ -362,7 +363,7 @@
         if has_renamed { self.disk.sync_names() } else { Ok(()) }
     }
 
-    /// Removes what a crash left: files that no manifest names. Nothing in them was ever acknowledged.
+    /// Removes files left by a crash that no manifest lists. Nothing in them was ever acknowledged.
     fn remove_unnamed_files(&self, segments: &BTreeSet<u64>) -> io::Result<()> {
         let is_unnamed =
             |file_name: &str| segment::number_of(file_name).is_some_and(|number| !segments.contains(&number));
--- a/crates/log-store/src/recovery/manifest_rebuild.rs
+++ b/crates/log-store/src/recovery/manifest_rebuild.rs
@@ -1,4 +1,4 @@
-//! A manifest made from the segments that are there, where the real one is lost or damaged.
+//! Rebuilds a lost or damaged manifest from the segments in the directory.
 
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
@@ -11,17 +11,17 @@
 use crate::recovery::{RecoveryReport, random_identity};
 use crate::segment::{self, Segment, SegmentHeader};
 
-/// The segments of a directory.
+/// The segments found in a directory.
 #[derive(Default)]
 struct FoundSegments {
     readable: Vec<Segment>,
-    /// Numbers of those whose header can't be read.
+    /// Numbers of segments whose header cannot be read.
     unreadable: Vec<u64>,
     highest_number: u64,
 }
 
-/// A manifest made from the segments that are there; `is_corrupt`: there is one that can't be read. None where there
-/// are no segments, or none that can be recognised as one of this store.
+/// Rebuilds the manifest from the segments in the directory. `is_corrupt` says whether there is a manifest that cannot be
+/// read. Returns `None` if there is neither a segment nor a damaged manifest.
 pub(super) fn rebuild_manifest(
     disk: &dyn Disk,
     options: &LogStoreOptions,
@@ -33,7 +33,7 @@
         return Ok(None);
     }
     report.manifest_rebuilt = is_corrupt || !readable.is_empty();
-    // A directory without any header of ours, but with one of another store's, is that one's.
+    // If no header is from this store, but one is from another, the directory belongs to that other store.
     let is_ours = |segment: &&Segment| segment.header.identity[..8] == options.purpose();
     let Some(identity) = readable.iter().find(is_ours).map(|segment| segment.header.identity) else {
         if !readable.is_empty() {
@@ -69,7 +69,7 @@
     Ok(found)
 }
 
-/// The segments that follow one another from the first sequence number on.
+/// Returns the consecutive segments from the first sequence number on.
 fn chain(segments: &[Segment]) -> io::Result<Vec<ManifestSegment>> {
     let mut chain = Vec::new();
     let mut used = BTreeSet::new();
@@ -85,8 +85,9 @@
     Ok(chain)
 }
 
-/// Of the segments that begin at the sequence number `expected`, the one that reaches farthest, if it is intact: it was
-/// merged from the others. Returns it with the sequence number after its last.
+/// Returns the segment that continues the chain at sequence number `expected`, with the sequence number after its last.
+/// Of several segments that start there, an intact merged one that covers the most takes precedence, because the others
+/// were merged into it.
 fn next_in_chain(
     segments: &[Segment],
     used: &BTreeSet<u64>,
@@ -99,7 +100,8 @@
     for segment in candidates.into_iter().filter(|segment| !used.contains(&segment.header.number)) {
         let header = &segment.header;
         let is_merged = header.is_merged();
-        // One that goes on where another begins holds those records twice: a sync of it had failed.
+        // After a failed sync, a segment and its replacement contain the same records. This one is cut off where the
+        // next one starts.
         let before = if is_merged { u64::MAX } else { first_after(segments, expected) };
         let Some(scan) = segment::scan(segment, None, before, |_, _| {})? else { continue };
         if is_merged && scan.has_tail {
@@ -115,7 +117,7 @@
     Ok(next)
 }
 
-/// First sequence number above this one with which a segment begins that wasn't merged.
+/// Returns the lowest sequence number above `sequence` at which an unmerged segment starts.
 fn first_after(segments: &[Segment], sequence: u64) -> u64 {
     let headers = segments.iter().map(|segment| &segment.header);
     let later = headers.filter(|header| header.first > sequence && !header.is_merged());
--- a/crates/log-store/src/repair.rs
+++ b/crates/log-store/src/repair.rs
@@ -1,4 +1,4 @@
-//! Checks of a store's files without owning them, and what can still be read of damaged ones.
+//! Checks the files of a store without owning them, and reads what is still readable in damaged ones.
 
 use std::io;
 use std::sync::Arc;
@@ -11,63 +11,64 @@
 use crate::recovery::QUARANTINE_PREFIX;
 use crate::segment::{self, FoundRecord, Segment, SegmentHeader, record_behind};
 
-/// The store is compacted while it is read: so often a manifest that was replaced meanwhile is read again.
+/// A compaction may replace the manifest during a check. The check is then repeated, up to this many attempts in total.
 const MAX_ATTEMPTS: usize = 3;
 
-/// The end of a segment that cannot be read.
+/// The unreadable end of a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct UnreadTail {
-    /// Byte that it begins with.
+    /// Offset of its first byte.
     pub offset: u64,
-    /// Whether records can be read in it: then it is no torn write, but damage before them.
+    /// Whether it contains readable records. If so, it is not a torn write but damage before those records.
     pub has_records: bool,
 }
 
-/// One segment, read from its first byte to its last.
+/// Result of checking one segment completely.
 #[derive(Clone, Debug)]
 pub struct SegmentCheck {
     /// Name of the file.
     pub name: String,
-    /// Its bytes, as far as they can be read.
+    /// Size of the readable part, in bytes.
     pub bytes: u64,
-    /// Its records.
+    /// Number of readable records.
     pub records: u64,
     /// The sequence number of its first record.
     pub first: u64,
     /// The sequence number after its last record.
     pub next: u64,
-    /// Whether others were merged into it.
+    /// Whether the segment is the result of a merge.
     pub is_merged: bool,
-    /// The end that cannot be read.
+    /// The end that cannot be read, if any.
     pub unread_tail: Option<UnreadTail>,
-    /// It is the last one: an unread end of it is a torn write, most likely.
+    /// Whether the segment is the last one, which is appended to. An unreadable end of it is most likely a torn write.
     pub is_active: bool,
 }
 
 /// Result of a check of all segments.
 #[derive(Clone, Debug, Default)]
 pub struct CheckReport {
-    /// Generation of the manifest; None where it can't be read.
+    /// Generation of the manifest, or `None` if it cannot be read.
     pub generation: Option<u64>,
-    /// Segments that the manifest names and that have a header, in the order of sequence numbers.
+    /// Segments that the manifest lists and that have a valid header, in the order of sequence numbers.
     pub segments: Vec<SegmentCheck>,
-    /// Segments that the manifest names and that aren't there.
+    /// File names of segments that the manifest lists and that do not exist.
     pub missing: Vec<String>,
-    /// Files kept for repair.
+    /// Names of files kept for repair.
     pub quarantined: Vec<String>,
-    /// What is wrong, in words.
+    /// Descriptions of the faults found.
     pub faults: Vec<String>,
 }
 
 impl CheckReport {
-    /// Whether nothing is wrong.
-    pub fn is_sound(&self) -> bool {
+    /// Returns whether no fault was found.
+    pub fn has_no_faults(&self) -> bool {
         self.faults.is_empty()
     }
 }
 
-/// Reads every byte of every segment. On a store that another process writes to, the last segment may end in the
-/// middle of a record; a manifest replaced meanwhile is read again. `progress`: bytes read so far, and in all.
+/// Reads every byte of every segment. If another process writes to the store, the last segment may end in the middle of
+/// a record. If the manifest is replaced during the check, the check is repeated. `progress` receives the bytes read so
+/// far and the total.
 ///
 /// # Errors
 ///
@@ -80,7 +81,7 @@
             (LoadedManifest::Valid(before), LoadedManifest::Valid(after)) => before == after,
             _ => true,
         };
-        if is_same || report.is_sound() {
+        if is_same || report.has_no_faults() {
             return Ok(report);
         }
     }
@@ -127,7 +128,7 @@
     Ok(report)
 }
 
-/// Reads one segment; None where it is missing or has no header, which goes to the report.
+/// Checks one segment. If it is missing or has no valid header, adds a fault to the report and returns `None`.
 fn check_segment(
     disk: &dyn Disk,
     manifest: &Manifest,
@@ -168,7 +169,7 @@
     }))
 }
 
-/// Says that a segment is damaged, unless it ends in a torn write.
+/// Adds a fault for a damaged segment, unless it ends in a torn write.
 fn add_fault(checked: &SegmentCheck, report: &mut CheckReport) {
     let Some(UnreadTail { offset, has_records }) = checked.unread_tail else { return };
     if !checked.is_active || has_records {
@@ -178,12 +179,12 @@
     }
 }
 
-/// A record that was read from a file, whatever is before it.
+/// A record that was read from a file, whether or not the data before it is valid.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RecoveredRecord {
-    /// Byte of the file that it begins with.
+    /// Offset of its first byte in the file.
     pub offset: u64,
-    /// What it does to its key.
+    /// Whether it sets or deletes the value of its key.
     pub kind: RecordKind,
     /// Its keyspace.
     pub keyspace: u16,
@@ -191,11 +192,11 @@
     pub sequence: u64,
     /// Its key.
     pub key: Vec<u8>,
-    /// Its value; empty for a deletion.
+    /// Its value; empty for a delete.
     pub value: Vec<u8>,
 }
 
-/// All records that can be read in a file, sound or not. Those of one batch may be there only in part.
+/// Returns all records that can be read in a file, damaged or not. A batch may be included only partly.
 ///
 /// # Errors
 ///
@@ -204,7 +205,7 @@
     let bytes = read_whole(&*disk.open(name)?, u64::MAX)?;
     let (mut offset, mut found) = (0, Vec::new());
     while offset < bytes.len() {
-        // Behind a sound record the next one is looked for right there, elsewhere at every byte.
+        // After a valid record the next one is expected right behind it; elsewhere every offset is tried.
         match record_behind(&bytes, offset) {
             Some(FoundRecord { record, end }) => {
                 found.push(RecoveredRecord {
@@ -223,11 +224,11 @@
     Ok(found)
 }
 
-/// The live records of a store, oldest first, without owning it: from the segments that its manifest names.
+/// Returns the live records of a store, oldest first, from the segments that its manifest lists, without owning it.
 ///
 /// # Errors
 ///
-/// The disk fails, or the manifest can't be read.
+/// The disk fails, or the manifest cannot be read.
 pub fn live(disk: &dyn Disk) -> io::Result<Vec<RecoveredRecord>> {
     let LoadedManifest::Valid(manifest) = Manifest::load(disk)? else {
         return Err(io::Error::new(io::ErrorKind::InvalidData, "the manifest cannot be read"));
--- a/crates/log-store/src/segment.rs
+++ b/crates/log-store/src/segment.rs
@@ -1,4 +1,4 @@
-//! Segments: files of records in the order of their sequence numbers, read back with care.
+//! Segments: files of records in the order of their sequence numbers. Every read is verified by checksums.
 
 #[cfg(test)]
 mod tests;
@@ -12,36 +12,37 @@
     u32_at, u64_at,
 };
 
-/// The format of all files here. A later one is refused, as what it means is not known.
+/// The format version of all files of the store. Later versions are rejected because their meaning is unknown.
 pub(crate) const FORMAT_VERSION: u32 = 1;
 const MAGIC: [u8; 8] = *b"OVLOGSEG";
-/// Bytes of a segment's header.
+/// Size of a segment's header, in bytes.
 pub(crate) const SEGMENT_HEADER_BYTES: usize = 64;
 
 /// Offset of the checksum of a segment's header.
 const HEADER_CHECKSUM_OFFSET: usize = 60;
 
-/// The header of a segment: magic (8), version (4), merged or not (4), identity of the store (16), the segment's number
-/// (8), the sequence numbers that it covers, first and, where it is merged, last (8 each), nothing (4), checksum (4).
+/// The header of a segment: magic (8 bytes), version (4), whether it is merged (4), identity of the store (16), the
+/// segment's number (8), the first sequence number and, in a merged segment, the last one (8 each), padding (4), checksum
+/// (4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentHeader {
-    /// Identity of the store that it belongs to.
+    /// Identity of the store that the segment belongs to.
     pub identity: [u8; 16],
-    /// Its number, which no other segment of the store ever has.
+    /// Number of the segment, never reused within the store.
     pub number: u64,
-    /// Sequence number of its first record.
+    /// Sequence number of the first record.
     pub first: u64,
-    /// Of a merged segment, which is valid only as a whole: the last sequence number that it stands for.
+    /// In a merged segment, which is valid only as a whole: the last sequence number that it covers.
     pub merged_through: Option<u64>,
 }
 
 impl SegmentHeader {
-    /// Whether it is of a segment that others were merged into.
+    /// Returns whether the segment is the result of a merge.
     pub fn is_merged(&self) -> bool {
         self.merged_through.is_some()
     }
 
-    /// The bytes that the file begins with.
+    /// Encodes the header.
     pub fn encode(&self) -> [u8; SEGMENT_HEADER_BYTES] {
         let mut out = [0; SEGMENT_HEADER_BYTES];
         out[..8].copy_from_slice(&MAGIC);
@@ -56,14 +57,14 @@
         out
     }
 
-    /// The header that the bytes begin with. None where it can't be read.
+    /// Decodes the header at the start of `bytes`. Returns `None` if it is not valid.
     pub fn read(bytes: &[u8]) -> Option<ChecksummedHeader> {
         let bytes = bytes.get(..SEGMENT_HEADER_BYTES)?;
         let checksum = u32_at(bytes, HEADER_CHECKSUM_OFFSET);
-        let is_sound = bytes[..8] == MAGIC
+        let is_valid = bytes[..8] == MAGIC
             && crc32c::crc32c(&bytes[..HEADER_CHECKSUM_OFFSET]) == checksum
             && u32_at(bytes, 8) == FORMAT_VERSION;
-        if !is_sound {
+        if !is_valid {
             return None;
         }
         let mut identity = [0; 16];
@@ -84,14 +85,14 @@
     }
 }
 
-/// A header as it was read.
+/// A decoded header with its checksum.
 pub(crate) struct ChecksummedHeader {
     pub header: SegmentHeader,
-    /// What the first record is chained to.
+    /// Checksum of the header, which seeds the checksum of the first record.
     pub checksum: u32,
 }
 
-/// A file of the store. Whoever holds it can read it, even once the store has dropped it.
+/// A segment and its open file. It stays readable while it is referenced, even after the store has removed the file.
 pub(crate) struct Segment {
     pub header: SegmentHeader,
     pub file: Arc<dyn DiskFile>,
@@ -103,18 +104,18 @@
     }
 }
 
-/// Name of the file of a segment.
+/// Returns the file name of a segment.
 pub(crate) fn file_name(number: u64) -> String {
     format!("{number:016x}.seg")
 }
 
-/// The number that the name of a segment's file says.
+/// Returns the segment number in a file name, or `None` if it is not the name of a segment.
 pub(crate) fn number_of(file_name: &str) -> Option<u64> {
     let digits = file_name.strip_suffix(".seg").filter(|digits| digits.len() == 16)?;
     u64::from_str_radix(digits, 16).ok()
 }
 
-/// Creates a segment with its header, whose checksum is returned too; nothing of it is durable yet.
+/// Creates a segment with its header and returns it with the header's checksum. Nothing is durable yet.
 pub(crate) fn create(disk: &dyn Disk, header: SegmentHeader) -> io::Result<(Segment, u32)> {
     let file = disk.create(&file_name(header.number))?;
     let bytes = header.encode();
@@ -126,31 +127,31 @@
 /// Location of a record in its segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RecordLocation {
-    /// Byte that it begins with.
+    /// Offset of the first byte of the record.
     pub offset: u64,
-    /// Bytes that it takes.
+    /// Size of the encoded record in bytes.
     pub length: u32,
 }
 
-/// How far a file could be read.
+/// Result of scanning a segment from its start.
 #[derive(Clone, Debug)]
 pub(crate) struct Scan {
     /// Bytes up to the end of the last complete batch.
     pub length: u64,
-    /// The checksum there.
+    /// Checksum of the last record of that batch, or of the header.
     pub checksum: u32,
     /// The sequence number after the last one read.
     pub next_sequence: u64,
-    /// Records read.
+    /// Number of records read.
     pub records: u64,
-    /// Whether the file goes on behind `length`.
+    /// Whether the file continues after `length`.
     pub has_tail: bool,
-    /// Whether a record can be read in what is left: then it is no torn tail, but damage before it.
+    /// Whether the rest of the file contains a valid record. If so, it is not a torn tail but damage before that record.
     pub has_records_in_tail: bool,
 }
 
-/// Reads complete batches from the front, up to `max_bytes` of the file, and up to the sequence number `before`. None
-/// where the header is not that of this segment.
+/// Scans the complete batches from the start of a segment, limited to the first `max_bytes` bytes of the file and to
+/// sequence numbers below `before`. Returns `None` if the header in the file is not that of this segment.
 pub(crate) fn scan(
     segment: &Segment,
     max_bytes: Option<u64>,
@@ -176,7 +177,7 @@
     };
     let mut batch: Vec<(RecordLocation, Record)> = Vec::new();
     while let Ok(ParsedRecord { record, length, checksum: own }) = record::read(&bytes[offset..], checksum) {
-        // A merged segment leaves sequence numbers out; elsewhere one follows the other.
+        // A merged segment has gaps in its sequence numbers; in other segments they are consecutive.
         let is_ordered = if header.is_merged() {
             record.sequence >= next_sequence
         } else {
@@ -202,26 +203,27 @@
     Ok(Some(scan))
 }
 
-/// Whether these bytes contain a complete record: its checksum follows from the four bytes before it.
+/// Returns whether the bytes contain a complete record. It is recognized by its checksum, which is seeded with the four
+/// bytes before the record.
 fn has_record(bytes: &[u8]) -> bool {
     (1..bytes.len().saturating_sub(4)).any(|offset| record_behind(bytes, offset).is_some())
 }
 
-/// A record that was found at an offset.
+/// A record found by searching a buffer.
 pub(crate) struct FoundRecord<'a> {
     pub record: Record<'a>,
-    /// Offset of its end.
+    /// Offset of the first byte after the record.
     pub end: usize,
 }
 
-/// The record behind the checksum at that offset.
+/// Reads the record after the previous checksum at `offset`.
 pub(crate) fn record_behind(bytes: &[u8], offset: usize) -> Option<FoundRecord<'_>> {
     let (checksum, rest) = bytes.get(offset..)?.split_first_chunk::<CHECKSUM_BYTES>()?;
     let parsed = record::read(rest, u32::from_le_bytes(*checksum)).ok()?;
     Some(FoundRecord { record: parsed.record, end: offset + CHECKSUM_BYTES + parsed.length })
 }
 
-/// A record that was read from a file.
+/// A record read from a file.
 pub(crate) struct StoredRecord {
     pub kind: RecordKind,
     pub key: Vec<u8>,
@@ -229,7 +231,7 @@
     pub sequence: u64,
 }
 
-/// The record at that location; none where it is not what was written.
+/// Reads the record at a location. Returns `None` if its bytes are not a valid record.
 pub(crate) fn read_at(segment: &Segment, location: RecordLocation) -> io::Result<Option<StoredRecord>> {
     let max_length = MAX_KEY_AND_VALUE_BYTES + RECORD_HEADER_BYTES + CHECKSUM_BYTES;
     if location.offset < SEGMENT_HEADER_BYTES as u64 || location.length as usize > max_length {
--- a/crates/log-store/src/segment_state.rs
+++ b/crates/log-store/src/segment_state.rs
@@ -1,19 +1,19 @@
-//! The segments of an open store: sealed ones, and the one that is appended to.
+//! The segments of an open store: the sealed ones, and the active one.
 
 use std::sync::Arc;
 
 use crate::checkpoint::IndexedRecord;
 use crate::segment::{SEGMENT_HEADER_BYTES, Segment};
 
-/// A segment that nothing is appended to any more.
+/// A segment that is no longer appended to.
 pub(crate) struct SealedSegment {
     pub segment: Arc<Segment>,
     pub length: u64,
-    /// The sequence number after its last.
+    /// The sequence number after the last record.
     pub next_sequence: u64,
-    /// When it was sealed, in nanoseconds of the owner's clock.
+    /// When the segment was sealed, in nanoseconds of the owner's clock.
     pub sealed_at_ns: i64,
-    /// It could not be read: nothing is merged across it.
+    /// The segment could not be read, so it is never part of a merge.
     pub is_corrupt: bool,
 }
 
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy)]
 pub(crate) struct SyncedPart {
     pub length: u64,
-    /// The sequence number after its last.
+    /// The sequence number after the last durable record.
     pub next_sequence: u64,
-    /// Number of its records.
+    /// The number of durable records.
     pub records: usize,
 }
 
-/// The segment that is appended to.
+/// The segment that records are appended to.
 pub(crate) struct ActiveSegment {
     pub segment: Arc<Segment>,
     /// Checksum of the last record, or of the header.
@@ -38,7 +38,8 @@
 }
 
 impl ActiveSegment {
-    /// A segment without records. `checksum`: of its header; `next_sequence`: of its first record to come.
+    /// Creates the state of a segment without records. `checksum` is that of its header, `next_sequence` the sequence
+    /// number of its first record.
     pub fn empty(segment: Segment, checksum: u32, next_sequence: u64) -> ActiveSegment {
         let length = SEGMENT_HEADER_BYTES as u64;
         ActiveSegment {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Whether anything was appended.
+    /// Returns whether any record has been appended.
     pub fn has_records(&self) -> bool {
         self.length > SEGMENT_HEADER_BYTES as u64
     }
--- a/crates/log-store/src/store.rs
+++ b/crates/log-store/src/store.rs
@@ -1,7 +1,7 @@
-//! The store: one owner appends, syncs and compacts; any number of snapshots read.
+//! The store: one owner appends, syncs and compacts; any number of readers use snapshots.
 //!
-//! What is promised: after any crash it opens as it was after some batch that was issued, no earlier than the last one
-//! that [`LogStore::sync`] succeeded after, and each batch is there completely or not at all.
+//! Guarantee: after any crash, the store opens in the state after one of the batches that were issued, not earlier than
+//! the last batch before the last successful [`LogStore::sync`]. Each batch is present completely or not at all.
 
 mod compaction;
 
@@ -28,36 +28,36 @@
 use crate::segment_state::{ActiveSegment, SealedSegment, SyncedPart};
 use crate::snapshot::Snapshot;
 
-/// A batch whose first record has this sequence number.
+/// A batch and the sequence number of its first record.
 struct NumberedBatch {
     first: u64,
     batch: Batch,
 }
 
-/// Batches that are gathered for one write.
+/// Batches that are collected for one write.
 #[derive(Default)]
 struct WriteGroup {
     batches: Vec<NumberedBatch>,
-    /// Where their results stand among those of all batches: batches that were rejected stand between them.
+    /// The index of each batch in the results of all batches; rejected batches lie between them.
     result_indices: Vec<usize>,
     bytes: u64,
 }
 
-/// What the owner of a store may know of a segment.
+/// Public information about a segment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SegmentInfo {
-    /// Its number, which no other segment of the store ever has.
+    /// Number of the segment, never reused within the store.
     pub number: u64,
-    /// Bytes of the file.
+    /// Size of the file in bytes.
     pub bytes: u64,
-    /// Whether other segments were merged into it.
+    /// Whether the segment is the result of a merge.
     pub is_merged: bool,
 }
 
-/// A store, opened by its one owner.
+/// An open store with a single owner.
 pub struct LogStore {
     disk: Arc<dyn Disk>,
-    /// Held as long as the store is open.
+    /// The lock of the directory, held while the store is open.
     _lock: Box<dyn Send + Sync>,
     options: LogStoreOptions,
     identity: [u8; 16],
@@ -67,13 +67,13 @@
     active: ActiveSegment,
     index: Index,
     published: Arc<ArcSwap<Snapshot>>,
-    /// Batches since the last sync, for a segment whose sync fails.
+    /// Batches since the last sync. If a sync fails, they are written again to a new segment.
     unsynced: Vec<NumberedBatch>,
-    /// A sync of the active segment failed: what a later one says of it means nothing.
+    /// Whether a sync of the active segment has failed. A later successful sync of that file then proves nothing.
     is_tainted: bool,
-    /// The manifest on disk may not be the one that is meant: it is written again before anything is acknowledged.
+    /// Whether the manifest on disk may differ from the current one. It is then rewritten before any acknowledgement.
     is_manifest_outdated: bool,
-    /// Files that no manifest names any more, once the present one is durable.
+    /// Files that are no longer listed once the current manifest is durable.
     obsolete_files: Vec<String>,
     quarantined: Vec<u64>,
     merge: Option<Merge>,
@@ -82,12 +82,12 @@
 }
 
 impl LogStore {
-    /// Opens a store, or begins one where nothing is.
+    /// Opens a store, or creates one if the directory is empty.
     ///
     /// # Errors
     ///
-    /// It is open elsewhere, was made for something else or by a later version, or the disk fails. Damaged data is no
-    /// error: the report says of it.
+    /// The store is open elsewhere, was created under another name or by a later version, or the disk fails. Damaged data
+    /// is not an error; it is described in the report.
     pub fn open(
         disk: Arc<dyn Disk>,
         options: LogStoreOptions,
@@ -125,46 +125,46 @@
         Ok((store, report))
     }
 
-    /// Tells the time, in nanoseconds, for ages and budgets. It may step back.
+    /// Sets the current time in nanoseconds, used for segment ages and the I/O budget. It may step back.
     pub fn set_time(&mut self, now_ns: i64) {
         self.now_ns = now_ns;
     }
 
-    /// The store as it is now, which costs nothing to take. While it is held, a write copies the nodes of the index on
-    /// its way that the snapshot shares, once each.
+    /// Returns a snapshot of the current state, in constant time. While the snapshot is held, a write copies each index
+    /// node on its path that the snapshot shares, once.
     pub fn snapshot(&self) -> Arc<Snapshot> {
         Arc::new(self.index.snapshot.clone())
     }
 
-    /// Where readers on other threads find the snapshot of the last [`LogStore::publish`].
+    /// Returns the shared cell from which readers on other threads load the snapshot of the last [`LogStore::publish`].
     pub fn published(&self) -> Arc<ArcSwap<Snapshot>> {
         self.published.clone()
     }
 
-    /// Shows readers on other threads the store as it is now. Only when asked: a snapshot published with each write
-    /// would make each write copy the nodes of the index that it shares, some 3 us a record where the map is large.
+    /// Publishes the current state to readers on other threads. This happens only on request: a snapshot published with
+    /// each write would make each write copy the index nodes that it shares, about 3 us per record in a large map.
     pub fn publish(&self) {
         self.published.store(Arc::new(self.index.snapshot.clone()));
     }
 
-    /// The sequence number of the last record.
+    /// Returns the sequence number of the last record.
     pub fn sequence(&self) -> u64 {
         self.index.snapshot.sequence
     }
 
-    /// Appends a batch: it can be read at once, and is durable after the next [`LogStore::sync`]. Returns its last
-    /// sequence number.
+    /// Appends a batch and returns its last sequence number. The batch can be read at once, and is durable after the next
+    /// [`LogStore::sync`].
     ///
     /// # Errors
     ///
-    /// The batch is too long, or the disk fails; nothing of it is kept.
+    /// The batch is too long, or the disk fails. No record of it is kept.
     pub fn append(&mut self, batch: &Batch) -> Result<u64, AppendError> {
         let mut results = self.append_batches(vec![batch.clone()]);
         results.pop().unwrap_or(Ok(self.sequence()))
     }
 
-    /// Appends batches, each completely or not at all, with as few writes as may be. Returns a result for each in its
-    /// place, as [`LogStore::append`] does.
+    /// Appends batches, each completely or not at all, with as few writes as possible. Returns one result per batch, in
+    /// order, as [`LogStore::append`] does.
     pub fn append_batches(&mut self, batches: Vec<Batch>) -> Vec<Result<u64, AppendError>> {
         let mut results = Vec::with_capacity(batches.len());
         let mut next_sequence = self.sequence() + 1;
@@ -201,7 +201,7 @@
         size + header <= self.options.segment_bytes.max(header + 1)
     }
 
-    /// Writes what was gathered; where that fails, it is the result of each, and their sequence numbers are free again.
+    /// Writes the collected batches. If the write fails, each batch gets the error, and their sequence numbers are reused.
     fn write_group(
         &mut self,
         group: &mut WriteGroup,
@@ -224,7 +224,7 @@
         }
     }
 
-    /// Writes batches behind the active segment; nothing is changed where that fails.
+    /// Appends batches to the active segment. If this fails, the state does not change.
     fn write(&mut self, batches: &[NumberedBatch]) -> io::Result<()> {
         let (mut bytes, mut checksum, start) = (Vec::new(), self.active.checksum, self.active.length);
         let mut locations = Vec::new();
@@ -245,7 +245,7 @@
             }
         }
         if let Err(error) = self.active.segment.file.write_at(start, &bytes) {
-            // What went in of it would look like damage to the next start.
+            // The next recovery would take a partial write for damage.
             let _ = self.active.segment.file.truncate(start);
             return Err(error);
         }
@@ -260,15 +260,15 @@
         Ok(())
     }
 
-    /// Makes all that was appended durable.
+    /// Makes all appended batches durable.
     ///
     /// # Errors
     ///
-    /// The disk fails. What was not durable before may be lost by a crash, and is tried again by the next sync; reading
-    /// goes on.
+    /// The disk fails. Batches that were not durable before may be lost in a crash; the next sync tries them again. Reads
+    /// keep working.
     pub fn sync(&mut self) -> io::Result<()> {
         if !self.unsynced.is_empty() {
-            // After a failed sync it isn't known which bytes are there, and the next one may succeed without them.
+            // After a failed sync it is unknown which bytes were written, and the next sync may succeed without them.
             self.is_tainted = self.is_tainted || self.active.segment.file.sync().is_err();
             if self.is_tainted {
                 self.replace_active_segment()?;
@@ -286,7 +286,7 @@
         Ok(())
     }
 
-    /// Goes on in a fresh segment with what is not durable, from memory.
+    /// Seals the durable part of the active segment and rewrites the remaining batches from memory to a new segment.
     fn replace_active_segment(&mut self) -> io::Result<()> {
         let SyncedPart { length, next_sequence, records } = self.active.synced;
         let (segment, checksum) = self.create_segment(next_sequence)?;
@@ -294,14 +294,14 @@
         let old = std::mem::replace(&mut self.active, fresh);
         self.add_sealed(old.segment, length, next_sequence, &old.records[..records]);
         self.is_manifest_outdated = true;
-        // The index holds them as they were; the same records are put in again from where they are now.
+        // The index still has the old locations; writing the same records again updates them.
         let batches = std::mem::take(&mut self.unsynced);
         let written = self.write(&batches);
         self.unsynced = batches;
         written
     }
 
-    /// Creates a segment whose first record will have this sequence number; returns the checksum of its header too.
+    /// Creates a segment whose first record will have this sequence number. Also returns the checksum of its header.
     fn create_segment(&mut self, first: u64) -> io::Result<(Segment, u32)> {
         let number = self.next_number;
         self.next_number += 1;
@@ -317,13 +317,13 @@
         records: &[IndexedRecord],
     ) {
         let checkpoint = Checkpoint { records: records.to_vec() };
-        // It only saves time.
+        // Errors are ignored because a checkpoint only speeds up recovery.
         let _ = checkpoint.write(&*self.disk, &segment.header, length);
         let sealed_at_ns = self.now_ns;
         self.sealed.push(SealedSegment { segment, length, next_sequence, sealed_at_ns, is_corrupt: false });
     }
 
-    /// Seals the active segment, so that it may be merged with others.
+    /// Seals the active segment, so that it can be merged with others.
     ///
     /// # Errors
     ///
@@ -332,7 +332,7 @@
         if self.active.has_records() { self.roll_segment() } else { Ok(()) }
     }
 
-    /// Seals the active segment and begins the next.
+    /// Seals the active segment and creates the next one.
     fn roll_segment(&mut self) -> io::Result<()> {
         self.sync()?;
         let next_sequence = self.sequence() + 1;
@@ -345,7 +345,7 @@
         self.update_manifest()
     }
 
-    /// Makes the manifest that is meant the one on disk, where it may not be.
+    /// Writes the current manifest if the one on disk may differ.
     fn update_manifest(&mut self) -> io::Result<()> {
         if self.is_manifest_outdated {
             self.generation += 1;
@@ -353,7 +353,7 @@
             self.is_manifest_outdated = false;
         }
         for name in std::mem::take(&mut self.obsolete_files) {
-            // One that stays is removed at the next start.
+            // If this fails, the file is removed at the next start.
             let _ = self.disk.remove(&name);
         }
         Ok(())
@@ -376,7 +376,7 @@
         }
     }
 
-    /// Segments, oldest first.
+    /// Returns information about all segments, oldest first.
     pub fn segments(&self) -> Vec<SegmentInfo> {
         let sealed = self.sealed.iter().map(|sealed| SegmentInfo {
             number: sealed.segment.header.number,
@@ -387,7 +387,7 @@
         sealed.chain([SegmentInfo { number, bytes: self.active.length, is_merged: false }]).collect()
     }
 
-    /// Bytes of all segments.
+    /// Returns the total size of all segments in bytes.
     pub fn size_bytes(&self) -> u64 {
         self.segments().iter().map(|segment| segment.bytes).sum()
     }
--- a/crates/log-store/src/store/compaction.rs
+++ b/crates/log-store/src/store/compaction.rs
@@ -10,32 +10,32 @@
 use crate::segment_state::SealedSegment;
 use crate::store::LogStore;
 
-/// Result of a step of compaction.
+/// Result of one step of compaction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CompactionStep {
     /// No run has enough garbage to be merged.
     Idle,
-    /// A merge goes on; so many bytes were read or written now.
+    /// A merge is in progress; this step read or wrote this many bytes.
     Progressed(u64),
-    /// A merge is over.
+    /// A merge is complete.
     Merged {
-        /// Bytes of the segments that were merged.
+        /// Size of the input segments in bytes.
         bytes_before: u64,
-        /// Bytes of the segment that they became.
+        /// Size of the merged segment in bytes.
         bytes_after: u64,
     },
-    /// The budget is spent for now.
+    /// The I/O budget is exhausted for now.
     Throttled,
-    /// The segment of this number cannot be read; it is left as it is, and `logbook check` says more.
+    /// The segment of this number cannot be read. It is left unchanged; `logbook check` gives details.
     Corrupt(u64),
 }
 
 impl LogStore {
-    /// A step of compaction, within the budget.
+    /// Performs one step of compaction within the I/O budget.
     ///
     /// # Errors
     ///
-    /// The disk fails; the merge is given up.
+    /// The disk fails; the merge is abandoned.
     pub fn compact(&mut self) -> io::Result<CompactionStep> {
         if self.io_budget.available(self.now_ns) == 0 {
             return Ok(CompactionStep::Throttled);
@@ -47,11 +47,11 @@
         Ok(step)
     }
 
-    /// A step of compaction, whatever the budget.
+    /// Performs one step of compaction regardless of the I/O budget.
     ///
     /// # Errors
     ///
-    /// The disk fails; the merge is given up.
+    /// The disk fails; the merge is abandoned.
     pub fn compact_step_unthrottled(&mut self) -> io::Result<CompactionStep> {
         let Some(merge) = &mut self.merge else { return self.begin_merge() };
         match merge.step() {
--- a/crates/log-store/tests/crash.rs
+++ b/crates/log-store/tests/crash.rs
@@ -1,5 +1,5 @@
-//! Crashes, cuts, flips and failing calls at every place, on a simulated disk. Whatever happens, the store opens as it
-//! was after some batch that was issued, and no earlier than the last one that was acknowledged as durable.
+//! Power losses, truncated files, flipped bits and failing calls at every position, on a simulated disk. In all cases the
+//! store opens in the state after some batch that was issued, not earlier than the last one acknowledged as durable.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -30,22 +30,22 @@
     LogStore::open(Arc::new(disk.clone()), options(checkpoints)).unwrap()
 }
 
-/// What a workload issued and what it got as results.
+/// What a workload issued, and what was acknowledged.
 #[derive(Default)]
 struct History {
-    /// The state after each batch; the first is the empty one.
+    /// The state after each batch; the first one is the empty state.
     states: Vec<State>,
-    /// As many batches were acknowledged as durable.
+    /// The index of the last state that was acknowledged as durable.
     durable: usize,
-    /// A batch that failed was still issued: a crash may have kept it.
+    /// Whether a batch failed. It still counts as issued, because a crash may have kept it.
     failed: bool,
 }
 
 #[derive(Clone, Copy, PartialEq)]
 enum OnFailure {
-    /// The machine loses power at the first call that fails.
+    /// Stop at the first failing call, as after a power loss.
     PowerLoss,
-    /// Calls fail once, and the owner continues.
+    /// Continue with the next step, because calls fail only once.
     Continue,
 }
 
@@ -113,7 +113,7 @@
         .collect()
 }
 
-/// Which state of the history it is.
+/// Returns the index of a state in the history.
 fn index_in_history(found: &State, history: &History) -> Option<usize> {
     history.states.iter().rposition(|state| state == found)
 }
@@ -126,7 +126,7 @@
         let index = index_in_history(&found, history)
             .unwrap_or_else(|| panic!("{what}: no state of the history: {found:?}"));
         assert!(index >= history.durable, "{what}: batch {index}, but {} were durable", history.durable);
-        // It continues, and what is appended now is there the next time.
+        // The store keeps working: a batch that is appended now is there after the next open.
         store.append(&Batch::new().put(1, b"after", b"x")).unwrap();
         store.sync().unwrap();
         drop(store);
@@ -136,7 +136,7 @@
     }
 }
 
-/// The losses that a crash may cause, up to a bound: in order up to any change, torn, and out of order by one.
+/// Returns losses that a crash may cause: the last few pending changes persisted in order, torn, or with one missing.
 fn losses(disk: &SimulatedDisk) -> Vec<CrashLoss> {
     const MOST: usize = 3;
     let (files, names) = disk.pending();
@@ -153,7 +153,7 @@
 
 #[test]
 fn a_crash_at_every_call_under_every_loss_keeps_a_prefix_with_all_that_was_durable() {
-    // More of them for a longer run outside CI.
+    // `LOGBOOK_SEEDS` sets more seeds for a longer run outside CI.
     let seeds = std::env::var("LOGBOOK_SEEDS").map_or(3, |seeds| seeds.parse().expect("a count of seeds"));
     let (mut states, mut again) = (0, 0);
     for seed in 0..seeds {
@@ -179,7 +179,10 @@
                         let twice = left.copy();
                         twice.die_at(second);
                         let opened = LogStore::open(Arc::new(twice.clone()), options(second % 2 == 0));
-                        assert!(opened.is_err() || second + 1 >= calls, "it noticed nothing");
+                        assert!(
+                            opened.is_err() || second + 1 >= calls,
+                            "the open did not report the failed call"
+                        );
                         drop(opened);
                         for loss in [
                             (Persisted::Nothing, Persisted::Nothing),
@@ -201,7 +204,7 @@
 }
 
 #[test]
-fn a_crash_that_takes_the_manifest_too_keeps_the_same() {
+fn a_crash_that_also_loses_the_manifest_recovers_an_issued_state() {
     let whole = SimulatedDisk::new(1 << 20);
     work(&whole, 1, 90, OnFailure::PowerLoss);
     for call in 4..whole.calls() {
@@ -217,11 +220,11 @@
 }
 
 #[test]
-fn what_recovery_has_shown_is_not_lost_by_a_crash_after_it() {
+fn state_read_after_recovery_survives_a_later_crash() {
     let disk = SimulatedDisk::new(1 << 20);
     let (mut store, _) = open(&disk, true);
     store.append(&Batch::new().put(1, b"a", b"b")).unwrap();
-    // The process is killed, and the system still has what it wrote.
+    // The process is killed, but the system keeps what it wrote.
     drop(store);
     assert_eq!(open(&disk, true).0.snapshot().len(), 1);
     let left = disk.after_crash(CrashLoss { files: Persisted::Nothing, names: Persisted::Nothing });
@@ -229,7 +232,7 @@
 }
 
 #[test]
-fn a_tombstone_stays_as_long_as_something_older_may_come_back() {
+fn a_tombstone_is_kept_while_older_records_may_exist() {
     let disk = SimulatedDisk::new(1 << 20);
     let mut options = options(true);
     (options.compaction.min_garbage_share, options.compaction.max_run_bytes) = (0.75, 1_500);
@@ -237,7 +240,7 @@
     let mut put = |key: &[u8], value: &[u8]| {
         store.append(&Batch::new().put(1, key, value)).unwrap();
     };
-    // The oldest segment has no waste but one small record, and so is left as it is.
+    // The oldest segment has only one small garbage record, so it is not merged.
     (0..6u8).for_each(|n| put(&[b'o', n], &[n; 30]));
     put(b"gone", b"");
     (0..12u8).for_each(|n| put(b"hot", &[n; 40]));
@@ -247,8 +250,8 @@
     }
     let oldest = store.segments()[0];
     while store.compact_step_unthrottled().unwrap() != CompactionStep::Idle {}
-    assert_eq!(store.segments()[0], oldest, "it was not merged");
-    assert!(store.segments()[1].is_merged, "those behind it were: {:?}", store.segments());
+    assert_eq!(store.segments()[0], oldest, "the oldest segment was merged");
+    assert!(store.segments()[1].is_merged, "the later segments were not merged: {:?}", store.segments());
     store.sync().unwrap();
     drop(store);
     for checkpoints in [true, false] {
@@ -259,7 +262,7 @@
 
 type Seen = Vec<((u16, Vec<u8>), Option<Vec<u8>>)>;
 
-/// A disk with several sealed segments, merged ones among them, and its history.
+/// Returns a disk with several sealed segments, some of them merged, and its history.
 fn disk_with_history() -> (SimulatedDisk, History) {
     let disk = SimulatedDisk::new(1 << 20);
     let history = work(&disk, 4, 140, OnFailure::PowerLoss);
@@ -291,7 +294,7 @@
 #[test]
 fn a_bit_flipped_at_any_byte_of_any_file_is_detected_or_harmless() {
     let (disk, history) = disk_with_history();
-    let (mut flips, mut refusals) = (0, 0);
+    let (mut flips, mut rejected_reads) = (0, 0);
     for name in disk.names() {
         let bytes = disk.bytes(&name).unwrap();
         for index in 0..bytes.len() {
@@ -299,10 +302,10 @@
             corrupt[index] ^= 1 << (index % 8);
             let disk = disk.copy();
             disk.set_bytes(&name, corrupt);
-            // All read at the start: a state of the history.
+            // Without checkpoints all records are checked, so the store is in a state of the history.
             let found = state(&open(&disk.copy(), false).0.snapshot());
             assert!(index_in_history(&found, &history).is_some(), "{name}, byte {index}");
-            // By checkpoints: what is read is right, or is said to be damaged.
+            // With checkpoints every value that is read is correct, or its read fails.
             let (store, _) = open(&disk.copy(), true);
             let snapshot = store.snapshot();
             let reads: Seen = [1, 2]
@@ -311,7 +314,7 @@
                     snapshot.scan(keyspace).map(move |(key, value)| ((keyspace, key), value.ok()))
                 })
                 .collect();
-            refusals += reads.iter().filter(|(_, value)| value.is_none()).count();
+            rejected_reads += reads.iter().filter(|(_, value)| value.is_none()).count();
             let fits = |state: &State| {
                 let same = |(key, value): &((u16, Vec<u8>), Option<Vec<u8>>)| {
                     state.get(key).is_some_and(|v| value.as_ref().is_none_or(|value| value == v))
@@ -322,8 +325,8 @@
             flips += 1;
         }
     }
-    println!("{flips} flips, {refusals} reads refused as damaged");
-    assert!(flips > 2_000 && refusals > 0);
+    println!("{flips} flips, {rejected_reads} reads rejected as damaged");
+    assert!(flips > 2_000 && rejected_reads > 0);
 }
 
 #[test]
@@ -361,11 +364,11 @@
     let (mut store, _) = open(&disk, true);
     let put =
         |n: u32| Batch::new().put(1, &[(n % 5) as u8], &n.to_le_bytes()).put(2, &[(n % 5) as u8], &[7; 30]);
-    let full = (0..10_000).find(|&n| store.append(&put(n)).is_err()).expect("it runs full");
+    let full = (0..10_000).find(|&n| store.append(&put(n)).is_err()).expect("the disk never ran full");
     assert!(full > 20);
     let last = |snapshot: &Snapshot| snapshot.get(1, &[((full - 1) % 5) as u8]).unwrap().unwrap();
-    assert_eq!(last(&store.snapshot()), (full - 1).to_le_bytes(), "reading goes on");
-    // Merging has to write before it may remove: with some room it gives back far more.
+    assert_eq!(last(&store.snapshot()), (full - 1).to_le_bytes(), "reads fail on a full disk");
+    // A merge writes its output before it removes its input. With a little more space it frees far more.
     disk.resize(8_000);
     store.sync().unwrap();
     while store.compact_step_unthrottled().unwrap() != CompactionStep::Idle {}
@@ -405,7 +408,10 @@
         while store.compact_step_unthrottled().unwrap() != CompactionStep::Idle {}
     }
     let numbers: Vec<u64> = store.segments().iter().map(|s| s.number).collect();
-    assert!(before.iter().all(|s| !numbers.contains(&s.number)), "none of its segments is left");
+    assert!(
+        before.iter().all(|s| !numbers.contains(&s.number)),
+        "a segment of the snapshot is still in the store"
+    );
     let values: Vec<u64> =
         snapshot.scan(1).map(|(_, v)| u64::from_le_bytes(v.unwrap().try_into().unwrap())).collect();
     assert_eq!(values, [36, 37, 38, 39]);
@@ -424,7 +430,7 @@
             most = most.max(disk.used());
         }
     }
-    assert!(most < 120 << 10, "{most} bytes at most");
+    assert!(most < 120 << 10, "the store took up to {most} bytes");
     assert_eq!(store.snapshot().len(), 10);
 }
 
@@ -439,7 +445,7 @@
     drop(store);
     let other = LogStoreOptions::named("something else");
     assert!(matches!(LogStore::open(Arc::new(disk.clone()), other.clone()), Err(OpenError::OtherStore)));
-    // The manifest lost as well: the segments still say whose they are.
+    // Without the manifest, the segment headers still identify the store.
     let lost = disk.copy();
     lost.remove("MANIFEST").unwrap();
     assert!(matches!(LogStore::open(Arc::new(lost), other), Err(OpenError::OtherStore)));
@@ -481,8 +487,8 @@
     let records = repair::records(&disk, &found.quarantined[0]).unwrap();
     let keys: Vec<u8> = records.iter().map(|r| r.key[0]).collect();
     let expected: Vec<u8> = (0..50).filter(|n| *n != 20).collect();
-    assert_eq!(keys, expected, "all but the damaged one");
-    assert!(repair::check(&disk, |_, _| {}).unwrap().is_sound());
+    assert_eq!(keys, expected, "all records but the damaged one");
+    assert!(repair::check(&disk, |_, _| {}).unwrap().has_no_faults());
 }
 
 #[test]
@@ -508,7 +514,7 @@
     let put = |key: &[u8], size| Batch::new().put(1, key, &vec![7; size]);
     disk.fail_at(disk.calls());
     let results = store.append_batches(vec![put(b"a", 5), put(b"long", 5_000), put(b"b", 5)]);
-    assert!(results.iter().all(Result::is_err), "none was written: {results:?}");
+    assert!(results.iter().all(Result::is_err), "a batch was written: {results:?}");
     assert!(store.snapshot().is_empty());
     let results = store.append_batches(vec![put(b"c", 5), put(b"long", 5_000), put(b"d", 5)]);
     assert_eq!(results.iter().map(Result::is_ok).collect::<Vec<_>>(), [true, false, true]);
--- a/crates/log-store/tests/golden_directory.rs
+++ b/crates/log-store/tests/golden_directory.rs
@@ -1,4 +1,4 @@
-//! A directory that an earlier build wrote is opened, checked and salvaged as before: whole, with a torn end, with a
+//! A directory written by an earlier build is opened, checked and repaired as before: intact, with a torn tail, with a
 //! flipped byte, and without its manifest.
 
 use std::path::{Path, PathBuf};
@@ -26,7 +26,7 @@
     LogStoreOptions { segment_bytes: 500, checkpoints, compaction, ..LogStoreOptions::named("golden") }
 }
 
-/// Writes the directory, once.
+/// Writes the directory that is recorded as golden data.
 fn write(path: &Path) {
     let (mut store, _) =
         LogStore::open(Arc::new(RealDisk::open_or_create(path).unwrap()), options(true)).unwrap();
@@ -43,7 +43,7 @@
     store.sync().unwrap();
 }
 
-/// A copy of the recorded directory that goes away with this value.
+/// A copy of the recorded directory that is deleted on drop.
 struct Copy(PathBuf);
 
 impl Copy {
@@ -90,7 +90,7 @@
     }
 }
 
-/// All that a snapshot holds: keyspace, key, value and sequence.
+/// Returns all entries of a snapshot: keyspace, key, value and sequence number.
 fn contents(snapshot: &Snapshot) -> Vec<(u16, Vec<u8>, Vec<u8>, u64)> {
     let entries = snapshot.entries();
     entries
@@ -100,7 +100,7 @@
         .collect()
 }
 
-/// What the store holds once `batches` of those that were written are in it.
+/// Returns the entries of the store after this number of the recorded batches.
 fn after(batches: u8) -> Vec<(u16, Vec<u8>, Vec<u8>, u64)> {
     let mut held = std::collections::BTreeMap::new();
     let mut sequence = 0;
@@ -120,7 +120,7 @@
     held.into_iter().map(|((keyspace, key), (value, sequence))| (keyspace, key, value, sequence)).collect()
 }
 
-/// Number, bytes and whether merged, of the segments of the recorded directory.
+/// The segments of the recorded directory: number, size in bytes, and whether they are merged.
 const SEGMENTS: [SegmentInfo; 6] = [
     segment(7, 1051, true),
     segment(6, 428, false),
@@ -158,7 +158,7 @@
     let copy = Copy::new("checked");
     let check = repair::check(&copy.disk(), |_, _| {}).unwrap();
     assert_eq!(check.generation, Some(11));
-    assert!(check.is_sound() && check.missing.is_empty() && check.quarantined.is_empty());
+    assert!(check.has_no_faults() && check.missing.is_empty() && check.quarantined.is_empty());
     let segments = check.segments.iter();
     let read_back: Vec<_> = segments
         .map(|s| {
@@ -194,7 +194,7 @@
         let copy = Copy::new("torn");
         copy.change(ACTIVE, |bytes| bytes.truncate(243));
         let check = repair::check(&copy.disk(), |_, _| {}).unwrap();
-        assert!(check.is_sound());
+        assert!(check.has_no_faults());
         assert_eq!(check.segments[5].unread_tail, Some(UnreadTail { offset: 176, has_records: false }));
         let (store, found) = copy.open(checkpoints);
         let segments_from_checkpoint = if checkpoints { 5 } else { 0 };
@@ -213,7 +213,7 @@
     }
 }
 
-/// Offsets, sequence numbers and keyspaces of the records that can be read in a file.
+/// Returns the offsets, sequence numbers and keyspaces of the records that can be read in a file.
 fn salvaged(copy: &Copy, name: &str) -> Vec<(u64, u64, u16)> {
     repair::records(&copy.disk(), name).unwrap().iter().map(|r| (r.offset, r.sequence, r.keyspace)).collect()
 }
@@ -237,7 +237,7 @@
         ..RecoveryReport::default()
     };
     assert_eq!(found, expected);
-    assert_eq!(contents(&store.snapshot()), after(28), "the sound part before it");
+    assert_eq!(contents(&store.snapshot()), after(28), "the state before the damage");
     assert_eq!(
         store.segments(),
         [segment(7, 1051, true), segment(6, 428, false), segment(12, 148, false), segment(13, 64, false)]
@@ -259,12 +259,12 @@
     );
     let read_back =
         [(64, 58, 1), (112, 59, 2), (148, 60, 1), (232, 62, 1), (280, 63, 2), (316, 64, 1), (364, 65, 2)];
-    assert_eq!(salvaged(&copy, &quarantined[0]), read_back, "all but the damaged one");
+    assert_eq!(salvaged(&copy, &quarantined[0]), read_back, "all records but the damaged one");
     let read_back = [(64, 83, 1), (112, 84, 2), (148, 85, 2), (176, 86, 3)];
     assert_eq!(salvaged(&copy, &quarantined[3]), read_back);
     let check = repair::check(&copy.disk(), |_, _| {}).unwrap();
     assert_eq!(
-        (check.generation, check.is_sound(), check.quarantined),
+        (check.generation, check.has_no_faults(), check.quarantined),
         (Some(12), true, quarantined.to_vec())
     );
 }
@@ -290,7 +290,7 @@
         .collect();
     assert_eq!(unread, [(2, [4].as_slice()), (2, [5].as_slice())]);
     drop(store);
-    // A start that reads all of it takes nothing of a merged segment that isn't whole.
+    // An open without checkpoints uses no record of a damaged merged segment.
     let (store, found) = copy.open(false);
     assert_eq!(
         (found.corruption, found.records, found.quarantined.len()),
--- a/crates/log-store/tests/golden_files.rs
+++ b/crates/log-store/tests/golden_files.rs
@@ -1,5 +1,5 @@
-//! The store's files are the recorded ones, to the byte, whatever is done, fails or is lost on the way; and a recorded
-//! store, so that no file holds chance, is what all runs begin with.
+//! The files of the store equal the recorded ones byte for byte after any operations, failures and crashes. All runs start
+//! from one recorded store, so that no file contains random bytes.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
@@ -34,7 +34,7 @@
     LogStoreOptions { segment_bytes: 500, checkpoints, compaction, ..LogStoreOptions::named("golden") }
 }
 
-/// The disk of an empty store. Its identity is partly by chance, so it was recorded once.
+/// Returns the disk of an empty store. Its identity is partly random, so it was recorded once.
 fn empty_store() -> SimulatedDisk {
     static RECORDING: Mutex<()> = Mutex::new(());
     let path = path("empty_store.txt");
@@ -145,7 +145,7 @@
     }
 }
 
-/// Hash of all that a run does and leaves.
+/// Returns a hash of the results of a run and of the files it leaves.
 fn run(seed: u64) -> u64 {
     let mut random = Pcg64::seed_from_u64(seed);
     let mut trace = Trace::new();
@@ -185,7 +185,7 @@
         store.iter_mut().for_each(|open| open.set_time(now));
         while store.is_none() {
             add_files(&mut trace, &disk);
-            // One call may still fail, and then the next try goes well.
+            // One call may still fail; the next attempt then succeeds.
             if let Ok((opened, found)) =
                 LogStore::open(Arc::new(disk.clone()), options(random.random_bool(0.5)))
             {
@@ -208,7 +208,7 @@
     trace.finish()
 }
 
-/// Damages a file, but never the head of a segment, by which the store's identity is found again.
+/// Damages a file, except for segment headers, which are needed to recover the store's identity.
 fn damage_file(disk: &SimulatedDisk, random: &mut Pcg64) {
     const HEAD: usize = 64;
     let names = disk.names();
@@ -257,7 +257,7 @@
     check_hashes(&path("files.txt"), &hashes);
 }
 
-/// A writer that waits for each batch; nothing is merged, as a merge comes at a time of its own.
+/// The writer waits for each batch. Nothing is merged, because the time of a merge is not deterministic.
 #[test]
 fn a_background_writer_leaves_the_recorded_files() {
     let run = |seed: u64| {
--- a/crates/log-store/tests/model.rs
+++ b/crates/log-store/tests/model.rs
@@ -1,4 +1,4 @@
-//! The store against a plain map, with restarts, and readers beside a writer.
+//! The store compared with a plain map across restarts, and readers concurrent with a writer.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -20,7 +20,7 @@
 }
 
 fn action() -> impl Strategy<Value = Action> {
-    // Short keys, and some about as long as those kept in place in the index, on either side of it.
+    // Short keys, and keys just below and above the length that the index stores inline.
     let short = proptest::collection::vec(0u8..4, 0..3);
     let key =
         move || (0u16..2, prop_oneof![3 => short.clone(), 1 => proptest::collection::vec(0u8..2, 26..31)]);
@@ -91,11 +91,11 @@
                 let (mut last, mut held) = (0, None);
                 while !is_done.load(Relaxed) {
                     let snapshot = writer.snapshot();
-                    assert!(snapshot.sequence >= last, "never back");
+                    assert!(snapshot.sequence >= last, "a later snapshot is older");
                     last = snapshot.sequence;
                     let of = |keyspace| snapshot.get(keyspace, b"n").unwrap();
-                    assert_eq!(of(1), of(2), "a batch is there whole");
-                    // One snapshot is kept for long, over compactions.
+                    assert_eq!(of(1), of(2), "a batch is visible only in part");
+                    // One snapshot is held throughout several compactions.
                     let (kept, value): &(Arc<_>, _) = held.get_or_insert_with(|| (snapshot.clone(), of(1)));
                     assert_eq!(&kept.get(1, b"n").unwrap(), value);
                     reads.fetch_add(1, Relaxed);
@@ -120,7 +120,7 @@
 
 #[test]
 fn a_snapshot_holds_everything_handed_over_before_it_was_taken() {
-    // Snapshots are published only when asked for; one asked for after a write holds it, durable or not.
+    // Snapshots are published only on request. One requested after a write contains it, durable or not.
     let disk = SimulatedDisk::new(1 << 26);
     let (store, _) = LogStore::open(Arc::new(disk.clone()), options(true)).unwrap();
     let writer = BackgroundWriter::start(store, WriterOptions::default()).unwrap();
@@ -147,7 +147,7 @@
     while !matches!(store.compact_step_unthrottled().unwrap(), orchidvalve_log_store::CompactionStep::Idle) {}
     let live: Vec<u64> = store.segments().iter().map(|s| s.number).collect();
     let held: Vec<u64> = store.snapshot().segments().collect();
-    assert!(before.iter().any(|s| !live.contains(s)), "something was merged away");
+    assert!(before.iter().any(|s| !live.contains(s)), "no segment was merged");
     assert!(held.iter().all(|s| live.contains(s)), "held {held:?}, live {live:?}");
 }
 
@@ -155,22 +155,25 @@
 fn a_full_queue_coalesces_updates_by_key_and_rejects_batches() {
     let disk = SimulatedDisk::new(1 << 26);
     let (store, _) = LogStore::open(Arc::new(disk.clone()), options(true)).unwrap();
-    // Capacity for the updates that go before a batch, and for the batch: the first one is accepted however far the
-    // writer's thread has come.
+    // The queue has capacity for the updates sent before a batch and for the batch, so the first batch is accepted however
+    // far the writer thread is.
     let writer = BackgroundWriter::start(
         store,
         WriterOptions { queue_capacity: 2, max_buffered_keys: 2, ..WriterOptions::default() },
     )
     .unwrap();
     let mut handle = writer.handle();
-    let (mut refused, mut kept) = (0, Vec::new());
+    let (mut rejected, mut kept) = (0, Vec::new());
     for n in 0..20_000u32 {
-        assert!(handle.update(1, &[(n % 2) as u8], Some(&n.to_le_bytes())), "two keys always have room");
+        assert!(
+            handle.update(1, &[(n % 2) as u8], Some(&n.to_le_bytes())),
+            "two keys always fit in the buffer"
+        );
         match handle.try_append(Batch::new().put(2, &n.to_le_bytes(), b"r")) {
             Ok(pending) => kept.push((n, pending)),
             Err(batch) => {
-                assert_eq!(batch.len(), 1, "what is refused is given back");
-                refused += 1;
+                assert_eq!(batch.len(), 1, "a rejected batch is returned");
+                rejected += 1;
             }
         }
     }
@@ -181,9 +184,9 @@
     let counted = writer.counters().rejected.load(Relaxed);
     let store = writer.stop().unwrap();
     let snapshot = store.snapshot();
-    assert_eq!(counted, refused);
+    assert_eq!(counted, rejected);
     assert!(kept.iter().all(|n| snapshot.get(2, &n.to_le_bytes()).unwrap().is_some()) && !kept.is_empty());
-    assert_eq!(snapshot.scan(2).count(), kept.len(), "none that was refused is there");
+    assert_eq!(snapshot.scan(2).count(), kept.len(), "the store contains exactly the accepted batches");
     let last: Vec<u32> =
         snapshot.scan(1).map(|(_, v)| u32::from_le_bytes(v.unwrap().try_into().unwrap())).collect();
     assert_eq!(last, [19_998, 19_999], "the latest state");
