--- a/crates/control-plane/tests/support/invariant_checker.rs
+++ b/crates/control-plane/tests/support/invariant_checker.rs
@@ -109,7 +109,7 @@
         match self.committed_changes.get(sequence as usize - 1) {
             Some((known, _)) if known == change => {}
             Some(_) => {
-                self.fail(format!("{reporter:?} reported another change {sequence} than was committed"))
+                self.fail(format!("{reporter:?} reported another change {sequence} than was committed"));
             }
             None if sequence == self.end() + 1 => self.append_committed(change),
             None => self.fail(format!("{reporter:?} reported change {sequence}, {} are known", self.end())),
