--- a/crates/log-store/benches/log_store.rs
+++ b/crates/log-store/benches/log_store.rs
@@ -1,8 +1,8 @@
-//! The cost of the store, measured on one disk in one run: durable and buffered appends compared with bare writes of the
-//! same bytes, recovery, memory, write amplification. `cargo bench -p orchidvalve-log-store -- DIR [MOST] [only=durable]
-//! [slower=US]`: DIR is a directory on the disk to measure, MOST the largest number of records recovered (10,000,000).
-//! `only` measures durable appends alone. `slower` delays every sync, of the store and of the bare file alike, by this many
-//! microseconds, to simulate a slower disk. Tables go to standard output, charts to DIR/*.svg.
+//! The cost of the store, measured on one disk in one run: durable and buffered appends compared with bare writes of
+//! the same bytes, recovery, memory, write amplification. `cargo bench -p orchidvalve-log-store -- DIR [MOST]
+//! [only=durable] [slower=US]`: DIR is a directory on the disk to measure, MOST the largest number of records recovered
+//! (10,000,000). `only` measures durable appends alone. `slower` delays every sync, of the store and of the bare file
+//! alike, by this many microseconds, to simulate a slower disk. Tables go to standard output, charts to DIR/*.svg.
 
 use std::fs::{File, OpenOptions};
 use std::io;
--- a/crates/log-store/examples/fuzz.rs
+++ b/crates/log-store/examples/fuzz.rs
@@ -1,7 +1,7 @@
 //! Recovery of corrupt files, for longer runs than CI: `cargo run --release -p orchidvalve-log-store --example fuzz --
 //! SECONDS [SEED]`. Copies a store with a history and changes, truncates, duplicates, or moves bytes of its files, or
-//! replaces them by random ones. The store must open, and each value read must be one that its key had at some time. Exits
-//! with status 1 at the first violation.
+//! replaces them by random ones. The store must open, and each value read must be one that its key had at some time.
+//! Exits with status 1 at the first violation.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
--- a/crates/log-store/src/background_writer.rs
+++ b/crates/log-store/src/background_writer.rs
@@ -117,9 +117,9 @@
 }
 
 impl WriterHandle {
-    /// Buffers an update of a key until the next [`WriterHandle::flush`], which sends all buffered updates as one batch.
-    /// Never blocks. Returns false if both the buffer and the queue are full; the update is then dropped and counted as
-    /// rejected.
+    /// Buffers an update of a key until the next [`WriterHandle::flush`], which sends all buffered updates as one
+    /// batch. Never blocks. Returns false if both the buffer and the queue are full; the update is then dropped and
+    /// counted as rejected.
     pub fn update(&mut self, keyspace: u16, key: &[u8], value: Option<&[u8]>) -> bool {
         let key = (keyspace, key.to_vec());
         let is_full = self.buffered.len() >= self.max_buffered_keys;
@@ -199,8 +199,8 @@
         Ok(pending)
     }
 
-    /// Sends a request, counting it first: a reader that loads the counter after sending its own request then counts all
-    /// requests before it in the queue.
+    /// Sends a request, counting it first: a reader that loads the counter after sending its own request then counts
+    /// all requests before it in the queue.
     fn send(&self, request: Request) -> Result<(), WriteError> {
         let submitted = &self.shared.progress.submitted;
         submitted.fetch_add(1, Release);
--- a/crates/log-store/src/background_writer/completion.rs
+++ b/crates/log-store/src/background_writer/completion.rs
@@ -9,8 +9,8 @@
 type WriteResult = Result<u64, WriteError>;
 
 /// Wakes all callers that wait for a sync with a single call. Waking them one by one would delay the last ones. The
-/// callers wait on a counter (a futex) that each call increments. With a lock that each woken caller acquired in turn to
-/// read its result, 64 callers waited longer for each other than for the disk.
+/// callers wait on a counter (a futex) that each call increments. With a lock that each woken caller acquired in turn
+/// to read its result, 64 callers waited longer for each other than for the disk.
 #[derive(Default)]
 pub(super) struct Waker {
     wake_count: AtomicU32,
@@ -58,8 +58,8 @@
         (completion, PendingWrite { result, waker: waker.clone() })
     }
 
-    /// Returns the result without blocking, or `None` while it is not known: the last sequence number of the batch, or why
-    /// the batch is not durable.
+    /// Returns the result without blocking, or `None` while it is not known: the last sequence number of the batch, or
+    /// why the batch is not durable.
     pub fn result(&self) -> Option<Result<u64, WriteError>> {
         self.result.get().cloned()
     }
--- a/crates/log-store/src/background_writer/writer_thread.rs
+++ b/crates/log-store/src/background_writer/writer_thread.rs
@@ -136,7 +136,8 @@
     }
 
     /// Waits for more requests. Callers whose batches were acknowledged together usually write again together; syncing
-    /// the first batch alone would make the others wait for two syncs. The wait is a fraction of the last sync's duration.
+    /// the first batch alone would make the others wait for two syncs. The wait is a fraction of the last sync's
+    /// duration.
     fn gather(&self) {
         let started = Instant::now();
         let expected = self.sync.last_group.min(self.options.max_group_commit);
--- a/crates/log-store/src/compaction_policy.rs
+++ b/crates/log-store/src/compaction_policy.rs
@@ -2,8 +2,8 @@
 //!
 //! Only runs of consecutive sealed segments are merged, and a record is dropped only if a later record of the same run
 //! supersedes it. So the segments up to any boundary always hold exactly the state at that boundary: a damaged segment
-//! costs the records after it, but never mixes old values with new ones. A tombstone is dropped only in a run that begins
-//! with the oldest segment, because no older record can reappear there.
+//! costs the records after it, but never mixes old values with new ones. A tombstone is dropped only in a run that
+//! begins with the oldest segment, because no older record can reappear there.
 
 #[cfg(test)]
 mod tests;
--- a/crates/log-store/src/disk/simulated.rs
+++ b/crates/log-store/src/disk/simulated.rs
@@ -1,5 +1,6 @@
-//! An in-memory disk that tracks what has been synced. It can lose, tear and reorder unsynced writes, lose unsynced file
-//! names, run full, and fail any call: the states that a machine may be left in by a power loss, produced on demand.
+//! An in-memory disk that tracks what has been synced. It can lose, tear and reorder unsynced writes, lose unsynced
+//! file names, run full, and fail any call: the states that a machine may be left in by a power loss, produced on
+//! demand.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::io::{self, ErrorKind};
--- a/crates/log-store/src/garbage.rs
+++ b/crates/log-store/src/garbage.rs
@@ -32,7 +32,8 @@
         superseded + if begins_with_oldest { tombstones } else { 0 }
     }
 
-    /// Replaces the segments of a run with the segment they were merged into, which has `tombstones` bytes of tombstones.
+    /// Replaces the segments of a run with the segment they were merged into, which has `tombstones` bytes of
+    /// tombstones.
     pub fn merged(&mut self, run: &[u64], into: u64, tombstones: u64) {
         let renamed = |segment: u64| if run.contains(&segment) { into } else { segment };
         let before = std::mem::take(&mut self.superseded);
--- a/crates/log-store/src/key.rs
+++ b/crates/log-store/src/key.rs
@@ -13,8 +13,8 @@
 const INLINE_BYTES: usize = 30;
 
 /// A key prefixed by its big-endian keyspace, so that a keyspace is a contiguous range. A short key is stored inline:
-/// when a write copies nodes of the map, inline keys are copied as plain bytes, whereas each shared key costs a reference
-/// count increment per copy and a decrement per drop.
+/// when a write copies nodes of the map, inline keys are copied as plain bytes, whereas each shared key costs a
+/// reference count increment per copy and a decrement per drop.
 #[derive(Clone)]
 pub(crate) enum IndexKey {
     Inline { length: u8, bytes: [u8; INLINE_BYTES] },
--- a/crates/log-store/src/record.rs
+++ b/crates/log-store/src/record.rs
@@ -3,8 +3,8 @@
 //! Layout of a record: length of key and value (4 bytes, little-endian), remaining records of its batch (4), kind (1),
 //! keyspace (2), length of the key (4), sequence number (8), key, value, checksum (4). The checksum is crc32c over all
 //! preceding bytes of the record, seeded with the four bytes before the record, which are the checksum of the previous
-//! record or of the segment header. So a stale record in a reused disk block is never accepted as a new one, and records
-//! after a damaged region can still be recognized.
+//! record or of the segment header. So a stale record in a reused disk block is never accepted as a new one, and
+//! records after a damaged region can still be recognized.
 
 #[cfg(test)]
 mod tests;
--- a/crates/log-store/src/recovery/manifest_rebuild.rs
+++ b/crates/log-store/src/recovery/manifest_rebuild.rs
@@ -20,8 +20,8 @@
     highest_number: u64,
 }
 
-/// Rebuilds the manifest from the segments in the directory. `is_corrupt` says whether there is a manifest that cannot be
-/// read. Returns `None` if there is neither a segment nor a damaged manifest.
+/// Rebuilds the manifest from the segments in the directory. `is_corrupt` says whether there is a manifest that cannot
+/// be read. Returns `None` if there is neither a segment nor a damaged manifest.
 pub(super) fn rebuild_manifest(
     disk: &dyn Disk,
     options: &LogStoreOptions,
--- a/crates/log-store/src/segment.rs
+++ b/crates/log-store/src/segment.rs
@@ -22,8 +22,8 @@
 const HEADER_CHECKSUM_OFFSET: usize = 60;
 
 /// The header of a segment: magic (8 bytes), version (4), whether it is merged (4), identity of the store (16), the
-/// segment's number (8), the first sequence number and, in a merged segment, the last one (8 each), padding (4), checksum
-/// (4).
+/// segment's number (8), the first sequence number and, in a merged segment, the last one (8 each), padding (4),
+/// checksum (4).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct SegmentHeader {
     /// Identity of the store that the segment belongs to.
@@ -146,7 +146,8 @@
     pub records: u64,
     /// Whether the file continues after `length`.
     pub has_tail: bool,
-    /// Whether the rest of the file contains a valid record. If so, it is not a torn tail but damage before that record.
+    /// Whether the rest of the file contains a valid record. If so, it is not a torn tail but damage before that
+    /// record.
     pub has_records_in_tail: bool,
 }
 
--- a/crates/log-store/src/store.rs
+++ b/crates/log-store/src/store.rs
@@ -86,8 +86,8 @@
     ///
     /// # Errors
     ///
-    /// The store is open elsewhere, was created under another name or by a later version, or the disk fails. Damaged data
-    /// is not an error; it is described in the report.
+    /// The store is open elsewhere, was created under another name or by a later version, or the disk fails. Damaged
+    /// data is not an error; it is described in the report.
     pub fn open(
         disk: Arc<dyn Disk>,
         options: LogStoreOptions,
@@ -152,8 +152,8 @@
         self.index.snapshot.sequence
     }
 
-    /// Appends a batch and returns its last sequence number. The batch can be read at once, and is durable after the next
-    /// [`LogStore::sync`].
+    /// Appends a batch and returns its last sequence number. The batch can be read at once, and is durable after the
+    /// next [`LogStore::sync`].
     ///
     /// # Errors
     ///
@@ -201,7 +201,8 @@
         size + header <= self.options.segment_bytes.max(header + 1)
     }
 
-    /// Writes the collected batches. If the write fails, each batch gets the error, and their sequence numbers are reused.
+    /// Writes the collected batches. If the write fails, each batch gets the error, and their sequence numbers are
+    /// reused.
     fn write_group(
         &mut self,
         group: &mut WriteGroup,
@@ -264,8 +265,8 @@
     ///
     /// # Errors
     ///
-    /// The disk fails. Batches that were not durable before may be lost in a crash; the next sync tries them again. Reads
-    /// keep working.
+    /// The disk fails. Batches that were not durable before may be lost in a crash; the next sync tries them again.
+    /// Reads keep working.
     pub fn sync(&mut self) -> io::Result<()> {
         if !self.unsynced.is_empty() {
             // After a failed sync it is unknown which bytes were written, and the next sync may succeed without them.
--- a/crates/log-store/tests/crash.rs
+++ b/crates/log-store/tests/crash.rs
@@ -1,5 +1,6 @@
-//! Power losses, truncated files, flipped bits and failing calls at every position, on a simulated disk. In all cases the
-//! store opens in the state after some batch that was issued, not earlier than the last one acknowledged as durable.
+//! Power losses, truncated files, flipped bits and failing calls at every position, on a simulated disk. In all cases
+//! the store opens in the state after some batch that was issued, not earlier than the last one acknowledged as
+//! durable.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
--- a/crates/log-store/tests/golden_files.rs
+++ b/crates/log-store/tests/golden_files.rs
@@ -1,5 +1,5 @@
-//! The files of the store equal the recorded ones byte for byte after any operations, failures and crashes. All runs start
-//! from one recorded store, so that no file contains random bytes.
+//! The files of the store equal the recorded ones byte for byte after any operations, failures and crashes. All runs
+//! start from one recorded store, so that no file contains random bytes.
 
 use std::path::{Path, PathBuf};
 use std::sync::{Arc, Mutex};
--- a/crates/log-store/tests/model.rs
+++ b/crates/log-store/tests/model.rs
@@ -155,8 +155,8 @@
 fn a_full_queue_coalesces_updates_by_key_and_rejects_batches() {
     let disk = SimulatedDisk::new(1 << 26);
     let (store, _) = LogStore::open(Arc::new(disk.clone()), options(true)).unwrap();
-    // The queue has capacity for the updates sent before a batch and for the batch, so the first batch is accepted however
-    // far the writer thread is.
+    // The queue has capacity for the updates sent before a batch and for the batch, so the first batch is accepted
+    // however far the writer thread is.
     let writer = BackgroundWriter::start(
         store,
         WriterOptions { queue_capacity: 2, max_buffered_keys: 2, ..WriterOptions::default() },
--- a/crates/search/examples/fuzz.rs
+++ b/crates/search/examples/fuzz.rs
@@ -1,7 +1,8 @@
-//! A longer search for bodies that break the language than CI has time for:
-//! `cargo run --release -p orchidvalve-search --example fuzz -- SECONDS [SEED]`. Bodies are drawn by the grammar, then
-//! bytes are changed, cut, doubled and moved. None may panic; one that is accepted must be sound JSON to another
-//! reader with the same meaning, have one form, and be evaluated. Ends with status 1 at the first that is not so.
+//! Searches for bodies that break the query language, for longer runs than CI:
+//! `cargo run --release -p orchidvalve-search --example fuzz -- SECONDS [SEED]`. Bodies are generated from the grammar,
+//! then bytes are changed, removed, duplicated and moved. No body may cause a panic. An accepted one must be valid JSON
+//! with the same meaning for another parser, have one canonical form, and be evaluated. Exits with status 1 at the
+//! first violation.
 
 use std::time::{Duration, Instant};
 
@@ -88,28 +89,33 @@
     }
 }
 
-/// Whether it was accepted; an error where it broke a promise.
+/// Returns whether the body was accepted, or an error if it violates a property.
 fn check(bytes: &[u8], mapping: &Mapping, documents: &[Document]) -> Result<bool, String> {
     let Ok(read) = SearchRequest::read(bytes, "jobs", mapping, NOW) else { return Ok(false) };
     if bytes.trim_ascii().is_empty() {
         return Ok(true);
     }
     let other: Value =
-        serde_json::from_slice(bytes).map_err(|e| format!("no JSON to another reader: {e}"))?;
+        serde_json::from_slice(bytes).map_err(|e| format!("serde_json cannot parse the body: {e}"))?;
     let again = SearchRequest::read(other.to_string().as_bytes(), "jobs", mapping, NOW);
-    let again = again.map_err(|error| format!("another reader's print of it is refused: {error}"))?;
+    let again = again.map_err(|error| format!("the body as printed by serde_json is rejected: {error}"))?;
     let text = read.canonical();
     if again.canonical() != text {
-        return Err(format!("two meanings: {text} and {}", again.canonical()));
+        return Err(format!("canonical forms differ: {text} and {}", again.canonical()));
     }
     let carried = ShardRequest::read(&text, |_| Some(mapping))
-        .map_err(|f| format!("{text}: its form is refused: {f}"))?;
+        .map_err(|f| format!("{text}: its canonical form is rejected: {f}"))?;
     if carried.canonical() != text {
-        return Err(format!("its form is no fixed point: {text} and {}", carried.canonical()));
+        return Err(format!(
+            "the canonical form changes when it is parsed again: {text} and {}",
+            carried.canonical()
+        ));
     }
-    let ShardRequest::Search(carried) = carried else { return Err("no search any more".to_owned()) };
+    let ShardRequest::Search(carried) = carried else {
+        return Err("the canonical form is not a search".to_owned());
+    };
     let (one, two) = (search(&read, documents.iter()).text(), search(&carried, documents.iter()).text());
-    if one != two { Err(format!("two answers: {one} and {two}")) } else { Ok(true) }
+    if one != two { Err(format!("results differ: {one} and {two}")) } else { Ok(true) }
 }
 
 fn main() {
@@ -120,7 +126,7 @@
         .map(|n: i64| {
             let source = json!({"customer": format!("c{}", n % 3), "notes": "Piano two İ", "crew": n - 3,
                                 "cost": n as f64 / 3.0, "paid": n % 2 == 0, "start": NOW - n * 86_400_000});
-            Document::new(&format!("d{n}"), source, &mapping).expect("it fits")
+            Document::new(&format!("d{n}"), source, &mapping).expect("the document fits the mapping")
         })
         .collect();
     let (mut random, began) = (Pcg64::seed_from_u64(seed), Instant::now());
@@ -131,9 +137,9 @@
         corrupt(&mut random, &mut bytes);
         bodies += 1;
         match check(&bytes, &mapping, &documents) {
-            Ok(taken) => accepted += u64::from(taken),
-            Err(broken) => {
-                println!("seed {seed}, body {bodies}: {}: {broken}", bytes.escape_ascii());
+            Ok(is_accepted) => accepted += u64::from(is_accepted),
+            Err(violation) => {
+                println!("seed {seed}, body {bodies}: {}: {violation}", bytes.escape_ascii());
                 std::process::exit(1);
             }
         }
@@ -142,5 +148,5 @@
             eprintln!("{bodies} bodies, {accepted} accepted");
         }
     }
-    println!("{bodies} bodies in {seconds} s, {accepted} accepted, none broke a promise");
+    println!("{bodies} bodies in {seconds} s, {accepted} accepted, no violation");
 }
--- a/crates/search/src/date.rs
+++ b/crates/search/src/date.rs
@@ -1,9 +1,9 @@
-//! Dates: ISO 8601, milliseconds and seconds since 1970, the named formats, and date maths such as `now-7d/d`.
+//! Dates: ISO 8601, milliseconds and seconds since 1970, the named formats, and date math such as `now-7d/d`.
 
 use chrono::{DateTime, Datelike, Days, FixedOffset, Months, NaiveDate, NaiveDateTime, NaiveTime, TimeDelta};
 use derive_more::{Display, Error};
 
-/// The formats that a range may name.
+/// The date formats that a range may name.
 pub const FORMATS: [&str; 7] = [
     "strict_date_optional_time",
     "date_optional_time",
@@ -13,25 +13,25 @@
     "epoch_millis",
     "epoch_second",
 ];
-/// Formats of a date that names none.
+/// The formats of a date if the request names none.
 const DEFAULT_FORMATS: &str = "strict_date_optional_time||epoch_millis";
 
-/// Which moment a date means that leaves its end open, by rounding or by having no time.
+/// Which moment of its span an imprecise date means: one that was rounded or has no time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Rounding {
-    /// The first millisecond.
+    /// The first millisecond of the span.
     Down,
-    /// The last millisecond.
+    /// The last millisecond of the span.
     Up,
 }
 
-/// Why a text is no date.
+/// Why a text is not a valid date.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum DateError {
-    /// The time that `now` means can't be a date.
+    /// The time that `now` refers to is out of range.
     #[display("now is out of range")]
     NowOutOfRange,
-    /// The text has none of the formats.
+    /// The text matches none of the formats.
     #[display("'{text}' is no date of the format {formats}")]
     NoDate {
         /// The text.
@@ -39,36 +39,36 @@
         /// The formats.
         formats: String,
     },
-    /// The format isn't known.
+    /// The format is unknown.
     #[display("unknown date format '{format}'; known: {}", FORMATS.join(", "))]
     UnknownFormat {
         /// The format.
         format: String,
     },
-    /// The date maths behind the date are wrong.
+    /// The date math after the date is invalid.
     #[display("'{text}': {error}")]
     Maths {
         /// The text.
         text: String,
-        /// What is wrong with the maths.
+        /// The error in the date math.
         #[error(source)]
         error: DateMathError,
     },
 }
 
-/// Why date maths can't be done.
+/// Why date math is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum DateMathError {
-    /// Rounding has a number.
+    /// A rounding step has a number.
     #[display("'/' takes a unit and no number")]
     NumberOfRounding,
-    /// The number of a step doesn't fit.
+    /// The number of a step is out of range.
     #[display("'{digits}' is too large")]
     TooLarge {
         /// The number.
         digits: String,
     },
-    /// A step begins with another character.
+    /// A step begins with an invalid character.
     #[display("'{sign}' is no '+', '-' or '/'")]
     UnknownSign {
         /// The character.
@@ -77,7 +77,7 @@
     /// A step has no unit.
     #[display("a unit is missing")]
     MissingUnit,
-    /// A step's unit isn't known, or it leads out of range.
+    /// The unit of a step is unknown, or its result is out of range.
     #[display("'{step}' is no step of time, or leads out of range")]
     Step {
         /// The step.
@@ -85,8 +85,8 @@
     },
 }
 
-/// Milliseconds since 1970. `format`: one of [`FORMATS`], or several with `||` between; none for the default,
-/// `strict_date_optional_time||epoch_millis`. `now`: milliseconds.
+/// Parses a date and returns it in milliseconds since 1970. `format` is one of [`FORMATS`], several separated by `||`,
+/// or `None` for the default `strict_date_optional_time||epoch_millis`. `now` is in milliseconds since 1970.
 ///
 /// ```
 /// use orchidvalve_search::date::{Rounding, read};
@@ -100,7 +100,7 @@
 ///
 /// # Errors
 ///
-/// The text is no date of the formats, or its maths can't be done.
+/// The text matches none of the formats, or its date math is invalid.
 pub fn read(text: &str, format: Option<&str>, now: i64, rounding: Rounding) -> Result<i64, DateError> {
     let (anchor, maths) = match text.strip_prefix("now") {
         Some(maths) => (from_millis(now).ok_or(DateError::NowOutOfRange)?, maths),
@@ -116,11 +116,11 @@
     Ok(date.and_utc().timestamp_millis())
 }
 
-/// Refuses a format that is none of the known ones.
+/// Checks that all formats are known.
 ///
 /// # Errors
 ///
-/// A format isn't known.
+/// A format is unknown.
 pub fn check_format(format: &str) -> Result<(), DateError> {
     match format.split("||").find(|format| !FORMATS.contains(format)) {
         Some(unknown) => Err(DateError::UnknownFormat { format: unknown.to_owned() }),
@@ -132,7 +132,7 @@
     DateTime::from_timestamp_millis(millis).map(|date| date.naive_utc())
 }
 
-/// A date without maths.
+/// Parses a date without date math.
 fn read_plain(text: &str, format: Option<&str>, rounding: Rounding) -> Result<NaiveDateTime, DateError> {
     let formats = format.unwrap_or(DEFAULT_FORMATS);
     let found = formats.split("||").find_map(|format| match format {
@@ -151,7 +151,7 @@
     (!digits.is_empty() && digits.bytes().all(|byte| byte.is_ascii_digit())).then(|| text.parse().ok())?
 }
 
-/// The first or the last millisecond of a day.
+/// Returns the first or the last millisecond of a day.
 fn round_day(day: NaiveDate, rounding: Rounding) -> NaiveDateTime {
     day.and_time(match rounding {
         Rounding::Down => NaiveTime::default(),
@@ -159,7 +159,7 @@
     })
 }
 
-/// Four digits, two, two: other widths are refused, as 1-2-3 means different days to different readers.
+/// Parses `yyyy-mm-dd`. Other widths are rejected, because 1-2-3 is ambiguous.
 fn parse_day(text: &str) -> Option<NaiveDate> {
     let form = b"dddd-dd-dd";
     let fits = |(byte, form): (u8, u8)| if form == b'd' { byte.is_ascii_digit() } else { byte == form };
@@ -168,12 +168,12 @@
     NaiveDate::from_ymd_opt(part(0, 4)? as i32, part(5, 7)?, part(8, 10)?)
 }
 
-/// A number of two digits.
+/// Parses a number of exactly two digits.
 fn parse_two_digits(text: &str) -> Option<u32> {
     (text.len() == 2 && text.bytes().all(|byte| byte.is_ascii_digit())).then(|| text.parse().ok())?
 }
 
-/// A day; or a day, `T`, a time with minutes, seconds or parts of them, and a zone or none, which is UTC.
+/// Parses a day, optionally followed by `T`, a time and a time zone. Without a zone, the time is UTC.
 fn parse_iso(text: &str, rounding: Rounding) -> Option<NaiveDateTime> {
     let Some((day, time)) = text.split_once('T') else {
         return parse_day(text).map(|day| round_day(day, rounding));
@@ -191,7 +191,8 @@
     }
 }
 
-/// A time of day, and the milliseconds until the next one that could have been written with so many digits.
+/// Parses a time of day. Also returns how many milliseconds its span extends after it: a time without seconds covers a
+/// minute, one without minutes an hour.
 fn parse_time_of_day(text: &str) -> Option<(NaiveTime, i64)> {
     let (whole, fraction) = match text.split_once('.') {
         Some((whole, fraction)) => (whole, Some(fraction)),
@@ -207,14 +208,14 @@
     Some((NaiveTime::from_hms_milli_opt(field(0), field(1), field(2), millis)?, open_ms))
 }
 
-/// Milliseconds of the decimals behind a second: one to nine digits.
+/// Parses the decimals of a second, one to nine digits, to milliseconds.
 fn parse_fraction(text: &str) -> Option<u32> {
     let is_valid = (1..=9).contains(&text.len()) && text.bytes().all(|byte| byte.is_ascii_digit());
     let digits = if is_valid { &text[..text.len().min(3)] } else { return None };
     Some(digits.parse::<u32>().ok()? * 10u32.pow(3 - digits.len() as u32))
 }
 
-/// The offset of a time zone: `Z`, `UTC` or `+hh:mm`.
+/// Parses the offset of a time zone: `Z`, `UTC` or `+hh:mm`.
 pub fn parse_offset(text: &str) -> Option<FixedOffset> {
     if text == "Z" || text == "UTC" {
         return FixedOffset::east_opt(0);
@@ -229,7 +230,7 @@
     (hours <= 18 && minutes < 60).then(|| FixedOffset::east_opt(sign * (hours * 3600 + minutes * 60)))?
 }
 
-/// Date maths: `+1M`, `-7d`, `/d`, one after the other.
+/// Applies date math such as `+1M`, `-7d` and `/d`, step by step.
 fn apply_maths(
     mut date: NaiveDateTime,
     maths: &str,
@@ -282,7 +283,7 @@
     }
 }
 
-/// The first or the last millisecond of the unit that a date lies in.
+/// Returns the first or the last millisecond of the unit that contains the date.
 fn round(date: NaiveDateTime, unit: char, rounding: Rounding) -> Option<NaiveDateTime> {
     let day = date.date();
     let midnight = |day: NaiveDate| day.and_time(NaiveTime::default());
--- a/crates/search/src/evaluate/document.rs
+++ b/crates/search/src/evaluate/document.rs
@@ -11,21 +11,21 @@
 /// A document and the values of its fields.
 #[derive(Clone, Debug)]
 pub struct Document {
-    /// Its id.
+    /// The document's id.
     pub id: String,
-    /// The document itself.
+    /// The JSON source of the document.
     pub source: Value,
     values: BTreeMap<String, Vec<FieldValue>>,
-    /// The words of its texts.
+    /// The words of each text field.
     words: BTreeMap<String, Vec<String>>,
 }
 
 impl Document {
-    /// A document of an index with these fields.
+    /// Creates a document of an index with this mapping.
     ///
     /// # Errors
     ///
-    /// The source is too long, or a value doesn't fit the mapping; the error names the field.
+    /// The source is too long, or a value does not fit the mapping; the error names the field.
     pub fn new(id: &str, source: Value, mapping: &Mapping) -> Result<Document, SearchError> {
         let text = source.to_string();
         let json = Json::read(text.as_bytes())?;
@@ -46,17 +46,17 @@
         Ok(document)
     }
 
-    /// The values of a field.
+    /// Returns the values of a field.
     pub(super) fn values(&self, field: &str) -> &[FieldValue] {
         self.values.get(field).map_or(&[], Vec::as_slice)
     }
 
-    /// Whether a field is a text, which is looked at by its words.
+    /// Returns whether a field is a text, which is matched by its words.
     pub(super) fn is_text(&self, field: &str) -> bool {
         self.words.contains_key(field)
     }
 
-    /// The strings that a pattern or a term is held against: of a text its words.
+    /// Returns the strings that a pattern or term is compared with: the words of a text, else the values.
     pub(super) fn strings(&self, field: &str) -> Vec<&str> {
         match self.words.get(field) {
             Some(words) => words.iter().map(String::as_str).collect(),
@@ -65,7 +65,7 @@
     }
 }
 
-/// Collects the values under a dotted name, through nested objects whose keys may have dots of their own.
+/// Collects the values of a field by its dotted name, through nested objects whose keys may contain dots.
 fn collect_values(json: &Json, name: &str, field_type: FieldType, values: &mut Vec<FieldValue>) {
     let Json::Object(fields) = json else { return };
     for (key, value) in fields {
--- a/crates/search/src/evaluate/mod.rs
+++ b/crates/search/src/evaluate/mod.rs
@@ -1,8 +1,8 @@
-//! What a query finds among documents: the reference by which stores of ours and tests go.
+//! Evaluates queries over documents: the reference implementation for our own index servers and for tests.
 //!
-//! Scores are simple, and the same on each path: a clause that looks at a document scores 1, a `match` the number
-//! of different words found, a `bool` the sum of its `must` and `should` (0 where it has only conditions), a
-//! `constant_score` 1; each times its boost.
+//! Scores are simple and the same however a query reaches the shard: a leaf clause scores 1, except that a `match`
+//! scores the number of different words found, a `bool` the sum of its `must` and `should` clauses (0 if it has only
+//! conditions), a `constant_score` 1. Each score is multiplied by its boost.
 
 mod document;
 mod score;
--- a/crates/search/src/evaluate/score.rs
+++ b/crates/search/src/evaluate/score.rs
@@ -1,4 +1,4 @@
-//! Whether a clause matches a document, and with what score.
+//! Matching and scoring of documents.
 
 use std::cmp::Ordering;
 
@@ -7,7 +7,7 @@
 use crate::mapping::FieldValue;
 use crate::query::{BoolQuery, Bound, Clause, Query, RangeQuery};
 
-/// The score of a document that the clause matches.
+/// Returns the score of a document, or `None` if the clause does not match it.
 pub fn score(clause: &Clause, document: &Document) -> Option<f64> {
     let scored = match &clause.query {
         Query::MatchAll => Some(1.0),
--- a/crates/search/src/evaluate/search.rs
+++ b/crates/search/src/evaluate/search.rs
@@ -1,4 +1,4 @@
-//! The result of a shard.
+//! Searches within one shard.
 
 use serde_json::Value;
 
@@ -9,7 +9,7 @@
 use crate::request::{SearchRequest, TrackTotalHits};
 use crate::response::{Hit, ShardResult, TotalHits, compare_hits};
 
-/// The result of a shard that holds these documents.
+/// Returns the result of a shard that contains these documents.
 pub fn search<'d>(request: &SearchRequest, documents: impl Iterator<Item = &'d Document>) -> ShardResult {
     let mut hits = Vec::new();
     for document in documents {
@@ -36,7 +36,7 @@
     let sort = request.sort.iter().map(|key| match &key.field {
         None => Value::from(score),
         Some(field) => {
-            // Of several values the least counts going up, and the greatest going down.
+            // Of several values, an ascending sort uses the lowest and a descending sort the highest.
             let values = document.values(field).iter();
             let value = if key.descending { values.max() } else { values.min() };
             value.map_or(Value::Null, FieldValue::to_json)
--- a/crates/search/src/evaluate/source_filter.rs
+++ b/crates/search/src/evaluate/source_filter.rs
@@ -1,4 +1,4 @@
-//! Which fields of a document are shown.
+//! Filters the fields of a document that a response includes.
 
 use serde_json::value::RawValue;
 use serde_json::{Map, Value};
@@ -6,7 +6,7 @@
 use crate::glob::glob_matches;
 use crate::request::SourceFilter;
 
-/// What a filter shows of a document; `None` if that is nothing at all.
+/// Returns the filtered source of a document, or `None` if the filter excludes everything.
 pub(super) fn filter_source(filter: &SourceFilter, source: &Value) -> Option<Box<RawValue>> {
     let kept = if filter.nothing {
         return None;
@@ -38,7 +38,7 @@
     }
 }
 
-/// A pattern matches the name that it is and all that lies within.
+/// Returns whether a pattern matches the path itself or an object that contains it.
 fn matches_any(patterns: &[String], path: &str) -> bool {
     let matches =
         |pattern: &String| glob_matches(pattern, path) || glob_matches(&format!("{pattern}.*"), path);
--- a/crates/search/src/glob.rs
+++ b/crates/search/src/glob.rs
@@ -1,10 +1,10 @@
-//! Patterns with wildcards.
+//! Wildcard patterns.
 
-/// A part of a pattern.
+/// An element of a pattern.
 enum Token {
-    /// Any run of characters.
+    /// Any number of characters.
     Run,
-    /// Any one character.
+    /// Any single character.
     One,
     /// This character.
     Literal(char),
@@ -24,8 +24,8 @@
     tokens
 }
 
-/// Whether a text matches a pattern: `*` is any run of characters, `?` one, and `\` takes the next as it stands. In
-/// time that grows with the product of both lengths at most.
+/// Returns whether a text matches a pattern: `*` matches any number of characters, `?` one, and `\` escapes the next.
+/// The time is at most proportional to the product of both lengths.
 ///
 /// ```
 /// use orchidvalve_search::glob::glob_matches;
@@ -37,7 +37,7 @@
     let tokens = tokens(pattern);
     let text: Vec<char> = text.chars().collect();
     let (mut position, mut token) = (0, 0);
-    // The last run, and the position up to which it takes characters: the only one worth going back to.
+    // The last `*` and the position up to which it matches: the only one to which backtracking is useful.
     let mut last_run = None;
     while position < text.len() {
         match tokens.get(token) {
--- a/crates/search/src/json/cursor.rs
+++ b/crates/search/src/json/cursor.rs
@@ -1,4 +1,4 @@
-//! Positions in a JSON text: a value and the path to it.
+//! Cursors: a JSON value with its path, for error messages.
 
 use std::fmt::Display;
 
@@ -13,7 +13,7 @@
     Item(usize),
 }
 
-/// A value and the path to it. The path is written only where it is asked for, as most bodies are sound.
+/// A JSON value and its path. The path is only formatted when an error needs it, because most bodies are valid.
 #[derive(Clone, Copy, Debug)]
 pub struct Cursor<'a> {
     /// The value.
@@ -23,7 +23,7 @@
 }
 
 impl<'a> Cursor<'a> {
-    /// The position of a whole text.
+    /// Returns a cursor for the root of a JSON text.
     pub fn root(value: &'a Json) -> Cursor<'a> {
         Cursor { value, parent: None, step: Step::Root }
     }
@@ -32,7 +32,7 @@
         Cursor { value, parent: Some(self), step }
     }
 
-    /// The path: keys with dots between, and positions in arrays in brackets.
+    /// Returns the path: keys separated by dots, and array indices in brackets.
     pub fn path(&self) -> String {
         let mut path = self.parent.map(Cursor::path).unwrap_or_default();
         match self.step {
@@ -44,7 +44,7 @@
         path
     }
 
-    /// An error at this position.
+    /// Creates an error at this path.
     pub fn error(&self, reason: impl Display) -> SearchError {
         SearchError::new(PARSING, self.path(), reason)
     }
@@ -53,28 +53,28 @@
         self.error(format!("should be {expected}, not {}", self.value.type_name()))
     }
 
-    /// The fields of an object.
+    /// Returns the fields of an object.
     ///
     /// # Errors
     ///
-    /// The value is no object.
+    /// The value is not an object.
     pub fn fields(&'a self) -> Result<impl Iterator<Item = (&'a str, Cursor<'a>)>, SearchError> {
         let Json::Object(fields) = self.value else { return Err(self.unexpected_type("an object")) };
         Ok(fields.iter().map(|(key, value)| (&**key, self.child(Step::Key(key), value))))
     }
 
-    /// The field of an object with this key, if the value is an object and has it.
+    /// Returns the field with this key, or `None` if the value is not an object or has no such field.
     pub fn get(&'a self, name: &'a str) -> Option<Cursor<'a>> {
         let Json::Object(fields) = self.value else { return None };
         let (key, value) = fields.iter().find(|(key, _)| key == name)?;
         Some(self.child(Step::Key(key), value))
     }
 
-    /// The one field of an object that must have just one.
+    /// Returns the only field of an object that must have exactly one.
     ///
     /// # Errors
     ///
-    /// The value is no object, or has none or several fields.
+    /// The value is not an object, or does not have exactly one field.
     pub fn single_field(&'a self) -> Result<(&'a str, Cursor<'a>), SearchError> {
         let mut fields = self.fields()?;
         match (fields.next(), fields.next()) {
@@ -86,12 +86,12 @@
         }
     }
 
-    /// Refuses keys that are not among the known ones, and by name those that OpenSearch knows and this language does
-    /// not support. `what` is the object's name in reasons.
+    /// Checks that all keys are known. Keys that OpenSearch supports but this language does not are reported as such.
+    /// `what` is the name of the object in error reasons.
     ///
     /// # Errors
     ///
-    /// The value is no object, or has such a key.
+    /// The value is not an object, or has another key.
     pub fn check_keys(&'a self, what: &str, known: &[&str], unsupported: &[&str]) -> Result<(), SearchError> {
         for (key, at) in self.fields()? {
             if unsupported.contains(&key) {
@@ -104,17 +104,17 @@
         Ok(())
     }
 
-    /// The items of an array.
+    /// Returns the items of an array.
     ///
     /// # Errors
     ///
-    /// The value is no array.
+    /// The value is not an array.
     pub fn items(&'a self) -> Result<impl Iterator<Item = Cursor<'a>>, SearchError> {
         let Json::Array(items) = self.value else { return Err(self.unexpected_type("a list")) };
         Ok(items.iter().enumerate().map(|(index, value)| self.child(Step::Item(index), value)))
     }
 
-    /// The items of an array, or a value that stands for an array of one.
+    /// Returns the items of an array. Any other value is treated as an array with one item.
     pub fn items_or_self(&'a self) -> Vec<Cursor<'a>> {
         match self.value {
             Json::Array(items) => {
@@ -125,11 +125,11 @@
         }
     }
 
-    /// A string.
+    /// Returns the string.
     ///
     /// # Errors
     ///
-    /// The value is no string.
+    /// The value is not a string.
     pub fn as_str(&self) -> Result<&'a str, SearchError> {
         match self.value {
             Json::String(string) => Ok(string),
@@ -137,11 +137,11 @@
         }
     }
 
-    /// `true` or `false`.
+    /// Returns the boolean.
     ///
     /// # Errors
     ///
-    /// The value is neither.
+    /// The value is not a boolean.
     pub fn as_bool(&self) -> Result<bool, SearchError> {
         match self.value {
             Json::Bool(bool) => Ok(*bool),
@@ -149,11 +149,11 @@
         }
     }
 
-    /// An integer.
+    /// Returns the integer.
     ///
     /// # Errors
     ///
-    /// The value is no integer of 64 bits.
+    /// The value is not a 64-bit integer.
     pub fn as_i64(&self) -> Result<i64, SearchError> {
         match self.value {
             Json::Integer(integer) => Ok(*integer),
@@ -161,15 +161,15 @@
         }
     }
 
-    /// A number.
+    /// Returns the number.
     ///
     /// # Errors
     ///
-    /// The value is no number.
+    /// The value is not a number.
     pub fn as_f64(&self) -> Result<f64, SearchError> {
         match self.value {
             Json::Integer(integer) => Ok(*integer as f64),
-            // -0.0 is 0.0 to every comparison, and must be to the canonical form.
+            // Adding 0.0 turns -0.0 into 0.0. Both compare as equal, so they must have the same canonical form.
             Json::Float(float) => Ok(float + 0.0),
             _ => Err(self.unexpected_type("a number")),
         }
--- a/crates/search/src/json/value.rs
+++ b/crates/search/src/json/value.rs
@@ -1,4 +1,4 @@
-//! JSON values and their strict reading.
+//! JSON values and a strict parser.
 
 use std::fmt;
 
@@ -6,7 +6,7 @@
 
 use crate::error::{PARSING, SearchError};
 
-/// Most bytes of a body.
+/// The maximum size of a body in bytes.
 pub const MAX_BODY_BYTES: usize = 64 << 10;
 
 /// A JSON value.
@@ -16,7 +16,7 @@
     Null,
     /// `true` or `false`.
     Bool(bool),
-    /// A number without a fraction that fits 64 bits.
+    /// An integer that fits 64 bits.
     Integer(i64),
     /// Any other number.
     Float(f64),
@@ -24,16 +24,16 @@
     String(String),
     /// An array.
     Array(Vec<Json>),
-    /// An object, in the order of the text.
+    /// An object, with its fields in the order of the text.
     Object(Vec<(String, Json)>),
 }
 
 impl Json {
-    /// Reads a whole text.
+    /// Parses a JSON text.
     ///
     /// # Errors
     ///
-    /// The text is too long, no JSON, or has a key twice.
+    /// The text is too long, is not valid JSON, or has a duplicate key.
     pub fn read(text: &[u8]) -> Result<Json, SearchError> {
         if text.len() > MAX_BODY_BYTES {
             let reason = format!("a body of {} bytes: {MAX_BODY_BYTES} at most", text.len());
@@ -48,7 +48,7 @@
         Ok(read)
     }
 
-    /// Its type, as reasons of errors name it.
+    /// Returns the name of the type, as used in error reasons.
     pub fn type_name(&self) -> &'static str {
         match self {
             Json::Null => "null",
@@ -60,7 +60,7 @@
         }
     }
 
-    /// The value as `serde_json` has it; objects keep the order of the text.
+    /// Converts to a `serde_json` value. Fields of objects keep their order.
     pub fn to_serde(&self) -> serde_json::Value {
         use serde_json::Value;
         match self {
@@ -83,7 +83,7 @@
     }
 }
 
-/// Takes any value, but no object that has a key twice.
+/// Accepts any value except objects with duplicate keys.
 struct StrictVisitor;
 
 impl<'de> Visitor<'de> for StrictVisitor {
--- a/crates/search/src/lib.rs
+++ b/crates/search/src/lib.rs
@@ -1,9 +1,10 @@
-//! An OpenSearch-style query language, free of I/O and of clocks: read and checked against the fields of an index
-//! ([`query`], [`request`]), put in one canonical form, evaluated over documents ([`evaluate`]), the results of shards
-//! merged ([`response`]), and sent where an operator's file says ([`routes`]).
+//! An OpenSearch-style query language without I/O and clocks. Requests are parsed and checked against the fields of an
+//! index ([`query`], [`request`]), converted to one canonical form, evaluated over documents ([`evaluate`]), and routed
+//! to shards as configured in the operator's file ([`routes`]). The results of shards are merged ([`response`]).
 //!
-//! Written from the public REST documentation of OpenSearch 2.x. What cannot be mapped is refused with a
-//! [`error::SearchError`] that names the path, never guessed at; `docs/search.md` lists both.
+//! Based on the public REST documentation of OpenSearch 2.x. Anything that is not supported is rejected with a
+//! [`error::SearchError`] that names its path; nothing is guessed. `docs/search.md` lists what is supported and what
+//! not.
 //!
 //! ```
 //! use orchidvalve_search::{mapping::Mapping, request::SearchRequest};
--- a/crates/search/src/mapping.rs
+++ b/crates/search/src/mapping.rs
@@ -1,4 +1,4 @@
-//! The fields of an index and what their types hold.
+//! The fields of an index and their types.
 
 use std::cmp::Ordering;
 use std::collections::BTreeMap;
@@ -13,17 +13,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, serde::Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum FieldType {
-    /// A string, taken as it stands.
+    /// A string, matched as a whole.
     Keyword,
-    /// A string that is taken apart into words: letters and digits, in lower case.
+    /// A string that is split into words of letters and digits, in lower case.
     Text,
-    /// An integer of 64 bits.
+    /// A 64-bit integer.
     Long,
-    /// A number.
+    /// A floating-point number.
     Double,
     /// `true` or `false`.
     Boolean,
-    /// Milliseconds since 1970; given as such, or as ISO 8601.
+    /// Milliseconds since 1970, written as such or as ISO 8601.
     Date,
 }
 
@@ -37,7 +37,7 @@
         FieldType::Date,
     ];
 
-    /// Its name in OpenSearch.
+    /// Returns the name of the type in OpenSearch.
     pub fn name(self) -> &'static str {
         match self {
             FieldType::Keyword => "keyword",
@@ -50,16 +50,16 @@
     }
 }
 
-/// A single value, in the order in which values of one type sort.
+/// A single value. Values of one type sort in their natural order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FieldValue {
     /// A boolean.
     Bool(bool),
-    /// A long, or a date's milliseconds.
+    /// A long, or a date in milliseconds since 1970.
     Integer(i64),
     /// A double; never NaN.
     Float(f64),
-    /// A keyword or a word of a text.
+    /// A keyword, or a word of a text.
     String(String),
 }
 
@@ -90,7 +90,7 @@
 }
 
 impl FieldValue {
-    /// The value as JSON.
+    /// Returns the value as JSON.
     pub fn to_json(&self) -> serde_json::Value {
         match self {
             FieldValue::Bool(bool) => (*bool).into(),
@@ -100,7 +100,7 @@
         }
     }
 
-    /// The string of a keyword or a word.
+    /// Returns the string of a keyword or word, or `None` for other values.
     pub fn as_str(&self) -> Option<&str> {
         match self {
             FieldValue::String(string) => Some(string),
@@ -109,7 +109,7 @@
     }
 }
 
-/// A type of a field that isn't known.
+/// The error for an unknown field type.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("{field}: unknown type '{type_name}'")]
 pub struct UnknownFieldType {
@@ -121,16 +121,16 @@
 #[derive(Clone, Debug, Default, PartialEq, serde::Deserialize)]
 #[serde(transparent)]
 pub struct Mapping {
-    /// Type of each field.
+    /// The type of each field.
     pub fields: BTreeMap<String, FieldType>,
 }
 
 impl Mapping {
-    /// A mapping from names of fields and of their types.
+    /// Creates a mapping from pairs of a field name and a type name.
     ///
     /// # Errors
     ///
-    /// A type isn't known.
+    /// A type is unknown.
     pub fn from_names(fields: &[(&str, &str)]) -> Result<Mapping, UnknownFieldType> {
         let parse = |&(field, type_name): &(&str, &str)| {
             let unknown = || UnknownFieldType { field: field.to_owned(), type_name: type_name.to_owned() };
@@ -140,7 +140,7 @@
         Ok(Mapping { fields: fields.iter().map(parse).collect::<Result<_, UnknownFieldType>>()? })
     }
 
-    /// The type of the field that a clause names.
+    /// Returns the type of the field that a clause names.
     ///
     /// # Errors
     ///
@@ -150,11 +150,12 @@
         found.ok_or_else(|| at.error(format!("the index has no field '{field}'")))
     }
 
-    /// Checks that the index has every field of a document, of its type; arrays hold several values of it, null none.
+    /// Checks that the index has every field of a document and that the values have its type. An array holds several
+    /// values, `null` none.
     ///
     /// # Errors
     ///
-    /// A field is unknown, or a value isn't of its type.
+    /// A field is unknown, or a value does not have its type.
     pub fn check_document(&self, document: &Cursor) -> Result<(), SearchError> {
         self.check_object(document, "")
     }
@@ -178,11 +179,11 @@
     }
 }
 
-/// A value of a type, as a clause or a document gives it. `now` in milliseconds.
+/// Parses a value of a type from a clause or a document. `now` is in milliseconds since 1970.
 ///
 /// # Errors
 ///
-/// The value isn't of the type.
+/// The value does not have this type.
 pub fn parse_value(field_type: FieldType, at: &Cursor, now: i64) -> Result<FieldValue, SearchError> {
     let value = match field_type {
         FieldType::Keyword | FieldType::Text => {
@@ -205,9 +206,9 @@
     })
 }
 
-/// The words of a text, in their order.
+/// Returns the words of a text, in order.
 pub fn tokenize(text: &str) -> Vec<String> {
-    // Small letters first: some become several characters, not all of them letters.
+    // Converted to lower case first: some characters become several, and not all of those are letters.
     let text = text.to_lowercase();
     let words = text.split(|character: char| !character.is_alphanumeric());
     words.filter(|word| !word.is_empty()).map(str::to_owned).collect()
--- a/crates/search/src/query/ast.rs
+++ b/crates/search/src/query/ast.rs
@@ -1,20 +1,20 @@
-//! The queries. One says all that it means: dates are milliseconds, defaults are filled in, words are apart, so that
-//! equal meanings are equal values wherever that can be told cheaply.
+//! The syntax tree of queries. It is explicit: dates are in milliseconds, defaults are filled in, and texts are split
+//! into words, so that queries with the same meaning are equal values wherever this can be determined cheaply.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::mapping::FieldValue;
 
-/// A clause and the factor on its score.
+/// A query and the boost of its score.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Clause {
-    /// What it matches.
+    /// The documents that the clause matches.
     pub query: Query,
-    /// The factor: finite, 0 or above.
+    /// The boost, a finite factor of at least 0.
     pub boost: f64,
 }
 
-/// What a clause matches.
+/// The condition that documents must match.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Query {
     /// Every document.
@@ -23,70 +23,70 @@
     MatchNone,
     /// Documents with one of these ids.
     Ids(BTreeSet<String>),
-    /// Documents with one of the values; of a text, one of its words.
+    /// Documents with one of the values. A text matches by its words.
     Terms {
         /// The field.
         field: String,
         /// The values.
         values: BTreeSet<FieldValue>,
     },
-    /// Documents with a value within bounds.
+    /// Documents with a value within a range.
     Range {
         /// The field.
         field: String,
         /// The bounds.
         range: RangeQuery,
     },
-    /// Documents with a value.
+    /// Documents that have a value of the field.
     Exists {
         /// The field.
         field: String,
     },
-    /// Documents with a value that begins so.
+    /// Documents with a value that begins with a prefix.
     Prefix {
         /// The field.
         field: String,
-        /// The beginning; in lower case where case is ignored.
+        /// The prefix, in lower case if case is ignored.
         prefix: String,
-        /// Letters of either case are the same.
+        /// Whether upper and lower case are equivalent.
         ignore_case: bool,
     },
     /// Documents with a value that matches a pattern.
     Wildcard {
         /// The field.
         field: String,
-        /// The pattern; in lower case where case is ignored.
+        /// The pattern, in lower case if case is ignored.
         pattern: String,
-        /// Letters of either case are the same.
+        /// Whether upper and lower case are equivalent.
         ignore_case: bool,
     },
-    /// Documents with words in a text.
+    /// Documents with some of the words in a text.
     Match {
         /// The field.
         field: String,
         /// The words.
         words: BTreeSet<String>,
-        /// How many of the words at least.
+        /// The minimum number of words that must be present.
         minimum_should_match: usize,
     },
-    /// Documents that match other clauses.
+    /// Documents that match a combination of clauses.
     Bool(Box<BoolQuery>),
-    /// What the inner clause matches, all with the same score.
+    /// The documents that the inner clause matches, all with the same score.
     ConstantScore(Box<Clause>),
 }
 
 /// A combination of clauses.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct BoolQuery {
-    /// All have to match; they score.
+    /// Clauses that must all match and contribute to the score.
     pub must: Vec<Clause>,
-    /// All have to match.
+    /// Clauses that must all match, without a score.
     pub filter: Vec<Clause>,
-    /// Some have to match; they score.
+    /// Clauses of which some must match; those that match contribute to the score.
     pub should: Vec<Clause>,
-    /// None may match.
+    /// Clauses of which none may match.
     pub must_not: Vec<Clause>,
-    /// How many of `should` have to match at least.
+    /// The minimum number of `should` clauses that must match.
     pub minimum_should_match: usize,
 }
 
@@ -95,21 +95,21 @@
 pub struct Bound {
     /// The value.
     pub value: FieldValue,
-    /// The value itself lies within. Always so for integers and dates.
+    /// Whether the range includes the value itself. Always true for integers and dates.
     pub inclusive: bool,
 }
 
 /// The bounds of a range.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct RangeQuery {
-    /// The lower one, if there is one.
+    /// The lower bound, if any.
     pub lower: Option<Bound>,
-    /// The upper one, if there is one.
+    /// The upper bound, if any.
     pub upper: Option<Bound>,
 }
 
 impl RangeQuery {
-    /// Whether no value lies within.
+    /// Returns whether no value lies within the bounds.
     pub(super) fn is_empty(&self) -> bool {
         match (&self.lower, &self.upper) {
             (Some(lower), Some(upper)) => {
@@ -122,13 +122,13 @@
 }
 
 impl Query {
-    /// A clause without a boost.
+    /// Returns a clause with this query and boost 1.
     pub fn unboosted(self) -> Clause {
         Clause { query: self, boost: 1.0 }
     }
 }
 
-/// Fields that a clause looks at, with how many clauses do so, for those who explain it.
+/// Returns the fields that a clause uses, each with the number of clauses that use it. Serves to explain a query.
 pub fn field_usage(clause: &Clause) -> BTreeMap<String, usize> {
     let mut usage = BTreeMap::new();
     add_field_usage(clause, &mut usage);
--- a/crates/search/src/query/canonical.rs
+++ b/crates/search/src/query/canonical.rs
@@ -1,5 +1,5 @@
-//! The canonical form of a query: two spellings of one meaning give the same bytes, and what it prints is read back
-//! as the same query.
+//! The canonical form of a query: equivalent spellings give the same bytes, and parsing the canonical form gives the
+//! same query.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 use super::ast::{BoolQuery, Bound, Clause, Query, RangeQuery};
 use crate::mapping::FieldValue;
 
-/// The canonical form of a clause.
+/// Returns the canonical form of a clause.
 pub fn clause_to_json(clause: &Clause) -> Value {
     let Clause { query, boost } = clause;
     match query {
@@ -36,7 +36,7 @@
     }
 }
 
-/// The parameters of a clause with its boost, which is left out where it is 1.
+/// Adds the boost to the parameters of a clause, unless it is 1.
 fn boosted(mut parameters: Value, boost: f64) -> Value {
     if boost != 1.0
         && let Some(fields) = parameters.as_object_mut()
@@ -46,7 +46,7 @@
     parameters
 }
 
-/// A clause about one field: its name, then the field, then the parameters.
+/// Builds a clause on one field, with the structure clause name, field, parameters.
 fn on_field(name: &str, field: &str, parameters: Value, boost: f64) -> Value {
     let mut by_field = Map::new();
     by_field.insert(field.to_owned(), boosted(parameters, boost));
@@ -63,7 +63,7 @@
     json!({"terms": boosted(Value::Object(inner), boost)})
 }
 
-/// Lists without clauses are left out.
+/// Omits empty lists of clauses.
 fn bool_to_json(bool: &BoolQuery) -> Value {
     let mut inner = Map::new();
     let lists = [
@@ -98,7 +98,7 @@
     Value::Object(inner)
 }
 
-/// Clauses whose order means nothing, in the order of the bytes of their canonical forms.
+/// Sorts clauses whose order has no meaning by the bytes of their canonical forms.
 pub(super) fn sort_clauses(clauses: Vec<Clause>) -> Vec<Clause> {
     let mut keyed: Vec<(String, Clause)> =
         clauses.into_iter().map(|clause| (clause_to_json(&clause).to_string(), clause)).collect();
--- a/crates/search/src/query/minimum_should_match.rs
+++ b/crates/search/src/query/minimum_should_match.rs
@@ -1,9 +1,9 @@
-//! `minimum_should_match`: a number, a share, or either below 0, which says how many may be missing.
+//! `minimum_should_match`: a number or a percentage; a negative one says how many may be missing.
 
 use crate::error::SearchError;
 use crate::json::{Cursor, Json};
 
-/// How many of some clauses or words have to match.
+/// How many of a list of clauses or words must match.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum MinimumShouldMatch {
     Count(i64),
@@ -27,7 +27,7 @@
         }
     }
 
-    /// How many of `total` that are.
+    /// Returns the number out of `total` that must match.
     pub fn of(self, total: usize) -> usize {
         let total = total as i64;
         let minimum = match self {
--- a/crates/search/src/query/parser.rs
+++ b/crates/search/src/query/parser.rs
@@ -10,23 +10,23 @@
 use crate::json::{Cursor, Json};
 use crate::mapping::{FieldType, FieldValue, Mapping, parse_value, tokenize};
 
-/// Most clauses in one query, values of `terms` included.
+/// The maximum number of clauses in one query, including the values of `terms`.
 pub const MAX_CLAUSES: usize = 1024;
-/// Most clauses that lie within one another.
+/// The maximum nesting depth of clauses.
 pub const MAX_DEPTH: usize = 20;
-/// Beyond this a double need not be an integer exactly.
+/// Above this magnitude a double may not represent an integer exactly.
 const MAX_EXACT_INTEGER: f64 = 9e15;
 
 /// Parses clauses against the fields of an index.
 pub struct QueryParser<'a> {
     mapping: &'a Mapping,
-    /// The time that `now` means, in milliseconds.
+    /// The time that `now` refers to, in milliseconds since 1970.
     now: i64,
-    /// How many more clauses there may be.
+    /// The number of further clauses that are allowed.
     clauses_left: usize,
 }
 
-/// Queries that OpenSearch knows and this language does not support.
+/// Queries that OpenSearch supports and this language does not.
 const UNSUPPORTED: [&str; 37] = [
     "match_phrase",
     "match_phrase_prefix",
@@ -67,7 +67,7 @@
     "template",
 ];
 
-/// Keys of `match` that OpenSearch knows and this language does not support.
+/// Keys of `match` that OpenSearch supports and this language does not.
 const UNSUPPORTED_IN_MATCH: [&str; 11] = [
     "analyzer",
     "auto_generate_synonyms_phrase_query",
@@ -82,21 +82,21 @@
     "_name",
 ];
 
-/// Keys of `range` that OpenSearch knows and this language does not support.
+/// Keys of `range` that OpenSearch supports and this language does not.
 const UNSUPPORTED_IN_RANGE: [&str; 7] =
     ["relation", "time_zone", "_name", "from", "to", "include_lower", "include_upper"];
 
 /// Which bound of a range is parsed.
 #[derive(Clone, Copy, Debug)]
 struct BoundKind {
-    /// Its key.
+    /// The key of the bound, such as `gte`.
     name: &'static str,
     is_lower: bool,
     inclusive: bool,
 }
 
 impl<'a> QueryParser<'a> {
-    /// A parser for one query. `now`: milliseconds.
+    /// Creates a parser for one query. `now` is in milliseconds since 1970.
     pub fn new(mapping: &'a Mapping, now: i64) -> QueryParser<'a> {
         QueryParser { mapping, now, clauses_left: MAX_CLAUSES }
     }
@@ -108,11 +108,11 @@
         Ok(())
     }
 
-    /// Parses one clause: an object with the clause's name as its only key. `depth`: clauses around it.
+    /// Parses one clause: an object whose only key is the clause's name. `depth` is the number of enclosing clauses.
     ///
     /// # Errors
     ///
-    /// The clause isn't known or supported, names a field that the index hasn't, or there are too many.
+    /// The clause is unknown or unsupported, names a field that the index does not have, or exceeds a limit.
     pub fn parse_clause(&mut self, at: &Cursor, depth: usize) -> Result<Clause, SearchError> {
         if depth >= MAX_DEPTH {
             let reason = format!("clauses nested over {MAX_DEPTH} deep");
@@ -120,7 +120,7 @@
         }
         self.count_clauses(at, 1)?;
         let clause = self.parse_named(at, depth)?;
-        // What matches nothing has no score.
+        // A clause that matches nothing has no score, so its boost is dropped.
         Ok(if clause.query == Query::MatchNone { Query::MatchNone.unboosted() } else { clause })
     }
 
@@ -178,7 +178,7 @@
         Ok(Clause { query, boost })
     }
 
-    /// A query for one value. A date that leaves its end open, as a day does, means all of that span.
+    /// Parses a query for one value. A date without a time, such as a day, matches its whole span.
     fn parse_equality(&self, field: &str, field_type: FieldType, at: &Cursor) -> Result<Query, SearchError> {
         let value = parse_value(field_type, at, self.now)?;
         if let (FieldType::Date, Json::String(text)) = (field_type, at.value) {
@@ -256,14 +256,14 @@
         let range = RangeQuery { lower: bound("gte", "gt", true)?, upper: bound("lte", "lt", false)? };
         let query = match (&range.lower, &range.upper) {
             _ if range.is_empty() => Query::MatchNone,
-            // Whatever has a value lies within no bounds.
+            // A range without bounds matches every document that has a value.
             (None, None) => Query::Exists { field: field.to_owned() },
             _ => Query::Range { field: field.to_owned(), range },
         };
         Ok(Clause { query, boost: parse_boost(&given)? })
     }
 
-    /// Parses a bound. Those of integers and dates are moved so that they are inclusive.
+    /// Parses a bound. Exclusive bounds of integers and dates are converted to inclusive ones.
     fn parse_bound(
         &self,
         field_type: FieldType,
@@ -281,7 +281,7 @@
             let moved = moved.ok_or_else(|| at.error(format!("nothing lies beyond '{name}' here")))?;
             Ok(Bound { value: FieldValue::Integer(moved), inclusive: true })
         };
-        // After a day means after its last moment; up to a day, up to that.
+        // `gt` a day means after its last millisecond, `lte` a day up to its last millisecond.
         let rounding = if is_lower == inclusive { Rounding::Down } else { Rounding::Up };
         match (field_type, at.value) {
             (FieldType::Double, _) => Ok(Bound { value: FieldValue::Float(at.as_f64()?), inclusive }),
@@ -401,7 +401,7 @@
     }
 }
 
-/// The clause of a combination; where it is a simpler one, that.
+/// Returns the clause for a combination, simplified where possible.
 fn simplify_bool(mut bool: BoolQuery, boost: f64) -> Clause {
     if bool.minimum_should_match > bool.should.len() {
         return Query::MatchNone.unboosted();
@@ -420,13 +420,13 @@
         must_not: sort_clauses(bool.must_not),
         minimum_should_match: bool.minimum_should_match,
     };
-    // A condition that is there twice is there; one that scores counts each time.
+    // A repeated filter has no effect, whereas a repeated scoring clause counts each time.
     bool.filter.dedup();
     bool.must_not.dedup();
     Clause { query: Query::Bool(Box::new(bool)), boost }
 }
 
-/// The format of a range of dates.
+/// Parses the date format of a range.
 fn parse_range_format(
     range: &Cursor,
     field: &str,
@@ -441,7 +441,7 @@
     Ok(Some(format.to_owned()))
 }
 
-/// Whether an operator wants all words.
+/// Returns whether an operator requires all words.
 fn parse_needs_all(operator: &Cursor) -> Result<bool, SearchError> {
     match operator.as_str()? {
         "or" | "OR" => Ok(false),
@@ -450,7 +450,7 @@
     }
 }
 
-/// The boost of a clause that has nothing else.
+/// Parses the boost of a clause that has no other parameters.
 fn parse_only_boost(at: &Cursor, name: &str) -> Result<f64, SearchError> {
     at.check_keys(name, &["boost"], &["_name"])?;
     parse_boost(at)
@@ -462,7 +462,7 @@
     if boost.is_finite() && boost >= 0.0 { Ok(boost) } else { Err(at.error("should be 0 or above")) }
 }
 
-/// The value of a clause that may be given alone, or in an object with a boost.
+/// Parses the value of a clause, which is given directly or in an object together with a boost.
 fn parse_with_boost<'a>(
     given: &'a Cursor<'a>,
     what: &str,
--- a/crates/search/src/request/create.rs
+++ b/crates/search/src/request/create.rs
@@ -6,25 +6,25 @@
 use crate::json::{Cursor, Json};
 use crate::mapping::Mapping;
 
-/// A document to be put in, once, under an id.
+/// A request to create a document with the given id, at most once.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CreateRequest {
     /// Name of the index.
     pub index: String,
-    /// Id of the document.
+    /// The document's id.
     pub id: String,
-    /// The value that its shard is chosen by, where its index has such.
+    /// The routing value that selects the shard, if the index uses one.
     pub routing: Option<String>,
     /// The document.
     pub document: Value,
 }
 
 impl CreateRequest {
-    /// Reads a body: the document.
+    /// Parses a body, which is the document.
     ///
     /// # Errors
     ///
-    /// The body is no JSON, or doesn't fit the mapping.
+    /// The body is not valid JSON, or does not fit the mapping.
     pub fn read(
         body: &[u8],
         index: &str,
@@ -38,7 +38,8 @@
         Ok(CreateRequest { index, id, routing, document: body.to_serde() })
     }
 
-    /// The text that the shard request carries, the same on every wire and for every order of the document's keys.
+    /// Returns the text of the shard request. It does not depend on the protocol or on the order of the document's
+    /// keys.
     pub fn canonical(&self) -> String {
         let mut inner = json!({"index": self.index, "id": self.id, "document": self.document});
         if let Some(routing) = &self.routing {
--- a/crates/search/src/request/duration.rs
+++ b/crates/search/src/request/duration.rs
@@ -1,17 +1,17 @@
-//! Lengths of time as OpenSearch writes them.
+//! Durations in OpenSearch's notation.
 
 use derive_more::{Display, Error};
 
-/// Why a text is no length of time.
+/// Why a text is not a valid duration.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 pub enum DurationError {
-    /// It has no unit that is known.
+    /// The text has no known unit.
     #[display("'{text}' should be a number with a unit: d, h, m, s, ms, micros or nanos")]
     Unit {
         /// The text.
         text: String,
     },
-    /// It's 0, or doesn't fit.
+    /// The duration is 0 or out of range.
     #[display("'{text}' should be above 0, and less than 292 years")]
     Range {
         /// The text.
@@ -19,7 +19,7 @@
     },
 }
 
-/// A length of time, in nanoseconds.
+/// Parses a duration and returns it in nanoseconds.
 ///
 /// ```
 /// use orchidvalve_search::request::parse_time;
@@ -30,7 +30,7 @@
 ///
 /// # Errors
 ///
-/// The text is no number with a unit, or out of range.
+/// The text is not a number with a unit, or is out of range.
 pub fn parse_time(text: &str) -> Result<i64, DurationError> {
     let digits = text.bytes().take_while(u8::is_ascii_digit).count();
     let unit = match &text[digits..] {
--- a/crates/search/src/request/mod.rs
+++ b/crates/search/src/request/mod.rs
@@ -1,4 +1,4 @@
-//! What a client asks beside the query itself, and the text that each shard request carries.
+//! The parameters of a request besides its query, and the text of shard requests.
 
 mod create;
 mod duration;
--- a/crates/search/src/request/search.rs
+++ b/crates/search/src/request/search.rs
@@ -11,13 +11,13 @@
 use crate::mapping::Mapping;
 use crate::query::{Clause, Query, QueryParser, clause_to_json};
 
-/// Most hits of a response.
+/// The maximum number of hits of a response.
 pub const MAX_HITS: usize = 10_000;
-/// Hits of a response where nothing is said.
+/// The number of hits of a response if the request does not set `size`.
 const DEFAULT_HITS: usize = 10;
 
 const KNOWN: [&str; 6] = ["query", "size", "sort", "_source", "track_total_hits", "timeout"];
-/// Keys that OpenSearch knows and this language does not support.
+/// Keys that OpenSearch supports and this language does not.
 const UNSUPPORTED: [&str; 25] = [
     "from",
     "search_after",
@@ -46,37 +46,37 @@
     "ext",
 ];
 
-/// A search, as each shard request carries it.
+/// A search, as sent in each shard request.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SearchRequest {
     /// Name of the index.
     pub index: String,
-    /// What is searched.
+    /// The query that documents must match.
     pub query: Clause,
-    /// Hits of the response at most.
+    /// The maximum number of hits in the response.
     pub size: usize,
-    /// The order of hits; empty for the score, highest first.
+    /// The sort order of the hits; if empty, by descending score.
     pub sort: Vec<SortKey>,
-    /// What is shown of documents.
+    /// The fields of each document that the response includes.
     pub source_filter: SourceFilter,
-    /// How far hits are counted.
+    /// Up to which number hits are counted.
     pub track_total_hits: TrackTotalHits,
-    /// What the client said of its own time, in nanoseconds. No shard request carries it.
+    /// The timeout set by the client, in nanoseconds. It is not part of shard requests.
     pub timeout: Option<i64>,
 }
 
 impl SearchRequest {
-    /// Reads a body; an empty one asks for everything. `now`: milliseconds.
+    /// Parses a body; an empty one matches all documents. `now` is in milliseconds since 1970.
     ///
     /// # Errors
     ///
-    /// The body is no JSON, or asks for what isn't known or supported.
+    /// The body is not valid JSON, or contains something unknown or unsupported.
     pub fn read(body: &[u8], index: &str, mapping: &Mapping, now: i64) -> Result<SearchRequest, SearchError> {
         let body = read_body(body)?;
         SearchRequest::parse(&Cursor::root(&body), index, mapping, now)
     }
 
-    /// Parses a body that is read. `now`: milliseconds.
+    /// Parses a body that has been read. `now` is in milliseconds since 1970.
     pub(super) fn parse(
         body: &Cursor,
         index: &str,
@@ -100,11 +100,11 @@
         Ok(SearchRequest { index, query, size, sort, source_filter, track_total_hits, timeout })
     }
 
-    /// Reads the body of a count, which has nothing but a query. `now`: milliseconds.
+    /// Parses the body of a count, which contains only a query. `now` is in milliseconds since 1970.
     ///
     /// # Errors
     ///
-    /// The body is no JSON, or asks for what isn't known or supported.
+    /// The body is not valid JSON, or contains something unknown or unsupported.
     pub fn count(
         body: &[u8],
         index: &str,
@@ -118,7 +118,7 @@
         Ok(SearchRequest { size: 0, track_total_hits: TrackTotalHits::All, ..search })
     }
 
-    /// What a store that speaks OpenSearch is sent.
+    /// Returns the body sent to an index server that speaks OpenSearch's API.
     pub fn body(&self) -> Value {
         let mut body = Map::new();
         body.insert("query".to_owned(), clause_to_json(&self.query));
@@ -133,13 +133,13 @@
         Value::Object(body)
     }
 
-    /// The text that each shard request carries, the same on every wire.
+    /// Returns the text of the shard request. It does not depend on the protocol.
     pub fn canonical(&self) -> String {
         json!({"search": {"index": self.index, "body": self.body()}}).to_string()
     }
 }
 
-/// Reads a body; an empty one is an empty object.
+/// Parses a body; an empty one is treated as an empty object.
 fn read_body(body: &[u8]) -> Result<Json, SearchError> {
     Json::read(if body.trim_ascii().is_empty() { b"{}" } else { body })
 }
--- a/crates/search/src/request/shard_request.rs
+++ b/crates/search/src/request/shard_request.rs
@@ -1,4 +1,4 @@
-//! What one shard is asked.
+//! Requests to single shards.
 
 use super::create::CreateRequest;
 use super::search::SearchRequest;
@@ -6,7 +6,7 @@
 use crate::json::{Cursor, Json};
 use crate::mapping::Mapping;
 
-/// What a shard request carries.
+/// The content of a shard request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardRequest {
     /// A search.
@@ -16,11 +16,12 @@
 }
 
 impl ShardRequest {
-    /// Reads the text of a shard request. `mapping` gives the fields of an index, where there is one of that name.
+    /// Parses the text of a shard request. `mapping` returns the fields of an index, or `None` if there is no such
+    /// index.
     ///
     /// # Errors
     ///
-    /// The text is no such request, or the index isn't known.
+    /// The text is not a valid shard request, or the index is unknown.
     pub fn read<'m>(
         text: &str,
         mapping: impl Fn(&str) -> Option<&'m Mapping>,
@@ -35,7 +36,7 @@
             "search" => {
                 at.check_keys("a search", &["index", "body"], &[])?;
                 let body = at.get("body").ok_or_else(|| at.error("'body' is missing"))?;
-                // Times stand in it as such, so that no clock is needed.
+                // The canonical form contains only absolute times, so `now` is not used.
                 SearchRequest::parse(&body, index, mapping, 0).map(ShardRequest::Search)
             }
             "create" => {
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The text of the request.
+    /// Returns the text of the shard request.
     pub fn canonical(&self) -> String {
         match self {
             ShardRequest::Search(search) => search.canonical(),
--- a/crates/search/src/request/sort.rs
+++ b/crates/search/src/request/sort.rs
@@ -1,4 +1,4 @@
-//! `sort`: the order of hits.
+//! `sort`: the sort order of hits.
 
 use serde_json::{Value, json};
 
@@ -6,17 +6,17 @@
 use crate::json::{Cursor, Json};
 use crate::mapping::{FieldType, Mapping};
 
-/// Keys of a sort that OpenSearch knows and this language does not support.
+/// Keys of a sort that OpenSearch supports and this language does not.
 const UNSUPPORTED: [&str; 5] = ["mode", "nested", "unmapped_type", "numeric_type", "format"];
 
 /// One key of a sort.
 #[derive(Clone, Debug, PartialEq)]
 pub struct SortKey {
-    /// The field; none for the score.
+    /// The field, or `None` for the score.
     pub field: Option<String>,
-    /// The greatest come first.
+    /// Whether the highest values come first.
     pub descending: bool,
-    /// Those without a value come first.
+    /// Whether documents without a value come first.
     pub missing_first: bool,
 }
 
@@ -32,7 +32,7 @@
         }
     }
 
-    /// A key by the name of its field; `options` is what stands beside the name.
+    /// Parses a key by its field name; `options` are the options given with the name.
     fn parse(
         at: &Cursor,
         name: &str,
@@ -83,7 +83,7 @@
     }
 }
 
-/// The keys of a sort; none for the score alone, highest first, which is what no sort means.
+/// Parses the keys of a sort. Returns an empty list for a sort by descending score alone, which is the default.
 pub(super) fn parse_sort(at: &Cursor, mapping: &Mapping) -> Result<Vec<SortKey>, SearchError> {
     let mut keys: Vec<SortKey> = Vec::new();
     for item in at.items_or_self() {
--- a/crates/search/src/request/source_filter.rs
+++ b/crates/search/src/request/source_filter.rs
@@ -1,18 +1,18 @@
-//! `_source`: which fields of a document are shown.
+//! `_source`: the fields of a document that a response includes.
 
 use serde_json::{Value, json};
 
 use crate::error::SearchError;
 use crate::json::{Cursor, Json};
 
-/// Which fields of a document are shown.
+/// The fields of a document that a response includes.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SourceFilter {
-    /// Nothing is shown.
+    /// Whether the source is left out completely.
     pub nothing: bool,
-    /// Patterns of the fields that are shown; none for all.
+    /// Patterns of the included fields. If empty, all fields are included.
     pub includes: Vec<String>,
-    /// Patterns of the fields that are not shown.
+    /// Patterns of the excluded fields.
     pub excludes: Vec<String>,
 }
 
@@ -30,7 +30,7 @@
         }
     }
 
-    /// The filter as JSON; `None` where it shows everything.
+    /// Returns the filter as JSON, or `None` if it includes everything.
     pub(super) fn to_json(&self) -> Option<Value> {
         match self {
             SourceFilter { nothing: true, .. } => Some(json!(false)),
@@ -42,7 +42,7 @@
     }
 }
 
-/// A pattern or a list of them, in order and each once.
+/// Parses a pattern or a list of patterns. Sorts them and removes duplicates.
 fn parse_patterns(at: &Cursor) -> Result<Vec<String>, SearchError> {
     let patterns = at.items_or_self();
     let patterns = patterns.iter().map(|at| at.as_str().map(str::to_owned));
--- a/crates/search/src/request/track_total_hits.rs
+++ b/crates/search/src/request/track_total_hits.rs
@@ -1,21 +1,21 @@
-//! `track_total_hits`: how far hits are counted.
+//! `track_total_hits`: up to which number matching documents are counted.
 
 use serde_json::{Value, json};
 
 use crate::error::SearchError;
 use crate::json::{Cursor, Json};
 
-/// Up to where hits are counted exactly where nothing is said.
+/// The number up to which hits are counted exactly if the request does not set `track_total_hits`.
 const DEFAULT_LIMIT: usize = 10_000;
 
-/// How far hits are counted.
+/// Up to which number matching documents are counted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TrackTotalHits {
-    /// All of them.
+    /// Count all of them.
     All,
-    /// Not at all.
+    /// Do not count.
     Nothing,
-    /// Up to a number.
+    /// Count exactly up to this number.
     UpTo(usize),
 }
 
--- a/crates/search/src/response/hit.rs
+++ b/crates/search/src/response/hit.rs
@@ -1,4 +1,4 @@
-//! Documents found, and their order.
+//! Documents found by a search, and their order.
 
 use std::cmp::Ordering;
 
@@ -8,24 +8,24 @@
 
 use crate::request::SortKey;
 
-/// One document found.
+/// A document found by a search.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Hit {
-    /// Its id.
+    /// The document's id.
     #[serde(rename = "_id")]
     pub id: String,
-    /// Its score; none where the order is not by score.
+    /// The score, or `None` if the hits are not sorted by score.
     #[serde(rename = "_score", default)]
     pub score: Option<f64>,
-    /// What is shown of it.
+    /// The filtered source of the document.
     #[serde(rename = "_source", default, skip_serializing_if = "Option::is_none")]
     pub source: Option<Box<RawValue>>,
-    /// Values of the sort, in its order.
+    /// The sort values, in the order of the sort keys.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub sort: Vec<Value>,
 }
 
-/// Which of two hits comes first: by the sort or by score, highest first, then by id.
+/// Compares two hits by the sort keys, or by descending score if there are none, then by id.
 pub fn compare_hits(sort: &[SortKey], a: &Hit, b: &Hit) -> Ordering {
     let by_score = || b.score.unwrap_or(0.0).total_cmp(&a.score.unwrap_or(0.0));
     let by_keys = || {
--- a/crates/search/src/response/merged_result.rs
+++ b/crates/search/src/response/merged_result.rs
@@ -1,4 +1,4 @@
-//! The response merged from the results of shards.
+//! Merges the results of shards into one response.
 
 use std::fmt::Write;
 
@@ -9,31 +9,32 @@
 use super::total_hits::TotalHits;
 use crate::request::{SearchRequest, TrackTotalHits};
 
-/// A shard whose result is not in.
+/// A shard without a result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct MissingShard {
     /// Number of the shard.
     pub shard: usize,
-    /// Why its result is not in, as the client is told.
+    /// Why there is no result, as reported to the client.
     pub reason: String,
 }
 
-/// The results of shards, merged.
+/// The merged results of shards.
 #[derive(Clone, Debug)]
 pub struct MergedResult {
-    /// How many shards were asked.
+    /// The number of shards that were queried.
     pub shards: usize,
-    /// Shards whose results are not in.
+    /// The shards without a result.
     pub missing: Vec<MissingShard>,
-    /// How many documents were found; none where nobody counted.
+    /// The number of matching documents, or `None` if it was not counted.
     pub total: Option<TotalHits>,
     /// The highest score.
     pub max_score: Option<f64>,
-    /// The first documents of the order.
+    /// The first hits in sort order.
     pub hits: Vec<Hit>,
 }
 
-/// Merges the texts of shards' results, none where one is not in. One that can't be read is not in.
+/// Merges the result texts of shards; `None` stands for a shard without a result. A result that cannot be read counts
+/// as missing.
 pub fn merge(request: &SearchRequest, results: &[(usize, Option<&str>)]) -> MergedResult {
     let (mut missing, mut hits, mut max_score) = (Vec::new(), Vec::new(), None::<f64>);
     let is_counted = request.track_total_hits != TrackTotalHits::Nothing;
@@ -77,7 +78,7 @@
 }
 
 impl MergedResult {
-    /// The `_shards` of the response.
+    /// Returns the `_shards` object of the response.
     pub fn shards(&self, index: &str) -> Value {
         let failed = self.missing.len();
         let mut shards = json!({
@@ -93,7 +94,7 @@
         shards
     }
 
-    /// A response to a search. `took`: milliseconds.
+    /// Returns the response to a search. `took` is in milliseconds.
     pub fn response(&self, index: &str, took: i64) -> String {
         let timed_out = !self.missing.is_empty();
         let shards = self.shards(index);
@@ -121,7 +122,7 @@
         body
     }
 
-    /// A response to a count. One that misses shards says that there may be more.
+    /// Returns the response to a count. If shards are missing, it says that the count is a lower bound.
     pub fn count(&self, index: &str) -> String {
         let total = self.total.unwrap_or(TotalHits { value: 0, is_exact: false });
         let mut body = json!({"count": total.value, "_shards": self.shards(index)});
--- a/crates/search/src/response/mod.rs
+++ b/crates/search/src/response/mod.rs
@@ -1,4 +1,4 @@
-//! Results of single shards, and the one response merged from them. It says what it covers, and claims no more.
+//! Results of single shards, and the response merged from them, which states which shards it covers.
 
 mod hit;
 mod merged_result;
--- a/crates/search/src/response/shard_result.rs
+++ b/crates/search/src/response/shard_result.rs
@@ -1,4 +1,4 @@
-//! Results of single shards, as stores send them and as they are passed on.
+//! Results of single shards, as received from index servers and forwarded.
 
 use std::borrow::Cow;
 use std::collections::BTreeSet;
@@ -11,14 +11,14 @@
 use super::hit::Hit;
 use super::total_hits::{TotalHits, TotalHitsJson, UnknownRelation};
 
-/// What one shard found.
+/// The result of a search in one shard.
 #[derive(Clone, Debug)]
 pub struct ShardResult {
-    /// How many were found; none where nobody counted.
+    /// The number of matching documents, or `None` if it was not counted.
     pub total: Option<TotalHits>,
     /// The highest score.
     pub max_score: Option<f64>,
-    /// The first documents of the shard's order.
+    /// The first hits of the shard in sort order.
     pub hits: Vec<Hit>,
 }
 
@@ -50,7 +50,7 @@
     hits: &'a RawValue,
 }
 
-/// What a response must have to be used later, looked at without taking it apart.
+/// The parts of a response that are needed later, validated without building the values.
 #[derive(Deserialize)]
 #[allow(dead_code, reason = "fields are there to be checked by the reader")]
 struct CheckedHits<'a> {
@@ -70,24 +70,24 @@
     sort: Option<Vec<serde_json::Value>>,
 }
 
-/// Why a shard's result can't be read.
+/// Why the result of a shard cannot be read.
 #[derive(Debug, Display, Error, From)]
 pub enum ShardResultError {
-    /// It's no JSON of the form.
+    /// The text is not JSON of the expected form.
     #[display("{_0}")]
     Json(serde_json::Error),
-    /// The relation of its total isn't known.
+    /// The relation of the total is unknown.
     #[display("{_0}")]
     Relation(UnknownRelation),
 }
 
-/// Why a store's response with status 200 is not used.
+/// Why a response with status 200 from an index server is not used.
 #[derive(Debug, Display, Error)]
 pub enum UnusableResponse {
-    /// It says itself that it is not complete.
+    /// The response says that it is incomplete.
     #[display("{_0}")]
     Incomplete(#[error(not(source))] String),
-    /// It can't be read.
+    /// The response cannot be read.
     #[display("{_0}")]
     Malformed(ShardResultError),
 }
@@ -99,18 +99,18 @@
 }
 
 impl ShardResult {
-    /// The text of the result, the same on every wire.
+    /// Returns the text of the result. It does not depend on the protocol.
     pub fn text(&self) -> String {
         let total = self.total.map(TotalHits::to_json);
         let hits = HitsJson { total, max_score: self.max_score, hits: self.hits.clone() };
         serde_json::to_string(&hits).unwrap_or_default()
     }
 
-    /// Reads the text of a result.
+    /// Parses the text of a result.
     ///
     /// # Errors
     ///
-    /// It's no JSON of the form, or the relation of its total isn't known.
+    /// The text is not JSON of the expected form, or the relation of its total is unknown.
     pub fn read(text: &str) -> Result<ShardResult, ShardResultError> {
         let HitsJson { total, max_score, hits } = serde_json::from_str(text)?;
         let total = total.map(TotalHitsJson::parse).transpose()?;
@@ -119,11 +119,11 @@
         Ok(result)
     }
 
-    /// The text of the result in a store's whole response to a search in one shard: its `hits`, as they stand.
+    /// Returns the result text in an index server's response to a search in one shard: its `hits`, unchanged.
     ///
     /// # Errors
     ///
-    /// The response can't be read, or says that it's not complete.
+    /// The response cannot be read, or says that it is incomplete.
     pub fn of_response(body: &[u8]) -> Result<&str, UnusableResponse> {
         let response: ResponseJson = serde_json::from_slice(body)?;
         let ShardsJson { total, successful, failed } = response.shards;
@@ -141,7 +141,7 @@
         Ok(text)
     }
 
-    /// One id twice in one shard, as from two copies of it, is one document, and counts once.
+    /// Removes hits with duplicate ids, as two copies of a shard return them. Each document counts once.
     fn drop_duplicates(&mut self) {
         let mut ids = BTreeSet::new();
         let before = self.hits.len();
@@ -153,7 +153,7 @@
     }
 }
 
-/// The result of a shard request that created a document, the same on every wire.
+/// Returns the result of a shard request that created a document. It does not depend on the protocol.
 pub fn created_result(id: &str) -> String {
     json!({ "created": id }).to_string()
 }
--- a/crates/search/src/response/total_hits.rs
+++ b/crates/search/src/response/total_hits.rs
@@ -1,25 +1,25 @@
-//! How many documents were found.
+//! The number of matching documents.
 
 use derive_more::{Display, Error};
 use serde::{Deserialize, Serialize};
 
-/// How many documents were found.
+/// The number of matching documents.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TotalHits {
     /// The number.
     pub value: u64,
-    /// Whether that is all of them; else there may be more.
+    /// Whether the number is exact; if not, it is a lower bound.
     pub is_exact: bool,
 }
 
-/// A relation of a total that isn't known.
+/// The error for an unknown relation of a total.
 #[derive(Clone, Debug, PartialEq, Eq, Display, Error)]
 #[display("total.relation: unknown relation '{relation}'")]
 pub struct UnknownRelation {
     relation: String,
 }
 
-/// The total as OpenSearch writes it.
+/// The total in OpenSearch's format.
 #[derive(Deserialize, Serialize)]
 pub(super) struct TotalHitsJson {
     value: u64,
@@ -27,7 +27,7 @@
 }
 
 impl TotalHits {
-    /// The name of the relation between the number and all that there are.
+    /// Returns OpenSearch's name of the relation between the value and the actual number.
     pub fn relation(self) -> &'static str {
         if self.is_exact { "eq" } else { "gte" }
     }
--- a/crates/search/src/routes/context.rs
+++ b/crates/search/src/routes/context.rs
@@ -1,19 +1,19 @@
-//! What the routes must agree with.
+//! The settings that routes depend on.
 
-/// A service class, as far as the routes depend on it.
+/// The properties of a service class that routes depend on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct RouteClass {
     /// Its name.
     pub name: String,
-    /// Whether its queries carry an idempotency key, of which the index servers keep a receipt.
+    /// Whether requests of this class carry an idempotency key, for which index servers keep a receipt.
     pub has_idempotency_key: bool,
 }
 
-/// What the routes must agree with.
+/// The settings that routes depend on.
 #[derive(Clone, Debug)]
 pub struct RoutingContext {
     /// The service classes, in the order of the settings.
     pub classes: Vec<RouteClass>,
-    /// How many shards there are.
+    /// The number of shards.
     pub shards: usize,
 }
--- a/crates/search/src/routes/file.rs
+++ b/crates/search/src/routes/file.rs
@@ -1,4 +1,4 @@
-//! The operator's file of routes. Names of fields are its keys.
+//! The TOML format of the operator's routes file. Field names are its keys.
 
 use std::collections::BTreeMap;
 
@@ -6,7 +6,7 @@
 
 use crate::mapping::Mapping;
 
-/// The whole file.
+/// The root of the file.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RoutesFile {
@@ -25,7 +25,7 @@
     /// Service class of searches.
     #[serde(rename = "grade")]
     pub class: String,
-    /// Service class of creations; without it the index takes no documents.
+    /// Service class of creations; if absent, the index accepts no documents.
     #[serde(rename = "create")]
     pub create_class: Option<String>,
     #[serde(rename = "slices")]
@@ -43,7 +43,7 @@
     List(Vec<usize>),
 }
 
-/// A rule for the protocol of stores.
+/// A rule that sets the protocol of index servers.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct StoreEntry {
@@ -54,30 +54,31 @@
     pub protocol: StoreProtocol,
 }
 
-/// The protocol that a store speaks.
+/// The protocol that an index server speaks.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum StoreProtocol {
-    /// Frames of the project's own.
+    /// The project's own frame protocol.
     #[default]
     Frames,
     /// OpenSearch's API.
     Search,
 }
 
-/// The pool of connections to one store that carries one exchange at a time on each.
+/// Settings of the connection pool of an index server whose connections carry one exchange at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct PoolSettings {
-    /// Connections that may be open to one store.
+    /// The maximum number of open connections to one index server.
     pub connections: usize,
-    /// Shard requests that may wait for one.
+    /// The maximum number of shard requests that wait for a connection.
     pub waiting: usize,
-    /// Milliseconds that a shard request may wait for one.
+    /// The maximum time that a shard request waits for a connection, in milliseconds.
     pub wait_ms: i64,
-    /// Connections a second that may be closed under cancelled shard requests; those beyond it are read to their end.
+    /// The maximum number of connections closed per second because their shard request was cancelled. Responses beyond
+    /// that are read to their end.
     pub closes_a_second: u32,
-    /// Milliseconds that a cancelled shard request may take to be read to its end.
+    /// The maximum time for reading the response of a cancelled shard request to its end, in milliseconds.
     pub read_out_ms: i64,
 }
 
--- a/crates/search/src/routes/hash.rs
+++ b/crates/search/src/routes/hash.rs
@@ -1,8 +1,8 @@
-//! The hash by which routing values choose their shards.
+//! The hash that maps routing values to shards.
 
 use std::io::Cursor;
 
-/// Murmur3 (Appleby 2011) over the UTF-16 of the text, low byte first, as OpenSearch hashes routing values.
+/// Murmur3 (Appleby 2011) over the little-endian UTF-16 of the text, as OpenSearch hashes routing values.
 ///
 /// ```
 /// use orchidvalve_search::routes::hash;
--- a/crates/search/src/routes/index.rs
+++ b/crates/search/src/routes/index.rs
@@ -1,4 +1,4 @@
-//! One index: its service classes, its fields, and the shards that its queries and documents go to.
+//! An index: its service classes, its fields, and the shards of its searches and documents.
 
 use std::collections::BTreeSet;
 
@@ -9,43 +9,43 @@
 use crate::error::SearchError;
 use crate::mapping::Mapping;
 
-/// Which shard a document is in.
+/// How the shard of a document is selected.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ShardSelection {
-    /// That of its routing; a query names the routings it wants.
+    /// By its routing value. A search names the routing values whose shards it queries.
     Routing,
-    /// That of its id; a query wants all.
+    /// By its id. A search queries all shards.
     All,
-    /// One of these; a query wants all of them.
+    /// One of the listed shards. A search queries all of them.
     Listed(Vec<usize>),
 }
 
 /// An index.
 #[derive(Clone, Debug)]
 pub struct Index {
-    /// Its name.
+    /// Name of the index.
     pub name: String,
-    /// Service class of searches, by its position in the [`RoutingContext`].
+    /// Service class of searches, as an index in the [`RoutingContext`].
     pub class: usize,
-    /// Service class of creations, by its position in the [`RoutingContext`]; none where it takes no documents.
+    /// Service class of creations, as an index in the [`RoutingContext`]. `None` if the index accepts no documents.
     pub create: Option<usize>,
     /// Name of the service class of searches.
     pub class_name: String,
-    /// Which shard a document is in.
+    /// How the shard of a document is selected.
     pub selection: ShardSelection,
-    /// Its fields.
+    /// The fields of the index.
     pub mapping: Mapping,
     shards: usize,
     routing_shards: u32,
     weights: Vec<f64>,
 }
 
-/// A shard that a search goes to.
+/// A shard that a search queries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ShardWeight {
     /// Number of the shard.
     pub shard: usize,
-    /// Its part of the weight of all shards that are asked.
+    /// The fraction of the total weight of all queried shards, from 0 to 1.
     pub weight: f64,
 }
 
@@ -57,7 +57,7 @@
 }
 
 impl Index {
-    /// Checks an index of the file.
+    /// Validates an index of the routes file.
     pub(super) fn from_file(
         name: &str,
         entry: IndexEntry,
@@ -95,18 +95,19 @@
         })
     }
 
-    /// The shard of a routing value, as OpenSearch finds it.
+    /// Returns the shard of a routing value, computed as in OpenSearch.
     pub fn shard_of(&self, routing: &str) -> usize {
         let shard = hash(routing).rem_euclid(self.routing_shards as i32) as u32;
         (shard / (self.routing_shards / self.shards as u32)) as usize
     }
 
-    /// The shards of a search, their weights adding up to 1. `routing`: values, commas between. `preference`: of
-    /// those of OpenSearch only `_shards:N,M` says which shards; the others choose copies, which is not theirs.
+    /// Returns the shards of a search; their weights add up to 1. `routing` is a comma-separated list of values. Of the
+    /// OpenSearch preferences only `_shards:N,M` is supported: the others select copies, which the front node does
+    /// itself.
     ///
     /// # Errors
     ///
-    /// The index wants a routing or has none, or the preference names no shard that is asked.
+    /// A routing value is missing or not allowed, or the preference selects no shard of the search.
     pub fn shard_weights(
         &self,
         routing: Option<&str>,
@@ -153,11 +154,11 @@
         shards.ok_or_else(|| SearchError::argument("preference", format!("no such slices: '{list}'")))
     }
 
-    /// The one shard that a new document goes to.
+    /// Returns the shard that stores a new document.
     ///
     /// # Errors
     ///
-    /// The index wants a routing or has none, or doesn't say which shard takes documents.
+    /// A routing value is missing or not allowed, or the index does not define which shard accepts documents.
     pub fn document_shard(&self, id: &str, routing: Option<&str>) -> Result<usize, SearchError> {
         match (&self.selection, routing) {
             (ShardSelection::Routing, Some(value)) if !value.is_empty() && !value.contains(',') => {
@@ -193,7 +194,7 @@
     Ok(())
 }
 
-/// The position of a service class. Creations need one with idempotency keys, searches one without.
+/// Returns the index of a service class. Creations require one with idempotency keys, searches one without.
 fn find_class(context: &RoutingContext, name: &str, class_use: ClassUse) -> Result<usize, RouteProblem> {
     let class = || name.to_owned();
     let position = context.classes.iter().position(|known| known.name == name);
@@ -233,8 +234,8 @@
     Ok(weights)
 }
 
-/// How many routing shards OpenSearch gives an index that says nothing: so many that it may be split by twos up to
-/// 1,024.
+/// Returns OpenSearch's default number of routing shards, which allows an index to be split in two repeatedly, up to
+/// 1,024 shards.
 fn default_routing_shards(shards: u32) -> u32 {
     let doublings = 32 - (shards.max(1) - 1).leading_zeros();
     shards.max(1) << 10u32.saturating_sub(doublings).max(1)
--- a/crates/search/src/routes/mod.rs
+++ b/crates/search/src/routes/mod.rs
@@ -1,5 +1,5 @@
-//! Where a query goes: the operator's file of routes, and from an index, a routing and a preference the shards asked,
-//! the service class and the weights. What the file does not settle is refused.
+//! Routing of queries: the operator's routes file, and the mapping from an index, a routing value and a preference to
+//! shards, their weights and a service class. Anything that the file does not define is rejected.
 
 mod context;
 mod error;
--- a/crates/search/src/routes/table.rs
+++ b/crates/search/src/routes/table.rs
@@ -1,4 +1,4 @@
-//! All routes: the indices by name, and the protocols of stores.
+//! The table of all routes: the indices by name, and the protocols of index servers.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,17 +11,17 @@
 use crate::glob::glob_matches;
 use crate::mapping::Mapping;
 
-/// A rule for the protocol of stores whose id, flavor and locality match.
+/// A rule that sets the protocol of index servers whose id, flavor and locality match.
 struct ProtocolRule {
     globs: [Option<String>; 3],
     protocol: StoreProtocol,
 }
 
-/// The routes.
+/// All routes.
 pub struct Routes {
     /// The indices by name.
     pub indices: BTreeMap<String, Index>,
-    /// The pool of connections to a store that speaks OpenSearch's API.
+    /// Settings of the connection pools of index servers that speak OpenSearch's API.
     pub pool: PoolSettings,
     rules: Vec<ProtocolRule>,
 }
@@ -33,7 +33,7 @@
 }
 
 impl Routes {
-    /// Reads a file of routes.
+    /// Parses a routes file.
     ///
     /// ```
     /// use orchidvalve_search::routes::{RouteClass, Routes, RoutingContext};
@@ -47,7 +47,7 @@
     ///
     /// # Errors
     ///
-    /// The file is no TOML of this form, or doesn't agree with the context.
+    /// The file is not TOML of this form, or contradicts the context.
     pub fn read(text: &str, context: &RoutingContext) -> Result<Routes, RoutesError> {
         let reader = toml::Deserializer::parse(text).map_err(RoutesError::Syntax)?;
         let file: RoutesFile = serde_path_to_error::deserialize(reader).map_err(|error| {
@@ -70,7 +70,8 @@
         Ok(Routes { indices, pool: file.pool, rules })
     }
 
-    /// The service classes that a file names, each as the file uses it, for those who look at it without the settings.
+    /// Returns the service classes that a file names, with the properties that their use implies. Serves tools that
+    /// read the file without the settings.
     pub fn classes_named(text: &str) -> Vec<RouteClass> {
         let Ok(file) = toml::from_str::<RoutesFile>(text) else { return Vec::new() };
         let mut classes: BTreeMap<String, bool> = BTreeMap::new();
@@ -84,11 +85,11 @@
         classes.into_iter().map(class).collect()
     }
 
-    /// The index of a name.
+    /// Returns the index with this name.
     ///
     /// # Errors
     ///
-    /// There is none of that name.
+    /// No index has this name.
     pub fn index(&self, name: &str) -> Result<&Index, SearchError> {
         let unknown = || {
             let error = SearchError::new(NO_INDEX, "", format!("no such index [{name}]"));
@@ -97,12 +98,12 @@
         self.indices.get(name).ok_or_else(unknown)
     }
 
-    /// The fields of the index of a name.
+    /// Returns the fields of the index with this name.
     pub fn mapping(&self, name: &str) -> Option<&Mapping> {
         self.indices.get(name).map(|index| &index.mapping)
     }
 
-    /// Which protocol a store speaks: the first rule all of whose globs match decides.
+    /// Returns the protocol of an index server, as set by the first rule whose globs all match.
     pub fn store_protocol(&self, id: &str, flavor: &str, locality: &str) -> StoreProtocol {
         let matches = |rule: &&ProtocolRule| {
             let mut pairs = rule.globs.iter().zip([id, flavor, locality]);
@@ -111,7 +112,7 @@
         self.rules.iter().find(matches).map_or(StoreProtocol::Frames, |rule| rule.protocol)
     }
 
-    /// Whether any store may speak OpenSearch's API: what goes to it must be in its language.
+    /// Returns whether any rule sets OpenSearch's API, so that requests must be expressible in it.
     pub fn any_search_store(&self) -> bool {
         self.rules.iter().any(|rule| rule.protocol == StoreProtocol::Search)
     }
--- a/crates/search/tests/golden_search.rs
+++ b/crates/search/tests/golden_search.rs
@@ -1,5 +1,6 @@
-//! Golden traces of the language: what random bodies mean, what is found, merged and refused, and where it goes, by
-//! fixed seeds. Reasons of refusals are left out: they are for readers.
+//! Golden traces of the query language for fixed seeds: the meaning of random bodies, what is found, merged and
+//! rejected, and the routing. The reasons of errors are not recorded, because they are meant for people and may be
+//! reworded.
 
 use std::path::{Path, PathBuf};
 
@@ -51,8 +52,9 @@
 const SEEDS: u64 = 30;
 const BODIES: usize = 120;
 
-/// The objects of `serde_json` keep the order of insertion where another package of the build asks for that, as in a
-/// build of the whole workspace, and else are in the order of their keys: each has files of its own.
+/// Returns the path of a golden file. `serde_json` objects keep the insertion order if another package of the build
+/// enables that feature, as in a build of the whole workspace; otherwise they are sorted by key. Each order has its own
+/// files.
 fn golden(file: &str) -> PathBuf {
     let keeps_order = json!({"b": 1, "a": 2}).to_string().starts_with("{\"b\"");
     let order = if keeps_order { "order_of_insertion" } else { "order_of_keys" };
@@ -221,20 +223,20 @@
     add_text(trace, &merged.count("jobs"));
 }
 
-/// The answers of three slices, one of which may be missing, merged.
-fn add_answers(trace: &mut Trace, random: &mut Pcg64, wanted: &SearchRequest, documents: &[Document]) {
-    let scores = documents.iter().map(|document| score(&wanted.query, document));
+/// Adds the merged results of three shards, one of which may be missing.
+fn add_shard_results(trace: &mut Trace, random: &mut Pcg64, request: &SearchRequest, documents: &[Document]) {
+    let scores = documents.iter().map(|document| score(&request.query, document));
     scores.for_each(|found| trace.add_number(found.map_or(u64::MAX, f64::to_bits)));
     let texts: Vec<String> =
-        (0..3).map(|slice| search(wanted, documents.iter().skip(slice).step_by(3)).text()).collect();
+        (0..3).map(|shard| search(request, documents.iter().skip(shard).step_by(3)).text()).collect();
     texts.iter().for_each(|text| add_text(trace, text));
-    let mut parts: Vec<(usize, Option<&str>)> =
-        texts.iter().enumerate().map(|(slice, text)| (slice, Some(text.as_str()))).collect();
-    add_merged(trace, &merge(wanted, &parts));
-    parts[random.random_range(0..3)].1 = None;
-    add_merged(trace, &merge(wanted, &parts));
+    let mut results: Vec<(usize, Option<&str>)> =
+        texts.iter().enumerate().map(|(shard, text)| (shard, Some(text.as_str()))).collect();
+    add_merged(trace, &merge(request, &results));
+    results[random.random_range(0..3)].1 = None;
+    add_merged(trace, &merge(request, &results));
     let doubled = [(0, Some(texts[0].as_str())), (1, Some(&texts[0])), (2, Some(&texts[1]))];
-    add_merged(trace, &merge(wanted, &doubled));
+    add_merged(trace, &merge(request, &doubled));
 }
 
 #[test]
@@ -250,19 +252,19 @@
             let text = body(&mut random).to_string();
             match SearchRequest::read(text.as_bytes(), "jobs", &mapping, NOW) {
                 Err(error) => add_error(&mut trace, &error),
-                Ok(wanted) => {
+                Ok(request) => {
                     accepted += 1;
-                    let canonical = wanted.canonical();
+                    let canonical = request.canonical();
                     add_text(&mut trace, &canonical);
-                    add_text(&mut trace, &wanted.body().to_string());
-                    trace.add_number(wanted.timeout.unwrap_or(0) as u64);
-                    field_usage(&wanted.query).iter().for_each(|(field, count)| {
+                    add_text(&mut trace, &request.body().to_string());
+                    trace.add_number(request.timeout.unwrap_or(0) as u64);
+                    field_usage(&request.query).iter().for_each(|(field, count)| {
                         add_text(&mut trace, field);
                         trace.add_number(*count as u64);
                     });
                     let carried = ShardRequest::read(&canonical, |_| Some(&mapping)).unwrap();
                     assert_eq!(carried.canonical(), canonical);
-                    add_answers(&mut trace, &mut random, &wanted, &documents);
+                    add_shard_results(&mut trace, &mut random, &request, &documents);
                 }
             }
             match SearchRequest::count(text.as_bytes(), "jobs", &mapping, NOW) {
@@ -276,7 +278,7 @@
     check_hashes(&golden("searches.txt"), &hashes);
 }
 
-/// Changes some bytes.
+/// Changes some bytes at random.
 fn corrupt(random: &mut Pcg64, bytes: &mut Vec<u8>) {
     for _ in 0..random.random_range(1..4) {
         let at = random.random_range(0..bytes.len().max(1)).min(bytes.len().saturating_sub(1));
@@ -290,7 +292,7 @@
 }
 
 #[test]
-fn corrupted_bodies_are_refused_or_read_as_recorded() {
+fn corrupted_bodies_are_rejected_or_parsed_as_recorded() {
     let mapping = mapping();
     let mut hashes = Vec::new();
     for seed in 0..10 {
@@ -308,7 +310,7 @@
             }
             match SearchRequest::read(&bytes, "jobs", &mapping, NOW) {
                 Err(error) => add_error(&mut trace, &error),
-                Ok(wanted) => add_text(&mut trace, &wanted.canonical()),
+                Ok(request) => add_text(&mut trace, &request.canonical()),
             }
             let carried = ShardRequest::read(&String::from_utf8_lossy(&bytes), |_| Some(&mapping));
             trace.add_number(u64::from(carried.is_ok()));
@@ -359,9 +361,9 @@
 }
 
 #[test]
-fn responses_of_stores_are_taken_as_recorded() {
+fn responses_of_index_servers_are_read_as_recorded() {
     let mut trace = Trace::new();
-    for (total, successful, failed, late) in
+    for (total, successful, failed, timed_out) in
         [(1, 1, 0, false), (1, 0, 1, false), (2, 2, 0, false), (1, 1, 0, true)]
     {
         for relation in ["eq", "gte", "about"] {
@@ -374,7 +376,8 @@
                     json!({"total": {"value": 4, "relation": relation}, "max_score": null, "hits": hits});
                 let shards =
                     json!({"total": total, "successful": successful, "skipped": 0, "failed": failed});
-                let body = json!({"took": 1, "timed_out": late, "_shards": shards, "hits": hits}).to_string();
+                let body =
+                    json!({"took": 1, "timed_out": timed_out, "_shards": shards, "hits": hits}).to_string();
                 match ShardResult::of_response(body.as_bytes()) {
                     Ok(text) => add_text(&mut trace, text),
                     Err(UnusableResponse::Incomplete(_)) => trace.add_number(1),
@@ -490,18 +493,18 @@
     RoutingContext { classes: vec![class("look", false), class("hold", true)], shards: 4 }
 }
 
-fn add_shard_weights(trace: &mut Trace, parts: Result<Vec<ShardWeight>, SearchError>) {
-    match parts {
+fn add_shard_weights(trace: &mut Trace, weights: Result<Vec<ShardWeight>, SearchError>) {
+    match weights {
         Err(error) => add_error(trace, &error),
-        Ok(parts) => parts.iter().for_each(|asked| {
-            trace.add_number(asked.shard as u64);
-            trace.add_number(asked.weight.to_bits());
+        Ok(weights) => weights.iter().for_each(|shard| {
+            trace.add_number(shard.shard as u64);
+            trace.add_number(shard.weight.to_bits());
         }),
     }
 }
 
 #[test]
-fn queries_and_documents_go_where_recorded() {
+fn queries_and_documents_are_routed_as_recorded() {
     let routes = Routes::read(ROUTES, &routing_context()).unwrap();
     let mut hashes = Vec::new();
     for seed in 0..8 {
@@ -530,7 +533,7 @@
                     add_shard_weights(&mut trace, index.shard_weights(routing.as_deref(), preference));
                     match index.document_shard(&value, routing.as_deref()) {
                         Err(error) => add_error(&mut trace, &error),
-                        Ok(slice) => trace.add_number(slice as u64),
+                        Ok(shard) => trace.add_number(shard as u64),
                     }
                 }
             }
--- a/crates/search/tests/language.rs
+++ b/crates/search/tests/language.rs
@@ -1,4 +1,4 @@
-//! What is mapped, what is refused and where, and that a query keeps its one meaning on every way round.
+//! Which queries are supported, which are rejected and with which path, and that parsing and printing keep the meaning.
 
 use orchidvalve_search::evaluate::{Document, score, search};
 use orchidvalve_search::json::MAX_BODY_BYTES;
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn what_cannot_be_mapped_is_refused_with_its_path() {
-    let refused = [
+fn unsupported_queries_are_rejected_with_their_path() {
+    let rejected = [
         (json!({"query": {"fuzzy": {"customer": "c"}}}), "query.fuzzy", "not supported"),
         (json!({"query": {"trem": {"customer": "c"}}}), "query.trem", "unknown query"),
         (json!({"query": {"term": {"colour": "red"}}}), "query.term.colour", "no field 'colour'"),
@@ -107,7 +107,7 @@
         (json!({"sort": ["_doc"]}), "sort[0]", "no sort"),
         (json!({"timeout": "5"}), "timeout", "unit"),
     ];
-    for (body, path, reason) in refused {
+    for (body, path, reason) in rejected {
         let error = read(&body).expect_err(&body.to_string());
         assert_eq!(error.path, path, "{error}");
         assert!(error.reason.contains(reason) && error.status == 400, "{error}");
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn too_many_clauses_and_too_deep_ones_are_refused() {
+fn too_many_or_too_deeply_nested_clauses_are_rejected() {
     let deep = |n| (0..n).fold(json!({"match_all": {}}), |inner, _| json!({"bool": {"must_not": inner}}));
     assert!(read(&json!({"query": deep(19)})).is_ok());
     assert!(read(&json!({"query": deep(20)})).unwrap_err().reason.contains("20 deep"));
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn each_clause_finds_what_it_says() {
+fn each_kind_of_clause_matches_the_expected_documents() {
     assert_eq!(matching_documents(json!({"term": {"customer": "c3"}})), [3, 8]);
     assert_eq!(
         matching_documents(json!({"match": {"notes": {"query": "PIANO up", "operator": "and"}}})),
@@ -200,7 +200,7 @@
 }
 
 #[test]
-fn one_id_twice_in_a_shard_is_one_hit_and_counts_once() {
+fn a_duplicate_id_in_a_shard_is_one_hit_and_counts_once() {
     let text = r#"{"total":{"value":3,"relation":"eq"},"max_score":1.0,
         "hits":[{"_id":"a","_score":1.0},{"_id":"a","_score":1.0},{"_id":"b","_score":1.0}]}"#;
     let merged = merge(&read(&json!({})).unwrap(), &[(0, Some(text))]);
@@ -209,8 +209,8 @@
 
 #[test]
 fn a_response_with_status_200_that_is_incomplete_is_not_used() {
-    let body = |shards: Value, late: bool| {
-        json!({"took": 1, "timed_out": late, "_shards": shards, "hits": {"max_score": null, "hits": []}})
+    let body = |shards: Value, timed_out: bool| {
+        json!({"took": 1, "timed_out": timed_out, "_shards": shards, "hits": {"max_score": null, "hits": []}})
             .to_string()
     };
     let whole = json!({"total": 1, "successful": 1, "skipped": 0, "failed": 0});
@@ -248,7 +248,7 @@
 }
 
 #[test]
-fn a_query_goes_where_its_routing_says_and_nowhere_else() {
+fn a_query_is_routed_only_to_the_shards_of_its_routing_values() {
     let routes = Routes::read(ROUTES, &routing_context()).unwrap();
     let (jobs, vans) = (routes.index("jobs").unwrap(), routes.index("vans").unwrap());
     let home = jobs.document_shard("j1", Some("c7")).unwrap();
@@ -271,7 +271,7 @@
 }
 
 #[test]
-fn a_file_of_routes_that_does_not_fit_is_refused_by_key() {
+fn an_invalid_routes_file_is_rejected_with_the_key() {
     let broken = [
         ("grade = \"look\"", "grade = \"hold\"", "index.jobs.grade: the grade 'hold' wants a receipt"),
         ("create = \"hold\"", "create = \"look\"", "index.jobs.create: the grade 'look' takes no receipt"),
@@ -288,15 +288,15 @@
         ("flavor = \"os-*\"\nlocality = \"a\"\n", "", "stores[0]: should name"),
         ("wire = \"search\"", "wire = \"sea\"", "unknown variant `sea`"),
     ];
-    for (sound, corrupted, error) in broken {
-        assert!(ROUTES.contains(sound), "{sound}");
-        let refused = Routes::read(&ROUTES.replacen(sound, corrupted, 1), &routing_context()).unwrap_err();
-        assert!(refused.to_string().contains(error), "{refused}");
+    for (valid, corrupted, error) in broken {
+        assert!(ROUTES.contains(valid), "{valid}");
+        let rejected = Routes::read(&ROUTES.replacen(valid, corrupted, 1), &routing_context()).unwrap_err();
+        assert!(rejected.to_string().contains(error), "{rejected}");
     }
 }
 
 #[test]
-fn a_document_that_the_index_cannot_hold_is_refused() {
+fn a_document_that_does_not_fit_the_mapping_is_rejected() {
     let create = |body: &str| CreateRequest::read(body.as_bytes(), "jobs", "j1", None, &mapping());
     assert!(create(r#"{"crew": [1, 2], "van": {"plate": null}}"#).is_ok());
     assert_eq!(create(r#"{"crew": [1, "2"]}"#).unwrap_err().path, "crew[1]");
@@ -392,7 +392,7 @@
             let mut bytes = body.clone().into_bytes();
             bytes[at] = with;
             let Ok(search) = SearchRequest::read(&bytes, "jobs", &mapping(), 100 * DAY) else { continue };
-            // Accepted, it is sound JSON to another reader too, and has one form that is read back.
+            // An accepted body is valid JSON for another parser too, and its canonical form can be parsed.
             let other: Value = serde_json::from_slice(&bytes).unwrap();
             prop_assert_eq!(read(&other).unwrap().canonical(), search.canonical());
         }
@@ -401,8 +401,8 @@
 
 #[test]
 fn the_score_of_a_search_orders_its_hits() {
-    let wanted = read(&json!({"query": {"match": {"notes": "piano up"}}, "size": 2})).unwrap();
+    let request = read(&json!({"query": {"match": {"notes": "piano up"}}, "size": 2})).unwrap();
     let documents: Vec<Document> = (0..6).map(document).collect();
-    let ids: Vec<String> = search(&wanted, documents.iter()).hits.into_iter().map(|h| h.id).collect();
+    let ids: Vec<String> = search(&request, documents.iter()).hits.into_iter().map(|h| h.id).collect();
     assert_eq!(ids, ["d00", "d03"]);
 }
