--- a/src/decisions/retry.rs
+++ b/src/decisions/retry.rs
@@ -24,7 +24,7 @@
         self.now() < self.may_be_sent_until(request) && request.attempts.len() < self.settings.max_attempts
     }
 
-    /// Whether the shard request will never be answered: no attempt is in flight and none may follow.
+    /// Whether the shard request will never be answered: it is closed, or no attempt is in flight and none may follow.
     pub(super) fn is_lost(&self, request: &ShardRequest) -> bool {
         let attempted = !request.attempts.is_empty() && !request.is_in_flight();
         request.closed || attempted && !self.may_retry(request)
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -102,7 +102,7 @@
     pub max_retry_after: Nanos,
     /// Whether membership changes are sent only on request.
     pub membership_on_request: bool,
-    /// Time without membership changes after which they are requested again.
+    /// Time within which lost membership changes are requested again. The pauses between requests are fractions of it.
     pub membership_request_interval: Nanos,
     /// Limit of further attempts; `None` if they are unlimited.
     pub retry_budget: Option<RetryBudget>,
