--- a/crates/ctl/src/retry.rs
+++ b/crates/ctl/src/retry.rs
@@ -59,7 +59,7 @@
     #[display("answered 307 without a usable Location")]
     #[from(ignore)]
     NoLocation,
-    /// There were more redirects than [`MAX_REDIRECTS`].
+    /// There were more redirects than `MAX_REDIRECTS`.
     #[display("redirected more than twice")]
     #[from(ignore)]
     TooManyRedirects,
--- a/crates/frontnode/src/maintenance_requests.rs
+++ b/crates/frontnode/src/maintenance_requests.rs
@@ -48,7 +48,7 @@
     /// The request names no machine.
     #[display("machine: should name one")]
     NoMachine,
-    /// A text is longer than [`MAX_TEXT_BYTES`].
+    /// A text is longer than `MAX_TEXT_BYTES`.
     #[display("{key}: should be {MAX_TEXT_BYTES} bytes at most, not {length}")]
     TextTooLong {
         /// The key of the text in the body.
